--- a/scenarios/gateway/gateway_test.go
+++ b/scenarios/gateway/gateway_test.go
@@ -26,6 +26,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"github.com/cherryward/cherryward/internal/daemon"
+	"github.com/cherryward/cherryward/scenarios/processtest"
 	"github.com/cherryward/cherryward/standin/metastore"
 	"github.com/cherryward/cherryward/standin/modelserver"
 	"github.com/cherryward/cherryward/standin/site"
@@ -138,14 +139,15 @@
 
 var callersField = regexp.MustCompile(`callers=(\S+).*event=start`)
 
-// node NAME starts a node and waits until it listens.
+// node NAME [other] starts a node, of the other build if it says so, and waits until it listens.
 func (w *world) node(words []string) error {
 	name := words[0]
 	file := filepath.Join(w.env.WorkDir, name+".toml")
 	if err := os.WriteFile(file, []byte(w.site.BootFile(name)), 0o600); err != nil {
 		return err
 	}
-	p := &process{cmd: exec.Command("cherryward", "run", "--boot", file), ended: make(chan struct{})}
+	program := processtest.Program(len(words) > 1 && words[1] == "other")
+	p := &process{cmd: exec.Command(program, "run", "--boot", file), ended: make(chan struct{})}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
--- a/scenarios/node_test.go
+++ b/scenarios/node_test.go
@@ -25,6 +25,7 @@
 	"github.com/cherryward/cherryward/internal/config"
 	"github.com/cherryward/cherryward/internal/demo"
 	"github.com/cherryward/cherryward/internal/settings"
+	"github.com/cherryward/cherryward/scenarios/processtest"
 )
 
 const (
@@ -77,6 +78,7 @@
 	id := a.word(0)
 	n := &nodeProcess{id: id, domain: a.text("domain", "north"), ended: make(chan struct{}), listening: make(chan struct{})}
 	ready := a.flag("ready", true)
+	program := processtest.Program(a.text("build", "own") == "other")
 	var err error
 	if a.flag("relay", false) {
 		if n.relay, err = newRelay(); err != nil {
@@ -91,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	n.cmd = exec.Command("cherryward", "run", "--settings", file)
+	n.cmd = exec.Command(program, "run", "--settings", file)
 	out, err := n.cmd.StderrPipe()
 	if err != nil {
 		return err
