--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -10,30 +10,32 @@
 	"github.com/cherryward/cherryward/internal/forward"
 )
 
-// Reasons for which no engine takes a prompt now.
+// Reasons for which no engine can take a prompt now.
 const (
-	noRoom  = "no_room"  // every engine's memory is held by runs
-	tooLate = "too_late" // the first event would come after the objective, for others' sake
+	reasonNoRoom  = "no_room"  // no engine has enough free memory
+	reasonTooLate = "too_late" // the queue at the engine would delay the first event past the objective
 )
 
-// honoured is the part of a caller's time left for which it comes back later at most.
-const honoured = 1.0 / 3
+// maxRetryShare bounds the retry delay that a refused caller gets, as a share of the time left
+// until its deadline.
+const maxRetryShare = 1.0 / 3
 
-// Services holds what a node learns of each service's engines and prompts. Its zero value is
-// ready for use, by several goroutines at once.
+// Services holds the engine model, the memory demand and the refusal state of each service, as
+// learned by this node. The zero value is ready to use. It is safe for concurrent use.
 type Services struct {
 	mu     sync.Mutex
 	byName map[string]*service
 }
 
-// service is what is learned of one service.
+// service is the learned state of one service.
 type service struct {
 	model   *enginemodel.Model
 	needs   admission.Needs
 	returns admission.Returns
-	placed  placed
+	placed  placedRate
 }
 
+// of returns the state of a service and creates it on first use.
 func (s *Services) of(name string) *service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,17 +50,18 @@
 	return added
 }
 
-// unseenShare is the part of an engine's memory that nodes of a large system leave to what the others
-// have placed there since they told: an engine of 12 slots gets 8 prompts a second, of which
-// two are not told yet. Where memory holds many, those balance what is believed to be held by
-// prompts that are on their way or only half read.
-const unseenShare = 0.15
+// unreportedShare is the share of an engine's memory that a node of a large system leaves free for
+// prompts that other nodes placed there since their last load report: an engine of 12 slots gets 8
+// prompts a second, of which two are not reported yet. It is not applied where an engine's memory
+// holds many prompts: there the unreported prompts are offset by prompts that are in transit or
+// only half read, whose memory is counted in full already.
+const unreportedShare = 0.15
 
-// memory returns what is believed of an engine's memory.
+// memory returns the estimated memory use of an engine.
 func (s *search) memory(m *fleet.Member) admission.Memory {
 	capacity := s.q.Service.Engine.KVTokens
-	if !s.Whole() && !s.many {
-		capacity -= int(unseenShare * float64(capacity))
+	if !s.Whole() && !s.holdsMany {
+		capacity -= int(unreportedShare * float64(capacity))
 	}
 	return admission.Memory{
 		Capacity: capacity,
@@ -66,22 +69,22 @@
 	}
 }
 
-// admitting returns the engines whose memory has room for the prompt.
-func (s *search) admitting(candidates []*fleet.Member) []*fleet.Member {
+// withRoom returns the engines that have enough free memory for the prompt.
+func (s *search) withRoom(candidates []*fleet.Member) []*fleet.Member {
 	need := holding(s.q)
-	open := make([]*fleet.Member, 0, len(candidates))
+	fitting := make([]*fleet.Member, 0, len(candidates))
 	for _, m := range candidates {
 		if s.memory(m).Fits(need, s.reserve) {
-			open = append(open, m)
+			fitting = append(fitting, m)
 		}
 	}
-	return open
+	return fitting
 }
 
-// comesTooLate reports whether the first event would come too late to be worth its caller's
-// while, for want of time at the engine: it would make others late, too. A caller that was
-// refused before is served, since it doesn't come back once more.
-func (s *search) comesTooLate(m *fleet.Member) bool {
+// isTooLate reports whether the prompt should be refused because queueing at the engine would delay
+// its first event past the objective. Such a prompt would make others late, too. A caller that was
+// refused before is served, since it does not return a second time.
+func (s *search) isTooLate(m *fleet.Member) bool {
 	objective := millis(s.q.Route.Objective)
 	if objective <= 0 || s.q.Returned() {
 		return false
@@ -89,31 +92,32 @@
 	return s.firstMs(m) > objective && s.queueMs(m) > s.tuning().QueueShare*objective
 }
 
-// decline returns why the prompt has no place, with the time until one of the engines may
-// have one. The refusal is noted, and given a time of its own to come back, only when it is
-// made: a prompt that waits is declined at every look.
+// decline returns why the prompt can't be placed, with the time until one of the engines may have
+// room. A waiting prompt is declined at each attempt to place it; only Refuse records a refusal and
+// assigns a retry time.
 func (s *search) decline(engines []*fleet.Member, reason string) forward.Placement {
-	wait := s.waitAt(engines)
+	wait := s.expectedWait(engines)
 	return forward.Placement{Reason: reason, Wait: wait, Refuse: func() time.Duration {
 		s.service.needs.Decided(true)
-		places := len(engines) * max(s.q.Service.Engine.KVTokens/max(holding(s.q), 1), 1)
-		spacing := duration(s.figures.RunMs * float64(s.Nodes()) / float64(places))
-		most := time.Duration(honoured * float64(s.q.Attributes.Deadline))
-		return s.service.returns.After(s.Now(), wait, spacing, most)
+		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(holding(s.q), 1), 1)
+		spacing := duration(s.figures.RunMs * float64(s.Nodes()) / float64(capacity))
+		maxDelay := time.Duration(maxRetryShare * float64(s.q.Attributes.Deadline))
+		return s.service.returns.After(s.Now(), wait, spacing, maxDelay)
 	}}
 }
 
-// waitAt predicts the time until one of the engines has room and time for the prompt.
-func (s *search) waitAt(engines []*fleet.Member) time.Duration {
-	var least time.Duration
+// expectedWait predicts the time until one of the engines has free memory and a short enough queue
+// for the prompt.
+func (s *search) expectedWait(engines []*fleet.Member) time.Duration {
+	var shortest time.Duration
 	for i, m := range engines {
 		wait := s.memory(m).Wait(holding(s.q), s.reserve, duration(s.figures.RunMs))
 		wait = max(wait, duration(s.queueMs(m)))
-		if i == 0 || wait < least {
-			least = wait
+		if i == 0 || wait < shortest {
+			shortest = wait
 		}
 	}
-	return least
+	return shortest
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/placer/alloc_test.go
+++ b/internal/placer/alloc_test.go
@@ -8,11 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// mostAllocs bounds the allocations of one placement among nine engines. It takes 69; it took
-// 50 before admission and learned speeds were part of it.
-const mostAllocs = 80
+// maxAllocs bounds the allocations of one placement among nine engines, which takes 69.
+const maxAllocs = 80
 
-// TestPlacementAllocates keeps the cost of a placement bounded, as each request pays it.
+// TestPlacementAllocates bounds the allocations of a placement, as each request pays for them.
 func TestPlacementAllocates(t *testing.T) {
 	w := newWorld(t, source{addr(2): shared(1, ""), store: shared(1, "")}, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	q := query()
@@ -22,12 +21,13 @@
 		must.True(t, ok)
 	})
 	t.Logf("%.0f allocations", allocs)
-	test.LessEq(t, mostAllocs, allocs)
+	test.LessEq(t, maxAllocs, allocs)
 }
 
-// TestPlacementCopiesNoListOfAll has a node of a large system place prompts without a copy of the list of all engines:
-// with one or more for each, small hosts spend their time on them.
-func TestPlacementCopiesNoListOfAll(t *testing.T) {
+// TestPlacementDoesNotCopyAllEngines checks that a placement in a large system does not copy the
+// list of all engines. One or more copies for each request would take most of the CPU time of small
+// hosts.
+func TestPlacementDoesNotCopyAllEngines(t *testing.T) {
 	const engines, runs, pointer = 3000, 50, 8
 	p, q := largeWorld(engines)
 	var before, after runtime.MemStats
--- a/internal/placer/backoff_test.go
+++ b/internal/placer/backoff_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestBackingOffGetsNothing sends an endpoint that asked for a backoff nothing until that is over, also where all others are
-// avoided, and refuses at once where all back off, with when the first one takes requests again: one caller after the
-// other.
+// TestBackingOffGetsNothing checks that an endpoint that requested a backoff gets no request until
+// the backoff ends, even where all other endpoints are avoided. Where all endpoints back off,
+// requests are refused at once, with retry times spread from the end of the first backoff.
 func TestBackingOffGetsNothing(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	now := time.Now()
@@ -19,20 +19,20 @@
 	w.members[1].Signals.BackOff(3*time.Second, now)
 	w.members[2].Health.Failed(now, true)
 	at := w.count(20, plainQuery())
-	test.Eq(t, 20, at["e2"], test.Sprint("avoided, and all that is left"))
+	test.Eq(t, 20, at["e2"], test.Sprint("e2 is avoided, but the only endpoint without a backoff"))
 	test.Zero(t, w.count(20, query())["e0"]+w.count(20, query())["e1"])
 
 	w.members[2].Signals.BackOff(2*time.Second, now)
 	p, ok := w.Place(plainQuery())
 	must.False(t, ok)
 	test.Eq(t, "backing_off", p.Reason)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("it is not kept waiting"))
+	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
 	first := p.Refuse()
 	test.Eq(t, time.Second, first)
 	test.Greater(t, first, p.Refuse())
 	now = now.Add(950 * time.Millisecond)
 	p, _ = w.Place(plainQuery())
-	test.Positive(t, p.Pause(time.Second), test.Sprint("it is over soon"))
+	test.Positive(t, p.Pause(time.Second), test.Sprint("the request waits, as the backoff ends soon"))
 	now = now.Add(50 * time.Millisecond)
 	p, ok = w.Place(plainQuery())
 	must.True(t, ok)
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -7,105 +7,110 @@
 )
 
 const (
-	// awayGain is the share of a failure domain's prompts that go to others, for each part by
-	// which its engines are fuller than all engines. It closes most of a gap without swinging, as told
-	// loads are younger than runs last.
-	awayGain = 3.0
-	// awayMost bounds that share: what is told of other domains is old and coarse.
-	awayMost = 0.5
-	// awayChoices is the number of random engines of another domain of which the best is taken:
-	// all nodes that looked for the best of all would find the same one between two messages.
-	awayChoices = 3
-	// freshChoices is the number of random engines of the own domain among which a prompt is
-	// placed, beside those to which a connection is kept.
-	freshChoices = 2
+	// remoteGain is the share of a failure domain's prompts sent to other domains, for each unit by
+	// which its utilization exceeds that of all engines. The value closes most of a gap without
+	// oscillating, as load reports are younger than runs are long.
+	remoteGain = 3.0
+	// maxRemoteShare bounds that share, as load reports of other domains are old and coarse.
+	maxRemoteShare = 0.5
+	// remoteChoices is the number of random engines of another domain among which a prompt is
+	// placed. If all engines were considered, all nodes would choose the same one until the next
+	// load report.
+	remoteChoices = 3
+	// localChoices is the number of random engines of this domain among which a prompt is placed,
+	// in addition to those with an open connection.
+	localChoices = 2
 )
 
-// use is how much of the engines of a failure domain is in use.
-type use struct {
+// domainUse is the utilization of the engines of a failure domain.
+type domainUse struct {
 	domain         string
 	engines        []*fleet.Member
 	running, slots int
 }
 
-// share returns the part of the slots that is in use; more than 1 where requests wait.
-func (u *use) share() float64 { return float64(u.running) / float64(max(u.slots, 1)) }
+// share returns the utilized part of the slots; more than 1 if requests are queued.
+func (u *domainUse) share() float64 { return float64(u.running) / float64(max(u.slots, 1)) }
 
-// spare returns how many more requests the domain would have under way if it were as full as
-// all engines.
-func (u *use) spare(all float64) float64 { return max(all*float64(u.slots)-float64(u.running), 0) }
+// spareRequests returns how many more requests the domain would run at the given utilization of all
+// engines.
+func (u *domainUse) spareRequests(all float64) float64 {
+	return max(all*float64(u.slots)-float64(u.running), 0)
+}
 
-// reach returns the engines among which the prompt is placed: in a large system those of this
-// node's failure domain, but for a share of the prompts that rises with how much fuller they are
-// than the others'. Callers and engines are spread unequally: without it, callers of a fuller domain
-// get worse answers than those of another.
-func (s *search) reach(candidates []*fleet.Member) []*fleet.Member {
-	s.among = len(candidates)
+// selectCandidates returns the engines among which the prompt is placed. In a large system these
+// are engines of this node's failure domain, except for a share of the prompts that grows with how
+// far the utilization of that domain exceeds the utilization of all. Callers and engines are spread
+// unevenly over domains: without this, callers of a busier domain would get slower answers than
+// others.
+func (s *search) selectCandidates(candidates []*fleet.Member) []*fleet.Member {
+	s.candidateCount = len(candidates)
 	if s.Whole() {
 		return candidates
 	}
-	near := s.near(candidates)
-	s.among = len(near)
-	if len(near) < len(candidates) {
-		if away := s.away(candidates); len(away) > 0 {
-			return away
+	local := s.localCandidates(candidates)
+	s.candidateCount = len(local)
+	if len(local) < len(candidates) {
+		if remote := s.remoteCandidates(candidates); len(remote) > 0 {
+			return remote
 		}
 	}
-	return s.choices(near)
+	return s.sampleLocal(local)
 }
 
-// choices returns the engines to which this node keeps a connection, and a few random others. An
-// engine that is new, or back empty, looks the least busy to all nodes between two messages: with
-// all of them choosing among all, it gets what they all place in that time. And a node that uses
-// few engines often opens fewer connections than one that uses all seldom.
-func (s *search) choices(near []*fleet.Member) []*fleet.Member {
-	var kept []*fleet.Member
-	others := make([]*fleet.Member, 0, len(near))
-	for _, m := range near {
+// sampleLocal returns the engines to which this node has an open connection, and a few random
+// others. A new engine, or one that restarted empty, looks the least busy to all nodes until the
+// next load report. If all nodes chose among all engines, it would get all prompts placed in that
+// time. Also, a node that uses few engines often opens fewer connections than one that uses all of
+// them rarely.
+func (s *search) sampleLocal(local []*fleet.Member) []*fleet.Member {
+	var connected []*fleet.Member
+	others := make([]*fleet.Member, 0, len(local))
+	for _, m := range local {
 		if m.Pool.Kept(s.now) {
-			kept = append(kept, m)
+			connected = append(connected, m)
 		} else {
 			others = append(others, m)
 		}
 	}
-	return append(kept, s.some(others, freshChoices)...)
+	return append(connected, s.sample(others, localChoices)...)
 }
 
-// away returns a few engines of another failure domain, or none where the prompt is to stay. Domains
-// count whose load is known: others' engines would look empty.
-func (s *search) away(candidates []*fleet.Member) []*fleet.Member {
+// remoteCandidates returns a few engines of another failure domain, or none if the prompt should
+// stay in this one. Only domains with a known load count, as the engines of others would look idle.
+func (s *search) remoteCandidates(candidates []*fleet.Member) []*fleet.Member {
 	known := s.Peers.Domains(s.now)
 	if len(known) == 0 {
 		return nil
 	}
-	uses, all := s.uses(candidates, known)
-	own := slices.IndexFunc(uses, func(u *use) bool { return u.domain == s.Domain })
+	uses, all := s.domainUses(candidates, known)
+	own := slices.IndexFunc(uses, func(u *domainUse) bool { return u.domain == s.Domain })
 	if own < 0 {
 		return nil
 	}
-	share := min(awayGain*(uses[own].share()-all.share()), awayMost)
+	share := min(remoteGain*(uses[own].share()-all.share()), maxRemoteShare)
 	if share <= 0 || s.Random() >= share {
 		return nil
 	}
-	to := s.emptier(uses, all.share())
-	if to == nil {
+	target := s.emptierDomain(uses, all.share())
+	if target == nil {
 		return nil
 	}
-	return s.some(to.engines, awayChoices)
+	return s.sample(target.engines, remoteChoices)
 }
 
-// uses returns how much of the engines is in use, by failure domain and of all of this one and the
-// known ones.
-func (s *search) uses(candidates []*fleet.Member, known []string) (byDomain []*use, all use) {
+// domainUses returns the utilization of each failure domain, and of all of them together. Only this
+// domain and the known ones count.
+func (s *search) domainUses(candidates []*fleet.Member, known []string) (byDomain []*domainUse, all domainUse) {
 	for _, m := range candidates {
 		at := m.Endpoint()
 		if at.Domain != s.Domain && !slices.Contains(known, at.Domain) {
 			continue
 		}
-		i := slices.IndexFunc(byDomain, func(u *use) bool { return u.domain == at.Domain })
+		i := slices.IndexFunc(byDomain, func(u *domainUse) bool { return u.domain == at.Domain })
 		if i < 0 {
 			i = len(byDomain)
-			byDomain = append(byDomain, &use{domain: at.Domain})
+			byDomain = append(byDomain, &domainUse{domain: at.Domain})
 		}
 		u := byDomain[i]
 		running := m.Load.Running() + s.others.Of(m.ID, m.Born).Running
@@ -116,16 +121,16 @@
 	return byDomain, all
 }
 
-// emptier returns a random failure domain that is emptier than all together, by what it has to
-// spare; nil where there is none.
-func (s *search) emptier(uses []*use, all float64) *use {
+// emptierDomain returns a random failure domain with a lower utilization than that of all, weighted
+// by its spare requests. It returns nil if there is none.
+func (s *search) emptierDomain(uses []*domainUse, all float64) *domainUse {
 	sum := 0.0
 	for _, u := range uses {
-		sum += u.spare(all)
+		sum += u.spareRequests(all)
 	}
 	at := s.Random() * sum
 	for _, u := range uses {
-		spare := u.spare(all)
+		spare := u.spareRequests(all)
 		if spare > 0 && at < spare {
 			return u
 		}
@@ -134,12 +139,12 @@
 	return nil
 }
 
-// some returns a few random ones of the engines.
-func (s *search) some(engines []*fleet.Member, few int) []*fleet.Member {
-	list := make([]*fleet.Member, 0, few)
+// sample returns up to count engines, chosen at random.
+func (s *search) sample(engines []*fleet.Member, count int) []*fleet.Member {
+	list := make([]*fleet.Member, 0, count)
 	for i := range engines {
-		left, lacking := len(engines)-i, few-len(list)
-		if s.Random()*float64(left) < float64(lacking) {
+		remaining, missing := len(engines)-i, count-len(list)
+		if s.Random()*float64(remaining) < float64(missing) {
 			list = append(list, engines[i])
 		}
 	}
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -13,10 +13,11 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// slotsEach is the number of slots of the engines here.
-const slotsEach = 12
+// slotsPerEngine is the number of slots of each engine in these tests.
+const slotsPerEngine = 12
 
-// newDomains has four engines in each of three failure domains, of which so many slots are taken.
+// newDomains returns a world with four engines in each of three failure domains, with the given
+// number of slots taken on each engine.
 func newDomains(t *testing.T, north, south, west int) *world {
 	t.Helper()
 	w := newWorld(t, source{})
@@ -31,7 +32,7 @@
 		for i := range 4 {
 			number++
 			w.Fleet.Update(&fleet.Endpoint{
-				ID: fmt.Sprint(domain, i), Service: "s", Addr: addr(number), Domain: domain, Slots: slotsEach,
+				ID: fmt.Sprint(domain, i), Service: "s", Addr: addr(number), Domain: domain, Slots: slotsPerEngine,
 				Weights: []fleet.Weights{{Model: model, Version: 1}},
 			}, time.Now())
 		}
@@ -46,24 +47,26 @@
 	return w
 }
 
-// addEngines adds engines e0, e1 and so on to this node's failure domain, with a version of the weights each.
+// addEngines adds engines e0, e1, ... to this node's failure domain; version returns the version of
+// the weights of each.
 func (w *world) addEngines(n int, version func(i int) int64) {
 	for i := range n {
 		w.Fleet.Update(&fleet.Endpoint{
-			ID: fmt.Sprint("e", i), Service: "s", Addr: addr(i), Domain: "north", Slots: slotsEach,
+			ID: fmt.Sprint("e", i), Service: "s", Addr: addr(i), Domain: "north", Slots: slotsPerEngine,
 			Weights: []fleet.Weights{{Model: model, Version: version(i)}},
 		}, time.Now())
 	}
 }
 
-// TestPromptsGoWhereEnginesAreEmptier sends a share of the prompts to other failure domains that
-// rises with how much fuller the engines of the own one are, to each by what it has to spare, and
-// none where they are emptier or equally full. Before, all stayed while four engines were left.
-func TestPromptsGoWhereEnginesAreEmptier(t *testing.T) {
+// TestPromptsMoveToEmptierDomains checks that the share of prompts sent to other failure domains
+// grows with how far the utilization of this domain exceeds theirs, that each gets prompts in
+// proportion to its spare slots, and that none are sent where the other domains are equally or more
+// utilized.
+func TestPromptsMoveToEmptierDomains(t *testing.T) {
 	for _, tc := range []struct {
-		north, south, west    int // slots taken of each engine
-		leastSouth, mostSouth int // of 100 prompts
-		leastWest, mostWest   int
+		north, south, west int // slots taken of each engine
+		minSouth, maxSouth int // of 100 prompts
+		minWest, maxWest   int
 	}{
 		{6, 6, 6, 0, 0, 0, 0},
 		{6, 12, 6, 0, 0, 0, 0},
@@ -73,19 +76,19 @@
 		{40, 3, 3, 18, 32, 18, 32},
 	} {
 		w := newDomains(t, tc.north, tc.south, tc.west)
-		went := make(map[string]int)
+		placed := make(map[string]int)
 		for range 100 {
 			p, ok := w.Place(query())
 			test.True(t, ok)
-			went[p.Member.Endpoint().Domain]++
+			placed[p.Member.Endpoint().Domain]++
 		}
-		test.Between(t, tc.leastSouth, went["south"], tc.mostSouth, test.Sprint(tc))
-		test.Between(t, tc.leastWest, went["west"], tc.mostWest, test.Sprint(tc))
+		test.Between(t, tc.minSouth, placed["south"], tc.maxSouth, test.Sprint(tc))
+		test.Between(t, tc.minWest, placed["west"], tc.maxWest, test.Sprint(tc))
 	}
 }
 
-// TestUnknownDomainsGetNothing keeps prompts from a failure domain that nobody tells the load of, as
-// its collectors are lost or cut off: its engines look empty.
+// TestUnknownDomainsGetNothing checks that no prompt is sent to a failure domain without load
+// reports, because its collectors failed or are unreachable: its engines only look idle.
 func TestUnknownDomainsGetNothing(t *testing.T) {
 	w := newDomains(t, 12, 6, 0)
 	w.Peers = peerload.NewTable()
@@ -107,30 +110,31 @@
 	test.Positive(t, south)
 }
 
-// TestAwayPromptsSpread has prompts that go to another failure domain use all its engines, though
-// one looks the least busy to all nodes.
-func TestAwayPromptsSpread(t *testing.T) {
+// TestRemotePromptsSpread checks that prompts sent to another failure domain use all its engines,
+// though one looks the least busy to all nodes.
+func TestRemotePromptsSpread(t *testing.T) {
 	w := newDomains(t, 30, 6, 30)
 	for _, m := range w.Fleet.Members("s") {
 		if m.ID == "south0" {
 			m.Load.End(1000)
 		}
 	}
-	went := make(map[string]int)
+	placed := make(map[string]int)
 	for range 400 {
 		p, ok := w.Place(query())
 		test.True(t, ok)
-		went[p.Member.ID]++
+		placed[p.Member.ID]++
 	}
 	for i := range 4 {
-		test.Positive(t, went[fmt.Sprint("south", i)], test.Sprint("south", i))
+		test.Positive(t, placed[fmt.Sprint("south", i)], test.Sprint("south", i))
 	}
 }
 
-// TestNewEngineDrawsFewNodes has the nodes of a failure domain place prompts between two messages on
-// one another's load, when an engine has just come. To all of them it looks the least busy; it gets
-// a share that is bounded by the number of engines of which each chooses. Before, it got all.
-func TestNewEngineDrawsFewNodes(t *testing.T) {
+// TestNewEngineGetsBoundedShare has the nodes of a failure domain place prompts between two load
+// reports, just after an engine joined. The engine looks the least busy to all of them. Its share
+// must be bounded by the number of engines among which each node chooses; otherwise it would get
+// all prompts.
+func TestNewEngineGetsBoundedShare(t *testing.T) {
 	w := newWorld(t, source{})
 	w.Whole = func() bool { return false }
 	random := rand.New(rand.NewPCG(3, 4))
@@ -144,24 +148,25 @@
 			}
 		}
 	}
-	went := make(map[string]int)
+	placed := make(map[string]int)
 	for range prompts {
 		p, ok := w.Place(query())
 		test.True(t, ok)
-		went[p.Member.ID]++
+		placed[p.Member.ID]++
 	}
-	test.Between(t, prompts/engines, went["e0"], 3*prompts/engines, test.Sprint("neither all nor unused"))
+	test.Between(t, prompts/engines, placed["e0"], 3*prompts/engines, test.Sprint("the new engine gets some of the prompts, but not all"))
 }
 
-// TestEnginesThatLookIdleToAllAreShared has nodes place prompts before they hear of each other's, where
-// two of twenty engines have just loaded new weights. These get more than the others, but not all:
-// before, each node sent all its prompts there, and 11 with 50,000 tokens lay before each new one.
-func TestEnginesThatLookIdleToAllAreShared(t *testing.T) {
+// TestIdleEnginesGetBoundedShare has nodes place prompts before they receive each other's load
+// reports, where two of twenty engines have just loaded new weights. The two must get more prompts
+// than others, but not all: if each node sent all its prompts there, 50,000 tokens in 11 prompts
+// would be queued before each new one.
+func TestIdleEnginesGetBoundedShare(t *testing.T) {
 	const engines, prompts = 20, 2000
 	for _, tc := range []struct {
-		name        string
-		others      int // nodes
-		least, most int // prompts on new weights
+		name           string
+		others         int // nodes
+		minNew, maxNew int // prompts on new weights
 	}{
 		{"a node alone", 0, prompts, prompts},
 		{"among 24 nodes", 23, 3 * prompts / engines, prompts / 2},
@@ -192,16 +197,16 @@
 					onNew++
 				}
 			}
-			test.Between(t, tc.least, onNew, tc.most)
+			test.Between(t, tc.minNew, onNew, tc.maxNew)
 		})
 	}
 }
 
-// TestRoomAnywhereNearIsFound has the only engine of the failure domain with room take every prompt.
-// A node looks at those to which it keeps connections and two others; callers were refused and came
-// back late where these were full, though others had room: 105 of 480 tries of the largest prompts
-// in the 4 s after new weights were named.
-func TestRoomAnywhereNearIsFound(t *testing.T) {
+// TestFindsRoomAtUnsampledEngine checks that the only engine of the failure domain with free memory
+// takes every prompt. A node first considers only engines with an open connection and two others.
+// Without a second look at all engines, callers were refused and came back late though others had
+// room: 105 of 480 attempts of the largest prompts in the 4 s after new weights were published.
+func TestFindsRoomAtUnsampledEngine(t *testing.T) {
 	w := newWorld(t, source{})
 	w.Whole = func() bool { return false }
 	q := query()
@@ -220,9 +225,9 @@
 	}
 }
 
-// TestRoomIsLeftForWhatIsNotTold refuses a prompt at an engine that it would fill to more than 0.85,
-// in a large system, and takes it in a small one.
-func TestRoomIsLeftForWhatIsNotTold(t *testing.T) {
+// TestReservesMemoryForUnreportedPrompts checks that a node of a large system refuses a prompt that
+// would fill an engine's memory beyond 0.85, and that a node of a small system accepts it.
+func TestReservesMemoryForUnreportedPrompts(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		w := newWorld(t, source{}, 1)
 		w.Whole = func() bool { return whole }
@@ -238,11 +243,11 @@
 	}
 }
 
-// TestRoomyMemoryIsFilled takes a prompt at an engine that it fills to more than 0.85 where engines hold
-// many such prompts. Callers of the largest were refused for want of room, and came back late, by
-// engines that held 94,000 of 149,000 tokens by their own reports: the nodes believed in 131,000, as
-// prompts that are on their way or half read hold less than they will.
-func TestRoomyMemoryIsFilled(t *testing.T) {
+// TestFillsMemoryThatHoldsManyPrompts checks that a prompt may fill an engine's memory beyond 0.85
+// where it holds many such prompts. Otherwise callers of the largest prompts are refused and come
+// back late though there is room: engines reported 94,000 of 149,000 tokens held while nodes
+// estimated 131,000, as prompts in transit or half read hold less than they will.
+func TestFillsMemoryThatHoldsManyPrompts(t *testing.T) {
 	w := newWorld(t, source{}, 1)
 	w.Whole = func() bool { return false }
 	q := query()
--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// largeWorld is a node of a large system with so many engines in three failure domains, and a store for
-// each fifteenth of them.
+// largeWorld returns the placer of a node in a large system, with the given number of engines in
+// three failure domains and a store for every fifteenth engine, and a query to place.
 func largeWorld(engines int) (*placer.Placer, *forward.Query) {
 	f := fleet.New(zerolog.Nop())
 	index := kept.NewIndex(nil, nil, zerolog.Nop())
@@ -49,7 +49,7 @@
 	return p, q
 }
 
-// BenchmarkPlace places a prompt of a session that a store keeps, at a node of a system of so many
+// BenchmarkPlace places a session's prompt whose parts are kept by a store, for several numbers of
 // engines.
 func BenchmarkPlace(b *testing.B) {
 	for _, engines := range []int{10, 60, 204, 1000, 3000} {
@@ -58,7 +58,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := p.Place(q); !ok {
-					b.Fatal("no place")
+					b.Fatal("the prompt was not placed")
 				}
 			}
 		})
--- a/internal/placer/bound_test.go
+++ b/internal/placer/bound_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test"
 )
 
-// TestNoBoundOnWeights places prompts on the wanted weights where the operators state no bound on
-// new ones, or one that is shorter than the margin.
+// TestNoBoundOnWeights checks that prompts are placed on the wanted weights where the operators set
+// no limit for applying new weights, or one shorter than the margin.
 func TestNoBoundOnWeights(t *testing.T) {
 	for _, bound := range []time.Duration{0, time.Second} {
 		w := newWorld(t, source{}, 1, 1, 1)
--- a/internal/placer/cold_test.go
+++ b/internal/placer/cold_test.go
@@ -12,13 +12,14 @@
 	"github.com/cherryward/cherryward/internal/slowstart"
 )
 
-// bound has cold endpoints get so many requests a second from all nodes, of which this is one of some.
-func (w *world) bound(most int, nodes ...string) {
+// limitColdStart limits the requests a second that each cold endpoint gets from all the given nodes
+// together; this node is "n".
+func (w *world) limitColdStart(perSecond int, nodes ...string) {
 	w.SlowStart = &slowstart.Limiter{Node: "n", View: func(string, int) slowstart.View { return slowstart.View{Generation: 1, Nodes: nodes} }}
-	w.MostCold = func(*routing.Service) int { return most }
+	w.MostCold = func(*routing.Service) int { return perSecond }
 }
 
-// count places so many requests and returns how many went to each endpoint.
+// count places the given number of requests and returns how many went to each endpoint.
 func (w *world) count(requests int, q *forward.Query) map[string]int {
 	at := make(map[string]int)
 	for range requests {
@@ -29,11 +30,11 @@
 	return at
 }
 
-// TestColdGetsItsShare sends an endpoint that is cold no more than this node's share in a second, and
-// all others to warm ones, though the cold one looks the least busy.
-func TestColdGetsItsShare(t *testing.T) {
+// TestColdEndpointGetsItsShare checks that a cold endpoint gets no more than this node's share of
+// requests a second, and warm endpoints get the rest, though the cold one looks the least busy.
+func TestColdEndpointGetsItsShare(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
-	w.bound(16, "n")
+	w.limitColdStart(16, "n")
 	w.members[1].Chill(time.Now().Add(time.Hour))
 	plain := &forward.Query{Route: &routing.Route{}, Service: &routing.Service{Name: "s"}, Attributes: &forward.Attributes{}}
 	for _, m := range []int{0, 2} {
@@ -42,14 +43,15 @@
 	at := w.count(40, query())
 	test.Eq(t, 2, at["e1"])
 	test.Eq(t, 38, at["e0"]+at["e2"])
-	test.Zero(t, w.count(40, plain)["e1"], test.Sprint("the share is that of all kinds of requests together"))
+	test.Zero(t, w.count(40, plain)["e1"], test.Sprint("all kinds of requests together use up one share"))
 }
 
-// TestColdOfOthers leaves a cold endpoint to the nodes that it is shared out to, and refuses at once
-// where no other is left, with when the first of them is warm.
-func TestColdOfOthers(t *testing.T) {
+// TestColdEndpointOfOtherNodes checks that a node sends nothing to a cold endpoint that is assigned
+// to other nodes. Where no other endpoint is left, it refuses requests at once, with the time until
+// the first endpoint is warm.
+func TestColdEndpointOfOtherNodes(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
-	w.bound(16, "a", "b", "c", "d")
+	w.limitColdStart(16, "a", "b", "c", "d")
 	w.members[0].Chill(time.Now().Add(time.Hour))
 	test.Zero(t, w.count(40, query())["e0"])
 	w.members[1].Chill(time.Now().Add(2 * time.Second))
@@ -58,14 +60,15 @@
 	p, ok := w.Place(query())
 	must.False(t, ok)
 	test.Eq(t, "cold", p.Reason)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("it is not kept waiting"))
+	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
 	test.Between(t, time.Second, p.Refuse(), 2*time.Second)
 }
 
-// TestColdWithoutBound sends cold endpoints as many as others where they stand any number.
+// TestColdWithoutBound checks that cold endpoints get as many requests as others where the service
+// sets no limit for them.
 func TestColdWithoutBound(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
-	w.bound(0)
+	w.limitColdStart(0)
 	for _, m := range w.members {
 		m.Chill(time.Now().Add(time.Hour))
 	}
--- a/internal/placer/cost_test.go
+++ b/internal/placer/cost_test.go
@@ -7,11 +7,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestMemoryCostsWhatIsWaitedFor has an engine with room and nothing to read preferred to one whose
-// memory is empty and whose time is taken. Callers got first events after 600 to 900 ms from engines
-// that had just loaded weights, with 50,000 tokens ahead of each prompt, while those beside them gave
-// theirs after 100 ms: memory that was three quarters full was taken for a wait of a second.
-func TestMemoryCostsWhatIsWaitedFor(t *testing.T) {
+// TestMemoryCostIsWaitTime checks that an engine with room and nothing to read is preferred to one
+// with empty memory and a queue. If memory three quarters full counted as a wait of a second,
+// callers would get first events after 600 to 900 ms from engines that just loaded weights and have
+// 50,000 tokens queued, while engines beside them respond within 100 ms.
+func TestMemoryCostIsWaitTime(t *testing.T) {
 	const memory, reading = 150_000, 2000
 	w := newWorld(t, source{}, 1, 1)
 	q := query()
@@ -29,7 +29,7 @@
 	must.True(t, ok)
 	test.Eq(t, "e0", p.Member.ID)
 
-	// Beside one that is as idle, the fuller one costs the time until a run has made room.
+	// Between two idle engines, the fuller one costs the time until a run frees memory.
 	w.members[0].Load.Begin(0, memory/5)
 	w.members[1].Load.FirstEvent(reading)
 	p, ok = w.Place(q)
--- a/internal/placer/evacuated_test.go
+++ b/internal/placer/evacuated_test.go
@@ -13,17 +13,17 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// evacuate has the world's operators evacuate failure domains.
+// evacuate marks the given failure domains, and only these, as evacuated.
 func (w *world) evacuate(domains ...string) {
-	gone := make(map[string]bool)
+	evacuated := make(map[string]bool)
 	for _, d := range domains {
-		gone[d] = true
+		evacuated[d] = true
 	}
-	w.Placer.Evacuated = func(domain string) bool { return gone[domain] }
+	w.Placer.Evacuated = func(domain string) bool { return evacuated[domain] }
 }
 
-// spread puts the world's endpoints into failure domains, in their order.
-func (w *world) spread(domains ...string) {
+// setDomains assigns the endpoints to failure domains, in their order.
+func (w *world) setDomains(domains ...string) {
 	f := fleet.New(zerolog.Nop())
 	for i, m := range w.members {
 		e := *m.Endpoint()
@@ -34,11 +34,11 @@
 	w.Fleet = f
 }
 
-// TestEvacuatedGetNothing sends no request to an evacuated failure domain, whether it is a first try
-// or a repeat, and also where everything else fails.
+// TestEvacuatedGetNothing checks that no request is sent to an evacuated failure domain, neither a
+// first attempt nor a retry, even where all other endpoints fail.
 func TestEvacuatedGetNothing(t *testing.T) {
 	w := newWorld(t, source{addr(2): shared(1, "")}, 1, 1, 1)
-	w.spread("north", "north", "east")
+	w.setDomains("north", "north", "east")
 	w.evacuate("east")
 	plain := &forward.Query{Route: &routing.Route{}, Service: &routing.Service{Name: "s"}, Attributes: &forward.Attributes{}}
 	for _, q := range []*forward.Query{query(), plain} {
@@ -48,7 +48,7 @@
 			must.Eq(t, len(tried) < 2, ok)
 			if ok {
 				test.NotEq(t, "e2", p.Member.ID)
-				test.SliceNotContains(t, p.Attempt.Sources, addr(2), test.Sprint("asked for KV cache"))
+				test.SliceNotContains(t, p.Attempt.Sources, addr(2), test.Sprint("an evacuated engine is a source of KV cache"))
 			}
 		}
 		q.Tried = nil
@@ -56,19 +56,19 @@
 			m.Health.Failed(time.Now(), true)
 		}
 		p, ok := w.Place(q)
-		must.True(t, ok, must.Sprint("endpoints that fail are used where no other may be"))
+		must.True(t, ok, must.Sprint("failing endpoints are used where no other is allowed"))
 		test.NotEq(t, "e2", p.Member.ID)
 	}
 }
 
-// TestAllEvacuated refuses at once where every failure domain is evacuated, and goes on as soon as
-// one is given back. An unknown domain changes nothing.
+// TestAllEvacuated checks that requests are refused at once where every failure domain is
+// evacuated, and accepted as soon as one is restored. An unknown domain has no effect.
 func TestAllEvacuated(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	w.evacuate("north", "nowhere")
 	p, ok := w.Place(query())
 	test.False(t, ok)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("it is not kept waiting"))
+	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
 	test.Eq(t, "evacuated", p.Reason)
 	w.evacuate("nowhere")
 	_, ok = w.Place(query())
--- a/internal/placer/gate.go
+++ b/internal/placer/gate.go
@@ -10,42 +10,45 @@
 	"github.com/cherryward/cherryward/internal/throttle"
 )
 
-// Reasons of a refusal where this node may send nothing to any endpoint now.
+// Reasons for which this node may send no request to any endpoint now.
 const (
-	allCold       = "cold"        // they have just started
-	allLimited    = "limited"     // they name limits, and this node's share is used up
-	allBackingOff = "backing_off" // they refused requests, and want none of this node for now
+	reasonCold       = "cold"        // all have just started
+	reasonLimited    = "limited"     // all have a rate limit, and this node's share is used up
+	reasonBackingOff = "backing_off" // all requested a backoff
 )
 
-// backoffSpacing is the time between the returns of two callers that are refused as all endpoints asked for a
-// backoff: those of some seconds would come back at once.
+// backoffSpacing is the time between the retries of successive callers that are refused because all
+// endpoints back off. Without it, all callers refused within several seconds would retry at the
+// same time.
 const backoffSpacing = 10 * time.Millisecond
 
-// gate is what this node may send to the endpoints of a service at all now, whatever speaks for them.
+// gate decides which endpoints of a service this node may send requests to now, whatever their
+// cost.
 type gate struct {
 	*Placer
-	q        *forward.Query
-	now      time.Time
-	mostCold int // requests in a second that a cold endpoint may get; 0 where any number
+	q       *forward.Query
+	now     time.Time
+	maxCold int // requests per second that a cold endpoint may get; 0 for no limit
 }
 
 func (p *Placer) gate(q *forward.Query) *gate {
 	g := &gate{Placer: p, q: q, now: p.Now()}
 	if p.SlowStart != nil && p.MostCold != nil {
-		g.mostCold = p.MostCold(q.Service)
+		g.maxCold = p.MostCold(q.Service)
 	}
 	return g
 }
 
-// isCold reports whether an endpoint is cold and its requests are bounded.
-func (g *gate) isCold(m *fleet.Member) bool { return g.mostCold > 0 && m.Cold(g.now) }
+// isCold reports whether an endpoint is cold and its requests are limited.
+func (g *gate) isCold(m *fleet.Member) bool { return g.maxCold > 0 && m.Cold(g.now) }
 
-func (g *gate) cold(m *fleet.Member) *slowstart.Endpoint {
-	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, Most: g.mostCold}
+func (g *gate) slowStartEndpoint(m *fleet.Member) *slowstart.Endpoint {
+	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, Most: g.maxCold}
 }
 
-// limited returns an endpoint as one that names a limit; nil for one that names none.
-func (g *gate) limited(m *fleet.Member) *throttle.Endpoint {
+// throttleEndpoint returns the rate limit of an endpoint in the throttle's form, or nil if it has
+// none in force.
+func (g *gate) throttleEndpoint(m *fleet.Member) *throttle.Endpoint {
 	limit, known := m.Signals.RateLimit()
 	if !known || !limit.InForce || g.Throttle == nil {
 		return nil
@@ -53,37 +56,37 @@
 	return &throttle.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, PerSecond: limit.PerSecond, Age: g.now.Sub(limit.At)}
 }
 
-// closed returns why nothing may be sent to an endpoint now, and for how long; an empty reason where a
-// request may be.
-func (g *gate) closed(m *fleet.Member) (reason string, wait time.Duration) {
+// blocked returns why no request may be sent to an endpoint now, and for how long. The reason is
+// empty if a request may be sent.
+func (g *gate) blocked(m *fleet.Member) (reason string, wait time.Duration) {
 	if b, backsOff := m.Signals.Backoff(g.now); backsOff {
-		return allBackingOff, b.Until.Sub(g.now)
+		return reasonBackingOff, b.Until.Sub(g.now)
 	}
-	if g.isCold(m) && !g.SlowStart.Allows(g.cold(m), g.now) {
-		return allCold, m.ColdUntil().Sub(g.now)
+	if g.isCold(m) && !g.SlowStart.Allows(g.slowStartEndpoint(m), g.now) {
+		return reasonCold, m.ColdUntil().Sub(g.now)
 	}
-	if e := g.limited(m); e != nil {
+	if e := g.throttleEndpoint(m); e != nil {
 		if wait = g.Throttle.Wait(e, g.now); wait > 0 {
-			return allLimited, wait
+			return reasonLimited, wait
 		}
 	}
 	return "", 0
 }
 
-// open returns the endpoints that a request may be sent to now.
-func (g *gate) open(members []*fleet.Member) []*fleet.Member {
+// unblocked returns the endpoints to which a request may be sent now.
+func (g *gate) unblocked(members []*fleet.Member) []*fleet.Member {
 	return without(members, func(m *fleet.Member) bool {
-		reason, _ := g.closed(m)
+		reason, _ := g.blocked(m)
 		return reason != ""
 	})
 }
 
-// take returns the endpoint of least cost, with the request counted where that bounds them; nil where
-// requests that were placed meanwhile left nothing.
-func (g *gate) take(list []scored) *fleet.Member {
+// takeCheapest returns the endpoint of least cost that accepts a request under its limits, and
+// counts the request. It returns nil if requests placed in the meantime used up all limits.
+func (g *gate) takeCheapest(list []scored) *fleet.Member {
 	for len(list) > 0 {
 		best := slices.MinFunc(list, byCost).member
-		if g.count(best) {
+		if g.tryCount(best) {
 			return best
 		}
 		list = slices.DeleteFunc(list, func(s scored) bool { return s.member == best })
@@ -91,56 +94,58 @@
 	return nil
 }
 
-// count counts a request that is sent to an endpoint, and reports false where it may not be.
-func (g *gate) count(m *fleet.Member) bool {
-	if e := g.limited(m); e != nil && !g.Throttle.Take(e, g.now) {
+// tryCount counts a request to an endpoint against its limits, and reports whether they allow it.
+func (g *gate) tryCount(m *fleet.Member) bool {
+	if e := g.throttleEndpoint(m); e != nil && !g.Throttle.Take(e, g.now) {
 		return false
 	}
-	return !g.isCold(m) || g.SlowStart.Take(g.cold(m), g.now)
+	return !g.isCold(m) || g.SlowStart.Take(g.slowStartEndpoint(m), g.now)
 }
 
-// decline returns why there is no place, by the endpoint that is open first.
+// decline returns why no endpoint may get the request, based on the endpoint that is unblocked
+// first.
 func (g *gate) decline(members []*fleet.Member) forward.Placement {
 	var reason string
-	least := throttle.Never
+	shortest := throttle.Never
 	for _, m := range members {
-		if why, wait := g.closed(m); reason == "" || wait < least {
-			reason, least = why, wait
+		if why, wait := g.blocked(m); reason == "" || wait < shortest {
+			reason, shortest = why, wait
 		}
 	}
 	switch reason {
-	case allLimited:
-		return g.declineLimited(members, least)
-	case allBackingOff:
-		return forward.Placement{Reason: reason, Wait: least, Refuse: func() time.Duration { return g.comeBack(least, backoffSpacing) }}
+	case reasonLimited:
+		return g.declineLimited(members, shortest)
+	case reasonBackingOff:
+		return forward.Placement{Reason: reason, Wait: shortest, Refuse: func() time.Duration { return g.retryAfter(shortest, backoffSpacing) }}
 	}
-	return forward.Placement{Reason: reason, Wait: least, Refuse: func() time.Duration { return least }}
+	return forward.Placement{Reason: reason, Wait: shortest, Refuse: func() time.Duration { return shortest }}
 }
 
-// declineLimited refuses a request where endpoints name limits: this node may send one of them the next
-// request after a wait, or leaves them to others. Callers come back, to any node, as often as all nodes
-// together may send requests.
+// declineLimited refuses a request because of rate limits. The wait is the time until this node may
+// send the next request, or throttle.Never if the endpoints are assigned to other nodes. As callers
+// may retry at any node, the retries are spaced by the rate of all nodes together.
 func (g *gate) declineLimited(members []*fleet.Member, wait time.Duration) forward.Placement {
 	if wait == throttle.Never {
 		wait = 0
 	}
-	return forward.Placement{Reason: allLimited, Wait: wait, Refuse: func() time.Duration {
+	return forward.Placement{Reason: reasonLimited, Wait: wait, Refuse: func() time.Duration {
 		perSecond := 0.0
 		for _, m := range members {
-			if e := g.limited(m); e != nil {
+			if e := g.throttleEndpoint(m); e != nil {
 				perSecond += throttle.ShareOf(e.PerSecond).PerSecond()
 			}
 		}
-		if perSecond <= 0 { // the limits have ended meanwhile
+		if perSecond <= 0 { // the limits ended in the meantime
 			return wait
 		}
-		return g.comeBack(wait, duration(1000*float64(g.Nodes())/perSecond))
+		return g.retryAfter(wait, duration(1000*float64(g.Nodes())/perSecond))
 	}}
 }
 
-// comeBack returns when the caller may come back: after a wait, and a spacing after the one that was refused
-// before, but within the time for which callers wait.
-func (g *gate) comeBack(wait, spacing time.Duration) time.Duration {
-	most := time.Duration(honoured * float64(g.q.Attributes.Deadline))
-	return g.Services.of(g.q.Service.Name).returns.After(g.now, wait, spacing, most)
+// retryAfter returns the delay after which the caller may retry: at least wait, and at least
+// spacing after the retry of the previously refused caller, but bounded by a share of the caller's
+// deadline.
+func (g *gate) retryAfter(wait, spacing time.Duration) time.Duration {
+	maxDelay := time.Duration(maxRetryShare * float64(g.q.Attributes.Deadline))
+	return g.Services.of(g.q.Service.Name).returns.After(g.now, wait, spacing, maxDelay)
 }
--- a/internal/placer/help_test.go
+++ b/internal/placer/help_test.go
@@ -25,10 +25,10 @@
 	model = "m"
 	store = "10.9.0.1:1"
 	limit = 12 * time.Second
-	home  = "e2" // of the query's session among e0, e1 and e2
+	home  = "e2" // home engine of the query's session among e0, e1 and e2
 )
 
-// source tells each holder's events once.
+// source returns each holder's events once, by the holder's address.
 type source map[string][]kept.Change
 
 func (s source) Events(_ context.Context, addr string, since int64, _ time.Duration) (kept.Events, error) {
@@ -41,7 +41,8 @@
 
 func (source) Free(context.Context, string, []kept.Part, int64) error { return nil }
 
-// versions are what the operators named, and how long ago.
+// versions returns the version of the weights that the operators want, and how long ago it was
+// published.
 type versions struct {
 	wanted int64
 	age    time.Duration
@@ -53,6 +54,7 @@
 	return time.Now().Add(-v.age), version < v.wanted
 }
 
+// world is a placer in a small system of engines and one store, with its fakes.
 type world struct {
 	*placer.Placer
 	versions *versions
@@ -63,17 +65,17 @@
 
 func addr(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-// newWorld has three engines with the given versions of their weights, and a store that keeps a part of
-// some other prompt if nothing else.
-func newWorld(t *testing.T, kept3 source, has ...int64) *world {
+// newWorld returns a world with engines that have the given versions of the weights, and a store.
+// The store keeps a part of an unrelated prompt if events lists none for it.
+func newWorld(t *testing.T, events source, has ...int64) *world {
 	t.Helper()
-	if kept3[store] == nil {
-		kept3 = maps.Clone(kept3)
-		kept3[store] = []kept.Change{{Part: kept.Part{Salt: salt(1, ""), ID: "another's"}, Tokens: 64}}
+	if events[store] == nil {
+		events = maps.Clone(events)
+		events[store] = []kept.Change{{Part: kept.Part{Salt: salt(1, ""), ID: "another's"}, Tokens: 64}}
 	}
 	w := &world{versions: &versions{wanted: 1}, mayName: true}
 	f := fleet.New(zerolog.Nop())
-	index := kept.NewIndex(kept3, func(*kept.Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
+	index := kept.NewIndex(events, func(*kept.Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
 	var engines []*kept.Holder
 	for i, version := range has {
 		id := fmt.Sprint("e", i)
@@ -87,7 +89,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	index.Follow(ctx, engines, []*kept.Holder{keep})
 	t.Cleanup(func() { cancel(); index.Wait() })
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return told(index, kept3) }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return indexComplete(index, events) }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 	w.Placer = newPlacer(f, index)
 	w.Versions = w.versions
 	w.MayName = func(string, int64) bool { return w.mayName }
@@ -96,8 +98,8 @@
 	return w
 }
 
-// newPlacer returns the placer of a node in a small system of three, with the first version of the
-// weights.
+// newPlacer returns the placer of a node in a small system of three nodes that wants version 1 of
+// the weights.
 func newPlacer(f *fleet.Fleet, index *kept.Index) *placer.Placer {
 	return &placer.Placer{
 		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kept.Lateness{}, Whole: func() bool { return true },
@@ -108,8 +110,8 @@
 	}
 }
 
-// told reports whether the index has all events.
-func told(index *kept.Index, s source) bool {
+// indexComplete reports whether the index has received all events.
+func indexComplete(index *kept.Index, s source) bool {
 	holders := index.Stores()
 	for _, h := range index.Engines() {
 		holders = append(holders, h)
@@ -128,6 +130,7 @@
 	return kept.Salt{Model: model, Version: version, Account: account}.String()
 }
 
+// query returns a query for a prompt of three parts, of which the first two are shared.
 func query() *forward.Query {
 	return &forward.Query{
 		Route:   &routing.Route{Priority: 2},
@@ -139,6 +142,7 @@
 	}
 }
 
+// shared returns the events of a holder that keeps the shared parts of query.
 func shared(version int64, account string) []kept.Change {
 	return []kept.Change{
 		{Part: kept.Part{Salt: salt(version, account), ID: "common"}, Tokens: 500},
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -13,17 +13,20 @@
 	"github.com/cherryward/cherryward/internal/throttle"
 )
 
-// throttled has endpoints that name limits be shared out among nodes, of which this one is "n".
+// throttled shares out the requests to rate-limited endpoints among the given nodes; this node is
+// "n".
 func (w *world) throttled(nodes ...string) {
 	w.Throttle = &throttle.Limiter{Node: "n", View: func(string, int) senders.View { return senders.View{Generation: 1, Nodes: nodes} }}
 }
 
+// plainQuery returns a query for a service without model engines.
 func plainQuery() *forward.Query {
 	return &forward.Query{Route: &routing.Route{}, Service: &routing.Service{Name: "s"}, Attributes: &forward.Attributes{Deadline: 6 * time.Second}}
 }
 
-// TestLimitedGetsItsShare sends an endpoint that names a limit no more than this node's share, of all kinds
-// of requests together, though it looks the least busy, and all others elsewhere.
+// TestLimitedGetsItsShare checks that a rate-limited endpoint gets no more than this node's share
+// of requests, of all kinds together, though it looks the least busy, and that other endpoints get
+// the rest.
 func TestLimitedGetsItsShare(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	w.throttled("n")
@@ -32,13 +35,14 @@
 		w.members[m].Load.Begin(100_000, 0)
 	}
 	at := w.count(40, query())
-	test.Eq(t, 1, at["e1"], test.Sprint("the next one is half of a mean distance later"))
+	test.Eq(t, 1, at["e1"], test.Sprint("the next request is allowed half a mean interval later"))
 	test.Eq(t, 39, at["e0"]+at["e2"])
 	test.Zero(t, w.count(40, plainQuery())["e1"])
 }
 
-// TestLimitedIsLeftToOthers sends nothing to endpoints that other nodes send to, and refuses at once where
-// no other is left, with when to come back: one caller after the other.
+// TestLimitedIsLeftToOthers checks that a node sends nothing to rate-limited endpoints assigned to
+// other nodes. Where no other endpoint is left, it refuses requests at once, with retry times
+// spread over successive callers.
 func TestLimitedIsLeftToOthers(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	w.throttled("a", "b", "c", "d", "e", "f", "g", "h")
@@ -48,14 +52,14 @@
 	p, ok := w.Place(plainQuery())
 	must.False(t, ok)
 	test.Eq(t, "limited", p.Reason)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("it is not kept waiting"))
+	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
 	first := p.Refuse()
 	p, ok = w.Place(plainQuery())
 	must.False(t, ok)
 	second := p.Refuse()
 	test.Between(t, first+100*time.Millisecond, second, first+time.Second)
 	for range 40 {
-		test.LessEq(t, 2*time.Second, p.Refuse(), test.Sprint("no later than callers wait"))
+		test.LessEq(t, 2*time.Second, p.Refuse(), test.Sprint("the retry is within the time that callers wait"))
 	}
 	w.members[0].Signals.ClearLimit(time.Now(), time.Now())
 	p, ok = w.Place(plainQuery())
@@ -63,7 +67,7 @@
 	test.Eq(t, "e0", p.Member.ID)
 }
 
-// TestLimitedWaitsForItsTurn keeps a request waiting where this node may send soon.
+// TestLimitedWaitsForItsTurn checks that a request waits where this node may send one soon.
 func TestLimitedWaitsForItsTurn(t *testing.T) {
 	w := newWorld(t, source{}, 1)
 	w.throttled("n")
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -1,8 +1,8 @@
 // Package placer chooses the endpoint for each request of a gateway node.
 //
-// A choice has three steps, each pure: filter the endpoints that may take the
-// request, score what is left by the predicted time to the first event, pick the
-// least. The reason goes along with the choice.
+// A placement has three steps: filter the endpoints that may take the request, score the remaining
+// ones by the predicted time to the first event, and select the one with the lowest cost. The
+// reason is returned with the choice.
 package placer
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
-// Versions are the versions of weights that the operators want.
+// Versions provides the versions of weights that the operators want.
 type Versions interface {
-	// Wanted returns the wanted version of a model and a time at which it was not
-	// named yet; 0 where none was named.
+	// Wanted returns the wanted version of a model and a time at which it was not published yet; 0
+	// if none was published.
 	Wanted(model string) (version int64, since time.Time)
-	// Replaced returns since when a version may have been replaced, and false for
-	// one that is wanted.
+	// Replaced returns since when a version may have been replaced, and false if it is the wanted
+	// one.
 	Replaced(model string, version int64) (since time.Time, ok bool)
 }
 
@@ -36,66 +36,66 @@
 	Fleet    *fleet.Fleet
 	Versions Versions
 	Kept     *kept.Index
-	// MayName reports whether parts of a version of a model may be named at stores,
-	// which are freed some time after the version was replaced.
+	// MayName reports whether requests may name parts of a version of a model at stores. Stores
+	// free these some time after the version was replaced.
 	MayName func(model string, version int64) bool
-	// Peers is what the other nodes tell.
+	// Peers holds the load reports of the other nodes.
 	Peers *peerload.Table
-	// Kick has the other nodes told soon of a placement.
+	// Kick requests an early load report to the other nodes after a placement.
 	Kick func()
-	// Usual is how late first events come that depend on no store.
+	// Usual is the average delay of first events that don't depend on a store.
 	Usual *kept.Lateness
-	// Whole reports whether Peers tells of all nodes, rather than of those of this
-	// failure domain.
+	// Whole reports whether Peers covers all nodes, rather than only those of this failure domain.
 	Whole func() bool
-	// Closed are the engines that this node has loaded now.
+	// Closed returns the engines that load weights by order of this node now.
 	Closed func() []weights.Closed
-	// VersionApply is the operators' bound on new weights.
+	// VersionApply returns the operators' limit for applying new weights.
 	VersionApply func() time.Duration
-	// Evacuated reports whether the endpoints of a failure domain are to get nothing. Nil means that
-	// none is evacuated.
+	// Evacuated reports whether the endpoints of a failure domain must get no requests. Nil means
+	// that no domain is evacuated.
 	Evacuated func(domain string) bool
-	// SlowStart shares out what cold endpoints may get, and MostCold returns the requests in a second
-	// that a cold endpoint of a service may get, 0 where any number. Nil means that cold endpoints
-	// get as many as others.
+	// SlowStart shares out the requests to cold endpoints between nodes. MostCold returns the
+	// maximum number of requests per second to a cold endpoint of a service, 0 for no limit. Nil
+	// means that cold endpoints get as many requests as others.
 	SlowStart *slowstart.Limiter
 	MostCold  func(s *routing.Service) int
-	// Throttle shares out what endpoints that name a limit may get. Nil means that they get as many
-	// requests as others.
+	// Throttle shares out the requests to rate-limited endpoints between nodes. Nil means that rate
+	// limits are ignored.
 	Throttle *throttle.Limiter
-	// Excused returns when this process started, and until when that excuses runs on weights that
-	// were replaced before. Nil means that nothing does.
+	// Excused returns when this process started, and until when runs on weights replaced before
+	// then are still allowed. Nil means that none are.
 	Excused func() (started, until time.Time)
-	// Services is what is learned of engines and prompts.
+	// Services holds the learned state of the services.
 	Services *Services
 	// Nodes returns the number of nodes that place requests.
 	Nodes func() int
-	// Unheard returns how many other nodes tell of their load what Peers sums up, and how old that
-	// is. Nil means that it is never old.
+	// Unheard returns the number of other nodes whose load reports Peers sums up, and the age of
+	// these reports. Nil means that the reports are always current.
 	Unheard func() (nodes int, lag time.Duration)
-	// Now and Random are the clock, and a source of numbers from 0 to below 1.
+	// Now is the clock. Random returns a random number in [0, 1).
 	Now    func() time.Time
 	Random func() float64
-	// Tuning may be nil for the values of DefaultTuning.
+	// Tuning holds the refusal thresholds; nil means DefaultTuning.
 	Tuning *Tuning
 }
 
 var _ forward.Placer = (*Placer)(nil)
 
-// allEvacuated is the reason of a refusal where every endpoint's failure domain is evacuated.
-const allEvacuated = "evacuated"
+// reasonEvacuated is the reason of a refusal because the failure domains of all endpoints are
+// evacuated.
+const reasonEvacuated = "evacuated"
 
 // Place implements forward.Placer.
 func (p *Placer) Place(q *forward.Query) (forward.Placement, bool) {
 	all := p.Fleet.Members(q.Service.Name)
-	staying := p.staying(all)
-	if len(staying) == 0 && len(all) > 0 {
-		return forward.Placement{Reason: allEvacuated}, false
+	available := p.notEvacuated(all)
+	if len(available) == 0 && len(all) > 0 {
+		return forward.Placement{Reason: reasonEvacuated}, false
 	}
 	gate := p.gate(q)
-	ready := gate.open(staying)
-	if len(ready) == 0 && len(staying) > 0 {
-		return gate.decline(staying), false
+	ready := gate.unblocked(available)
+	if len(ready) == 0 && len(available) > 0 {
+		return gate.decline(available), false
 	}
 	candidates := usable(ready, q.Tried, gate.now)
 	if len(candidates) == 0 {
@@ -107,60 +107,60 @@
 	return p.placePrompt(q, candidates, gate)
 }
 
-// staying returns the endpoints whose failure domain is not evacuated.
-func (p *Placer) staying(members []*fleet.Member) []*fleet.Member {
+// notEvacuated returns the endpoints whose failure domain is not evacuated.
+func (p *Placer) notEvacuated(members []*fleet.Member) []*fleet.Member {
 	return without(members, func(m *fleet.Member) bool { return p.evacuated(m.Endpoint().Domain) })
 }
 
-// evacuated reports whether nothing is to be sent to the endpoints of a failure domain.
+// evacuated reports whether the endpoints of a failure domain must get no requests.
 func (p *Placer) evacuated(domain string) bool { return p.Evacuated != nil && p.Evacuated(domain) }
 
-// without returns the endpoints but for some, without a copy where none is left out. It asks once for
-// each.
+// without returns the members for which drop reports false. It calls drop once for each member, and
+// copies the list only if some are dropped.
 func without(members []*fleet.Member, drop func(*fleet.Member) bool) []*fleet.Member {
 	first := slices.IndexFunc(members, drop)
 	if first < 0 {
 		return members
 	}
-	left := append(make([]*fleet.Member, 0, len(members)-1), members[:first]...)
+	rest := append(make([]*fleet.Member, 0, len(members)-1), members[:first]...)
 	for _, m := range members[first+1:] {
 		if !drop(m) {
-			left = append(left, m)
+			rest = append(rest, m)
 		}
 	}
-	return left
+	return rest
 }
 
-// usable returns the endpoints that were not tried and are not avoided. Where all
-// are avoided, none is: a judgement that leaves no endpoint helps nobody.
+// usable returns the endpoints that were not tried and are healthy. If none is healthy, it returns
+// all that were not tried, as refusing every request helps no caller.
 func usable(members []*fleet.Member, tried []string, now time.Time) []*fleet.Member {
-	left := without(members, func(m *fleet.Member) bool { return slices.Contains(tried, m.ID) })
-	sound := without(left, func(m *fleet.Member) bool { return !m.Health.Usable(now) })
-	if len(sound) > 0 {
-		return sound
+	untried := without(members, func(m *fleet.Member) bool { return slices.Contains(tried, m.ID) })
+	healthy := without(untried, func(m *fleet.Member) bool { return !m.Health.Usable(now) })
+	if len(healthy) > 0 {
+		return healthy
 	}
-	return left
+	return untried
 }
 
 const (
-	// foreignDomain is the cost of another failure domain, in requests under way:
-	// a round trip is 2 ms more, and its bytes are priced.
-	foreignDomain = 0.5
-	// failurePenalty is the cost of a failure rate of 1, in requests under way.
+	// crossDomainCost is the cost of another failure domain, in requests in flight: a round trip
+	// takes 2 ms longer, and its bytes are billed.
+	crossDomainCost = 0.5
+	// failurePenalty is the cost of a failure rate of 1, in requests in flight.
 	failurePenalty = 8
-	// tieSpread spreads choices between equals.
-	tieSpread = 0.2
+	// tieJitter is the random part of the cost, which spreads requests over equal endpoints.
+	tieJitter = 0.2
 )
 
-// placePlain picks the endpoint with the fewest requests under way.
+// placePlain selects the endpoint with the fewest requests in flight.
 func (p *Placer) placePlain(q *forward.Query, candidates []*fleet.Member, gate *gate) (forward.Placement, bool) {
 	now := p.Now()
 	others := p.Peers.Loads(now)
-	best := gate.take(score(candidates, func(m *fleet.Member) float64 {
-		seen := others.Of(m.ID, m.Born)
-		cost := float64(m.Load.Running()+seen.Running) + failurePenalty*failureRate(m, seen, now) + tieSpread*p.Random()
+	best := gate.takeCheapest(score(candidates, func(m *fleet.Member) float64 {
+		reported := others.Of(m.ID, m.Born)
+		cost := float64(m.Load.Running()+reported.Running) + failurePenalty*failureRate(m, reported, now) + tieJitter*p.Random()
 		if m.Endpoint().Domain != p.Domain {
-			cost += foreignDomain
+			cost += crossDomainCost
 		}
 		return cost
 	}))
@@ -174,7 +174,8 @@
 	}, true
 }
 
-// failureRate is the share of failed attempts that this node or its peers saw.
+// failureRate returns the share of failed attempts observed by this node or its peers, whichever is
+// higher.
 func failureRate(m *fleet.Member, others peerload.Sum, now time.Time) float64 {
 	return max(m.Health.FailureRate(now), others.FailureRate())
 }
@@ -211,15 +212,14 @@
 }
 
 const (
-	// maxPriority is the least urgent rank that engines know.
+	// maxPriority is the lowest priority that engines accept.
 	maxPriority = 9
-	// routeRanks is the number of ranks that routes have below each rank of client
-	// accounts.
+	// routeRanks is the number of route priorities within each priority of a client account.
 	routeRanks = 3
 )
 
-// priorityOf returns the rank of a request: its client account's goes before its
-// route's, which tells apart the requests of accounts of equal rank.
+// priorityOf returns the engine priority of a request; 0 is the most urgent. The client account's
+// priority takes precedence; the route's orders requests of accounts with equal priority.
 func priorityOf(q *forward.Query) *int {
 	rank := min(max(q.Route.Priority, 0), routeRanks-1)
 	if q.Account != nil && q.Account.Priority != nil {
@@ -229,7 +229,7 @@
 	return &rank
 }
 
-// saltOf returns the text under which the request's parts are kept.
+// saltOf returns the salt under which the request's parts are kept.
 func saltOf(q *forward.Query, version int64) string {
 	salt := kept.Salt{Model: q.Attributes.Model, Version: version}
 	if q.Account != nil && q.Account.Isolated {
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -13,7 +13,7 @@
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
-func TestGoesWherePartsAre(t *testing.T) {
+func TestPrefersEngineWithCachedParts(t *testing.T) {
 	w := newWorld(t, source{addr(2): shared(1, "")}, 1, 1, 1)
 	p, ok := w.Place(query())
 	must.True(t, ok)
@@ -23,8 +23,9 @@
 	test.Eq(t, 1, p.Attempt.Version)
 }
 
-// TestBringsPartsAlong fetches from a busy engine rather than waiting for it.
-func TestBringsPartsAlong(t *testing.T) {
+// TestFetchesPartsFromBusyEngine checks that parts are fetched from a busy engine instead of
+// queueing there.
+func TestFetchesPartsFromBusyEngine(t *testing.T) {
 	w := newWorld(t, source{addr(1): shared(1, "")}, 1, 1, 1)
 	for _, m := range w.members {
 		if m.ID == "e1" {
@@ -35,7 +36,7 @@
 	must.True(t, ok)
 	test.NotEq(t, "e1", p.Member.ID)
 	test.Eq(t, []string{addr(1), addr(1), ""}, p.Attempt.Sources)
-	test.Eq(t, 0, p.Attempt.FetchUntil, test.Sprint("only fetches from stores have an end"))
+	test.Eq(t, 0, p.Attempt.FetchUntil, test.Sprint("only fetches from stores have a timeout"))
 }
 
 func TestFetchesFromStore(t *testing.T) {
@@ -44,15 +45,15 @@
 	must.True(t, ok)
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Sources)
 	test.Greater(t, 1000, p.Attempt.FetchUntil)
-	test.Nil(t, p.Attempt.Targets, test.Sprint("nothing is saved twice"))
+	test.Nil(t, p.Attempt.Targets, test.Sprint("parts that the store keeps are not saved again"))
 	w.mayName = false
 	p, ok = w.Place(query())
 	must.True(t, ok)
-	test.Nil(t, p.Attempt.Sources, test.Sprint("a part that may be freed is not named"))
+	test.Nil(t, p.Attempt.Sources, test.Sprint("a part that the store may free is not named"))
 }
 
-// TestBacksUpCachedParts names the store for parts that the engine is believed to keep, as
-// they may be gone, and the quickest holder for those that it lacks.
+// TestBacksUpCachedParts checks that the store is named as a backup source for parts the engine is
+// expected to hold, as they may have been evicted, and the fastest holder for missing parts.
 func TestBacksUpCachedParts(t *testing.T) {
 	w := newWorld(t, source{addr(2): shared(1, ""), addr(1): shared(1, ""), store: shared(1, "")}, 1, 1, 1)
 	p, ok := w.Place(query())
@@ -69,7 +70,7 @@
 	p, ok = w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, "e0", p.Member.ID)
-	test.Eq(t, []string{addr(1), addr(1), ""}, p.Attempt.Sources, test.Sprint("the quickest of those that have it"))
+	test.Eq(t, []string{addr(1), addr(1), ""}, p.Attempt.Sources, test.Sprint("the fastest of the holders"))
 }
 
 func TestSavesSharedParts(t *testing.T) {
@@ -79,12 +80,12 @@
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Targets)
 	p, ok = w.Place(query())
 	must.True(t, ok)
-	test.Nil(t, p.Attempt.Targets, test.Sprint("the save is under way"))
+	test.Nil(t, p.Attempt.Targets, test.Sprint("the save is in progress"))
 }
 
-// TestFullStoreIsPassedOver saves at a store that has room where the one that is chosen for a
-// part by its size has none left: stores fill unevenly, as parts differ in size.
-func TestFullStoreIsPassedOver(t *testing.T) {
+// TestFullStoreIsSkipped checks that a part is saved at a store with room if the store chosen by
+// size is full. Stores fill unevenly, as parts differ in size.
+func TestFullStoreIsSkipped(t *testing.T) {
 	const large, small = "10.9.0.2:1", "10.9.0.3:1"
 	w := newWorld(t, source{}, 1, 1, 1)
 	full := kept.NewHolder(large, large, "north")
@@ -102,9 +103,10 @@
 	test.Eq(t, []string{small, small, ""}, p.Attempt.Targets)
 }
 
-// TestFailedAttemptSavesNothing names the store again where the engine that was to send the
-// parts did not run the request: else nobody saves them for 4 s, and all their readers read.
-func TestFailedAttemptSavesNothing(t *testing.T) {
+// TestFailedAttemptCancelsSaves checks that the store is named again as a target if the engine that
+// should have sent the parts did not run the request. Otherwise no node would save them for 4 s,
+// and all requests that use them would read them.
+func TestFailedAttemptCancelsSaves(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	p, ok := w.Place(query())
 	must.True(t, ok)
@@ -114,8 +116,8 @@
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Targets)
 }
 
-// TestFetchesSmallPartsBeforeLargeOnes fetches a part that would be read sooner where that
-// spares reading a large one behind it, which can't be used without it.
+// TestFetchesSmallPartsBeforeLargeOnes checks that a part which could be read sooner is fetched
+// where this avoids reading a large part after it, which can't be used without it.
 func TestFetchesSmallPartsBeforeLargeOnes(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for range 20 {
@@ -128,7 +130,8 @@
 	test.Eq(t, 2000, p.Reading)
 }
 
-// TestIsolation shares nothing with an isolated account, either way.
+// TestIsolation checks that an isolated account neither uses parts of other accounts nor shares its
+// own.
 func TestIsolation(t *testing.T) {
 	w := newWorld(t, source{addr(1): shared(1, ""), store: shared(1, "other")}, 1, 1, 1)
 	q := query()
@@ -140,8 +143,8 @@
 	test.Eq(t, 11500, p.Reading)
 }
 
-// TestVersions uses nothing that other weights made.
-func TestVersions(t *testing.T) {
+// TestUsesOnlyPartsOfSameVersion checks that KV cache computed with other weights is not used.
+func TestUsesOnlyPartsOfSameVersion(t *testing.T) {
 	w := newWorld(t, source{addr(0): shared(1, ""), store: shared(1, "")}, 2, 2, 2)
 	w.versions.wanted = 2
 	p, ok := w.Place(query())
@@ -151,7 +154,8 @@
 	test.Eq(t, 2, p.Attempt.Version)
 }
 
-// TestOldWeights are used while newer ones are loaded, and not beyond the bound.
+// TestOldWeights checks that replaced weights are used while newer ones load, but not beyond the
+// limit for applying them.
 func TestOldWeights(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	p, ok := w.Place(query())
@@ -162,7 +166,7 @@
 	must.True(t, ok)
 	left := time.Until(p.BeginBy)
 	test.Positive(t, left)
-	test.Less(t, limit-w.versions.age, left, test.Sprint("prompts are withdrawn before the bound"))
+	test.Less(t, limit-w.versions.age, left, test.Sprint("prompts are withdrawn before the limit"))
 	w.versions.age = limit
 	_, ok = w.Place(query())
 	test.False(t, ok)
@@ -172,7 +176,7 @@
 	w := newWorld(t, source{addr(0): shared(1, "")}, 1, 1, 2)
 	w.versions.wanted, w.versions.age = 2, 5*time.Second
 	q := query()
-	q.Attributes.Parts = q.Attributes.Parts[2:] // without a home
+	q.Attributes.Parts = q.Attributes.Parts[2:] // without a home engine
 	p, ok := w.Place(q)
 	must.True(t, ok)
 	test.Eq(t, "e2", p.Member.ID)
@@ -188,14 +192,14 @@
 	short.Attributes.OutputTokens = 20
 	p, ok = w.Place(short)
 	must.True(t, ok)
-	test.Eq(t, home, p.Member.ID, test.Sprint("a short answer ends before the load"))
+	test.Eq(t, home, p.Member.ID, test.Sprint("a short answer ends before the weights load"))
 	w.closed[0].Loads = true
 	p, ok = w.Place(short)
 	must.True(t, ok)
 	test.NotEq(t, home, p.Member.ID)
 }
 
-func TestRank(t *testing.T) {
+func TestPriority(t *testing.T) {
 	w := newWorld(t, source{}, 1)
 	rank := func(account *int, route int) int {
 		q := query()
@@ -221,15 +225,15 @@
 		m.Health.Failed(time.Now(), true)
 	}
 	_, ok = w.Place(q)
-	test.True(t, ok, test.Sprint("where all are avoided none is"))
+	test.True(t, ok, test.Sprint("if all endpoints are unhealthy, all are used"))
 	q.Tried = []string{"e0", "e1"}
 	_, ok = w.Place(q)
 	test.False(t, ok)
 }
 
-// TestVersionIsReadOnce has an engine's weights change while a placement is worked
-// out: the parts' salt and the expected weights must still be of one version, or the
-// engine would use parts that other weights made.
+// TestVersionIsReadOnce checks that the salt of the parts and the expected weights are of one
+// version even if an engine's weights change during a placement. Otherwise the engine would use KV
+// cache computed with other weights.
 func TestVersionIsReadOnce(t *testing.T) {
 	w := newWorld(t, source{}, 1)
 	w.MayName = func(string, int64) bool {
@@ -241,13 +245,13 @@
 	test.Eq(t, salt(p.Attempt.Version, ""), p.Attempt.Salt)
 }
 
-// TestLargeSystem places a session at any engine of the node's own failure domain, fetching its parts
-// from the store, at another one where no slot is free, and goes elsewhere where too few engines
-// are near.
+// TestLargeSystem checks that a session in a large system is placed at any engine of the node's own
+// failure domain, with its parts fetched from the store, that engines without a free slot are
+// skipped, and that another domain is used if too few local engines are left.
 func TestLargeSystem(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1, 1, 1)
 	w.Whole = func() bool { return false }
-	w.Kept.Follow(t.Context(), nil, w.Kept.Stores()) // engines are not followed
+	w.Kept.Follow(t.Context(), nil, w.Kept.Stores()) // the index does not follow engines
 	for i := range 12 {
 		domain := []string{"north", "south"}[i%2]
 		w.Fleet.Update(&fleet.Endpoint{ID: fmt.Sprint("f", i), Service: "s", Addr: addr(10 + i), Domain: domain, Slots: 12, Weights: []fleet.Weights{{Model: model, Version: 1}}}, time.Now())
@@ -265,7 +269,7 @@
 		test.Eq(t, first.Attempt.Sources, again.Attempt.Sources)
 		used[again.Member.ID] = true
 	}
-	test.MapLen(t, 9, used, test.Sprint("all of the domain"))
+	test.MapLen(t, 9, used, test.Sprint("all engines of the domain"))
 	for range 41 {
 		first.Member.Load.Begin(0, 0)
 	}
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -11,76 +11,76 @@
 )
 
 const (
-	// FetchLimit is the longest time that a fetch from a store may take; what
-	// comes later is thrown away, and the engine reads the prompt. Outdated parts
-	// are freed only when this has passed since the last node named them.
+	// FetchLimit is the maximum duration of a fetch from a store. A later result is discarded, and
+	// the engine reads the prompt. Outdated parts are freed only when this has passed since the
+	// last node named them.
 	FetchLimit = kept.FetchLimit
-	// usualFetch is how many times as long as expected a fetch may take in any case, and
-	// leastFetchMs for how long at least: a caller that comes back has missed its objective.
-	usualFetch   = 1.25
-	leastFetchMs = 100.0
-	// lostFetchMs is the time from which a fetch is likely to be thrown away, so that
-	// reading the part costs the same and comes sooner.
-	lostFetchMs = 800.0
-	// foreignLink is how much longer a transfer between failure domains takes.
-	foreignLink = 2.0
-	// assumedMbps is the speed of a link that the configuration doesn't state.
+	// fetchTolerance is the factor on the expected duration that each fetch is allowed at least,
+	// and minFetchMs the minimum timeout of a fetch.
+	fetchTolerance = 1.25
+	minFetchMs     = 100.0
+	// maxFetchMs is the predicted duration from which a fetch is likely to be discarded, so that
+	// reading the part instead costs the same and finishes sooner.
+	maxFetchMs = 800.0
+	// crossDomainFactor is how much longer a transfer between failure domains takes.
+	crossDomainFactor = 2.0
+	// assumedMbps is the link speed assumed for holders whose configuration states none.
 	assumedMbps = 100_000.0
-	// minSaved is the smallest part worth a transfer to a store, in tokens: a
-	// smaller one is read in less than the transfer's own start takes.
-	minSaved = 64
-	// againMsPerK is what speaks against reading 1,000 tokens that are kept elsewhere,
-	// beyond the time it takes: the price of reading them again against that of a late
-	// answer.
-	againMsPerK = 160.0
+	// minSaveTokens is the size of the smallest part that is sent to a store: a smaller part is
+	// read in less time than it takes to start the transfer.
+	minSaveTokens = 64
+	// rereadMsPerK is the cost of reading 1,000 tokens that are kept elsewhere, in addition to the
+	// time it takes: the price of reading them again relative to that of a late answer.
+	rereadMsPerK = 160.0
 )
 
-// plan is how an engine would come by the parts of a prompt.
+// plan is how an engine would obtain the parts of a prompt.
 type plan struct {
-	version   int64 // of the weights that the salt names
+	version   int64 // of the weights named by the salt
 	salt      string
 	current   bool     // the salt's version is the wanted one
-	sources   []string // an address for each part; nil where none is fetched
+	sources   []string // an address for each part; nil if no part is fetched
 	fromStore bool     // a store is among the sources
-	cached    int      // tokens that the engine keeps itself
+	cached    int      // tokens that the engine holds in its memory
 	fetched   int      // tokens that it fetches
 	reading   int      // tokens that it has to read
-	waitMs    float64  // until the engine has time and room for the request
+	waitMs    float64  // cost of the engine's queue, memory and failures
 	fetchMs   float64
-	bytes     float64      // fetched
-	slowest   *kept.Holder // the store of the fetch that takes longest
+	bytes     float64      // size of the fetched parts
+	slowest   *kept.Holder // the store of the slowest fetch
 	slowestMs float64
 }
 
-// planMs is the time until the prompt is read, with what its transfers cost.
+// planMs returns the time until the prompt is read, with the cost of its transfers, in ms.
 func (s *search) planMs(p *plan) float64 {
 	const bytesPerGB = 1e9
 	return p.fetchMs + float64(p.reading)*s.figures.TokenMs + movedMsPerGB*p.bytes/bytesPerGB
 }
 
-// patience is how long the engine waits for what it fetches, before it reads it: until the answer would
-// miss its objective, but at least for as long as reading again costs and somewhat longer than the
-// fetch is expected to take. Without it, prompts that are read in ms wait for a store whose link is full.
-func (s *search) patience(m *fleet.Member) time.Duration {
+// fetchTimeout returns how long the engine waits for the parts that it fetches before it reads
+// them: until the answer would miss its objective, but at least as long as reading them again costs
+// and somewhat longer than the fetch is expected to take. Without it, prompts that can be read
+// within milliseconds would wait for a store whose link is full.
+func (s *search) fetchTimeout(m *fleet.Member) time.Duration {
 	objective := millis(s.q.Route.Objective)
 	if objective <= 0 {
 		return FetchLimit
 	}
 	p := s.plan(m)
-	left := (1-queueShare)*objective - millis(s.q.Age) - s.queueMs(m) - s.readingMs(m, p.reading+p.fetched) - s.figures.FirstMs
-	again := againMsPerK / 1000 * float64(p.fetched)
-	return min(duration(max(left, again, usualFetch*p.fetchMs, leastFetchMs)), FetchLimit)
+	remaining := (1-queueShare)*objective - millis(s.q.Age) - s.queueMs(m) - s.readingMs(m, p.reading+p.fetched) - s.figures.FirstMs
+	reread := rereadMsPerK / 1000 * float64(p.fetched)
+	return min(duration(max(remaining, reread, fetchTolerance*p.fetchMs, minFetchMs)), FetchLimit)
 }
 
-// name notes the source of part i of so many.
-func (p *plan) name(i, parts int, addr string) {
+// setSource sets the source of part i of the given number of parts.
+func (p *plan) setSource(i, parts int, addr string) {
 	if p.sources == nil {
 		p.sources = make([]string, parts)
 	}
 	p.sources[i] = addr
 }
 
-// reason names what the plan rests on.
+// reason returns the reason code of the plan: where most of the prompt comes from.
 func (p *plan) reason() string {
 	switch {
 	case p.fromStore && p.fetched > 0:
@@ -93,7 +93,7 @@
 	return "read"
 }
 
-// transferMs is the time of a transfer to a failure domain, in ms.
+// transferMs returns the time of a transfer to a failure domain, in ms.
 func transferMs(h *kept.Holder, bytes float64, domain string) float64 {
 	const bitsPerByte = 8
 	mbps := h.Mbps
@@ -102,13 +102,13 @@
 	}
 	ms := bytes * bitsPerByte / (mbps * 1e3)
 	if h.Domain != domain {
-		ms *= foreignLink
+		ms *= crossDomainFactor
 	}
 	return ms + float64(h.First)/float64(time.Millisecond)
 }
 
-// targets names a store for each shared part that none keeps yet. The last part
-// belongs to the request alone.
+// targets returns a store for each shared part that no store keeps yet. The last part is not shared
+// between requests.
 func (p *Placer) targets(q *forward.Query, plan *plan) []string {
 	parts := q.Attributes.Parts
 	if len(parts) < 2 || !plan.current || plan.version == 0 {
@@ -116,7 +116,7 @@
 	}
 	var targets []string
 	for i, part := range parts[:len(parts)-1] {
-		store := p.saveAt(kept.Part{Salt: plan.salt, ID: part.ID}, part.Tokens)
+		store := p.chooseSaveStore(kept.Part{Salt: plan.salt, ID: part.ID}, part.Tokens)
 		if store == "" {
 			continue
 		}
@@ -128,8 +128,9 @@
 	return targets
 }
 
-// dropSaves has the parts that a request was to save be sent again with the next one.
-func (p *Placer) dropSaves(q *forward.Query, a *forward.Attempt) {
+// cancelSaves cancels the saves that an attempt should have made, so that the next request sends
+// the parts again.
+func (p *Placer) cancelSaves(q *forward.Query, a *forward.Attempt) {
 	for i, addr := range a.Targets {
 		for _, store := range p.Kept.Stores() {
 			if store.Addr == addr {
@@ -139,12 +140,12 @@
 	}
 }
 
-// saveAt returns the store that a part should be sent to, or none. All nodes
-// choose the same one, in proportion to the stores' size, as long as they agree on which are
-// full: a part whose store has no room goes to another one, and so does one that was sent to a
-// store in vain. All prompts that begin with it would be read else.
-func (p *Placer) saveAt(key kept.Part, tokens int) string {
-	if tokens < minSaved {
+// chooseSaveStore returns the store to which a part should be sent, or "" for none. All nodes
+// choose the same store, in proportion to the stores' sizes, as long as they agree on which are
+// full. A store without room is skipped, as is one to which the part was sent without being
+// confirmed: otherwise all prompts that begin with the part would be read instead.
+func (p *Placer) chooseSaveStore(key kept.Part, tokens int) string {
+	if tokens < minSaveTokens {
 		return ""
 	}
 	now := p.Now()
@@ -153,20 +154,20 @@
 		return ""
 	}
 	nodes := make([]rendezvous.Node, 0, len(stores))
-	var inVain []rendezvous.Node
+	var unconfirmed []rendezvous.Node
 	for _, s := range stores {
 		if !s.Saves(now) || s.Room() < tokens {
 			continue
 		}
 		node := rendezvous.Node{ID: s.Addr, Weight: float64(s.Tokens)}
 		if s.Missed(key, now) {
-			inVain = append(inVain, node)
+			unconfirmed = append(unconfirmed, node)
 		} else {
 			nodes = append(nodes, node)
 		}
 	}
 	if len(nodes) == 0 {
-		nodes = inVain
+		nodes = unconfirmed
 	}
 	owner, _ := rendezvous.Owner(key.ID, nodes)
 	for _, s := range stores {
--- a/internal/placer/prompt.go
+++ b/internal/placer/prompt.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// homeMs is what speaks for a session's home engine, which all nodes derive from
-	// the session alone: it spreads prompts that are kept nowhere yet, where nodes
-	// that go by load alone would all choose the same engine between two messages.
-	homeMs = 50.0
-	// spreadMs is the random part of a cost, against the same.
-	spreadMs = 10.0
-	// fewestNear is the number of usable engines in this node's failure domain with
-	// which a node of a large system does without the others.
-	fewestNear = 4
+	// homeBonusMs is the cost bonus of a session's home engine, which all nodes derive from the
+	// session alone. It spreads prompts whose parts are kept nowhere yet: nodes that considered
+	// only load would all choose the same engine between two load reports.
+	homeBonusMs = 50.0
+	// jitterMs is the maximum random part of a cost, for the same reason.
+	jitterMs = 10.0
+	// minLocal is the number of usable engines in this node's failure domain from which a node of a
+	// large system ignores those of other domains.
+	minLocal = 4
 )
 
-// placePrompt picks the engine with the least predicted time to the first event,
-// and names where it gets the parts from that it lacks.
+// placePrompt selects the engine with the lowest predicted time to the first event, and sets the
+// sources of the parts that it lacks.
 func (p *Placer) placePrompt(q *forward.Query, candidates []*fleet.Member, gate *gate) (forward.Placement, bool) {
 	rollout := p.rollout(q)
 	candidates = rollout.filter(candidates)
@@ -30,25 +30,25 @@
 		return forward.Placement{}, false
 	}
 	s := p.search(q, rollout)
-	open := s.admitting(s.reach(candidates))
+	open := s.withRoom(s.selectCandidates(candidates))
 	if len(open) == 0 {
-		// Others of which load is known may have room: a refused caller comes back late.
-		candidates = s.near(candidates)
-		open = s.admitting(candidates)
+		// Other engines with a known load may have room, and a refused caller returns late.
+		candidates = s.localCandidates(candidates)
+		open = s.withRoom(candidates)
 	}
 	if len(open) == 0 {
-		return s.decline(candidates, noRoom), false
+		return s.decline(candidates, reasonNoRoom), false
 	}
 	costs := score(open, s.cost)
-	s.addUnseen(costs)
+	s.addUnreported(costs)
 	best := slices.MinFunc(costs, byCost).member
 	if s.plan(best).version == 0 && rollout.versioned(best) {
-		return forward.Placement{}, false // it refused the version that was believed, just now
+		return forward.Placement{}, false // the engine just refused the version it was assumed to have
 	}
-	if s.comesTooLate(best) {
-		return s.decline([]*fleet.Member{best}, tooLate), false
+	if s.isTooLate(best) {
+		return s.decline([]*fleet.Member{best}, reasonTooLate), false
 	}
-	if best = gate.take(costs); best == nil {
+	if best = gate.takeCheapest(costs); best == nil {
 		return gate.decline(open), false
 	}
 	s.service.needs.Decided(false)
@@ -57,10 +57,10 @@
 	return s.placement(best), true
 }
 
-// near returns the engines whose load this node knows: in a large system those of its
-// failure domain, if enough are left there. The others look empty from here, so that a
-// domain under load would fill them unseen.
-func (p *Placer) near(candidates []*fleet.Member) []*fleet.Member {
+// localCandidates returns the engines whose load this node knows: in a large system those of its
+// own failure domain, if enough of them are usable. Engines of other domains look idle to this
+// node, so that a busy domain would overload them unnoticed.
+func (p *Placer) localCandidates(candidates []*fleet.Member) []*fleet.Member {
 	if p.Whole() {
 		return candidates
 	}
@@ -70,16 +70,16 @@
 			count++
 		}
 	}
-	if count < fewestNear {
+	if count < minLocal {
 		return candidates
 	}
-	near := make([]*fleet.Member, 0, count)
+	local := make([]*fleet.Member, 0, count)
 	for _, m := range candidates {
 		if m.Endpoint().Domain == p.Domain {
-			near = append(near, m)
+			local = append(local, m)
 		}
 	}
-	return near
+	return local
 }
 
 func (s *search) placement(best *fleet.Member) forward.Placement {
@@ -104,24 +104,24 @@
 		First:   duration(s.firstMs(best)),
 		Held:    s.memory(best).Held,
 		Reason:  plan.reason(),
-		Began:   s.noteBegin(best),
+		Began:   s.firstEventObserver(best),
 		Ended:   func(took time.Duration) { s.service.model.Ended(holding(q), took) },
 	}
-	placement.Failed = func() { p.dropSaves(q, &placement.Attempt) }
+	placement.Failed = func() { p.cancelSaves(q, &placement.Attempt) }
 	if plan.fromStore {
-		placement.Attempt.FetchUntil = s.until - (FetchLimit - s.patience(best)).Milliseconds()
+		placement.Attempt.FetchUntil = s.fetchUntil - (FetchLimit - s.fetchTimeout(best)).Milliseconds()
 	}
 	return placement
 }
 
-// home returns the engine on which all nodes of a small system place a session by preference; nil
-// for a prompt without a session.
+// home returns the engine that all nodes of a small system prefer for a session; nil for a prompt
+// without a session.
 func (p *Placer) home(q *forward.Query) *fleet.Member {
 	parts := q.Attributes.Parts
 	if len(parts) < 2 || !p.Whole() {
 		return nil
 	}
-	members := p.near(p.staying(p.Fleet.Members(q.Service.Name)))
+	members := p.localCandidates(p.notEvacuated(p.Fleet.Members(q.Service.Name)))
 	nodes := make([]rendezvous.Node, len(members))
 	for i, m := range members {
 		nodes[i] = rendezvous.Node{ID: m.ID, Weight: 1}
--- a/internal/placer/restart_test.go
+++ b/internal/placer/restart_test.go
@@ -10,14 +10,14 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// restart starts an engine again under its id, at another address.
+// restart restarts an engine under the same ID at another address.
 func (w *world) restart(id string, version int64) {
 	w.Fleet.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: addr(9), Domain: "north", Born: 100, Weights: []fleet.Weights{{Model: model, Version: version}}}, time.Now())
 	w.members = w.Fleet.Members("s")
 }
 
-// TestRestartedEngine places a prompt at the address and with the weights that an engine started
-// again with, and not by the load or the failures of its start before.
+// TestRestartedEngine checks that a prompt is placed by the address and the weights of a restarted
+// engine, without regard to load and failures from before the restart.
 func TestRestartedEngine(t *testing.T) {
 	w := newWorld(t, source{}, 3)
 	w.versions.wanted = 3
@@ -33,8 +33,8 @@
 	test.Zero(t, p.Wait)
 }
 
-// TestUnknownWeights gives no prompt to an engine whose weights are not known where versions of
-// them are: the prompt couldn't name the one that it expects.
+// TestUnknownWeights checks that an engine with unknown weights gets no prompt if versions of the
+// model are known: the request could not name the version that it expects.
 func TestUnknownWeights(t *testing.T) {
 	w := newWorld(t, source{}, 0)
 	_, ok := w.Place(query())
@@ -45,11 +45,11 @@
 	w.members[0].Refuted(model, 1, time.Now())
 	w.members[0].Refuted(model, 2, time.Now())
 	_, ok = w.Place(query())
-	test.False(t, ok, test.Sprint("it refused all that it could have"))
+	test.False(t, ok, test.Sprint("the engine refused every version it could have"))
 }
 
-// TestNothingIsFetchedForUnknownWeights serves a model of which no version is known, and lets no
-// engine use what another made, whose weights may differ.
+// TestNothingIsFetchedForUnknownWeights checks that a model without known versions is served, but
+// that no engine uses KV cache of another, whose weights may differ.
 func TestNothingIsFetchedForUnknownWeights(t *testing.T) {
 	w := newWorld(t, source{store: shared(0, ""), addr(0): shared(0, "")}, 0, 0)
 	w.versions.wanted = 0
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -11,33 +11,32 @@
 )
 
 const (
-	// tellingFetch is the number of tokens from which a fetch takes long enough to tell
-	// of its store.
-	tellingFetch = 1000
+	// minObservedFetch is the size, in tokens, from which the duration of a fetch is attributed to
+	// its store: smaller fetches are too short to measure it.
+	minObservedFetch = 1000
 )
 
-// search is the choice of an engine for one prompt. What doesn't depend on the engine
-// is looked up once.
+// search is the selection of an engine for one prompt. It caches what doesn't depend on the engine.
 type search struct {
 	*Placer
-	q       *forward.Query
-	now     time.Time
-	rollout *rollout
-	others  peerload.Sums
-	late    map[string]float64 // ms that peers' fetches come late, by the holder's address
-	home    *fleet.Member      // may be nil
-	located map[int64]*located
-	plans   map[*fleet.Member]*plan
-	service *service
-	figures enginemodel.Figures
-	among   int      // engines, of which the prompt is placed on one
-	reserve int      // tokens that the prompt asks for at least
-	many    bool     // engines' memory holds many prompts
-	sources []source // of the parts that reusable last looked at
-	// until is when fetches are thrown away, on the engines' clock in ms. It is read before
-	// it is asked which parts may be named, so that a node which freezes in between names
-	// none for longer.
-	until int64
+	q              *forward.Query
+	now            time.Time
+	rollout        *rollout
+	others         peerload.Sums
+	peerDelays     map[string]float64 // average delay of peers' fetches in ms, by the holder's address
+	home           *fleet.Member      // may be nil
+	located        map[int64]*located
+	plans          map[*fleet.Member]*plan
+	service        *service
+	figures        enginemodel.Figures
+	candidateCount int      // number of engines among which the prompt is placed
+	reserve        int      // free memory that the prompt requires, in tokens
+	holdsMany      bool     // an engine's memory holds many prompts
+	sources        []source // of the parts that reusable examined last
+	// fetchUntil is when fetches are discarded, on the engines' clock in ms. It is read before the
+	// check which parts may be named, so that a node that is suspended in between does not name
+	// parts for longer than allowed.
+	fetchUntil int64
 }
 
 func (p *Placer) search(q *forward.Query, r *rollout) *search {
@@ -46,24 +45,24 @@
 	rank := *priorityOf(q)
 	service.needs.Note(rank, holding(q))
 	s := &search{
-		Placer: p, q: q, now: now, rollout: r, others: p.Peers.Loads(now), late: p.Peers.Late(now), home: p.home(q),
+		Placer: p, q: q, now: now, rollout: r, others: p.Peers.Loads(now), peerDelays: p.Peers.Late(now), home: p.home(q),
 		located: make(map[int64]*located), plans: make(map[*fleet.Member]*plan),
 		service: service, figures: service.model.Figures(),
-		until: p.Kept.ClockMS() + FetchLimit.Milliseconds(),
+		fetchUntil: p.Kept.ClockMS() + FetchLimit.Milliseconds(),
 	}
-	s.many = service.needs.Many(q.Service.Engine.KVTokens)
+	s.holdsMany = service.needs.Many(q.Service.Engine.KVTokens)
 	s.reserve = s.tuning().reserve(service.needs.Reserve(rank, q.Returned(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
 	return s
 }
 
-// cost is the predicted time to the first event at an engine, in ms, with what speaks
-// for and against it.
+// cost returns the cost of an engine in ms: the predicted time to the first event, adjusted for
+// rollout, home engine, connection and jitter.
 func (s *search) cost(m *fleet.Member) float64 {
 	plan := s.plan(m)
 	plan.waitMs = s.engineCost(m)
-	cost := plan.waitMs + s.planMs(plan) + s.rollout.cost(m) + spreadMs*s.Random()
+	cost := plan.waitMs + s.planMs(plan) + s.rollout.cost(m) + jitterMs*s.Random()
 	if m == s.home {
-		cost -= homeMs
+		cost -= homeBonusMs
 	}
 	if !m.Pool.Kept(s.now) {
 		cost += connectMs
@@ -71,7 +70,7 @@
 	return cost
 }
 
-// located is where the parts of the prompt are kept under one version of the weights.
+// located is where the parts of the prompt are kept for one version of the weights.
 type located struct {
 	version int64
 	salt    string
@@ -79,24 +78,25 @@
 	parts   []locatedPart
 }
 
-// locatedPart is where one part is kept whole. Only holders that may be named count.
+// locatedPart is where one part is kept in full. Only holders that may be named are included.
 type locatedPart struct {
 	forward.Part
-	engines map[string]*kept.Holder // by id
+	engines map[string]*kept.Holder // by ID
 	stores  []*kept.Holder
 	holders []*kept.Holder // engines and stores
 }
 
-// locate looks up the parts under a version of the weights. Where it isn't known, engines may
-// differ in it: then nothing is fetched, and an engine has what it read itself.
+// locate finds the holders of the parts for a version of the weights. If the version is unknown
+// (0), engines may have different weights: then nothing is fetched, and each engine uses only what
+// it computed itself.
 func (s *search) locate(version int64) *located {
 	if l := s.located[version]; l != nil {
 		return l
 	}
 	l := &located{version: version, salt: saltOf(s.q, version), current: version >= s.rollout.wanted}
-	named := s.Kept.ClockMS() > 0 && s.MayName(s.q.Attributes.Model, version)
+	mayName := s.Kept.ClockMS() > 0 && s.MayName(s.q.Attributes.Model, version)
 	for _, part := range s.q.Attributes.Parts {
-		at := s.locatePart(part, l.salt, named)
+		at := s.locatePart(part, l.salt, mayName)
 		if version == 0 {
 			at.stores, at.holders = nil, nil
 		}
@@ -106,12 +106,12 @@
 	return l
 }
 
-func (s *search) locatePart(part forward.Part, salt string, named bool) locatedPart {
+func (s *search) locatePart(part forward.Part, salt string, mayName bool) locatedPart {
 	key := kept.Part{Salt: salt, ID: part.ID}
 	at := locatedPart{Part: part}
 	for id, h := range s.Kept.Engines() {
-		// Engines of evacuated failure domains are not asked for KV cache either. Stores, which are no
-		// endpoints, are.
+		// KV cache is not fetched from engines of evacuated failure domains, but is from stores
+		// there, as these are not endpoints.
 		if h.Has(key) >= part.Tokens && !s.evacuated(h.Domain) {
 			if at.engines == nil {
 				at.engines = make(map[string]*kept.Holder)
@@ -120,7 +120,7 @@
 			at.holders = append(at.holders, h)
 		}
 	}
-	if !named {
+	if !mayName {
 		return at
 	}
 	for _, h := range s.Kept.Stores() {
@@ -132,8 +132,8 @@
 	return at
 }
 
-// plan works out how an engine would come by the parts, one after the other: it can use
-// a part only if it has all before it.
+// plan returns how an engine would obtain the parts. An engine can use a part only if it has all
+// parts before it.
 func (s *search) plan(m *fleet.Member) *plan {
 	if p := s.plans[m]; p != nil {
 		return p
@@ -151,10 +151,10 @@
 		switch {
 		case i >= reused:
 			p.reading += part.Tokens
-			s.tryHome(m, p, i, part)
+			s.addHomeSource(m, p, i, part)
 		case part.engines[m.ID] != nil:
 			p.cached += part.Tokens
-			s.backUp(m, p, i, part)
+			s.addBackupSource(m, p, i, part)
 		default:
 			s.fetch(m, p, i, part, s.sources[i])
 		}
@@ -162,51 +162,51 @@
 	return p
 }
 
-// reusable returns how many of the first parts the engine is not to read: as many as make
-// fetching them and reading the rest cost least, together. A small part whose fetch costs more
-// than reading it is fetched if that spares reading a large one behind it: judged by
-// itself, it would have the whole prompt read.
-// s.sources is set for those that are fetched.
+// reusable returns how many of the first parts the engine should reuse instead of reading them, so
+// that fetching these and reading the others has the lowest total cost. A small part whose fetch
+// costs more than reading it is fetched if this avoids reading a large part after it; judged by
+// itself, it would cause the whole prompt to be read. It sets s.sources for the reused parts.
 func (s *search) reusable(m *fleet.Member, l *located) int {
 	s.sources = s.sources[:0]
-	reused, least, sum := 0, 0.0, 0.0
+	reused, minSum, sum := 0, 0.0, 0.0
 	for i := range l.parts {
 		part := &l.parts[i]
 		from := source{}
 		if part.engines[m.ID] == nil {
-			from = s.quickest(m, part, part.holders)
+			from = s.fastestSource(m, part, part.holders)
 			if from.holder == nil {
 				break
 			}
 		}
 		s.sources = append(s.sources, from)
 		sum += from.ms - s.readMs(part)
-		if sum < least {
-			reused, least = i+1, sum
+		if sum < minSum {
+			reused, minSum = i+1, sum
 		}
 	}
 	return reused
 }
 
-// readMs is what reading a part costs, in ms: its time, and the price of reading again.
+// readMs returns the cost of reading a part, in ms: the time it takes, and the price of reading
+// again.
 func (s *search) readMs(part *locatedPart) float64 {
-	return float64(part.Tokens) * (s.figures.TokenMs + againMsPerK/1000)
+	return float64(part.Tokens) * (s.figures.TokenMs + rereadMsPerK/1000)
 }
 
-// backUp names a store for part i, which the engine is believed to keep: an engine fetches
-// only what it lacks, and its memory may have turned over since its events were read, up to
-// 0.4 s ago. It gains most where engines hold few long prompts.
-func (s *search) backUp(m *fleet.Member, p *plan, i int, part *locatedPart) {
-	if from := s.quickest(m, part, part.stores); from.holder != nil && from.ms < s.readMs(part) {
-		p.name(i, len(s.q.Attributes.Parts), from.holder.Addr)
+// addBackupSource names a store for part i, which the engine is expected to hold. An engine fetches
+// only parts that it lacks, and may have evicted the part since its events were read, up to 0.4 s
+// ago. Engines that hold few long prompts benefit most.
+func (s *search) addBackupSource(m *fleet.Member, p *plan, i int, part *locatedPart) {
+	if from := s.fastestSource(m, part, part.stores); from.holder != nil && from.ms < s.readMs(part) {
+		p.setSource(i, len(s.q.Attributes.Parts), from.holder.Addr)
 		p.fromStore = true
 	}
 }
 
-// fetch adds a source of part i to the plan. An engine that nobody follows may have the part
-// itself, and fetches nothing then.
+// fetch adds a source of part i to the plan. If the index does not follow the engine, the engine
+// may already have the part, and fetches nothing then.
 func (s *search) fetch(m *fleet.Member, p *plan, i int, part *locatedPart, from source) {
-	p.name(i, len(s.q.Attributes.Parts), from.holder.Addr)
+	p.setSource(i, len(s.q.Attributes.Parts), from.holder.Addr)
 	if from.holder.Tokens > 0 {
 		p.fromStore = true
 		if from.ms > p.slowestMs {
@@ -218,24 +218,24 @@
 	p.bytes += s.bytes(part)
 }
 
-// source is a holder with the time, in ms, that a fetch from it takes.
+// source is a holder with the predicted time of a fetch from it, in ms.
 type source struct {
 	holder *kept.Holder // nil for none
 	ms     float64
 }
 
-// quickest returns the holder other than the engine itself from which it has a part soonest, or
-// none where the fetch is likely to be thrown away.
-func (s *search) quickest(m *fleet.Member, part *locatedPart, holders []*kept.Holder) source {
-	best := source{ms: lostFetchMs}
+// fastestSource returns the holder, other than the engine itself, from which the engine can fetch a
+// part fastest. It returns none if the fetch is likely to be discarded.
+func (s *search) fastestSource(m *fleet.Member, part *locatedPart, holders []*kept.Holder) source {
+	fastest := source{ms: maxFetchMs}
 	for _, h := range holders {
-		ms := transferMs(h, s.bytes(part), m.Endpoint().Domain) + s.lateMs(h)
-		equal := best.holder != nil && ms == best.ms && h.ID < best.holder.ID
-		if h.ID != m.ID && (ms < best.ms || equal) && h.Reachable() {
-			best = source{holder: h, ms: ms}
+		ms := transferMs(h, s.bytes(part), m.Endpoint().Domain) + s.fetchDelayMs(h)
+		equal := fastest.holder != nil && ms == fastest.ms && h.ID < fastest.holder.ID
+		if h.ID != m.ID && (ms < fastest.ms || equal) && h.Reachable() {
+			fastest = source{holder: h, ms: ms}
 		}
 	}
-	return best
+	return fastest
 }
 
 // bytes returns the size of a part's KV cache.
@@ -243,38 +243,41 @@
 	return float64(part.Tokens) * float64(s.q.Service.Engine.TokenBytes)
 }
 
-// tryHome names the session's home as the source of a part of which nothing is known,
-// where nobody follows what engines keep. If it has none the engine reads the part, a
-// ms later.
-func (s *search) tryHome(m *fleet.Member, p *plan, i int, part *locatedPart) {
+// addHomeSource names the session's home engine as the source of a part without known holders,
+// where the index does not follow the engines. If the home engine lacks the part, the engine reads
+// it, 1 ms later.
+func (s *search) addHomeSource(m *fleet.Member, p *plan, i int, part *locatedPart) {
 	shared := i < len(s.q.Attributes.Parts)-1
-	if !shared || part.Tokens < minSaved || s.home == nil || s.home == m || s.Kept.Engine(m.ID) != nil || p.version == 0 {
+	if !shared || part.Tokens < minSaveTokens || s.home == nil || s.home == m || s.Kept.Engine(m.ID) != nil || p.version == 0 {
 		return
 	}
 	if s.home.VersionOf(s.q.Attributes.Model) == p.version && s.home.Health.Usable(s.now) {
-		p.name(i, len(s.q.Attributes.Parts), s.home.Endpoint().Addr)
+		p.setSource(i, len(s.q.Attributes.Parts), s.home.Endpoint().Addr)
 	}
 }
 
-// lateMs is how much later than expected fetches from a holder come, as this node or its
-// peers saw.
-func (s *search) lateMs(h *kept.Holder) float64 { return max(h.Late.MS(s.now), s.late[h.Addr]) }
+// fetchDelayMs returns how much later than predicted fetches from a holder finish, as observed by
+// this node or its peers, in ms.
+func (s *search) fetchDelayMs(h *kept.Holder) float64 {
+	return max(h.Late.MS(s.now), s.peerDelays[h.Addr])
+}
 
-// noteBegin returns what learns from the time of the first event how quick the engine is,
-// or how late fetches come from the store that the placement leans on most. What an engine's
-// own load adds is learned from the prompts that fetch little, and taken off.
-func (s *search) noteBegin(m *fleet.Member) func(after time.Duration) {
+// firstEventObserver returns a function that receives the time to the first event. It updates the
+// speed estimate of the engine, or the delay estimate of the store with the slowest fetch of the
+// placement. Delays caused by the load of the engines are estimated from prompts that fetch little,
+// and subtracted from the store's.
+func (s *search) firstEventObserver(m *fleet.Member) func(after time.Duration) {
 	p := s.plan(m)
 	expected := s.firstMs(m)
 	store := p.slowest
 	if store != nil {
-		expected -= s.lateMs(store)
+		expected -= s.fetchDelayMs(store)
 	}
 	ahead := m.Load.Reading() + s.others.Of(m.ID, m.Born).Reading + p.reading
 	return func(after time.Duration) {
 		now := s.Now()
 		late := millis(after) - expected
-		if store == nil || p.fetched < tellingFetch {
+		if store == nil || p.fetched < minObservedFetch {
 			s.Usual.Note(late, now)
 			s.service.model.Began(m.ID, ahead, after-duration(p.fetchMs), now)
 			return
--- a/internal/placer/stores_test.go
+++ b/internal/placer/stores_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// TestLateStoreIsAvoided learns from first events that fetches from a store come late,
-// reads the parts itself then, and tries the store again later.
+// TestLateStoreIsAvoided checks that a store whose fetches delay first events is avoided, so that
+// the parts are read, and that it is used again later.
 func TestLateStoreIsAvoided(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	place := func() forward.Placement {
@@ -36,8 +36,9 @@
 	test.NotNil(t, place().Attempt.Sources)
 }
 
-// TestPeersTellOfLateStores avoids a store from which several peers fetch late.
-func TestPeersTellOfLateStores(t *testing.T) {
+// TestAvoidsStoreReportedLateByPeers checks that a store is avoided if several peers report late
+// fetches from it.
+func TestAvoidsStoreReportedLateByPeers(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for i := range 3 {
 		w.Peers.Take(peerload.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Seq: 1, Late: []peerload.Late{{Addr: store, MS: 900}}}, time.Now())
@@ -47,8 +48,9 @@
 	test.Nil(t, p.Attempt.Sources)
 }
 
-// TestBusyEngineIsNotTheStore takes what all first events are late off a store's.
-func TestBusyEngineIsNotTheStore(t *testing.T) {
+// TestEngineDelayIsNotBlamedOnStore checks that the delay that all first events have is subtracted
+// from the delay of a store.
+func TestEngineDelayIsNotBlamedOnStore(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for range 20 {
 		w.Usual.Note(700, time.Now())
@@ -56,20 +58,20 @@
 		must.True(t, ok)
 		p.Began(800 * time.Millisecond)
 	}
-	test.Less(t, 250, w.Kept.Stores()[0].Late.MS(time.Now()), test.Sprint("700 of its 800 ms are everybody's"))
+	test.Less(t, 250, w.Kept.Stores()[0].Late.MS(time.Now()), test.Sprint("700 of the 800 ms are common to all first events"))
 }
 
-// TestFetchEndsInTimeForTheObjective ends fetches of what is read soon when the answer would come too
-// late, and those of what costs much to read again by that. Callers waited up to 1.6 s for parts of 131
-// to 750 tokens, which are read in 7 ms, as half of the stores' links were full: half of a quiet day's
-// late answers.
+// TestFetchEndsInTimeForTheObjective checks that fetches of parts that can be read quickly time out
+// when the answer would miss its objective, and that fetches of parts that are costly to read get
+// more time. Without this, callers waited up to 1.6 s for parts of 131 to 750 tokens, which are
+// read within 7 ms, because half of the stores' links were full.
 func TestFetchEndsInTimeForTheObjective(t *testing.T) {
-	const clockMS = 1000 // as the events of the tests tell it
+	const clockMS = 1000 // the clock in the events of the tests
 	for _, tc := range []struct {
 		name           string
 		session        int
 		objective, age time.Duration
-		least, most    int64 // ms
+		min, max       int64 // ms
 	}{
 		{"no objective", 500, 0, 0, 1500, 1500},
 		{"read soon", 500, 400 * time.Millisecond, 0, 100, 300},
@@ -86,17 +88,16 @@
 			p, ok := w.Place(q)
 			must.True(t, ok)
 			must.GreaterEq(t, clockMS, before)
-			test.Between(t, before+tc.least, p.Attempt.FetchUntil, w.Kept.ClockMS()+tc.most)
+			test.Between(t, before+tc.min, p.Attempt.FetchUntil, w.Kept.ClockMS()+tc.max)
 		})
 	}
 }
 
-// TestPartThatIsNotKeptGoesElsewhere sends a part to another store where the one that it was sent to
-// doesn't tell of it. Callers' prompts were read whole for 55 s, a third of all shared tokens of a day:
-// the store had their common first part, of 528 tokens, from the first second on, but that event was
-// lost, and 695 requests sent it there again. By the stores' lists, 22 of 23 parts that were waited for
-// were there.
-func TestPartThatIsNotKeptGoesElsewhere(t *testing.T) {
+// TestUnconfirmedSaveMovesToAnotherStore checks that a part is sent to another store if the chosen
+// one does not confirm it. Without this, one lost event of a store made callers' prompts be read in
+// full for 55 s: the store had the common first part of 528 tokens, but 695 requests sent it there
+// again.
+func TestUnconfirmedSaveMovesToAnotherStore(t *testing.T) {
 	const large, small = "10.9.0.2:1", "10.9.0.3:1"
 	w := newWorld(t, source{}, 1, 1, 1)
 	now := time.Now()
--- a/internal/placer/tuning.go
+++ b/internal/placer/tuning.go
@@ -2,23 +2,23 @@
 
 import "github.com/cherryward/cherryward/internal/admission"
 
-// queueShare is the part of the objective that a prompt must have waited for others
-// before it is refused as too late: one that is late by its own size is served.
+// queueShare is the share of the objective that a prompt must spend queued behind others before it
+// is refused as too late. A prompt that is late because of its own size is served.
 const queueShare = 0.25
 
-// Tuning holds the shares that decide on refusals, for trials in virtual time.
+// Tuning holds the thresholds for refusals, so that simulations can vary them.
 type Tuning struct {
-	// QueueShare is the part of the objective that a prompt must wait for others before it is
-	// refused as too late.
+	// QueueShare is the share of the objective that a prompt must spend queued behind others before
+	// it is refused as too late.
 	QueueShare float64
-	// ReserveShare bounds the room that a small prompt asks for, as a part of an engine's
+	// ReserveShare bounds the free memory that a small prompt requires, as a share of an engine's
 	// memory; at most admission.ReserveShare.
 	ReserveShare float64
 }
 
 var defaultTuning = DefaultTuning()
 
-// DefaultTuning returns what nodes decide by.
+// DefaultTuning returns the thresholds used in production.
 func DefaultTuning() Tuning {
 	return Tuning{QueueShare: queueShare, ReserveShare: admission.ReserveShare}
 }
@@ -30,10 +30,11 @@
 	return p.Tuning
 }
 
-// reserve bounds the room, in tokens, that a prompt asks for at an engine of such a memory.
+// reserve bounds the free memory, in tokens, that a prompt requires at an engine with the given
+// memory.
 func (t *Tuning) reserve(tokens, memory int) int {
 	if t.ReserveShare >= admission.ReserveShare {
-		return tokens // admission bounds it
+		return tokens // already bounded by admission
 	}
 	return min(tokens, int(t.ReserveShare*float64(memory)))
 }
--- /dev/null
+++ b/internal/placer/unreported.go
@@ -0,0 +1,82 @@
+package placer
+
+import (
+	"math"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cherryward/cherryward/internal/decay"
+)
+
+// placedHalfLife is the half-life of this node's placement rate. A node of a large system places
+// about ten prompts in this time.
+const placedHalfLife = time.Second
+
+// placedRate is the rate of prompt tokens that this node places for engines to read. The zero value
+// is ready to use. It is safe for concurrent use.
+type placedRate struct {
+	mu     sync.Mutex
+	tokens decay.Rate
+}
+
+// note adds the tokens that the engine must read for a placed prompt.
+func (p *placedRate) note(tokens int, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.tokens.Note(float64(tokens), placedHalfLife, now)
+}
+
+// perSecond returns the tokens to be read of the prompts placed per second.
+func (p *placedRate) perSecond(now time.Time) float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.tokens.At(placedHalfLife, now)
+}
+
+// addUnreported adds to the engines' costs the prompts that other nodes have probably placed there
+// since their last load reports. An engine that is the least busy, because it is new, restarted or
+// has just loaded weights, looks so to all nodes at the same time. Together the nodes fill the
+// least busy engines up to a common level. Each node draws the cost increase at random: if it added
+// the expected value, all nodes would choose the same engine.
+func (s *search) addUnreported(costs []scored) {
+	amount := s.unreportedMs() * float64(len(costs)) / float64(max(s.candidateCount, 1))
+	if amount <= 0 {
+		return
+	}
+	waits := make([]float64, len(costs))
+	for i, c := range costs {
+		waits[i] = s.plan(c.member).waitMs + s.rollout.cost(c.member)
+	}
+	level := fillLevel(waits, amount)
+	for i := range costs {
+		if missing := level - waits[i]; missing > 0 {
+			costs[i].cost -= missing * math.Log(1-s.Random())
+		}
+	}
+}
+
+// unreportedMs returns the time, in ms, that engines take to read the prompts that other nodes have
+// placed but not reported yet.
+func (s *search) unreportedMs() float64 {
+	if s.Unheard == nil {
+		return 0
+	}
+	others, lag := s.Unheard()
+	return s.service.placed.perSecond(s.now) * float64(others) * lag.Seconds() * s.figures.TokenMs
+}
+
+// fillLevel returns the level reached when the amount is poured into connected vessels that are
+// already filled to the given levels (water filling).
+func fillLevel(filled []float64, amount float64) float64 {
+	sorted := slices.Sorted(slices.Values(filled))
+	sum := 0.0
+	for i, at := range sorted {
+		sum += at
+		level := (amount + sum) / float64(i+1)
+		if i+1 == len(sorted) || level <= sorted[i+1] {
+			return level
+		}
+	}
+	return 0
+}
