--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/cherryward/cherryward/coord/rendezvous"
 )
 
-// BenchmarkPlace places one request among fleets of each size: the candidates
-// come from rendezvous slots, and their estimates by name.
+// BenchmarkPlace places one request in fleets of several sizes. The candidates are selected from
+// rendezvous slots, and their estimates are looked up by name.
 func BenchmarkPlace(b *testing.B) {
 	const candidates, slots = 8, 1 << 16
 	for _, size := range []int{9, 100, 1000, 12_000} {
@@ -26,7 +26,7 @@
 				keys[i] = "prefix-" + strconv.Itoa(i)
 				table.Top(keys[i])
 			}
-			rng, engines := seeded(), make([]Engine, 0, candidates)
+			rng, engines := newRand(), make([]Engine, 0, candidates)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				engines = engines[:0]
--- a/internal/placement/byload.go
+++ b/internal/placement/byload.go
@@ -1,36 +1,35 @@
 package placement
 
-// PlaceByLoad chooses without estimates, by the load figures carried on earlier
-// replies: of two candidates drawn at random it takes the one with the shorter
-// last wait and prefill. Prompts under one block come this way, and requests
-// whose owners were all late. It returns ErrNoEndpoint when every candidate is
-// out of rotation.
+// PlaceByLoad places a request without estimates, by the load figures of earlier replies: of two
+// candidates chosen at random it selects the one with the lower expected wait and prefill time. It
+// is used for prompts shorter than one block, and for requests whose estimates all timed out. It
+// returns ErrNoEndpoint if every candidate is out of rotation.
 func PlaceByLoad(req Request, engines []Engine, rng Rand) (Choice, error) {
 	candidates := Filter(engines, make([]Candidate, 0, len(engines)))
-	return placeByLoad(req, engines, candidates, rng)
+	return placeFiltered(req, engines, candidates, rng)
 }
 
-func placeByLoad(req Request, engines []Engine, candidates []Candidate, rng Rand) (Choice, error) {
+func placeFiltered(req Request, engines []Engine, candidates []Candidate, rng Rand) (Choice, error) {
 	for i := range candidates {
 		loadScore(req, &engines[i], &candidates[i])
 	}
-	picked := drawByLoad(candidates, rng)
-	if picked < 0 {
+	chosen := selectByLoad(candidates, rng)
+	if chosen < 0 {
 		return Choice{}, ErrNoEndpoint
 	}
 	for i := range candidates {
-		if i != picked && candidates[i].Verdict == Considered {
-			candidates[i].Verdict = Costlier
+		if i != chosen && candidates[i].Verdict == Considered {
+			candidates[i].Verdict = HigherCost
 		}
 	}
-	candidates[picked].Verdict = Chosen
-	choice := choose(engines, candidates, picked)
+	candidates[chosen].Verdict = Chosen
+	choice := choiceOf(engines, candidates, chosen)
 	choice.ByLoad = true
 	return choice, nil
 }
 
-// loadScore judges c by last-known load. An engine of unknown speed counts by
-// its wait alone, so that a new one gets work and its speed is learned.
+// loadScore computes the cost of c from the last known load. For an engine of unknown speed only
+// the wait counts, so that a new engine gets work from which its speed is learned.
 func loadScore(req Request, e *Engine, c *Candidate) {
 	if c.Verdict == OutOfRotation {
 		return
@@ -44,13 +43,14 @@
 	c.Cost = cost(req.Weights, c)
 }
 
-// drawByLoad draws two candidates in rotation and returns the cheaper, or -1.
-func drawByLoad(candidates []Candidate, rng Rand) int {
-	var d draw
+// selectByLoad samples two candidates in rotation and returns the index of the cheaper one, or -1
+// if there is none.
+func selectByLoad(candidates []Candidate, rng Rand) int {
+	var sample pairSample
 	for i := range candidates {
 		if candidates[i].Verdict != OutOfRotation {
-			d.offer(i, rng)
+			sample.offer(i, rng)
 		}
 	}
-	return d.cheaper(candidates, rng)
+	return sample.cheaper(candidates, rng)
 }
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Verdict is the reason why a candidate was or was not chosen.
+// Verdict is the result of evaluating a candidate.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of a candidate.
 const (
-	Considered    Verdict = iota // usable, not yet compared
-	Chosen                       // serves the request
-	Costlier                     // usable at a higher cost
-	TiedNotDrawn                 // as good as the chosen one within the tolerance
-	MissesTime                   // its first token would come after the deadline
-	EstimateLate                 // no estimate in time
-	OutOfRotation                // takes no new work
+	Considered      Verdict = iota // usable, not compared yet
+	Chosen                         // selected for the request
+	HigherCost                     // usable at a higher cost
+	TiedNotSelected                // cost equal to the chosen one's within the tolerance
+	MissesDeadline                 // first token expected after the deadline
+	EstimateLate                   // no estimate received in time
+	OutOfRotation                  // takes no new requests
 )
 
 var verdictNames = [...]string{
 	"considered", "chosen", "costlier", "tied", "misses deadline", "estimate late", "out of rotation",
 }
 
-// String returns the verdict in words.
+// String returns a description of the verdict.
 func (v Verdict) String() string {
 	if int(v) < len(verdictNames) {
 		return verdictNames[v]
@@ -31,7 +31,7 @@
 	return "unknown"
 }
 
-// Candidate is one endpoint with the figures that judged it.
+// Candidate is one endpoint with the estimates on which its verdict is based.
 type Candidate struct {
 	Endpoint   string
 	Verdict    Verdict
@@ -45,15 +45,16 @@
 
 var _ fmt.Stringer = Candidate{}
 
-// String tells the reasons in one line. It allocates: call it only to explain.
+// String returns the verdict with its reasons in one line. It allocates, and is meant for
+// explanations only.
 func (c Candidate) String() string {
 	return fmt.Sprintf("endpoint=%s verdict=%q cost=%.4f first_token=%s wait=%s cached=%d import=%d store=%s recompute=%d",
 		c.Endpoint, c.Verdict, c.Cost, c.FirstToken.Round(time.Millisecond), c.Wait.Round(time.Millisecond),
 		c.Cached, c.Import.Tokens, c.Import.Store, c.Recompute)
 }
 
-// Filter starts the list of candidates, one for each engine in the same order,
-// with a verdict for those that can't be compared. It appends to dst[:0].
+// Filter returns one candidate for each engine, in the same order, with a verdict for those that
+// can't be scored. It reuses the memory of dst.
 func Filter(engines []Engine, dst []Candidate) []Candidate {
 	dst = dst[:0]
 	for i := range engines {
--- a/internal/placement/export.go
+++ b/internal/placement/export.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// When to decide on exports. See docs/design/policy.md for the figures.
+// Times at which exports are decided. See docs/design/policy.md for the values.
 const (
-	// ExportAfter is how long after a turn its blocks are offered for export,
-	// unless the conversation has come back: the longer it stays away, the
-	// better is known whether it comes back late.
+	// ExportAfter is how long after a turn its blocks are offered for export if the conversation
+	// has not continued. The longer it is idle, the more reliable is the prediction that it
+	// continues late.
 	ExportAfter = 2 * time.Minute
-	// ExportUntil is how long after a turn its blocks are likely to be in engine
-	// memory still: the export is worth its bytes only for later returns, and is
-	// not tried any more after it.
+	// ExportUntil is how long after a turn its blocks are likely to be still in engine memory. An
+	// export pays only for later continuations, and is not attempted after this time.
 	ExportUntil = 10 * time.Minute
-	// ExportRetry is when to try again after a busy link or too high a price.
+	// ExportRetry is the delay of the next attempt when the link is busy or the price too high.
 	ExportRetry = 10 * time.Second
 )
 
-// Kept is a part of a prompt's prefix that an export would keep.
+// Kept is the part of a prompt's prefix that an export would store.
 type Kept struct {
 	Tokens      int
 	Bytes       int64
 	PrefillRate float64 // of the engine, tokens per second
-	LinkRate    float64 // present speed of an import, bytes per second
+	LinkRate    float64 // current rate of an import, bytes per second
 }
 
-// Saves is what importing the part later saves against computing it again, in
-// the objective's units. It is negative where computing is cheaper.
+// Saves returns the cost saved by importing the part later instead of recomputing it, in the
+// objective's units. It is negative if recomputing is cheaper.
 func (o Objective) Saves(k Kept) float64 {
 	if k.PrefillRate <= 0 || k.LinkRate <= 0 {
 		return 0
@@ -33,14 +32,14 @@
 	if o == (Objective{}) {
 		o.FirstTokenSeconds = 1
 	}
-	sooner := float64(k.Tokens)/k.PrefillRate - float64(k.Bytes)/k.LinkRate
-	return o.FirstTokenSeconds*sooner + o.RecomputedToken*float64(k.Tokens) - o.linkCost(k.Bytes)
+	savedSeconds := float64(k.Tokens)/k.PrefillRate - float64(k.Bytes)/k.LinkRate
+	return o.FirstTokenSeconds*savedSeconds + o.RecomputedToken*float64(k.Tokens) - o.linkCost(k.Bytes)
 }
 
-// LinkPrice is what a byte of an export costs, in the objective's units: the
-// link's own weight, and the delay that it brings to others. secondsPerByte is
-// the link's price under its present use, of which the byte's own time on an
-// idle link delays nobody.
+// LinkPrice returns the cost of a byte of an export, in the objective's units: the weight of the
+// link, and the delay caused to other transfers. secondsPerByte is the link's price at its current
+// utilization; the byte's own transfer time on an idle link is subtracted, as it delays no other
+// transfer.
 func (o Objective) LinkPrice(secondsPerByte, linkRate float64) float64 {
 	if o == (Objective{}) {
 		o.FirstTokenSeconds = 1
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,11 +1,10 @@
-// Package placement chooses the endpoint that serves a prompt, and whether to
-// import kept context for it or to recompute.
+// Package placement selects the endpoint for a prompt, and decides whether to import kept context
+// for it or to recompute.
 //
-// Every function is pure: it reads only its arguments, keeps nothing, does no
-// I/O and takes no clock. Estimates may be stale or wrong; a choice made from
-// them costs efficiency only, since the owner of the chosen endpoint decides on
-// the grant and the engine's answer tells what was cached. Calling again is
-// always safe.
+// Every function is pure: it reads only its arguments, keeps no state, does no I/O and reads no
+// clock. Estimates may be stale or wrong; this costs efficiency only, since the owner of the chosen
+// endpoint decides on the grant and the engine's response states what was cached. Calls can be
+// repeated safely.
 package placement
 
 import (
@@ -13,56 +12,56 @@
 	"time"
 )
 
-// ErrNoEndpoint means that no candidate may serve the request at present. The
-// request did not run; trying again later is safe.
+// ErrNoEndpoint means that no candidate accepts requests at present. The request did not run; a
+// later retry is safe.
 var ErrNoEndpoint = errors.New("placement: no endpoint in service")
 
-// Objective weighs what a choice minimises; the unit of cost is the second.
-// The zero Objective counts time to first token alone.
+// Objective weighs the terms that a placement minimizes; the unit of cost is the second. The zero
+// Objective uses the time to first token only.
 type Objective struct {
 	FirstTokenSeconds float64 // cost of a second until the first token
 	RecomputedToken   float64 // cost of a recomputed token beyond its own delay
 	LinkMebibyte      float64 // cost of a mebibyte over a store's link
 }
 
-// Request is the prompt to place.
+// Request is a prompt to place.
 type Request struct {
 	PromptTokens int           // estimated length of the prompt
-	TimeLeft     time.Duration // until the caller's deadline; 0 means none
+	TimeLeft     time.Duration // until the caller's deadline; 0 for none
 	Weights      Objective
 }
 
-// Status tells how far an estimate may be used.
+// Status is the state of an estimate.
 type Status uint8
 
-// The states of an estimate.
+// States of an estimate.
 const (
-	Known  Status = iota // answered in time
-	Late                 // the owner did not answer in time, or knows too little
+	Known  Status = iota // received in time
+	Late                 // not received in time, or the owner has too little data
 	Paused               // out of rotation: leaving, failing, or model not loaded
 )
 
-// Engine is an owner's estimate for one endpoint and one request. The Last
-// fields come from earlier replies and are set even when Status is Late.
+// Engine is an owner's estimate for one endpoint and one request. LastWait comes from earlier
+// replies and is set even if Status is Late.
 type Engine struct {
 	Endpoint      string
 	Owner         string // node that owns the endpoint
 	FailureDomain string
 	Status        Status
 
-	Wait         time.Duration // until the run could start
+	Wait         time.Duration // until the run can start
 	PrefillRate  float64       // learned speed, prompt tokens per second
 	StepTime     time.Duration // learned time of one decode step
 	CachedTokens int           // of this prompt, in the engine's memory
-	Running      int           // runs granted now
+	Running      int           // runs currently granted
 	Waiting      int           // requests queued at the owner
 
-	ImportRate  float64 // present share of the engine's link, bytes per second
+	ImportRate  float64 // current share of the engine's link, bytes per second
 	Layout      string  // KV layout: blocks of another layout are of no use
 	BlockTokens int
 	BlockBytes  int64
 
-	LastWait time.Duration // wait by the figures carried on earlier replies
+	LastWait time.Duration // wait by the load figures of earlier replies
 }
 
 // Store is a store owner's estimate for one request.
@@ -72,40 +71,40 @@
 	Status        Status
 
 	HeldTokens int           // of this prompt's prefix, in whole blocks
-	Rate       float64       // present share of the store's link, bytes per second
-	QueueDelay time.Duration // before a waited-for import would start
-	Layout     string
+	Rate       float64       // current share of the store's link, bytes per second
+	QueueDelay time.Duration // before an import would start
+	Layout     string        // KV layout; blocks of other layouts can't be used
 }
 
-// Import is the part of a prompt's prefix to fetch from a store: whole blocks
-// from FromToken on. The zero Import fetches nothing.
+// Import is the part of a prompt's prefix to fetch from a store: whole blocks starting at
+// FromToken. The zero Import fetches nothing.
 type Import struct {
 	Store     string
 	FromToken int
 	Tokens    int
 	Bytes     int64
-	Transfer  time.Duration // expected, with the delay before it starts
-	// Patience is how long the import may take until computing the tokens would
-	// have cost less: whoever waits for it gives it up then.
+	Transfer  time.Duration // expected duration, including the delay before it starts
+	// Patience is how long the import may take before recomputing the tokens would have cost less.
+	// The import is abandoned then.
 	Patience time.Duration
 }
 
-// Choice is the outcome of a placement.
+// Choice is the result of a placement.
 type Choice struct {
 	Endpoint   string
 	Owner      string
 	Import     Import
 	Cached     int           // tokens expected in the engine's memory
-	Recompute  int           // tokens that the engine is left to compute
-	Wait       time.Duration // before the run can start
+	Recompute  int           // prompt tokens left for the engine to compute
+	Wait       time.Duration // until the run can start
 	FirstToken time.Duration // expected time to first token
 	Cost       float64       // by the request's Objective, seconds
-	ByLoad     bool          // chosen by load figures alone, without estimates
+	ByLoad     bool          // chosen by load only, without estimates
 	Late       bool          // no candidate is expected to meet the deadline
-	Candidates []Candidate   // each candidate in the order given, with its verdict
+	Candidates []Candidate   // every candidate in the given order, with its verdict
 }
 
-// Rand draws the tie-breaks; *math/rand/v2.Rand implements it.
+// Rand generates the random numbers for ties; *math/rand/v2.Rand implements it.
 type Rand interface {
 	// IntN returns a number in [0, n).
 	IntN(n int) int
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,7 +27,7 @@
 	return e
 }
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func TestPlace(t *testing.T) {
 	const prompt = 10 * blockTokens
@@ -76,7 +76,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			req := Request{PromptTokens: prompt, TimeLeft: tc.left, Weights: tc.weights}
-			choice, err := Place(req, tc.engines, tc.stores, seeded())
+			choice, err := Place(req, tc.engines, tc.stores, newRand())
 			must.NoError(t, err)
 			test.EqOp(t, tc.want, choice.Endpoint)
 			test.EqOp(t, tc.blocks*blockTokens, choice.Import.Tokens)
@@ -90,22 +90,22 @@
 	paused := engine("gone", func(e *Engine) { e.Status = Paused })
 	slow := engine("slow", func(e *Engine) { e.Status = Late; e.LastWait = time.Second })
 	fast := engine("fast", func(e *Engine) { e.Status = Late })
-	choice, err := Place(Request{PromptTokens: 100}, []Engine{paused, slow, fast}, nil, seeded())
+	choice, err := Place(Request{PromptTokens: 100}, []Engine{paused, slow, fast}, nil, newRand())
 	must.NoError(t, err)
 	test.EqOp(t, "fast", choice.Endpoint)
 	test.True(t, choice.ByLoad)
 	test.EqOp(t, OutOfRotation, choice.Candidates[0].Verdict)
 	test.True(t, strings.Contains(choice.Candidates[1].String(), "estimate late"))
-	_, err = Place(Request{PromptTokens: 100}, []Engine{paused}, nil, seeded())
+	_, err = Place(Request{PromptTokens: 100}, []Engine{paused}, nil, newRand())
 	test.ErrorIs(t, err, ErrNoEndpoint)
 }
 
-// Entry nodes that hold the same figures must not all choose the same idle
-// endpoint.
-func TestPlaceSpreads(t *testing.T) {
+// TestPlaceSpreadsEqualEndpoints checks that entry nodes with the same estimates don't all select
+// the same idle endpoint.
+func TestPlaceSpreadsEqualEndpoints(t *testing.T) {
 	engines := []Engine{engine("a", nil), engine("b", nil), engine("c", nil), engine("d", nil)}
 	engines[3].Wait = time.Second
-	rng, count := seeded(), map[string]int{}
+	rng, count := newRand(), map[string]int{}
 	for range 900 {
 		for _, place := range []func(Request, []Engine) (Choice, error){
 			func(r Request, e []Engine) (Choice, error) { return Place(r, e, nil, rng) },
@@ -122,8 +122,9 @@
 	test.EqOp(t, 0, count["d"])
 }
 
-// No other import length of whole blocks costs less than the chosen one.
-func TestImportLengthIsBest(t *testing.T) {
+// TestImportLengthIsOptimal checks that no other import length in whole blocks costs less than the
+// chosen one.
+func TestImportLengthIsOptimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := engine("e", func(e *Engine) {
 			e.CachedTokens = blockTokens * rapid.IntRange(0, 4).Draw(t, "cached")
@@ -138,13 +139,13 @@
 			RecomputedToken:   rapid.Float64Range(0, 0.01).Draw(t, "wr"),
 			LinkMebibyte:      rapid.Float64Range(0, 0.01).Draw(t, "wl"),
 		}}
-		choice, err := Place(req, []Engine{e}, []Store{s}, seeded())
+		choice, err := Place(req, []Engine{e}, []Store{s}, newRand())
 		must.NoError(t, err)
 		cached := min(e.CachedTokens, req.PromptTokens)
 		perBlock := float64(e.BlockBytes) / min(s.Rate, e.ImportRate)
 		for blocks := 1; cached+blocks*blockTokens <= min(s.HeldTokens, req.PromptTokens); blocks++ {
 			c := Candidate{Cached: cached, Cost: choice.Cost}
-			improve(req, &e, &s, perBlock, blocks, &c)
+			applyIfCheaper(req, &e, &s, perBlock, blocks, &c)
 			test.GreaterEq(t, choice.Cost-1e-6, c.Cost)
 		}
 	})
@@ -152,7 +153,7 @@
 
 func TestPlaceAllocations(t *testing.T) {
 	req, engines, stores := benchInput(8)
-	rng := seeded()
+	rng := newRand()
 	got := testing.AllocsPerRun(100, func() { _, _ = Place(req, engines, stores, rng) })
 	test.LessEq(t, 1.0, got)
 }
@@ -166,12 +167,13 @@
 	return Request{PromptTokens: 40000, TimeLeft: time.Minute}, engines, []Store{store, store}
 }
 
-// An import that takes its whole patience costs as much as computing.
+// TestPatienceBreaksEven checks that an import that takes as long as its patience costs the same as
+// recomputing.
 func TestPatienceBreaksEven(t *testing.T) {
 	e := engine("e", func(e *Engine) { e.Wait = time.Second })
 	s := Store{Store: "s", HeldTokens: 8 * blockTokens, Rate: 256 << 20, Layout: "a"}
 	req := Request{PromptTokens: 10 * blockTokens, Weights: Objective{FirstTokenSeconds: 0.5, RecomputedToken: 0.0001}}
-	choice, err := Place(req, []Engine{e}, []Store{s}, seeded())
+	choice, err := Place(req, []Engine{e}, []Store{s}, newRand())
 	must.NoError(t, err)
 	slow, none := Candidate{}, Candidate{}
 	late := choice.Import
@@ -182,26 +184,27 @@
 	test.Greater(t, choice.Import.Transfer, choice.Import.Patience)
 }
 
-func TestObjectiveOfExports(t *testing.T) {
+func TestExportSavings(t *testing.T) {
 	k := Kept{Tokens: 2000, Bytes: 100 << 20, PrefillRate: 1000, LinkRate: 100 << 20}
 	test.InDelta(t, 1, Objective{}.Saves(k), 1e-9) // 2 s of prefill for 1 s of link
 	test.InDelta(t, 2, Objective{FirstTokenSeconds: 1, RecomputedToken: 0.001, LinkMebibyte: 0.01}.Saves(k), 1e-9)
-	// An idle link delays nobody; one with half of its time in use delays others
-	// by each byte's own time.
+	// On an idle link a byte delays no other transfer; on a link that is half
+	// utilized it delays others by its own transfer time.
 	idle, busy := 1/k.LinkRate, 2/k.LinkRate
 	test.InDelta(t, 0, Objective{}.LinkPrice(idle, k.LinkRate), 1e-15)
 	test.InDelta(t, idle, Objective{}.LinkPrice(busy, k.LinkRate), 1e-15)
 	test.InDelta(t, 0.01/(1<<20), Objective{LinkMebibyte: 0.01}.LinkPrice(busy, k.LinkRate), 1e-15)
 }
 
-// An engine whose speed nobody has seen must get work, or it is never seen.
-func TestUntriedEnginesComeFirst(t *testing.T) {
+// TestAssumesHighSpeedOfNewEngines checks that an engine of unknown speed gets work, since its
+// speed would otherwise never be learned.
+func TestAssumesHighSpeedOfNewEngines(t *testing.T) {
 	engines := []Engine{{Endpoint: "old", PrefillRate: 16000}, {Endpoint: "new"}, {Endpoint: "best", PrefillRate: 40000}}
 	AssumeBest(engines)
-	must.Eq(t, 40000*untriedBonus, engines[1].PrefillRate)
+	must.Eq(t, 40000*unknownSpeedBonus, engines[1].PrefillRate)
 	must.Eq(t, 16000, engines[0].PrefillRate)
 	none := []Engine{{Endpoint: "a"}, {Endpoint: "b"}}
 	AssumeBest(none)
-	must.Eq(t, UnknownRate*untriedBonus, none[0].PrefillRate)
+	must.Eq(t, UnknownRate*unknownSpeedBonus, none[0].PrefillRate)
 	must.Eq(t, none[0].PrefillRate, none[1].PrefillRate)
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -4,56 +4,56 @@
 
 const mebibyte = 1 << 20
 
-// Score fills in the cost of each candidate that is still Considered, with the
-// cheapest import for it, and marks those that miss the deadline.
+// Score sets the cost of each candidate that is still Considered, for the cheapest import, and
+// marks those that miss the deadline.
 func Score(req Request, engines []Engine, stores []Store, candidates []Candidate) {
 	for i := range candidates {
 		c := &candidates[i]
 		if c.Verdict != Considered {
 			continue
 		}
-		scoreOne(req, &engines[i], stores, c)
+		scoreCandidate(req, &engines[i], stores, c)
 		if req.TimeLeft > 0 && c.FirstToken > req.TimeLeft {
-			c.Verdict = MissesTime
+			c.Verdict = MissesDeadline
 		}
 	}
 }
 
-func scoreOne(req Request, e *Engine, stores []Store, c *Candidate) {
+func scoreCandidate(req Request, e *Engine, stores []Store, c *Candidate) {
 	c.Cached = min(e.CachedTokens, req.PromptTokens)
 	evaluate(req, e, Import{}, c)
 	for i := range stores {
-		tryStore(req, e, &stores[i], c)
+		tryImport(req, e, &stores[i], c)
 	}
 }
 
-// tryStore improves c by an import from s, if one pays. The cost is piecewise
-// linear in the length imported, so only the ends and the lengths on both sides
-// of where an import no longer hides behind the engine's queue need a look.
-func tryStore(req Request, e *Engine, s *Store, c *Candidate) {
+// tryImport changes c to an import from s if that is cheaper. The cost is piecewise linear in the
+// import length. Apart from no import, it is therefore enough to evaluate the maximum length and
+// the lengths around the point where the import begins to take longer than the engine's queue.
+func tryImport(req Request, e *Engine, s *Store, c *Candidate) {
 	usable := s.Status == Known && s.Layout == e.Layout && s.Rate > 0 && e.ImportRate > 0 && e.BlockTokens > 0
 	if !usable {
 		return
 	}
 	held := min(s.HeldTokens, req.PromptTokens)
-	most := (held - c.Cached) / e.BlockTokens
-	if most <= 0 {
+	maxBlocks := (held - c.Cached) / e.BlockTokens
+	if maxBlocks <= 0 {
 		return
 	}
 	perBlock := float64(e.BlockBytes) / min(s.Rate, e.ImportRate)
-	improve(req, e, s, perBlock, most, c)
+	applyIfCheaper(req, e, s, perBlock, maxBlocks, c)
 	hidden := 0
 	if e.Wait > s.QueueDelay {
 		hidden = int((e.Wait - s.QueueDelay).Seconds() / perBlock)
 	}
-	for blocks := max(hidden, 1); blocks <= min(hidden+1, most); blocks++ {
-		improve(req, e, s, perBlock, blocks, c)
+	for blocks := max(hidden, 1); blocks <= min(hidden+1, maxBlocks); blocks++ {
+		applyIfCheaper(req, e, s, perBlock, blocks, c)
 	}
 }
 
-// improve replaces c by the same engine with an import of some blocks if that
-// costs less.
-func improve(req Request, e *Engine, s *Store, perBlock float64, blocks int, c *Candidate) {
+// applyIfCheaper changes c to an import of the given number of blocks from s if that costs less and
+// does not endanger the deadline.
+func applyIfCheaper(req Request, e *Engine, s *Store, perBlock float64, blocks int, c *Candidate) {
 	imp := Import{
 		Store:     s.Store,
 		FromToken: c.Cached,
@@ -61,60 +61,60 @@
 		Bytes:     int64(blocks) * e.BlockBytes,
 		Transfer:  s.QueueDelay + seconds(perBlock*float64(blocks)),
 	}
-	with := *c
-	evaluate(req, e, imp, &with)
-	if with.Cost < c.Cost && !risky(req, e, with) {
-		*c = with
-		c.Import.Patience = patience(req, e, with)
+	changed := *c
+	evaluate(req, e, imp, &changed)
+	if changed.Cost < c.Cost && !endangersDeadline(req, e, changed) {
+		*c = changed
+		c.Import.Patience = importPatience(req, e, changed)
 	}
 }
 
-// importShare is the share of the time left that an import may be expected to
-// take: links slow down, and its tokens may still have to be computed after it.
-const importShare = 0.5
+// maxImportShare is the maximum share of the remaining time that an import may be expected to take:
+// links can slow down, and the tokens may then still have to be computed.
+const maxImportShare = 0.5
 
-// risky reports whether an import would endanger the deadline.
-func risky(req Request, e *Engine, c Candidate) bool {
+// endangersDeadline reports whether the import of c could make the request miss its deadline.
+func endangersDeadline(req Request, e *Engine, c Candidate) bool {
 	if req.TimeLeft <= 0 {
 		return false
 	}
 	compute := seconds(float64(c.Import.Tokens) / e.PrefillRate)
-	tooLong := c.Import.Transfer > time.Duration(importShare*float64(req.TimeLeft))
+	tooLong := c.Import.Transfer > time.Duration(maxImportShare*float64(req.TimeLeft))
 	return tooLong || c.FirstToken+compute > req.TimeLeft
 }
 
-// longestPatience stands for no limit.
-const longestPatience = time.Hour
+// maxPatience stands for no limit.
+const maxPatience = time.Hour
 
-// patience is the time at which the import of c breaks even with none.
-func patience(req Request, e *Engine, c Candidate) time.Duration {
+// importPatience returns the duration at which the import of c costs as much as no import.
+func importPatience(req Request, e *Engine, c Candidate) time.Duration {
 	none := c
 	evaluate(req, e, Import{}, &none)
 	weight := req.Weights.FirstTokenSeconds
 	if req.Weights == (Objective{}) {
 		weight = 1
 	}
-	more := (none.Cost - c.Cost) / weight
-	if !(more < longestPatience.Seconds()) {
-		return longestPatience
+	extra := (none.Cost - c.Cost) / weight
+	if !(extra < maxPatience.Seconds()) {
+		return maxPatience
 	}
-	return c.Wait + seconds(more)
+	return c.Wait + seconds(extra)
 }
 
-// evaluate sets the figures of c for one import. The import runs while the
-// request waits for the engine; the prefill starts when both are over.
+// evaluate sets the estimates of c for one import. The import runs while the request is queued at
+// the engine; the prefill starts when both have ended.
 func evaluate(req Request, e *Engine, imp Import, c *Candidate) {
 	c.Import = imp
 	c.Recompute = max(0, req.PromptTokens-c.Cached-imp.Tokens)
 	c.Wait = max(e.Wait, imp.Transfer)
 	c.FirstToken = c.Wait + seconds(float64(c.Recompute)/e.PrefillRate) + e.StepTime
-	c.Cost = cost(req.Weights, c) + crowding(req.Weights, e, c)
+	c.Cost = cost(req.Weights, c) + crowdingCost(req.Weights, e, c)
 }
 
-// crowding is the delay that the prefill brings to the others that wait at the
-// engine, in the objective's units: as many as wait now are taken to come while
-// it runs. It turns prompts to where they are cached as queues grow.
-func crowding(w Objective, e *Engine, c *Candidate) float64 {
+// crowdingCost returns the delay that the prefill causes to other requests at the engine, in the
+// objective's units. It assumes that as many requests arrive during the prefill as are queued now.
+// As queues grow, it moves prompts to the engines that have them cached.
+func crowdingCost(w Objective, e *Engine, c *Candidate) float64 {
 	if w == (Objective{}) {
 		w.FirstTokenSeconds = 1
 	}
--- /dev/null
+++ b/internal/placement/unknownspeed.go
@@ -0,0 +1,27 @@
+package placement
+
+const (
+	// UnknownRate is the prefill rate assumed if no engine's rate is known, in prompt tokens per
+	// second.
+	UnknownRate = 5000
+	// unknownSpeedBonus makes an idle engine of unknown speed the preferred one.
+	unknownSpeedBonus = 1.5
+)
+
+// AssumeBest sets the PrefillRate of engines without a learned one (0) to more than the best
+// learned among the candidates. A lower rate would keep requests from a new engine, so that its
+// speed would never be learned; one prompt is enough to learn it.
+func AssumeBest(engines []Engine) {
+	best := 0.0
+	for i := range engines {
+		best = max(best, engines[i].PrefillRate)
+	}
+	if best == 0 {
+		best = UnknownRate
+	}
+	for i := range engines {
+		if engines[i].PrefillRate == 0 {
+			engines[i].PrefillRate = best * unknownSpeedBonus
+		}
+	}
+}
