--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,7 +17,7 @@
 		{"empty", Memory{Capacity: 1000}, 300, 0, true},
 		{"just fits", Memory{Capacity: 1000, Held: 700}, 300, 0, true},
 		{"one token too many", Memory{Capacity: 1000, Held: 701}, 300, 0, false},
-		{"a small one asks for a usual one's room", Memory{Capacity: 1000, Held: 701}, 10, 300, false},
+		{"a small one requires a typical one's room", Memory{Capacity: 1000, Held: 701}, 10, 300, false},
 		{"the reserve is bounded", Memory{Capacity: 1000, Held: 400}, 10, 5000, true},
 		{"larger than the memory, which is empty", Memory{Capacity: 1000}, 3000, 0, true},
 		{"larger than the memory", Memory{Capacity: 1000, Held: 1}, 3000, 0, false},
@@ -27,41 +27,42 @@
 	}
 }
 
-// TestWait predicts the time in which enough of what is held is freed.
+// TestWait checks the predicted time until enough memory is freed.
 func TestWait(t *testing.T) {
 	full := Memory{Capacity: 1000, Held: 1000}
 	test.Eq(t, 500*time.Millisecond, full.Wait(250, 0, 2*time.Second))
-	test.Eq(t, 2*time.Second, full.Wait(5000, 0, 2*time.Second), test.Sprint("until all has ended"))
+	test.Eq(t, 2*time.Second, full.Wait(5000, 0, 2*time.Second), test.Sprint("until all runs have ended"))
 	test.Eq(t, 0, Memory{Capacity: 1000}.Wait(250, 0, 2*time.Second))
 }
 
-// TestReserve asks for the room of a usual prompt of the same rank, of a large one while many
-// are refused, and for no more than its size from a caller that comes back.
+// TestReserve checks that a prompt requires the free memory of a typical prompt of its rank, that
+// of a large prompt while many are refused, and only its own size if its caller was refused before.
 func TestReserve(t *testing.T) {
-	var n Needs
+	var n Demand
 	for i := range 40 {
 		n.Note(1, 100*(i+1))
 		n.Note(2, 50_000)
 	}
 	test.Eq(t, 3100, n.Reserve(1, false, 30_000))
 	test.Eq(t, 0, n.Reserve(1, true, 30_000))
-	test.Eq(t, 3100, n.Reserve(1, false, 30_999), test.Sprint("nine prompts fit"))
-	test.Eq(t, 0, n.Reserve(1, false, 31_000), test.Sprint("ten do"))
-	test.Eq(t, 0, n.Reserve(0, false, 30_000), test.Sprint("no prompt of that rank came"))
+	test.Eq(t, 3100, n.Reserve(1, false, 30_999), test.Sprint("the memory holds nine prompts"))
+	test.Eq(t, 0, n.Reserve(1, false, 31_000), test.Sprint("the memory holds ten prompts"))
+	test.Eq(t, 0, n.Reserve(0, false, 30_000), test.Sprint("no prompt of that rank was noted"))
 	for range 15 {
-		n.Decided(true)
+		n.NoteDecision(true)
 	}
 	test.Eq(t, 3900, n.Reserve(1, false, 30_000))
 	test.Eq(t, 3900, n.Reserve(1, true, 30_000))
 	for range 60 {
-		n.Decided(false)
+		n.NoteDecision(false)
 	}
 	test.Eq(t, 3100, n.Reserve(1, false, 30_000))
 }
 
-// TestMany tells a memory that holds thirty prompts as they come, however large those of one rank are.
-func TestMany(t *testing.T) {
-	var n Needs
+// TestHoldsMany checks that HoldsMany compares the memory with thirty prompts of the mean size over
+// all ranks.
+func TestHoldsMany(t *testing.T) {
+	var n Demand
 	for range 1000 {
 		n.Note(1, 12_000)
 		for range 8 {
@@ -69,13 +70,14 @@
 		}
 	}
 	const mean = (12_000 + 8*1000) / 9
-	test.True(t, n.Many(30*mean*11/10))
-	test.False(t, n.Many(30*mean*9/10))
+	test.True(t, n.HoldsMany(30*mean*11/10))
+	test.False(t, n.HoldsMany(30*mean*9/10))
 }
 
-// TestReturnsAreSpread gives each caller a time of its own, within what callers honour.
-func TestReturnsAreSpread(t *testing.T) {
-	var r Returns
+// TestRetriesAreSpread checks that each refused caller gets its own retry time, bounded by the
+// maximum delay.
+func TestRetriesAreSpread(t *testing.T) {
+	var r RetrySchedule
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	after := func() time.Duration {
 		return r.After(now, 100*time.Millisecond, 40*time.Millisecond, 200*time.Millisecond)
@@ -84,5 +86,5 @@
 		test.Eq(t, want*time.Millisecond, after())
 	}
 	now = now.Add(time.Second)
-	test.Eq(t, 100*time.Millisecond, after(), test.Sprint("nobody else is to come back"))
+	test.Eq(t, 100*time.Millisecond, after(), test.Sprint("no other retry is pending"))
 }
--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -6,107 +6,109 @@
 )
 
 const (
-	// ranks is the number of ranks of urgency.
+	// ranks is the number of priority ranks.
 	ranks = 10
-	// needSamples is how many prompts of a rank are looked back on: some seconds of one
-	// node's.
-	needSamples = 40
-	// usualPercent is the percentile of the sizes up to which prompts ask for the same room
-	// while few are refused. A higher one leaves engines partly empty.
-	usualPercent = 75
-	// pressedPercent is the same while many are refused: then most of the largest tenth ask
-	// for the same room as all others, and are refused no more often.
-	pressedPercent = 95
-	// pressedShare is the share of refusals, lately, from which many are refused.
-	pressedShare = 0.2
-	// roomyMemory is the number of usual prompts of a rank from which an engine's memory is roomy:
-	// what small ones leave free then is soon enough for a large one, and asking for more room than
-	// they need has callers refused whom the engine could take.
-	roomyMemory = 10
-	// manyPrompts is the number of prompts of mean size from which an engine's memory holds many: errors
-	// on single ones come to less than a fifth of it.
+	// sizeSamples is the number of recent prompts of a rank whose sizes are kept: those of several
+	// seconds at one node.
+	sizeSamples = 40
+	// typicalPercentile is the percentile of the prompt sizes that is reserved while few prompts
+	// are refused. A higher one leaves engines partly empty.
+	typicalPercentile = 75
+	// pressurePercentile is the percentile that is reserved while many prompts are refused: then
+	// most of the largest tenth require the same room as all others, and are refused no more often.
+	pressurePercentile = 95
+	// pressureThreshold is the recent share of refusals from which many prompts count as refused.
+	pressureThreshold = 0.2
+	// roomyPrompts is the number of typical prompts of a rank that fit into a memory from which
+	// nothing is reserved: the memory that small prompts leave free then soon suffices for a large
+	// one, and a reserve would refuse callers that the engine could serve.
+	roomyPrompts = 10
+	// manyPrompts is the number of prompts of mean size from which an engine's memory holds many:
+	// estimation errors of single prompts then amount to less than a fifth of it.
 	manyPrompts = 30
-	// sizeWeight is the weight of the newest prompt in the mean size: some hundred are remembered.
+	// sizeWeight is the weight of the newest prompt in the mean size, which covers about a hundred
+	// prompts.
 	sizeWeight = 0.01
-	// pressureWeight is the weight of the newest decision: some fifty are remembered.
+	// pressureWeight is the weight of the newest decision in the share of refusals, which covers
+	// about fifty decisions.
 	pressureWeight = 0.02
 )
 
-// Needs knows how large prompts are lately, by rank, and how many are refused. It is safe for
-// concurrent use.
-type Needs struct {
+// Demand tracks the recent prompt sizes of each rank and the recent share of refusals. It is safe
+// for concurrent use.
+type Demand struct {
 	mu       sync.Mutex
-	byRank   [ranks]recent
-	pressure float64 // share of prompts refused, recent ones weighted most
-	mean     float64 // size of prompts, in tokens, recent ones weighted most
+	byRank   [ranks]recentSizes
+	pressure float64 // share of prompts refused, weighted towards recent ones
+	mean     float64 // prompt size in tokens, weighted towards recent ones
 }
 
-// recent are the sizes of the newest prompts of a rank, in tokens.
-type recent struct {
-	sizes          [needSamples]int
-	n              int // prompts ever noted
-	usual, pressed int // the two percentiles
+// recentSizes holds the sizes of the newest prompts of a rank, in tokens.
+type recentSizes struct {
+	sizes          [sizeSamples]int
+	n              int // prompts noted in total
+	typical, large int // typicalPercentile and pressurePercentile of sizes
 }
 
-// Note takes the size of a prompt, in tokens.
-func (n *Needs) Note(rank, tokens int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.byRank[clamp(rank)].add(tokens)
-	if n.mean == 0 {
-		n.mean = float64(tokens)
+// Note records the size of a prompt, in tokens.
+func (d *Demand) Note(rank, tokens int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.byRank[clamp(rank)].add(tokens)
+	if d.mean == 0 {
+		d.mean = float64(tokens)
 	}
-	n.mean += sizeWeight * (float64(tokens) - n.mean)
+	d.mean += sizeWeight * (float64(tokens) - d.mean)
 }
 
-// Decided takes whether a prompt was refused for want of room or time.
-func (n *Needs) Decided(refused bool) {
+// NoteDecision records whether a prompt was refused for lack of memory or time.
+func (d *Demand) NoteDecision(refused bool) {
 	outcome := 0.0
 	if refused {
 		outcome = 1
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.pressure += pressureWeight * (outcome - n.pressure)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.pressure += pressureWeight * (outcome - d.pressure)
 }
 
-// Reserve returns the room that a prompt of this rank asks for at least, in tokens, at an engine of such
-// a memory: that of a usual one of its rank, or of a large one while many are refused. Prompts of other
-// ranks count for nothing, as room is kept for them by their urgency. A caller that was refused
-// before asks for its own size alone while few are refused, as it doesn't come back again; and so
-// does everybody where the memory holds many.
-func (n *Needs) Reserve(rank int, returned bool, memory int) int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	r := &n.byRank[clamp(rank)]
+// Reserve returns the free memory, in tokens, that a prompt of this rank requires at an engine with
+// the given memory: the size of a typical prompt of its rank, or of a large one while many are
+// refused. Prompts of other ranks don't count, as their priority already reserves room for them.
+// While few prompts are refused, it returns 0 for a caller that was refused before, as it does not
+// return a second time, and for memory that holds many prompts.
+func (d *Demand) Reserve(rank int, returned bool, memory int) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r := &d.byRank[clamp(rank)]
 	switch {
-	case n.pressure >= pressedShare:
-		return r.pressed
-	case returned, r.roomy(memory):
+	case d.pressure >= pressureThreshold:
+		return r.large
+	case returned, r.isRoomy(memory):
 		return 0
 	}
-	return r.usual
+	return r.typical
 }
 
-// Many reports whether an engine's memory, in tokens, holds many prompts as they come, of all ranks. What
-// it holds is then near what is believed, as single prompts count for little.
-func (n *Needs) Many(memory int) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return manyPrompts*n.mean <= float64(memory)
+// HoldsMany reports whether an engine's memory, in tokens, holds many prompts of the mean size of
+// all ranks. The estimated memory use is then accurate, as errors of single prompts matter little.
+func (d *Demand) HoldsMany(memory int) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return manyPrompts*d.mean <= float64(memory)
 }
 
-func (r *recent) roomy(memory int) bool { return roomyMemory*r.usual <= memory }
+func (r *recentSizes) isRoomy(memory int) bool { return roomyPrompts*r.typical <= memory }
 
 func clamp(rank int) int { return min(max(rank, 0), ranks-1) }
 
-func (r *recent) add(tokens int) {
+func (r *recentSizes) add(tokens int) {
 	const percent = 100
-	r.sizes[r.n%needSamples] = tokens
+	r.sizes[r.n%sizeSamples] = tokens
 	r.n++
-	var buf [needSamples]int
-	sorted := buf[:copy(buf[:], r.sizes[:min(r.n, needSamples)])]
+	var buf [sizeSamples]int
+	sorted := buf[:copy(buf[:], r.sizes[:min(r.n, sizeSamples)])]
 	slices.Sort(sorted)
-	r.usual = sorted[len(sorted)*usualPercent/percent]
-	r.pressed = sorted[len(sorted)*pressedPercent/percent]
+	r.typical = sorted[len(sorted)*typicalPercentile/percent]
+	r.large = sorted[len(sorted)*pressurePercentile/percent]
 }
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Returns spreads the callers that a node refuses, so that each comes back to a place of its
-// own. It is safe for concurrent use.
-type Returns struct {
+// RetrySchedule spreads the retries of the callers that a node refuses over time. It is safe for
+// concurrent use.
+type RetrySchedule struct {
 	mu   sync.Mutex
-	next time.Time // when the next caller may come back
+	next time.Time // earliest retry of the next refused caller
 }
 
-// After returns when a caller that is refused now may come back: not before there is room,
-// which is predicted to take wait, and one spacing after the one refused before. most bounds
-// it, as callers don't wait for longer.
-func (r *Returns) After(now time.Time, wait, spacing, most time.Duration) time.Duration {
+// After returns the delay after which a caller refused now may retry: at least wait, the predicted
+// time until there is room, and one spacing after the previously refused caller. It returns at most
+// maxDelay, as callers don't wait longer.
+func (r *RetrySchedule) After(now time.Time, wait, spacing, maxDelay time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := now.Add(wait)
 	if at.Before(r.next) {
 		at = r.next
 	}
-	if last := now.Add(most); at.After(last) {
+	if last := now.Add(maxDelay); at.After(last) {
 		at = last
 	}
 	r.next = at.Add(spacing)
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -30,8 +30,8 @@
 // service is the learned state of one service.
 type service struct {
 	model   *enginemodel.Model
-	needs   admission.Needs
-	returns admission.Returns
+	demand  admission.Demand
+	retries admission.RetrySchedule
 	placed  placedRate
 }
 
@@ -98,11 +98,11 @@
 func (s *search) decline(engines []*fleet.Member, reason string) forward.Placement {
 	wait := s.expectedWait(engines)
 	return forward.Placement{Reason: reason, Wait: wait, Refuse: func() time.Duration {
-		s.service.needs.Decided(true)
+		s.service.demand.NoteDecision(true)
 		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(holding(s.q), 1), 1)
 		spacing := duration(s.figures.RunMs * float64(s.Nodes()) / float64(capacity))
 		maxDelay := time.Duration(maxRetryShare * float64(s.q.Attributes.Deadline))
-		return s.service.returns.After(s.Now(), wait, spacing, maxDelay)
+		return s.service.retries.After(s.Now(), wait, spacing, maxDelay)
 	}}
 }
 
--- a/internal/placer/gate.go
+++ b/internal/placer/gate.go
@@ -147,5 +147,5 @@
 // deadline.
 func (g *gate) retryAfter(wait, spacing time.Duration) time.Duration {
 	maxDelay := time.Duration(maxRetryShare * float64(g.q.Attributes.Deadline))
-	return g.Services.of(g.q.Service.Name).returns.After(g.now, wait, spacing, maxDelay)
+	return g.Services.of(g.q.Service.Name).retries.After(g.now, wait, spacing, maxDelay)
 }
--- a/internal/placer/prompt.go
+++ b/internal/placer/prompt.go
@@ -51,7 +51,7 @@
 	if best = gate.takeCheapest(costs); best == nil {
 		return gate.decline(open), false
 	}
-	s.service.needs.Decided(false)
+	s.service.demand.NoteDecision(false)
 	s.service.placed.note(s.plan(best).reading, s.now)
 	p.Kick()
 	return s.placement(best), true
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -43,15 +43,15 @@
 	now := p.Now()
 	service := p.Services.of(q.Service.Name)
 	rank := *priorityOf(q)
-	service.needs.Note(rank, holding(q))
+	service.demand.Note(rank, holding(q))
 	s := &search{
 		Placer: p, q: q, now: now, rollout: r, others: p.Peers.Loads(now), peerDelays: p.Peers.Late(now), home: p.home(q),
 		located: make(map[int64]*located), plans: make(map[*fleet.Member]*plan),
 		service: service, figures: service.model.Figures(),
 		fetchUntil: p.Kept.ClockMS() + FetchLimit.Milliseconds(),
 	}
-	s.holdsMany = service.needs.Many(q.Service.Engine.KVTokens)
-	s.reserve = s.tuning().reserve(service.needs.Reserve(rank, q.Returned(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
+	s.holdsMany = service.demand.HoldsMany(q.Service.Engine.KVTokens)
+	s.reserve = s.tuning().reserve(service.demand.Reserve(rank, q.Returned(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
 	return s
 }
 
