--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,13 +1,13 @@
-// Package routing holds the operators' configuration of a gateway: which route
-// a request takes, which services it may reach, and whose key it carries.
+// Package routing holds the operators' configuration of a gateway: how requests are matched to
+// routes, which services they may use, and which client accounts hold which keys.
 //
-// Guarantee: a Config is never changed once it is made, so that a request is
-// handled by one version from beginning to end. All look-ups are pure.
+// A Config is immutable once indexed, so that each request is handled by a single version from
+// beginning to end. All lookups are pure.
 package routing
 
 import "time"
 
-// Kind says what may be repeated.
+// Kind states which requests of a route may be repeated.
 type Kind int
 
 const (
@@ -15,8 +15,8 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by a stream of events. They run at most once,
-	// unless their route is Resumable.
+	// Stream requests are answered with a stream of events. They run at most once, unless their
+	// route is Resumable.
 	Stream
 )
 
@@ -50,41 +50,41 @@
 	Prefix    string // begins and ends with a slash
 	Upstreams []Upstream
 	Kind      Kind
-	// Timeout is the longest time until the final answer.
+	// Timeout is the maximum time until the final response.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event,
-	// is on time.
+	// Objective is the time within which a response, or a stream's first event, counts as on time.
 	Objective time.Duration
-	// GapObjective is the longest pause between a stream's events that is on time.
+	// GapObjective is the longest pause between a stream's events that counts as on time.
 	GapObjective time.Duration
-	// MaxAttempts is the largest number of endpoints that may run one request.
+	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int
-	// Priority ranks the route; 0 is the most urgent.
+	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public is true if requests need no key.
 	Public bool
-	// Prompts is true where requests describe a prompt by its parts.
+	// Prompts is true if requests describe a prompt by its parts.
 	Prompts bool
-	// Resumable streams may be continued at another endpoint.
+	// Resumable is true if a stream may be continued at another endpoint.
 	Resumable bool
 }
 
-// Repeatable reports whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have run can be sent again.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent }
 
-// Upstream is one of the services of a route, with its share of requests.
+// Upstream is one of the services of a route, with its weight.
 type Upstream struct {
 	Service string
 	Weight  float64
 }
 
-// Service is a group of equal endpoints, or one store of KV cache.
+// Service is a group of equivalent endpoints, or one store of KV cache.
 type Service struct {
 	Name       string
 	HealthPath string
 	MaxConns   int // connections to one endpoint, from all nodes together
-	// ColdStart is how long an endpoint is cold after it started, and ColdPerSecond the requests in
-	// a second that a cold one stands, from all nodes together; 0 where it stands any number.
+	// ColdStart is how long an endpoint is cold after its start. ColdPerSecond is the maximum
+	// number of requests per second that a cold endpoint gets from all nodes together; 0 for no
+	// limit.
 	ColdStart     time.Duration
 	ColdPerSecond float64
 	Engine        *Engine
@@ -93,12 +93,12 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots      int // requests in a batch
-	KVTokens   int // tokens that one engine's memory holds
-	TokenBytes int // bytes of KV cache for a token
+	Slots      int // maximum number of requests in a batch
+	KVTokens   int // tokens of KV cache that one engine's memory holds
+	TokenBytes int // bytes of KV cache per token
 	LinkMbps   float64
-	// EventReaders is the number of questions for events that one engine lets wait
-	// at once; 0 if not stated.
+	// EventReaders is the maximum number of concurrent long-poll requests for events
+	// that one engine accepts; 0 if not stated.
 	EventReaders int
 	Models       []string
 }
@@ -110,9 +110,9 @@
 	KVTokens   int
 	LinkMbps   float64
 	FirstDelay time.Duration // added to each transfer
-	Managed    bool          // drops nothing by itself
-	// EventReaders is the number of questions for events that it lets wait at once;
-	// 0 if not stated.
+	Managed    bool          // evicts nothing by itself
+	// EventReaders is the maximum number of concurrent long-poll requests for events
+	// that the store accepts; 0 if not stated.
 	EventReaders int
 }
 
@@ -120,12 +120,11 @@
 type Account struct {
 	Name     string
 	Keys     []string
-	Priority *int // goes before the route's, if set
+	Priority *int // takes precedence over the route's, if set
 	Isolated bool // shares no KV cache with other accounts
 }
 
-// Limits bound what a caller may send and how long it may take. Zero means
-// no bound.
+// Limits bound the size and duration of callers' requests. Zero means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// table holds the look-ups of one configuration.
+// table holds the lookup tables of one configuration.
 type table struct {
 	byHost   map[string][]*Route // longest prefix first
 	byKey    map[string]*Account
 	services map[string]*Service
 }
 
-// Index builds the look-ups. It is called once, before the configuration is
-// shared, and returns the configuration itself.
+// Index builds the lookup tables and returns the configuration. It must be called once, before the
+// configuration is shared.
 func (c *Config) Index() *Config {
 	t := &table{
 		byHost:   make(map[string][]*Route),
@@ -39,8 +39,8 @@
 	return c
 }
 
-// Match returns the route of the longest prefix that begins the path, or nil.
-// host may carry a port, which is ignored.
+// Match returns the route of the host with the longest prefix that matches the path, or nil. A port
+// in host is ignored.
 func (c *Config) Match(host, path string) *Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
@@ -56,11 +56,11 @@
 // AccountOf returns the client account that holds the key, or nil.
 func (c *Config) AccountOf(key string) *Account { return c.table.byKey[key] }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (c *Config) Service(name string) *Service { return c.table.services[name] }
 
-// Choose returns the service of an upstream by its weight. draw is uniform in
-// [0, 1).
+// Choose returns the service of one of the upstreams, selected by weight. draw is a random number
+// in [0, 1).
 func (r *Route) Choose(draw float64) string {
 	total := 0.0
 	for _, u := range r.Upstreams {
