--- a/internal/enginemodel/doc.go
+++ b/internal/enginemodel/doc.go
@@ -1,9 +1,10 @@
-// Package enginemodel learns how quick engines are from what callers of them see.
+// Package enginemodel estimates the speed of engines from the response times that their callers
+// observe.
 //
-// Nothing of an engine's speed is configured: the operators state its memory and its
-// slots alone. All estimates are medians of the newest outcomes, so that faults spoil
-// none as long as fewer than half of the outcomes are disturbed; before the first ones
-// come they are priors that no deployment is expected to meet.
+// No speed is configured: the operators state only an engine's memory and slots. All estimates are
+// medians of recent samples, which stay valid as long as fewer than half of the samples are
+// disturbed by faults. Until the first samples, they are priors that don't describe any particular
+// deployment.
 //
 // The package does no I/O and reads no clock.
 package enginemodel
--- a/internal/enginemodel/line.go
+++ b/internal/enginemodel/line.go
@@ -3,69 +3,69 @@
 import "slices"
 
 const (
-	// linePoints is how many outcomes a line is fitted to: some seconds of one node's
-	// prompts in a system of a dozen nodes.
+	// linePoints is the number of samples to which a line is fitted: those of several seconds of
+	// one node's prompts in a system of a dozen nodes.
 	linePoints = 48
-	// fitEvery is how many outcomes come between two fits, each of which takes the median
-	// of some 1,000 slopes.
-	fitEvery = 6
-	// fewestPoints is how many outcomes the first fit waits for.
-	fewestPoints = 6
-	// leastApart is the difference in tokens from which two outcomes tell a slope: delays
-	// of some ms that have nothing to do with reading stay below a fifth of it.
-	leastApart = 800
+	// fitInterval is the number of samples between two fits, each of which takes the median of
+	// about 1,000 slopes.
+	fitInterval = 6
+	// minPoints is the number of samples, and of slopes, required for a fit.
+	minPoints = 6
+	// minTokenGap is the difference in tokens from which two samples yield a slope: delays of a few
+	// ms unrelated to reading then distort it by less than a fifth.
+	minTokenGap = 800
 )
 
-// point is an outcome: tokens that were to be read, and ms until that was done.
+// point is a sample: the number of tokens to read, and the time it took in ms.
 type point struct{ tokens, ms float64 }
 
-// line is the time to read as a function of the tokens, by the median of the slopes
-// between outcomes (the Theil-Sen estimator), of which 29% may be disturbed.
+// line is the time to read as a linear function of the number of tokens. It uses the median of the
+// slopes between samples (the Theil-Sen estimator), which tolerates 29% of disturbed samples.
 type line struct {
 	points [linePoints]point
-	n      int // outcomes ever added
+	n      int // samples added in total
 
-	perToken float64 // ms
-	fixed    float64 // ms
+	perToken float64 // slope, ms per token
+	fixed    float64 // intercept, ms
 }
 
-// add takes an outcome.
+// add adds a sample.
 func (l *line) add(p point) {
 	l.points[l.n%linePoints] = p
 	l.n++
-	if l.n >= fewestPoints && l.n%fitEvery == 0 {
+	if l.n >= minPoints && l.n%fitInterval == 0 {
 		l.fit()
 	}
 }
 
-// fit fits the line anew. Where outcomes are too much alike it keeps what it had.
+// fit recomputes the line. It keeps the previous one if the samples are too similar.
 func (l *line) fit() {
 	points := l.points[:min(l.n, linePoints)]
 	slopes := make([]float64, 0, len(points)*len(points)/2)
 	for i, a := range points {
 		for _, b := range points[:i] {
-			if apart := a.tokens - b.tokens; apart >= leastApart || apart <= -leastApart {
-				slopes = append(slopes, (a.ms-b.ms)/apart)
+			if gap := a.tokens - b.tokens; gap >= minTokenGap || gap <= -minTokenGap {
+				slopes = append(slopes, (a.ms-b.ms)/gap)
 			}
 		}
 	}
-	if len(slopes) < fewestPoints {
+	if len(slopes) < minPoints {
 		return
 	}
-	slope := middle(slopes)
+	slope := median(slopes)
 	if slope <= 0 {
 		return
 	}
 	l.perToken = slope
-	rest := make([]float64, len(points))
+	residuals := make([]float64, len(points))
 	for i, p := range points {
-		rest[i] = p.ms - slope*p.tokens
+		residuals[i] = p.ms - slope*p.tokens
 	}
-	l.fixed = max(middle(rest), 0)
+	l.fixed = max(median(residuals), 0)
 }
 
-// middle returns the median. It sorts its argument.
-func middle(values []float64) float64 {
+// median returns the median. It sorts its argument.
+func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[len(values)/2]
 }
--- a/internal/enginemodel/median.go
+++ b/internal/enginemodel/median.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// medianSamples is how many outcomes a Median looks back on.
+// medianSamples is the number of recent samples that a Median covers.
 const medianSamples = 25
 
-// sample is one outcome with its weight.
+// sample is a value with its weight.
 type sample struct{ value, weight float64 }
 
-// Median is the weighted median of the newest outcomes. It stands up to outcomes that
-// were disturbed, up to half of the weight. It is not safe for concurrent use.
+// Median is the weighted median of recent samples. It tolerates disturbed samples with up to half
+// of the total weight. It is not safe for concurrent use.
 type Median struct {
-	prior   float64 // value before the first outcome
+	prior   float64 // value before the first sample
 	recent  [medianSamples]sample
-	n       int // outcomes ever added
+	n       int // samples added in total
 	current float64
 }
 
-// NewMedian returns a median without outcomes, whose value is the prior.
+// NewMedian returns a median without samples, whose value is the prior.
 func NewMedian(prior float64) Median { return Median{prior: prior} }
 
-// Value returns the estimate, or the prior before the first outcome.
+// Value returns the median, or the prior before the first sample.
 func (m *Median) Value() float64 {
 	if m.n == 0 {
 		return m.prior
@@ -31,10 +31,10 @@
 	return m.current
 }
 
-// Outcomes returns how many outcomes were ever added.
-func (m *Median) Outcomes() int { return m.n }
+// Samples returns the number of samples added in total.
+func (m *Median) Samples() int { return m.n }
 
-// Add takes an outcome. One that is not positive, or without weight, is left out.
+// Add adds a sample. It ignores samples whose value or weight is not positive.
 func (m *Median) Add(value, weight float64) {
 	if value <= 0 || weight <= 0 {
 		return
@@ -44,17 +44,17 @@
 	m.current = weightedMedian(m.recent[:min(m.n, medianSamples)])
 }
 
-func weightedMedian(of []sample) float64 {
+func weightedMedian(samples []sample) float64 {
 	var buf [medianSamples]sample
-	sorted := buf[:copy(buf[:], of)]
+	sorted := buf[:copy(buf[:], samples)]
 	slices.SortFunc(sorted, func(a, b sample) int { return cmp.Compare(a.value, b.value) })
-	var total, below float64
+	var total, cumulative float64
 	for _, s := range sorted {
 		total += s.weight
 	}
 	for _, s := range sorted {
-		below += s.weight
-		if below >= total/2 {
+		cumulative += s.weight
+		if cumulative >= total/2 {
 			return s.value
 		}
 	}
--- a/internal/enginemodel/model.go
+++ b/internal/enginemodel/model.go
@@ -6,40 +6,39 @@
 )
 
 const (
-	// priorPerMs is the number of prompt tokens that an engine is taken to read in a ms
-	// before outcomes tell: between those of a small and of a large accelerator.
+	// priorPerMs is the prior for the number of prompt tokens that an engine reads per ms: between
+	// those of a small and of a large accelerator.
 	priorPerMs = 60.0
-	// priorFirstMs is the time from when a prompt is read until its first event, before
-	// outcomes tell.
+	// priorFirstMs is the prior for the time from when a prompt is read until its first event.
 	priorFirstMs = 40.0
-	// priorRunMs is the time that a run takes, before outcomes tell.
+	// priorRunMs is the prior for the duration of a run.
 	priorRunMs = 500.0
-	// slowdownFade is the time after which the slowdown of one engine counts for nothing: an
-	// engine that is avoided has no outcomes, and may be sound again.
-	slowdownFade = 10 * time.Second
-	// slowest and quickest bound how far an engine's slowdown may be from that of all: beyond
-	// them it is disturbed, which its failures tell better.
-	slowest, quickest = 4.0, 0.4
-	// tellingMs is the shortest predicted time to a first event that tells of an engine's
-	// slowdown: below it the network and the time between two steps prevail.
-	tellingMs = 60.0
+	// slowdownTTL is the age after which the slowdown of an engine is discarded: an engine that is
+	// avoided yields no samples, and may have recovered.
+	slowdownTTL = 10 * time.Second
+	// maxSlowdown and minSlowdown bound the slowdown factor of an engine. Larger deviations are
+	// caused by faults, which the failure rate covers better.
+	maxSlowdown, minSlowdown = 4.0, 0.4
+	// minPredictedMs is the shortest predicted time to a first event from which a slowdown is
+	// computed: below it, network delays and the time between two steps dominate.
+	minPredictedMs = 60.0
 )
 
-// Model is what is known of the engines of one service. It is safe for concurrent use.
+// Model estimates the speed of the engines of one service. It is safe for concurrent use.
 type Model struct {
 	mu        sync.Mutex
 	reading   line
-	run       Median // ms
+	run       Median // duration of a run in ms, weighted by the memory it holds
 	slowdowns map[string]*slowdown
 }
 
-// slowdown is how much longer one engine takes than all do, as a factor.
+// slowdown is how much longer one engine takes than the average engine, as a factor.
 type slowdown struct {
 	factor Median
-	at     time.Time // of the newest outcome
+	at     time.Time // of the newest sample
 }
 
-// New returns a model of which nothing is learned yet.
+// New returns a model that holds only the priors.
 func New() *Model {
 	return &Model{
 		reading:   line{perToken: 1 / priorPerMs, fixed: priorFirstMs},
@@ -48,73 +47,73 @@
 	}
 }
 
-// Figures are what the model predicts with.
-type Figures struct {
-	TokenMs float64 // to read one prompt token
-	FirstMs float64 // from when a prompt is read until its first event
-	RunMs   float64 // for which a token of a run is held, from the send to the end
+// Estimates are the parameters from which response times are predicted.
+type Estimates struct {
+	TokenMs float64 // time to read one prompt token
+	FirstMs float64 // time from when a prompt is read until its first event
+	RunMs   float64 // time for which a run holds a token of memory, from sending the prompt to the end
 }
 
-// Figures returns the present estimates for all engines together.
-func (m *Model) Figures() Figures {
+// Estimates returns the current estimates over all engines.
+func (m *Model) Estimates() Estimates {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Figures{TokenMs: m.reading.perToken, FirstMs: m.reading.fixed, RunMs: m.run.Value()}
+	return Estimates{TokenMs: m.reading.perToken, FirstMs: m.reading.fixed, RunMs: m.run.Value()}
 }
 
-// Began notes the first event of a prompt: tokens is what the engine had to read until
-// then, of this and of earlier prompts, after the time since the send without what the
-// prompt's transfers took.
-func (m *Model) Began(engine string, tokens int, after time.Duration, now time.Time) {
+// NoteFirstEvent records the first event of a prompt. tokens is the number of tokens that the
+// engine had to read until then, including those of earlier prompts. after is the time since the
+// prompt was sent, without the time of its transfers.
+func (m *Model) NoteFirstEvent(engine string, tokens int, after time.Duration, now time.Time) {
 	ms := float64(after) / float64(time.Millisecond)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	predicted := m.reading.fixed + m.reading.perToken*float64(tokens)
-	if predicted >= tellingMs {
+	if predicted >= minPredictedMs {
 		m.noteSlowdown(engine, ms/predicted, now)
 	}
 	m.reading.add(point{tokens: float64(tokens), ms: ms})
 }
 
 func (m *Model) noteSlowdown(engine string, factor float64, now time.Time) {
-	p := m.slowdowns[engine]
-	if p == nil || now.Sub(p.at) > slowdownFade {
-		m.forget(now)
-		p = &slowdown{factor: NewMedian(1)}
-		m.slowdowns[engine] = p
+	s := m.slowdowns[engine]
+	if s == nil || now.Sub(s.at) > slowdownTTL {
+		m.evictStale(now)
+		s = &slowdown{factor: NewMedian(1)}
+		m.slowdowns[engine] = s
 	}
-	p.at = now
-	p.factor.Add(min(max(factor, quickest), slowest), 1)
+	s.at = now
+	s.factor.Add(min(max(factor, minSlowdown), maxSlowdown), 1)
 }
 
-// forget drops engines without outcomes, some of which are gone.
-func (m *Model) forget(now time.Time) {
-	for id, p := range m.slowdowns {
-		if now.Sub(p.at) > slowdownFade {
+// evictStale removes engines without recent samples, some of which no longer exist.
+func (m *Model) evictStale(now time.Time) {
+	for id, s := range m.slowdowns {
+		if now.Sub(s.at) > slowdownTTL {
 			delete(m.slowdowns, id)
 		}
 	}
 }
 
-// Ended notes how long a run took, from its send to its end, and the tokens that it held in
-// the engine's memory.
+// Ended records the duration of a run, from sending the prompt to the end, and the tokens that it
+// held in the engine's memory.
 func (m *Model) Ended(held int, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.run.Add(float64(took)/float64(time.Millisecond), float64(held))
 }
 
-// fewestSlowdowns is the number of outcomes of an engine that tell its slowdown.
-const fewestSlowdowns = 5
+// minSlowdownSamples is the number of samples required for the slowdown of an engine.
+const minSlowdownSamples = 5
 
-// Slowdown returns how much longer an engine takes to a first event than all do, as a factor;
-// 1 where nothing is known.
+// Slowdown returns how much longer an engine takes to the first event than the average engine, as a
+// factor; 1 if unknown.
 func (m *Model) Slowdown(engine string, now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.slowdowns[engine]
-	if p == nil || p.factor.Outcomes() < fewestSlowdowns || now.Sub(p.at) > slowdownFade {
+	s := m.slowdowns[engine]
+	if s == nil || s.factor.Samples() < minSlowdownSamples || now.Sub(s.at) > slowdownTTL {
 		return 1
 	}
-	return p.factor.Value()
+	return s.factor.Value()
 }
--- a/internal/enginestate/estimate.go
+++ b/internal/enginestate/estimate.go
@@ -27,7 +27,7 @@
 		InRotation:  e.out(now) == 0,
 		Wait:        e.ahead(now) + e.queueWait(now, r) + e.slotWait(now) + e.health.probeWait(),
 		PrefillRate: known.prefill.Value(),
-		Learned:     known.prefill.Outcomes() > 0,
+		Learned:     known.prefill.Samples() > 0,
 		StepTime:    seconds(known.step.Value()),
 		Running:     len(e.grants),
 		Waiting:     len(e.waiting),
--- a/internal/enginestate/report.go
+++ b/internal/enginestate/report.go
@@ -80,8 +80,8 @@
 func (e *Engine) typicalRate() float64 {
 	rate, known := e.cfg.PrefillRate, 0
 	for _, s := range e.speeds {
-		if s.prefill.Outcomes() > known {
-			rate, known = s.prefill.Value(), s.prefill.Outcomes()
+		if s.prefill.Samples() > known {
+			rate, known = s.prefill.Value(), s.prefill.Samples()
 		}
 	}
 	return rate
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -100,7 +100,7 @@
 	return forward.Placement{Reason: reason, Wait: wait, Refuse: func() time.Duration {
 		s.service.demand.NoteDecision(true)
 		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(holding(s.q), 1), 1)
-		spacing := duration(s.figures.RunMs * float64(s.Nodes()) / float64(capacity))
+		spacing := duration(s.estimates.RunMs * float64(s.Nodes()) / float64(capacity))
 		maxDelay := time.Duration(maxRetryShare * float64(s.q.Attributes.Deadline))
 		return s.service.retries.After(s.Now(), wait, spacing, maxDelay)
 	}}
@@ -111,7 +111,7 @@
 func (s *search) expectedWait(engines []*fleet.Member) time.Duration {
 	var shortest time.Duration
 	for i, m := range engines {
-		wait := s.memory(m).Wait(holding(s.q), s.reserve, duration(s.figures.RunMs))
+		wait := s.memory(m).Wait(holding(s.q), s.reserve, duration(s.estimates.RunMs))
 		wait = max(wait, duration(s.queueMs(m)))
 		if i == 0 || wait < shortest {
 			shortest = wait
--- a/internal/placer/cost.go
+++ b/internal/placer/cost.go
@@ -54,7 +54,7 @@
 	if slots <= 0 || running < slots {
 		return 0
 	}
-	return s.figures.RunMs * float64(running+1-slots) / float64(slots)
+	return s.estimates.RunMs * float64(running+1-slots) / float64(slots)
 }
 
 // memoryMs returns the cost, in ms, of an engine whose memory is nearly full. For a full engine
@@ -69,20 +69,20 @@
 	}
 	share := float64(memory.Held+holding(s.q)) / float64(memory.Capacity)
 	if s.holdsMany {
-		return s.figures.RunMs * max(share-uncrowdedShareOfMany, 0)
+		return s.estimates.RunMs * max(share-uncrowdedShareOfMany, 0)
 	}
-	return s.figures.RunMs * max(share-uncrowdedShare, 0) / (1 - uncrowdedShare)
+	return s.estimates.RunMs * max(share-uncrowdedShare, 0) / (1 - uncrowdedShare)
 }
 
 // firstMs returns the predicted time to the first event at an engine, in ms.
 func (s *search) firstMs(m *fleet.Member) float64 {
 	plan := s.plan(m)
-	return s.queueMs(m) + plan.fetchMs + s.readingMs(m, plan.reading) + s.figures.FirstMs
+	return s.queueMs(m) + plan.fetchMs + s.readingMs(m, plan.reading) + s.estimates.FirstMs
 }
 
 // readingMs returns the time, in ms, that an engine takes to read the given number of tokens.
 func (s *search) readingMs(m *fleet.Member, tokens int) float64 {
-	return s.service.model.Slowdown(m.ID, s.now) * s.figures.TokenMs * float64(tokens)
+	return s.service.model.Slowdown(m.ID, s.now) * s.estimates.TokenMs * float64(tokens)
 }
 
 // holding estimates the average number of tokens that a request holds in memory while it runs: its
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -54,7 +54,7 @@
 // planMs returns the time until the prompt is read, with the cost of its transfers, in ms.
 func (s *search) planMs(p *plan) float64 {
 	const bytesPerGB = 1e9
-	return p.fetchMs + float64(p.reading)*s.figures.TokenMs + movedMsPerGB*p.bytes/bytesPerGB
+	return p.fetchMs + float64(p.reading)*s.estimates.TokenMs + movedMsPerGB*p.bytes/bytesPerGB
 }
 
 // fetchTimeout returns how long the engine waits for the parts that it fetches before it reads
@@ -67,7 +67,7 @@
 		return FetchLimit
 	}
 	p := s.plan(m)
-	remaining := (1-queueShare)*objective - millis(s.q.Age) - s.queueMs(m) - s.readingMs(m, p.reading+p.fetched) - s.figures.FirstMs
+	remaining := (1-queueShare)*objective - millis(s.q.Age) - s.queueMs(m) - s.readingMs(m, p.reading+p.fetched) - s.estimates.FirstMs
 	reread := rereadMsPerK / 1000 * float64(p.fetched)
 	return min(duration(max(remaining, reread, fetchTolerance*p.fetchMs, minFetchMs)), FetchLimit)
 }
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -28,7 +28,7 @@
 	located        map[int64]*located
 	plans          map[*fleet.Member]*plan
 	service        *service
-	figures        enginemodel.Figures
+	estimates      enginemodel.Estimates
 	candidateCount int      // number of engines among which the prompt is placed
 	reserve        int      // free memory that the prompt requires, in tokens
 	holdsMany      bool     // an engine's memory holds many prompts
@@ -47,7 +47,7 @@
 	s := &search{
 		Placer: p, q: q, now: now, rollout: r, others: p.Peers.Loads(now), peerDelays: p.Peers.Late(now), home: p.home(q),
 		located: make(map[int64]*located), plans: make(map[*fleet.Member]*plan),
-		service: service, figures: service.model.Figures(),
+		service: service, estimates: service.model.Estimates(),
 		fetchUntil: p.Kept.ClockMS() + FetchLimit.Milliseconds(),
 	}
 	s.holdsMany = service.demand.HoldsMany(q.Service.Engine.KVTokens)
@@ -190,7 +190,7 @@
 // readMs returns the cost of reading a part, in ms: the time it takes, and the price of reading
 // again.
 func (s *search) readMs(part *locatedPart) float64 {
-	return float64(part.Tokens) * (s.figures.TokenMs + rereadMsPerK/1000)
+	return float64(part.Tokens) * (s.estimates.TokenMs + rereadMsPerK/1000)
 }
 
 // addBackupSource names a store for part i, which the engine is expected to hold. An engine fetches
@@ -279,7 +279,7 @@
 		late := millis(after) - expected
 		if store == nil || p.fetched < minObservedFetch {
 			s.Usual.Note(late, now)
-			s.service.model.Began(m.ID, ahead, after-duration(p.fetchMs), now)
+			s.service.model.NoteFirstEvent(m.ID, ahead, after-duration(p.fetchMs), now)
 			return
 		}
 		store.Late.Note(late-s.Usual.MS(now), now)
--- a/internal/placer/unreported.go
+++ b/internal/placer/unreported.go
@@ -63,7 +63,7 @@
 		return 0
 	}
 	others, lag := s.Unheard()
-	return s.service.placed.perSecond(s.now) * float64(others) * lag.Seconds() * s.figures.TokenMs
+	return s.service.placed.perSecond(s.now) * float64(others) * lag.Seconds() * s.estimates.TokenMs
 }
 
 // fillLevel returns the level reached when the amount is poured into connected vessels that are
