--- a/internal/enginestate/engine.go
+++ b/internal/enginestate/engine.go
@@ -8,49 +8,47 @@
 	"github.com/cherryward/cherryward/internal/enginemodel"
 )
 
-// Admission bounds. See docs/design/policy.md for the figures.
+// Admission limits. See docs/design/policy.md for the values.
 const (
-	// prefillWindow is how much granted prefill may be outstanding at the
-	// engine when the next run is granted. It covers the way from the owner
-	// over the entry node to the engine, and no more: what waits in the owner's
-	// queue can still be reordered, what waits in the engine cannot.
+	// prefillWindow is the maximum granted prefill time outstanding at the engine when the next run
+	// is granted. It covers the latency from the owner through the entry node to the engine, and no
+	// more: requests in the owner's queue can still be reordered, those in the engine's queue
+	// cannot.
 	prefillWindow = 50 * time.Millisecond
-	// requestCost is the engine time that a request costs beyond its prefill.
+	// requestCost is the engine time that a request takes in addition to its prefill.
 	requestCost = 20 * time.Millisecond
-	// grantGrace is how long a grant outlives its deadline without a Release.
+	// grantGrace is how long after its deadline a grant expires if it is not released.
 	grantGrace = 30 * time.Second
-	// grantLife ends a grant without a deadline that is never released.
-	grantLife = 15 * time.Minute
+	// maxGrantAge is the age at which a grant without a deadline expires if it is not released.
+	maxGrantAge = 15 * time.Minute
 )
 
-// ErrDuplicate means that the run is already queued or granted. The first
-// request stands.
+// ErrDuplicate means that the run is already queued or granted. The first request remains valid.
 var ErrDuplicate = errors.New("enginestate: run is already queued or granted")
 
 // Config describes an engine and its queue.
 type Config struct {
 	Classes     []fairqueue.Class
-	MaxQueue    int     // requests queued at most
-	MaxRunning  int     // runs that the engine batches at once
-	PrefillRate float64 // assumed until learned, prompt tokens per second
+	MaxQueue    int     // maximum number of queued requests
+	MaxRunning  int     // maximum number of runs in the engine's batch
+	PrefillRate float64 // prior until a rate is learned, prompt tokens per second
 }
 
-// Request asks for a grant of one run.
+// Request is a request for a grant of one run.
 type Request struct {
 	Run     string // unique
 	Model   string
 	Account fairqueue.Account
-	Node    string // entry node that asks
-	// PromptTokens is the length of the prompt, of which CachedTokens are
-	// believed to be in the engine's memory and ImportTokens are being
-	// imported: the request waits for ImportDone.
+	Node    string // entry node that sent the request
+	// PromptTokens is the length of the prompt. CachedTokens of it are expected in the engine's
+	// memory, and ImportTokens are being imported: the request waits for ImportDone.
 	PromptTokens int
 	CachedTokens int
 	ImportTokens int
-	// ImportPatience is how long the import may take from now until computing
-	// the tokens would have been better.
+	// ImportPatience is how long from now the import may take before recomputing the tokens would
+	// have been better.
 	ImportPatience time.Duration
-	Deadline       time.Time // the caller's; zero means none
+	Deadline       time.Time // the caller's; zero for none
 }
 
 // Grant is the permission to start one run at the engine now.
@@ -63,11 +61,11 @@
 	Compute   int // prompt tokens that the engine is expected to compute
 	GrantedAt time.Time
 	Deadline  time.Time
-	Started   bool // the first token was seen
+	Started   bool // the first token was reported
 }
 
-// RefusedError tells that the engine takes no such request at present. It did
-// not run; a retry after RetryAfter is safe.
+// RefusedError means that the engine does not accept the request at present. The request did not
+// run; a retry after RetryAfter is safe.
 type RefusedError struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -80,26 +78,26 @@
 
 var _ error = (*RefusedError)(nil)
 
-// Engine is the owner's state of one engine. See the package comment.
+// Engine is the owner's state of one engine. See the package documentation.
 type Engine struct {
 	cfg      Config
 	queue    *fairqueue.Queue[*pending]
 	waiting  map[string]*pending // queued or parked, by run
-	parked   []*pending          // had their turn, wait for an import
-	ready    []*pending          // had their turn, import done
+	parked   []*pending          // removed from the queue, waiting for an import
+	ready    []*pending          // removed from the queue, import finished
 	grants   map[string]*Grant
-	prefills []*Grant // granted, first token not seen, in order of grant
-	// lastFirst is when the engine last finished a prefill.
-	lastFirst time.Time
-	ended     []time.Time // recent releases, for load reports
-	foreign   foreign
-	speeds    map[string]*speed  // by model
-	life      enginemodel.Median // seconds from grant to release
-	health    health
-	leaving   bool
+	prefills []*Grant // granted, first token not reported yet, in order of grant
+	// lastPrefillEnd is when the engine last finished a prefill.
+	lastPrefillEnd time.Time
+	ended          []time.Time // times of recent releases, to compare with load reports
+	foreign        foreign
+	speeds         map[string]*speed  // by model
+	runTime        enginemodel.Median // seconds from grant to release
+	health         health
+	leaving        bool
 }
 
-// New returns the state of an engine about which nothing is known yet.
+// New returns the state of an engine without known runs or learned speeds.
 func New(now time.Time, cfg Config) *Engine {
 	return &Engine{
 		cfg: cfg,
@@ -109,17 +107,16 @@
 		waiting: make(map[string]*pending),
 		grants:  make(map[string]*Grant),
 		speeds:  make(map[string]*speed),
-		life:    enginemodel.NewMedian(defaultLife.Seconds()),
+		runTime: enginemodel.NewMedian(defaultRunTime.Seconds()),
 	}
 }
 
-// engineSeconds is the rate at which an engine serves its queue, whose costs
-// are in seconds of engine time.
+// engineSeconds is the service rate of the queue, whose costs are in seconds of engine time.
 const engineSeconds = 1
 
-// SetLeaving takes the engine out of service or back. While it is leaving, it
-// refuses requests and Tick displaces those that wait; granted runs go on.
+// SetLeaving takes the engine out of service or back into it. While it is leaving, it refuses
+// requests and Tick displaces queued ones; granted runs continue.
 func (e *Engine) SetLeaving(leaving bool) { e.leaving = leaving }
 
-// SetMaxRunning takes over the engine's own word on how many runs it batches.
+// SetMaxRunning sets the maximum number of runs in a batch as reported by the engine.
 func (e *Engine) SetMaxRunning(n int) { e.cfg.MaxRunning = n }
--- a/internal/enginestate/enginestate_test.go
+++ b/internal/enginestate/enginestate_test.go
@@ -49,14 +49,14 @@
 	test.ErrorIs(t, e.Request(at(0), request("r1", 1)), ErrDuplicate)
 	test.Eq(t, []string{"r1"}, granted(e.Tick(at(0))))
 	got := e.Estimate(at(0.5), request("r3", 100))
-	test.InDelta(t, 1.5+1.02, got.Wait.Seconds(), 0.01) // rest of r1, then r2
+	test.InDelta(t, 1.5+1.02, got.Wait.Seconds(), 0.01) // remaining prefill of r1, then r2
 	test.SliceEmpty(t, e.Tick(at(1)).Granted)
-	// The next grant goes out a moment before the predicted end, and not while
-	// the first is overdue.
+	// The next run is granted shortly before the predicted end of the first, and
+	// not while the first is overdue.
 	test.Eq(t, []string{"r2"}, granted(e.Tick(at(1.96))))
 	must.NoError(t, e.Request(at(2), request("r3", 100)))
 	test.SliceEmpty(t, e.Tick(at(3.0)).Granted)
-	e.FirstToken(at(4), "r1", 2000, 0) // half as fast as thought
+	e.FirstToken(at(4), "r1", 2000, 0) // half as fast as predicted
 	e.FirstToken(at(6), "r2", 1000, 0)
 	test.Eq(t, []string{"r3"}, granted(e.Tick(at(6))))
 	test.InDelta(t, 500, e.Estimate(at(6), request("r4", 100)).PrefillRate, 1)
@@ -72,20 +72,20 @@
 	test.Positive(t, refused.RetryAfter)
 	must.NoError(t, e.Request(at(0), request("r3", 1000, deadline(4.5))))
 	test.SliceEmpty(t, e.Tick(at(1)).Expired)
-	changes := e.Tick(at(3.9)) // r1 is overdue, r3 can't make it
+	changes := e.Tick(at(3.9)) // r1 is overdue, r3 can't meet its deadline
 	must.Len(t, 1, changes.Expired)
 	test.EqOp(t, "r3", changes.Expired[0].Run)
 	test.False(t, e.Cancel("r3"))
 }
 
-func TestImportIsWaitedForAndOvertaken(t *testing.T) {
+func TestSlowImportIsAbandoned(t *testing.T) {
 	importing := func(r *Request) { r.ImportTokens = 3000; r.ImportPatience = 3500 * time.Millisecond }
 	e := newEngine()
 	must.NoError(t, e.Request(at(0), request("imp", 4000, importing)))
 	must.NoError(t, e.Request(at(0), request("other", 100)))
 	test.Eq(t, []string{"other"}, granted(e.Tick(at(0))))
 	e.FirstToken(at(0.1), "other", 100, 0)
-	e.ImportDone("imp", 2000) // partly
+	e.ImportDone("imp", 2000) // 2000 of 3000 tokens
 	changes := e.Tick(at(0.5))
 	must.Eq(t, []string{"imp"}, granted(changes))
 	test.EqOp(t, 2000, changes.Granted[0].Compute)
@@ -95,7 +95,7 @@
 	test.SliceEmpty(t, e.Tick(at(0)).Recompute)
 	next, ok := e.NextTick(at(0))
 	must.True(t, ok)
-	test.Eq(t, at(3.5), next) // out of patience
+	test.Eq(t, at(3.5), next) // ImportPatience has passed
 	changes = e.Tick(next)
 	test.Eq(t, []string{"imp"}, changes.Recompute)
 	test.EqOp(t, 4000, changes.Granted[0].Compute)
@@ -106,7 +106,7 @@
 	test.Eq(t, at(1), next) // twice the time to compute the whole prompt
 }
 
-func TestFailuresTakeOutOfRotationAndProbeBackIn(t *testing.T) {
+func TestRotationAfterFailuresAndProbe(t *testing.T) {
 	e := newEngine()
 	fail := func(from, to float64, runs ...string) {
 		for _, run := range runs {
@@ -117,7 +117,7 @@
 			e.Release(at(to), run, Observed{Outcome: Failed})
 		}
 	}
-	fail(0, 0.3, "a", "b", "c", "d") // one incident, however many runs it ends
+	fail(0, 0.3, "a", "b", "c", "d") // one failure, however many runs it ends
 	test.True(t, e.Estimate(at(0.4), request("x", 1)).InRotation)
 	fail(0.4, 0.6, "e")
 	test.True(t, e.Estimate(at(0.7), request("x", 1)).InRotation)
@@ -137,17 +137,18 @@
 	test.GreaterEq(t, time.Second, e.Estimate(at(2.2), request("x", 1)).Wait)
 	e.Release(at(2.2), "probe", Observed{Outcome: Failed})
 	test.EqOp(t, "behind", e.Tick(at(2.2)).Displaced[0].Run)
-	test.False(t, e.Estimate(at(4), request("x", 1)).InRotation) // twice the pause
+	test.False(t, e.Estimate(at(4), request("x", 1)).InRotation) // the pause doubles
 	must.NoError(t, e.Request(at(4.3), request("probe2", 10)))
 	e.Tick(at(4.3))
 	e.Release(at(5), "probe2", Observed{Outcome: Completed, FirstToken: 1, Total: 2})
 	test.True(t, e.Estimate(at(5), request("x", 1)).InRotation)
 }
 
-// The node that holds the probe's grant may die: another run probes then.
-func TestLostProbeIsFollowedByAnother(t *testing.T) {
+// TestLostProbeIsReplaced checks that another run becomes the probe if the node that holds the
+// probe's grant fails.
+func TestLostProbeIsReplaced(t *testing.T) {
 	e := newEngine()
-	for i := range failuresOut {
+	for i := range maxFailures {
 		must.NoError(t, e.Request(at(0), request(fmt.Sprint(i), 10)))
 		e.Tick(at(0))
 		e.Release(at(0), fmt.Sprint(i), Observed{Outcome: Failed})
@@ -159,7 +160,8 @@
 	test.Eq(t, []string{"behind"}, granted(e.Tick(at(41))))
 }
 
-// A first token that a node puts into the future does not hold up the next run.
+// TestFirstTokenIsNeverInTheFuture checks that a first token reported with a future time does not
+// delay the next run.
 func TestFirstTokenIsNeverInTheFuture(t *testing.T) {
 	e := newEngine()
 	must.NoError(t, e.Request(at(0), request("r1", 10)))
@@ -177,9 +179,9 @@
 	e.Report(at(1), Load{Running: 1, WaitingTokens: 10000, Age: time.Second})
 	test.Eq(t, own, e.Estimate(at(1), request("x", 1)).Wait)
 	e.Report(at(1), Load{Running: 2, WaitingTokens: 14000, Age: time.Second})
-	test.Eq(t, own+2*time.Second, e.Estimate(at(1), request("x", 1)).Wait) // half trusted
-	test.Less(t, 9*time.Second, e.Estimate(at(11), request("x", 1)).Wait)  // and fades
-	e.Report(at(20), Load{Running: 2, Age: -time.Hour})                    // an engine's odd clock
+	test.Eq(t, own+2*time.Second, e.Estimate(at(1), request("x", 1)).Wait) // a report of this age has half its weight
+	test.Less(t, 9*time.Second, e.Estimate(at(11), request("x", 1)).Wait)  // and the estimate decays
+	e.Report(at(20), Load{Running: 2, Age: -time.Hour})                    // the engine's clock is wrong
 	test.InDelta(t, 1, e.foreign.runs, 0.01)
 }
 
@@ -195,7 +197,8 @@
 	test.EqOp(t, 0, e.Estimate(at(60), request("x", 1)).Running)
 }
 
-// Each request leaves exactly once, and what is granted never exceeds the batch.
+// TestRequestsLeaveOnce checks that each request ends exactly once, and that the granted runs never
+// exceed the batch.
 func TestRequestsLeaveOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e, now, left, asked := newEngine(), 0.0, map[string]int{}, 0
--- a/internal/enginestate/estimate.go
+++ b/internal/enginestate/estimate.go
@@ -7,35 +7,34 @@
 	"github.com/cherryward/cherryward/coord/fairqueue"
 )
 
-// Estimate is the owner's answer to an entry node that weighs where to place a
-// request.
+// Estimate is the owner's response to an entry node that compares engines for a request.
 type Estimate struct {
 	InRotation  bool
-	Wait        time.Duration // until the prefill could start
+	Wait        time.Duration // until the prefill can start
 	PrefillRate float64       // tokens per second
-	Learned     bool          // PrefillRate was observed, not assumed
+	Learned     bool          // PrefillRate is measured, not the prior
 	StepTime    time.Duration
 	Running     int
 	Waiting     int
 }
 
-// Estimate predicts what r would meet if it were requested now. It does not
-// change the state.
+// Estimate predicts the wait and speed for r if it were requested now. It does not change the
+// state.
 func (e *Engine) Estimate(now time.Time, r Request) Estimate {
-	known := e.speed(r.Model)
+	speed := e.speed(r.Model)
 	return Estimate{
-		InRotation:  e.out(now) == 0,
-		Wait:        e.ahead(now) + e.queueWait(now, r) + e.slotWait(now) + e.health.probeWait(),
-		PrefillRate: known.prefill.Value(),
-		Learned:     known.prefill.Samples() > 0,
-		StepTime:    seconds(known.step.Value()),
+		InRotation:  e.unavailableFor(now) == 0,
+		Wait:        e.workAhead(now) + e.queueWait(now, r) + e.slotWait(now) + e.health.probeWait(),
+		PrefillRate: speed.prefill.Value(),
+		Learned:     speed.prefill.Samples() > 0,
+		StepTime:    seconds(speed.step.Value()),
 		Running:     len(e.grants),
 		Waiting:     len(e.waiting),
 	}
 }
 
-// queueWait is the time until r's turn, by the fair order. The queue tells it
-// by refusing an item whose deadline has passed, which leaves no trace.
+// queueWait returns the time until r would leave the queue in fair order. It pushes an item whose
+// deadline has passed: the queue refuses it with the predicted wait, and keeps no state of it.
 func (e *Engine) queueWait(now time.Time, r Request) time.Duration {
 	if e.queue.Len() == 0 {
 		return 0
@@ -43,7 +42,7 @@
 	p := &pending{Request: r}
 	item := e.item(p)
 	item.Deadline = now.Add(-time.Nanosecond)
-	_, err := e.queue.Push(e.front(now), item)
+	_, err := e.queue.Push(e.nextStart(now), item)
 	var refused *fairqueue.RefusedError
 	if errors.As(err, &refused) {
 		return refused.Wait
@@ -51,10 +50,10 @@
 	return 0
 }
 
-// ahead is the time that the engine needs for the prefills that precede the
-// whole queue: granted, ready, waiting for an import, or of other nodes.
-func (e *Engine) ahead(now time.Time) time.Duration {
-	work := e.outstanding(now) + seconds(e.foreign.seconds*e.foreign.faded(now))
+// workAhead returns the time that the engine needs for the prefills before the whole queue: those
+// granted, ready, waiting for an import, or granted by other nodes.
+func (e *Engine) workAhead(now time.Time) time.Duration {
+	work := e.outstanding(now) + seconds(e.foreign.seconds*e.foreign.remaining(now))
 	for _, p := range e.parked {
 		work += e.prefillTime(p.Model, p.compute())
 	}
@@ -64,10 +63,10 @@
 	return work
 }
 
-// outstanding is the time that the engine still needs for granted prefills,
-// which it computes in order of grant.
+// outstanding returns the time that the engine still needs for granted prefills, which it computes
+// in order of grant.
 func (e *Engine) outstanding(now time.Time) time.Duration {
-	done := e.lastFirst
+	done := e.lastPrefillEnd
 	for _, g := range e.prefills {
 		if g.GrantedAt.After(done) {
 			done = g.GrantedAt
@@ -77,13 +76,12 @@
 	return max(0, done.Sub(now))
 }
 
-// slotWait is the time until a place in the engine's batch comes free, if it is
-// full.
+// slotWait returns the time until the engine's batch has room, 0 if it has now.
 func (e *Engine) slotWait(now time.Time) time.Duration {
-	running := float64(len(e.grants)) + e.foreign.runs*e.foreign.faded(now)
-	over := running + float64(e.queue.Len()) + 1 - float64(e.cfg.MaxRunning)
-	if over <= 0 || e.cfg.MaxRunning <= 0 {
+	running := float64(len(e.grants)) + e.foreign.runs*e.foreign.remaining(now)
+	excess := running + float64(e.queue.Len()) + 1 - float64(e.cfg.MaxRunning)
+	if excess <= 0 || e.cfg.MaxRunning <= 0 {
 		return 0
 	}
-	return seconds(over * e.life.Value() / float64(e.cfg.MaxRunning))
+	return seconds(excess * e.runTime.Value() / float64(e.cfg.MaxRunning))
 }
--- a/internal/enginestate/grants.go
+++ b/internal/enginestate/grants.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Outcome tells how a run ended.
+// Outcome is how a run ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a run.
 const (
 	Completed Outcome = iota
 	Failed            // the engine failed, or could not be reached
-	Refused           // the engine's own word that it did not run
+	Refused           // the engine reported that it did not run the request
 	Abandoned         // canceled by the caller
 )
 
-// Observed is what the entry node saw of a run.
+// Observed is what the entry node measured for a run.
 type Observed struct {
 	Outcome    Outcome
-	FirstToken time.Duration // from the start at the engine; 0 if none came
+	FirstToken time.Duration // from the start at the engine; 0 if there was none
 	Total      time.Duration // from the start to the end
-	Prompt     int           // tokens, by the engine's answer
-	Cached     int           // of the prompt, by the engine's answer
+	Prompt     int           // tokens, as reported by the engine
+	Cached     int           // tokens of the prompt, as reported by the engine
 	Output     int           // tokens
 }
 
-// grant moves p into force.
+// grant grants p and adds the grant to those in force.
 func (e *Engine) grant(now time.Time, p *pending) Grant {
 	delete(e.waiting, p.Run)
 	g := &Grant{
@@ -40,8 +40,8 @@
 	return *g
 }
 
-// Adopt takes over a grant in force from the entry node that holds it, after
-// this node became the owner. Repeating it is safe.
+// Adopt adds a grant reported by the entry node that holds it, after this node became the owner.
+// Repeating it is safe.
 func (e *Engine) Adopt(g Grant) {
 	if e.grants[g.Run] != nil {
 		return
@@ -55,9 +55,9 @@
 	}
 }
 
-// FirstToken tells that a run's prefill is over and how much of the prompt was
-// cached by the engine's answer. It is a hint: without it the prefill counts as
-// over by prediction. Repeating it is safe.
+// FirstToken records the end of a run's prefill and the cached tokens of the prompt, as reported by
+// the engine. It is optional: without it the prefill ends at the predicted time. Repeating it is
+// safe.
 func (e *Engine) FirstToken(now time.Time, run string, prompt, cached int) {
 	g := e.grants[run]
 	if g == nil || g.Started {
@@ -66,7 +66,7 @@
 	g.Started = true
 	e.learnPrefill(now, g, prompt-cached)
 	e.endPrefill(g)
-	e.lastFirst = now
+	e.lastPrefillEnd = now
 	e.queue.Charge(g.Account, e.prefillTime(g.Model, prompt-cached-g.Compute).Seconds())
 	e.health.succeeded()
 }
@@ -75,8 +75,8 @@
 	e.prefills = slices.DeleteFunc(e.prefills, func(o *Grant) bool { return o == g })
 }
 
-// Release ends a grant and learns from what was seen. Unknown runs are ignored,
-// so repeating it is safe.
+// Release ends a grant and updates the learned speeds. Unknown runs are ignored, so repeating it is
+// safe.
 func (e *Engine) Release(now time.Time, run string, seen Observed) {
 	g := e.grants[run]
 	if g == nil {
@@ -86,7 +86,7 @@
 		since := max(seen.Total-seen.FirstToken, 0)
 		e.FirstToken(now.Add(-since), run, seen.Prompt, seen.Cached)
 	}
-	e.drop(now, g)
+	e.endGrant(now, g)
 	switch seen.Outcome {
 	case Completed:
 		e.learnRun(now, g, seen)
@@ -94,30 +94,30 @@
 	case Failed:
 		e.health.failed(now, g.GrantedAt)
 	case Refused, Abandoned:
-		e.health.undecided()
+		e.health.inconclusive()
 	}
 }
 
-func (e *Engine) drop(now time.Time, g *Grant) {
+func (e *Engine) endGrant(now time.Time, g *Grant) {
 	delete(e.grants, g.Run)
 	e.endPrefill(g)
 	e.ended = append(e.ended, now)
 }
 
-// dropLost ends the grants that should have been released long ago. What became
-// of their runs is not known; one may have been the probe.
-func (e *Engine) dropLost(now time.Time) {
+// expireGrants ends the grants that should have been released long ago. The results of their runs
+// are unknown; one may have been the probe.
+func (e *Engine) expireGrants(now time.Time) {
 	for _, g := range e.grants {
 		if now.After(g.expiry()) {
-			e.drop(now, g)
-			e.health.undecided()
+			e.endGrant(now, g)
+			e.health.inconclusive()
 		}
 	}
 }
 
 func (g *Grant) expiry() time.Time {
 	if g.Deadline.IsZero() {
-		return g.GrantedAt.Add(grantLife)
+		return g.GrantedAt.Add(maxGrantAge)
 	}
 	return g.Deadline.Add(grantGrace)
 }
--- a/internal/enginestate/health.go
+++ b/internal/enginestate/health.go
@@ -3,78 +3,78 @@
 import "time"
 
 const (
-	// leavingRetry is what callers of a leaving engine are told to wait.
+	// leavingRetry is the retry delay given to callers of a leaving engine.
 	leavingRetry = time.Second
-	// failuresOut is how many failures in a row take an engine out of rotation.
-	failuresOut = 3
-	firstPause  = time.Second
-	// longestPause bounds how long an engine that serves again goes unnoticed. A
-	// probe costs a caller one more attempt elsewhere.
-	longestPause = 10 * time.Second
+	// maxFailures is the number of consecutive failures that take an engine out of rotation.
+	maxFailures = 3
+	minPause    = time.Second
+	// maxPause bounds the time until an engine that has recovered is used again. A probe costs a
+	// caller one more attempt elsewhere.
+	maxPause = 10 * time.Second
 )
 
-// health takes an engine out of rotation after failures in a row. After a pause
-// it grants one run as a probe; what else is asked for waits for that one's end.
+// health takes an engine out of rotation after consecutive failures. After a pause it grants one
+// run as a probe; other requests wait until the probe ends.
 type health struct {
-	failures int
-	last     time.Time // of the failure counted last
-	until    time.Time // out of rotation before
-	pause    time.Duration
-	probing  bool // the run granted since then has not ended
+	failures    int
+	lastFailure time.Time // when the last failure was counted
+	pausedUntil time.Time // end of the pause out of rotation
+	pause       time.Duration
+	probing     bool // a probe is running
 }
 
-func (h *health) suspect() bool { return h.failures >= failuresOut }
+func (h *health) isOut() bool { return h.failures >= maxFailures }
 
-// out returns how long the engine stays out of rotation; 0 means it is in.
-func (h *health) out(now time.Time) time.Duration {
-	if !h.suspect() {
+// remainingPause returns how long the engine stays out of rotation; 0 if it is in rotation.
+func (h *health) remainingPause(now time.Time) time.Duration {
+	if !h.isOut() {
 		return 0
 	}
-	return max(h.until.Sub(now), 0)
+	return max(h.pausedUntil.Sub(now), 0)
 }
 
-// out returns how long the engine takes no new work; 0 means it does.
-func (e *Engine) out(now time.Time) time.Duration {
+// unavailableFor returns how long the engine accepts no new requests; 0 if it accepts them.
+func (e *Engine) unavailableFor(now time.Time) time.Duration {
 	if e.leaving {
 		return leavingRetry
 	}
-	return e.health.out(now)
+	return e.health.remainingPause(now)
 }
 
-// probeWait is what a request is expected to wait for the end of a probe, enough
-// to make other engines come first.
+// probeWait returns the expected wait for the end of a probe, long enough that other engines are
+// preferred.
 func (h *health) probeWait() time.Duration {
 	if h.probing {
-		return firstPause
+		return minPause
 	}
 	return 0
 }
 
 func (h *health) granted() {
-	h.probing = h.suspect()
+	h.probing = h.isOut()
 }
 
 func (h *health) succeeded() {
 	*h = health{}
 }
 
-// undecided ends a probe that told nothing.
-func (h *health) undecided() {
+// inconclusive ends a probe without a result.
+func (h *health) inconclusive() {
 	h.probing = false
 }
 
-// failed counts the failure of a run. Runs that were granted before the failure
-// counted last failed for the same reason: together they count once.
+// failed counts the failure of a run. Runs granted before the last counted failure have the same
+// cause: together they count once.
 func (h *health) failed(now, granted time.Time) {
-	if granted.Before(h.last) {
+	if granted.Before(h.lastFailure) {
 		return
 	}
-	h.last = now
+	h.lastFailure = now
 	h.failures++
 	h.probing = false
-	if !h.suspect() {
+	if !h.isOut() {
 		return
 	}
-	h.pause = min(max(2*h.pause, firstPause), longestPause)
-	h.until = now.Add(h.pause)
+	h.pause = min(max(2*h.pause, minPause), maxPause)
+	h.pausedUntil = now.Add(h.pause)
 }
--- a/internal/enginestate/queue.go
+++ b/internal/enginestate/queue.go
@@ -8,47 +8,47 @@
 	"github.com/cherryward/cherryward/coord/fairqueue"
 )
 
-// pending is a request that is queued, or parked until its import ends.
+// pending is a request that is queued, or waits for its import.
 type pending struct {
 	Request
-	handle    fairqueue.Handle[*pending]
-	importing bool
-	askedAt   time.Time
-	turnAt    time.Time // when it was popped
+	handle      fairqueue.Handle[*pending]
+	importing   bool
+	requestedAt time.Time
+	poppedAt    time.Time // when it was removed from the queue
 }
 
-// compute is the number of prompt tokens left for the engine.
+// compute returns the number of prompt tokens that the engine must compute.
 func (p *pending) compute() int {
 	return max(0, p.PromptTokens-p.CachedTokens-p.ImportTokens)
 }
 
-// Request queues r for a grant, which a later Tick returns. It returns a
-// *RefusedError at once if r cannot be granted in time to meet its deadline, and
-// ErrDuplicate if the run is known; neither changes the state.
+// Request queues r for a grant, which a later Tick returns. It returns a *RefusedError if r cannot
+// be granted in time for its deadline, and ErrDuplicate if the run is already queued or granted;
+// neither changes the state.
 func (e *Engine) Request(now time.Time, r Request) error {
 	if e.waiting[r.Run] != nil || e.grants[r.Run] != nil {
 		return ErrDuplicate
 	}
-	if wait := e.out(now); wait > 0 {
+	if wait := e.unavailableFor(now); wait > 0 {
 		return &RefusedError{Reason: "endpoint is out of rotation", RetryAfter: wait}
 	}
-	p := &pending{Request: r, importing: r.ImportTokens > 0, askedAt: now}
-	handle, err := e.queue.Push(e.front(now), e.item(p))
+	p := &pending{Request: r, importing: r.ImportTokens > 0, requestedAt: now}
+	handle, err := e.queue.Push(e.nextStart(now), e.item(p))
 	if err != nil {
-		return refusal(err)
+		return toRefusedError(err)
 	}
 	p.handle = handle
 	e.waiting[r.Run] = p
 	return nil
 }
 
-// front is when the engine can turn to the head of the queue. The queue predicts
-// from there, since it does not count what it has let go.
-func (e *Engine) front(now time.Time) time.Time {
-	return now.Add(e.ahead(now))
+// nextStart returns when the engine can start on the head of the queue. Predictions of the queue
+// begin there, since it does not count the requests it has popped.
+func (e *Engine) nextStart(now time.Time) time.Time {
+	return now.Add(e.workAhead(now))
 }
 
-// item is p as the queue sees it, with the latest useful start as its deadline.
+// item returns p as a queue item, whose deadline is the latest start that meets p's deadline.
 func (e *Engine) item(p *pending) fairqueue.Item[*pending] {
 	prefill := e.prefillTime(p.Model, p.compute())
 	item := fairqueue.Item[*pending]{Account: p.Account, Cost: (requestCost + prefill).Seconds(), Value: p}
@@ -58,7 +58,7 @@
 	return item
 }
 
-func refusal(err error) error {
+func toRefusedError(err error) error {
 	var refused *fairqueue.RefusedError
 	if !errors.As(err, &refused) {
 		return err
@@ -66,8 +66,8 @@
 	return &RefusedError{Reason: refused.Reason.String(), RetryAfter: refused.RetryAfter}
 }
 
-// Cancel withdraws a request that was not granted. It reports false if the run
-// is not waiting: it may be granted. Repeating it is safe.
+// Cancel removes a request that was not granted. It returns false if the run is not queued: it may
+// be granted. Repeating it is safe.
 func (e *Engine) Cancel(run string) bool {
 	p := e.waiting[run]
 	if p == nil {
@@ -86,8 +86,8 @@
 	e.ready = slices.DeleteFunc(e.ready, same)
 }
 
-// ImportDone tells that the import for a waiting run has ended, successfully
-// for the given number of tokens. What is missing gets recomputed.
+// ImportDone records that the import for a queued run has ended, with the given number of tokens
+// imported. Missing tokens are recomputed.
 func (e *Engine) ImportDone(run string, tokens int) {
 	p := e.waiting[run]
 	if p == nil || !p.importing {
--- a/internal/enginestate/report.go
+++ b/internal/enginestate/report.go
@@ -7,16 +7,15 @@
 )
 
 const (
-	// trustHalfLife is the age at which a load report counts half.
-	trustHalfLife = time.Second
-	// foreignHalfLife is how fast the belief in other nodes' work fades
-	// between reports.
+	// reportHalfLife is the age at which a load report has half its weight.
+	reportHalfLife = time.Second
+	// foreignHalfLife is the half-life of the estimate of other nodes' work between reports.
 	foreignHalfLife = 2 * time.Second
-	// endedKept is how long releases are kept to compare with reports.
-	endedKept = 5 * time.Second
+	// endedRetention is how long release times are kept to compare with reports.
+	endedRetention = 5 * time.Second
 )
 
-// Load is the engine's own report of what it held Age ago.
+// Load is the load that the engine reported, as of Age ago.
 type Load struct {
 	Running       int
 	Waiting       int
@@ -24,22 +23,22 @@
 	Age           time.Duration
 }
 
-// foreign is work at the engine that this owner did not grant: another owner's
-// for a few seconds, or runs adopted by nobody.
+// foreign is work at the engine that this owner did not grant: work of another owner during a
+// change of owners, or runs that no owner adopted.
 type foreign struct {
 	runs    float64
 	seconds float64 // of prefill
 	at      time.Time
 }
 
-// faded returns the share of the belief that is left now.
-func (f *foreign) faded(now time.Time) float64 {
+// remaining returns the factor by which the estimate has decayed since it was made.
+func (f *foreign) remaining(now time.Time) float64 {
 	return math.Exp2(-now.Sub(f.at).Seconds() / foreignHalfLife.Seconds())
 }
 
-// Report compares the engine's lagging report with the grants that were in
-// force at its time. Only the excess is news: the owner's own grants are
-// fresher than any report. The older the report, the less it counts.
+// Report compares a load report of the engine, which lags, with the grants that were in force at
+// its time. Only the excess is used: the owner's own grants are more current than any report. Older
+// reports have less weight.
 func (e *Engine) Report(now time.Time, l Load) {
 	l.Age = max(l.Age, 0)
 	at := now.Add(-l.Age)
@@ -49,17 +48,17 @@
 	if excess > 0 {
 		excessWork = float64(max(0, l.WaitingTokens-tokens)) / e.typicalRate()
 	}
-	trust := math.Exp2(-l.Age.Seconds() / trustHalfLife.Seconds())
-	kept := (1 - trust) * e.foreign.faded(now)
+	weight := math.Exp2(-l.Age.Seconds() / reportHalfLife.Seconds())
+	previous := (1 - weight) * e.foreign.remaining(now)
 	e.foreign = foreign{
-		runs:    trust*excess + kept*e.foreign.runs,
-		seconds: trust*excessWork + kept*e.foreign.seconds,
+		runs:    weight*excess + previous*e.foreign.runs,
+		seconds: weight*excessWork + previous*e.foreign.seconds,
 		at:      now,
 	}
 }
 
-// heldAt returns the runs and prompt tokens granted and unfinished at a recent
-// time, the tokens as an upper bound.
+// heldAt returns the runs that were granted and not finished at a recent time, and an upper bound
+// of their prompt tokens.
 func (e *Engine) heldAt(at time.Time) (runs, tokens int) {
 	for _, g := range e.grants {
 		if !g.GrantedAt.After(at) {
@@ -75,18 +74,18 @@
 	return runs, tokens
 }
 
-// typicalRate is the prefill speed of the best known model: a report does not
-// tell models apart.
+// typicalRate returns the prefill rate of the model with the most samples: a report does not
+// distinguish models.
 func (e *Engine) typicalRate() float64 {
-	rate, known := e.cfg.PrefillRate, 0
+	rate, samples := e.cfg.PrefillRate, 0
 	for _, s := range e.speeds {
-		if s.prefill.Samples() > known {
-			rate, known = s.prefill.Value(), s.prefill.Samples()
+		if s.prefill.Samples() > samples {
+			rate, samples = s.prefill.Value(), s.prefill.Samples()
 		}
 	}
 	return rate
 }
 
-func (e *Engine) forgetEnded(now time.Time) {
-	e.ended = slices.DeleteFunc(e.ended, func(end time.Time) bool { return now.Sub(end) > endedKept })
+func (e *Engine) evictEnded(now time.Time) {
+	e.ended = slices.DeleteFunc(e.ended, func(end time.Time) bool { return now.Sub(end) > endedRetention })
 }
--- a/internal/enginestate/speed.go
+++ b/internal/enginestate/speed.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	defaultStep = 30 * time.Millisecond
-	defaultLife = 10 * time.Second
-	// minPrefill is the least number of computed tokens that tells a speed:
-	// below it, fixed delays prevail.
+	defaultStep    = 30 * time.Millisecond
+	defaultRunTime = 10 * time.Second
+	// minPrefill is the minimum number of computed tokens for a speed sample: below it, fixed
+	// delays dominate.
 	minPrefill = 256
-	// minSteps is the least number of output tokens that tells a step time.
+	// minSteps is the minimum number of output tokens for a step time sample.
 	minSteps = 8
 )
 
-// learnPrefill takes the speed from the time between the start of g's prefill,
-// which is the end of the one before it or its own grant, and its first token.
+// learnPrefill adds a sample of the prefill speed. The prefill of g lasts from the end of the
+// previous one, or from its own grant if that is later, to its first token.
 func (e *Engine) learnPrefill(now time.Time, g *Grant, computed int) {
 	if computed < minPrefill {
 		return
 	}
 	start := g.GrantedAt
-	if e.lastFirst.After(start) {
-		start = e.lastFirst
+	if e.lastPrefillEnd.After(start) {
+		start = e.lastPrefillEnd
 	}
 	took := now.Sub(start).Seconds()
 	if took <= 0 {
@@ -34,7 +34,7 @@
 }
 
 func (e *Engine) learnRun(now time.Time, g *Grant, seen Observed) {
-	e.life.Add(now.Sub(g.GrantedAt).Seconds(), 1)
+	e.runTime.Add(now.Sub(g.GrantedAt).Seconds(), 1)
 	if seen.Output < minSteps || seen.Total <= seen.FirstToken {
 		return
 	}
@@ -42,13 +42,13 @@
 	e.speed(g.Model).step.Add((seen.Total-seen.FirstToken).Seconds()/steps, steps)
 }
 
-// speed holds what was learned of one model on this engine.
+// speed is the learned speed of one model on this engine.
 type speed struct {
 	prefill enginemodel.Median // tokens per second
 	step    enginemodel.Median // seconds per decode step
 }
 
-// speed returns what is known of a model, starting from the priors.
+// speed returns the learned speed of a model, initially the priors.
 func (e *Engine) speed(model string) *speed {
 	s := e.speeds[model]
 	if s == nil {
@@ -61,7 +61,7 @@
 	return s
 }
 
-// prefillTime predicts how long the engine takes to compute tokens.
+// prefillTime predicts how long the engine takes to compute the tokens.
 func (e *Engine) prefillTime(model string, tokens int) time.Duration {
 	return seconds(float64(tokens) / e.speed(model).prefill.Value())
 }
