--- a/internal/router/cachedengines_test.go
+++ b/internal/router/cachedengines_test.go
@@ -12,14 +12,14 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// TestLayoutOutlivesFigures keeps an engine's KV layout when its load is too old to use: stores
-// are asked for blocks of that layout, and a prompt that returned to a node which had been
-// without prompts for 10 s was read whole.
-func TestLayoutOutlivesFigures(t *testing.T) {
-	r := &Router{figures: map[figureKey]figure{
+// TestLayoutOutlivesCachedEstimate checks that an engine's KV layout is kept when its cached estimate is
+// too old to use. Stores are queried for blocks of that layout: without it, a prompt that returns
+// to a node which placed no prompts for 10 s would be read in full.
+func TestLayoutOutlivesCachedEstimate(t *testing.T) {
+	r := &Router{estimates: map[estimateKey]cachedEstimate{
 		{"e", "m", "v"}: {at: time.Now().Add(-time.Hour), engine: placement.Engine{Layout: "l", LastWait: time.Minute, Status: placement.Paused}},
 	}}
-	engines := r.lastFigures(&runs.Request{Model: "m", Version: "v"}, []*pb.Endpoint{{Name: "e"}})
+	engines := r.cachedEngines(&runs.Request{Model: "m", Version: "v"}, []*pb.Endpoint{{Name: "e"}})
 	must.Len(t, 1, engines)
 	test.Eq(t, "l", engines[0].Layout)
 	test.Eq(t, 0, engines[0].LastWait)
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// maxCandidates is the number of engines that are asked for one prompt. A
-	// smaller fleet is asked as a whole.
+	// maxCandidates is the maximum number of engines whose estimates are requested for one prompt.
+	// All engines of a smaller fleet are candidates.
 	maxCandidates = 16
-	// rootChunks is the depth of the prefix that picks the candidates: deep
-	// enough to tell conversations apart that share a short preamble.
+	// rootChunks is the prefix depth that selects the candidates: enough to distinguish
+	// conversations that share a short preamble.
 	rootChunks = 4
 	slotCount  = 1 << 12
 )
 
-// candidates picks the same few engines for a prefix at every node.
+// candidates selects a few engines for a prefix, the same ones at every node.
 type candidates struct {
 	mu     sync.Mutex
 	models map[string]*fleet
 }
 
-// fleet is the engines of one model, as of one configuration.
+// fleet holds the engines of one model in one configuration.
 type fleet struct {
 	engines []*pb.Endpoint
 	byName  map[string]*pb.Endpoint
@@ -51,46 +51,48 @@
 	return out
 }
 
-// serving returns the candidates that may take the request: those that are known
-// to hold its version, else any engine that is, else all that may yet hold it.
-func (r *Router) serving(view *config.View, req *runs.Request, tried []string) []*pb.Endpoint {
-	live := r.live(r.candidates.of(view, req.Model, req.Chain), tried)
+// servingEndpoints returns the candidates for the request, without those already tried: the ones
+// known to hold its weight version, otherwise any engine known to hold it, otherwise all
+// candidates, as some may hold it without being known to.
+func (r *Router) servingEndpoints(view *config.View, req *runs.Request, tried []string) []*pb.Endpoint {
+	candidates := r.available(r.candidates.of(view, req.Model, req.Chain), tried)
 	names := r.holders.Holding(req.Model, req.Version)
 	if len(names) == 0 {
-		return live
+		return candidates
 	}
-	if kept := named(live, names); len(kept) > 0 {
-		return kept
+	if holding := filterByName(candidates, names); len(holding) > 0 {
+		return holding
 	}
-	if others := r.live(endpointsOf(view, names), tried); len(others) > 0 {
+	if others := r.available(endpointsOf(view, names), tried); len(others) > 0 {
 		return others
 	}
-	return live
+	return candidates
 }
 
-// live leaves out endpoints whose hosts are leaving, and those tried.
-func (r *Router) live(all []*pb.Endpoint, tried []string) []*pb.Endpoint {
-	live := make([]*pb.Endpoint, 0, len(all))
+// available returns the endpoints that were not tried and whose hosts are not leaving.
+func (r *Router) available(all []*pb.Endpoint, tried []string) []*pb.Endpoint {
+	usable := make([]*pb.Endpoint, 0, len(all))
 	for _, e := range all {
 		if !r.cluster.HostLeaving(e) && !slices.Contains(tried, e.GetName()) {
-			live = append(live, e)
+			usable = append(usable, e)
 		}
 	}
-	return live
+	return usable
 }
 
-// named returns the endpoints whose names are listed.
-func named(all []*pb.Endpoint, names []string) []*pb.Endpoint {
-	kept := make([]*pb.Endpoint, 0, len(all))
+// filterByName returns the endpoints whose names are listed.
+func filterByName(all []*pb.Endpoint, names []string) []*pb.Endpoint {
+	matching := make([]*pb.Endpoint, 0, len(all))
 	for _, e := range all {
 		if slices.Contains(names, e.GetName()) {
-			kept = append(kept, e)
+			matching = append(matching, e)
 		}
 	}
-	return kept
+	return matching
 }
 
-// endpointsOf returns as many of the named endpoints as are asked for one prompt.
+// endpointsOf returns the endpoints with the given names that are not leaving. It looks up
+// maxCandidates names at most.
 func endpointsOf(view *config.View, names []string) []*pb.Endpoint {
 	var found []*pb.Endpoint
 	for _, name := range names[:min(len(names), maxCandidates)] {
@@ -101,7 +103,8 @@
 	return found
 }
 
-// slotKey spreads prompts that have no prefix to reuse over the whole fleet.
+// slotKey returns the key that selects the slot of a prompt. Prompts without a reusable prefix get
+// a random key, which spreads them over the whole fleet.
 func slotKey(chain kvcache.Chain) string {
 	if len(chain) == 0 {
 		return strconv.Itoa(rand.IntN(slotCount))
@@ -109,8 +112,8 @@
 	return chain[min(rootChunks, len(chain))-1].String()
 }
 
-// fleet returns the model's table, made anew when its engines have changed. The
-// configuration keeps one slice for as long as they have not.
+// fleet returns the model's table, and rebuilds it when its engines have changed. The configuration
+// returns the same slice until then.
 func (c *candidates) fleet(model string, engines []*pb.Endpoint) *fleet {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/router/estimate.go
+++ b/internal/router/estimate.go
@@ -10,38 +10,40 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// bytesPerToken is the length of a token where no owner's estimate has come.
+// bytesPerToken is the assumed length of a token if no owner has returned an estimate.
 const bytesPerToken = 4
 
-// answers are the estimates that came in time.
-type answers struct {
+// collectedEstimates holds the estimates that were received in time, apart from those of the
+// engines.
+type collectedEstimates struct {
 	promptTokens int
 	stores       []placement.Store
 }
 
-// batch is what one node is asked about.
-type batch struct {
+// ownerBatch is the estimate request to one node.
+type ownerBatch struct {
 	node, addr string
 	req        owner.EstimateRequest
 }
 
+// reply is the response to a batch; resp is nil if there was none.
 type reply struct {
-	*batch
+	*ownerBatch
 	resp *owner.EstimateResponse
 }
 
-// estimate asks the owners of all candidates at once and fills in engines as
-// they answer. It returns when all have, or at the timeout.
-func (r *Router) estimate(ctx context.Context, req *runs.Request, engines []placement.Engine, stores []string) answers {
+// estimate requests estimates from the owners of all candidates concurrently and merges them into
+// engines. It returns when all have responded, or at the timeout.
+func (r *Router) estimate(ctx context.Context, req *runs.Request, engines []placement.Engine, stores []string) collectedEstimates {
 	ctx, cancel := context.WithTimeout(ctx, r.estimateTimeout)
 	defer cancel()
 	batches := r.batches(promptOf(req), engines, stores)
 	replies := make(chan reply, len(batches))
 	for _, b := range batches {
-		go func() { replies <- reply{batch: b, resp: r.askEstimate(ctx, b)} }()
+		go func() { replies <- reply{ownerBatch: b, resp: r.fetchEstimate(ctx, b)} }()
 	}
 	defer func() { placement.AssumeBest(engines) }()
-	out := answers{promptTokens: promptOfSize(req)}
+	out := collectedEstimates{promptTokens: estimatePromptTokens(req)}
 	for range batches {
 		select {
 		case <-ctx.Done():
@@ -53,7 +55,9 @@
 	return out
 }
 
-func promptOfSize(req *runs.Request) int {
+// estimatePromptTokens returns the number of prompt tokens, estimated from the length if the prompt
+// is text.
+func estimatePromptTokens(req *runs.Request) int {
 	if req.PromptIDs != nil {
 		return len(req.PromptIDs)
 	}
@@ -61,14 +65,14 @@
 }
 
 // batches groups the endpoints by owner.
-func (r *Router) batches(p owner.Prompt, engines []placement.Engine, stores []string) []*batch {
-	var list []*batch
-	byNode := make(map[string]*batch)
-	of := func(endpoint string) *batch {
+func (r *Router) batches(p owner.Prompt, engines []placement.Engine, stores []string) []*ownerBatch {
+	var list []*ownerBatch
+	byNode := make(map[string]*ownerBatch)
+	of := func(endpoint string) *ownerBatch {
 		node, addr := r.cluster.Owner(endpoint)
 		b := byNode[node]
 		if b == nil {
-			b = &batch{node: node, addr: addr, req: owner.EstimateRequest{Prompt: p}}
+			b = &ownerBatch{node: node, addr: addr, req: owner.EstimateRequest{Prompt: p}}
 			byNode[node] = b
 			list = append(list, b)
 		}
@@ -87,7 +91,7 @@
 	return list
 }
 
-// layoutsOf returns the KV layouts of the candidates that are known.
+// layoutsOf returns the known KV layouts of the engines.
 func layoutsOf(engines []placement.Engine) []string {
 	var out []string
 	for _, e := range engines {
@@ -98,8 +102,8 @@
 	return out
 }
 
-// askEstimate returns nil where the owner does not answer in time.
-func (r *Router) askEstimate(ctx context.Context, b *batch) *owner.EstimateResponse {
+// fetchEstimate returns the owner's estimates, or nil if it does not respond in time.
+func (r *Router) fetchEstimate(ctx context.Context, b *ownerBatch) *owner.EstimateResponse {
 	if b.node == r.cluster.Self().ID {
 		resp, _ := r.owner.Estimate(ctx, &b.req) // never fails
 		return resp
@@ -111,7 +115,8 @@
 	return resp
 }
 
-func (r *Router) merge(rep reply, engines []placement.Engine, out *answers) {
+// merge adds the estimates of a reply to engines and out.
+func (r *Router) merge(rep reply, engines []placement.Engine, out *collectedEstimates) {
 	if rep.resp == nil {
 		return
 	}
@@ -124,7 +129,7 @@
 			}
 		}
 	}
-	r.noteFigures(&rep.req.Prompt, rep.resp.Engines)
+	r.cacheEstimates(&rep.req.Prompt, rep.resp.Engines)
 	out.stores = append(out.stores, rep.resp.Stores...)
 	out.promptTokens = max(out.promptTokens, rep.resp.PromptTokens)
 }
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// releaseTimeout bounds the calls that nobody waits for.
-	releaseTimeout = 2 * time.Second
+	// notifyTimeout bounds background calls to owners.
+	notifyTimeout = 2 * time.Second
 
-	// An engine may take this much longer than predicted until its first frame.
-	patienceBase   = 10 * time.Second
-	patienceFactor = 4
+	// An engine's first frame may take firstFrameFactor times the predicted time plus firstFrameBase.
+	firstFrameBase   = 10 * time.Second
+	firstFrameFactor = 4
 )
 
-// errNoOwner means that the engine's owner did not answer.
-var errNoOwner = errors.New("owner does not answer")
+// errNoOwner means that the engine's owner did not respond.
+var errNoOwner = errors.New("engine owner did not respond")
 
-// grant is the right to one run, as the entry node holds it.
+// grant is the permission for one run, as held by the entry node.
 type grant struct {
-	r        *Router
-	id       string
-	endpoint *pb.Endpoint
-	prompt   owner.Prompt
-	class    int
-	weight   float64
-	tokens   int
-	begun    time.Time
-	deadline time.Time
-	patience time.Duration
+	r         *Router
+	id        string
+	endpoint  *pb.Endpoint
+	prompt    owner.Prompt
+	class     int
+	weight    float64
+	tokens    int
+	createdAt time.Time
+	deadline  time.Time
+	patience  time.Duration
 
 	importedTokens int
 	importedBytes  int64
 
-	node string // owner that knows of the grant; guarded by Router.mu
+	node string // owner to which the grant is known; guarded by Router.mu
 }
 
 var _ runs.Grant = (*grant)(nil)
 
 func (r *Router) newGrant(req *runs.Request, endpoint *pb.Endpoint, choice placement.Choice) *grant {
 	return &grant{
-		r:        r,
-		id:       runid.Nonce(),
-		endpoint: endpoint,
-		prompt:   promptOf(req),
-		class:    int(req.Class),
-		weight:   req.Weight,
-		tokens:   max(choice.Cached+choice.Recompute+choice.Import.Tokens, promptOfSize(req), 1),
-		begun:    time.Now(),
-		deadline: req.Deadline,
-		patience: patienceBase + patienceFactor*choice.FirstToken,
+		r:         r,
+		id:        runid.Nonce(),
+		endpoint:  endpoint,
+		prompt:    promptOf(req),
+		class:     int(req.Class),
+		weight:    req.Weight,
+		tokens:    max(choice.Cached+choice.Recompute+choice.Import.Tokens, estimatePromptTokens(req), 1),
+		createdAt: time.Now(),
+		deadline:  req.Deadline,
+		patience:  firstFrameBase + firstFrameFactor*choice.FirstToken,
 	}
 }
 
@@ -73,14 +73,15 @@
 // Patience implements runs.Grant.
 func (g *grant) Patience() time.Duration { return g.patience }
 
-// acquire waits for the owner's grant. Without an owner the run goes ahead.
+// acquire waits for the owner's grant. If the owner can't be reached, the run starts without a
+// grant.
 func (r *Router) acquire(ctx context.Context, g *grant, choice placement.Choice) error {
 	resp, err := r.awaitGrant(ctx, g, choice)
 	switch {
 	case err == nil:
 		g.importedTokens, g.importedBytes = resp.ImportedTokens, resp.ImportedBytes
 	case errors.Is(err, errNoOwner):
-		r.ungoverned()
+		r.countUngranted()
 		r.log.Warn().Str("event", "no_owner").Str("endpoint", g.endpoint.GetName()).Send()
 	default:
 		return err
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// awaitGrant asks until the owner has decided. An owner that is paused answers
-// no poll in time, so it delays a request by two polls at the most.
+// awaitGrant polls the owner until it has decided. An owner that is suspended responds to no poll,
+// so it delays a request by two polls at most.
 func (r *Router) awaitGrant(ctx context.Context, g *grant, choice placement.Choice) (*owner.GrantResponse, error) {
 	req := &owner.GrantRequest{
 		Endpoint: g.endpoint.GetName(),
@@ -105,7 +106,7 @@
 	}
 	for {
 		req.Prompt.TimeLeft = time.Until(g.deadline)
-		resp, err := r.askGrant(ctx, g, req)
+		resp, err := r.requestGrant(ctx, g, req)
 		if ctx.Err() != nil {
 			g.cancel()
 			return nil, result.Wrap(ctx.Err(), result.From(ctx.Err()).Code, result.WithRunState(result.NotRun))
@@ -117,7 +118,7 @@
 	}
 }
 
-func (r *Router) askGrant(ctx context.Context, g *grant, req *owner.GrantRequest) (*owner.GrantResponse, error) {
+func (r *Router) requestGrant(ctx context.Context, g *grant, req *owner.GrantRequest) (*owner.GrantResponse, error) {
 	node, addr := r.cluster.Owner(req.Endpoint)
 	g.setNode(node)
 	if node == r.cluster.Self().ID {
@@ -126,14 +127,15 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*owner.GrantPoll)
 	defer cancel()
 	resp, err := peers.Call[owner.GrantRequest, owner.GrantResponse](ctx, r.cluster.Pool, addr, owner.MethodGrant, req)
-	if err != nil && !ownersWord(err) {
+	if err != nil && !isOwnerDecision(err) {
 		return nil, errNoOwner
 	}
 	return resp, err
 }
 
-// ownersWord tells the owner's decision from a failure to reach it.
-func ownersWord(err error) bool {
+// isOwnerDecision reports whether the error is a decision of the owner, rather than a failure to
+// reach it.
+func isOwnerDecision(err error) bool {
 	if peers.IsNotSent(err) {
 		return false
 	}
@@ -147,16 +149,16 @@
 	g.node = node
 }
 
-// cancel withdraws a request that was not granted, in the background.
+// cancel withdraws, in the background, a request that was not granted.
 func (g *grant) cancel() {
 	go func() {
 		req := &owner.CancelRequest{Endpoint: g.endpoint.GetName(), Grant: g.id}
-		_, _ = tell(g.r, g.endpoint.GetName(), owner.MethodCancel, req, g.r.owner.Cancel) // the owner drops it after a while
+		_, _ = callOwner(g.r, g.endpoint.GetName(), owner.MethodCancel, req, g.r.owner.Cancel) // if this fails, the request expires at the owner
 	}()
 }
 
-// FirstToken implements runs.Grant. The owner is told in the background; without
-// it the owner goes by its prediction.
+// FirstToken implements runs.Grant. It notifies the owner in the background; if this fails, the
+// owner uses its prediction.
 func (g *grant) FirstToken(seen runs.Observed) {
 	req := &owner.FirstTokenRequest{
 		Endpoint:     g.endpoint.GetName(),
@@ -164,10 +166,10 @@
 		PromptTokens: seen.PromptTokens,
 		CachedTokens: seen.CachedTokens,
 	}
-	go func() { _, _ = tell(g.r, req.Endpoint, owner.MethodFirst, req, g.r.owner.FirstToken) }()
+	go func() { _, _ = callOwner(g.r, req.Endpoint, owner.MethodFirst, req, g.r.owner.FirstToken) }()
 }
 
-// Done implements runs.Grant. The owner is told in the background.
+// Done implements runs.Grant. It releases the grant in the background.
 func (g *grant) Done(seen runs.Observed) {
 	g.r.mu.Lock()
 	delete(g.r.grants, g.id)
@@ -175,6 +177,8 @@
 	go g.release(seen)
 }
 
+// release reports the result of the run to the owner and caches the engine's wait from the
+// response.
 func (g *grant) release(seen runs.Observed) {
 	req := &owner.ReleaseRequest{
 		Endpoint:     g.endpoint.GetName(),
@@ -189,18 +193,19 @@
 		Prompt:       g.prompt,
 		Blocks:       seen.Blocks,
 	}
-	resp, err := tell(g.r, g.endpoint.GetName(), owner.MethodRelease, req, g.r.owner.Release)
+	resp, err := callOwner(g.r, g.endpoint.GetName(), owner.MethodRelease, req, g.r.owner.Release)
 	if err != nil {
-		return // the owner ends the grant by itself after its deadline
+		return // the grant expires at the owner some time after its deadline
 	}
 	g.r.mu.Lock()
 	defer g.r.mu.Unlock()
-	key := figureKey{req.Endpoint, g.prompt.Model, g.prompt.Version}
-	f := g.r.figures[key]
+	key := estimateKey{req.Endpoint, g.prompt.Model, g.prompt.Version}
+	f := g.r.estimates[key]
 	f.at, f.engine.LastWait = time.Now(), resp.Wait
-	g.r.figures[key] = f
+	g.r.estimates[key] = f
 }
 
+// outcome returns how a run ended, from the owner's point of view.
 func outcome(seen runs.Observed) enginestate.Outcome {
 	switch {
 	case seen.Complete:
@@ -220,15 +225,15 @@
 	return enginestate.Failed
 }
 
-// tell calls the present owner of an endpoint, here or at another node.
-func tell[Req, Resp any](r *Router, endpoint, method string, req *Req, local func(context.Context, *Req) (*Resp, error)) (*Resp, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+// callOwner calls the current owner of an endpoint, on this or another node.
+func callOwner[Req, Resp any](r *Router, endpoint, method string, req *Req, local func(context.Context, *Req) (*Resp, error)) (*Resp, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	return cluster.CallOwner(ctx, r.cluster, endpoint, method, req, local)
 }
 
-// handOver tells new owners of the grants in force that they don't know of.
-func (r *Router) handOver() {
+// notifyNewOwners reports the grants in force to owners that took over their engines since.
+func (r *Router) notifyNewOwners() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	moved := make(map[string]*owner.AdoptRequest)
@@ -243,16 +248,17 @@
 		if moved[name] == nil {
 			moved[name] = &owner.AdoptRequest{Endpoint: name}
 		}
-		moved[name].Grants = append(moved[name].Grants, g.adopted(now))
+		moved[name].Grants = append(moved[name].Grants, g.adoptedGrant(now))
 	}
 	for name, req := range moved {
 		go func() {
-			_, _ = tell(r, name, owner.MethodAdopt, req, r.owner.Adopt) // without it the new owner grants too much for a while
+			_, _ = callOwner(r, name, owner.MethodAdopt, req, r.owner.Adopt) // if this fails, the new owner grants too much for a limited time
 		}()
 	}
 }
 
-func (g *grant) adopted(now time.Time) owner.AdoptedGrant {
+// adoptedGrant returns the grant in the form that is sent to a new owner.
+func (g *grant) adoptedGrant(now time.Time) owner.AdoptedGrant {
 	return owner.AdoptedGrant{
 		Grant:    g.id,
 		Account:  g.prompt.Account,
@@ -260,7 +266,7 @@
 		Weight:   g.weight,
 		Model:    g.prompt.Model,
 		Tokens:   g.tokens,
-		Age:      now.Sub(g.begun),
+		Age:      now.Sub(g.createdAt),
 		TimeLeft: g.deadline.Sub(now),
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,9 +1,9 @@
-// Package router finds the engine for a prompt: it asks the candidates' owners
-// for estimates, chooses by the model's objective, and waits for the grant.
+// Package router selects the engine for a prompt: it requests estimates from the owners of the
+// candidates, chooses by the model's objective, and waits for the grant.
 //
-// Owners make placement good; they are not needed for it to be correct. Late
-// ones are left out, and where the chosen engine's owner can't be reached the
-// run starts without a grant: the engine queues by itself.
+// Owners improve the placement, but correctness does not depend on them. Estimates that are late
+// are ignored, and if the owner of the chosen engine can't be reached, the run starts without a
+// grant: the engine queues it itself.
 package router
 
 import (
@@ -34,19 +34,19 @@
 const Name = "router"
 
 const (
-	// cheapChunks is the chain length under which no estimate is asked for: less
+	// minChunks is the chain length from which estimates are requested: with a shorter chain, less
 	// than one engine block could be reused.
-	cheapChunks = 4
-	// maxPlacements bounds the engines that are asked for a grant of one run.
+	minChunks = 4
+	// maxPlacements bounds the number of engines from which a grant is requested for one run.
 	maxPlacements = 3
-	// explained is how many requests' placements are kept for explanation.
-	explained = 1024
-	// figuresAge is how long an owner's word on an engine is used by requests
-	// that ask for no estimate.
-	figuresAge = 10 * time.Second
+	// maxExplained is the number of requests whose placements are kept for Explain.
+	maxExplained = 1024
+	// estimateMaxAge is how long a cached estimate of an engine is used for requests for which no
+	// estimate is requested.
+	estimateMaxAge = 10 * time.Second
 )
 
-// Directory gives the newest configuration.
+// Directory provides the current configuration.
 type Directory interface {
 	View() *config.View
 }
@@ -54,7 +54,7 @@
 // Router is the placement service of an entry node.
 type Router struct {
 	estimateTimeout time.Duration
-	ungoverned      func() // counts runs that start without a grant
+	countUngranted  func() // called for each run that starts without a grant
 	cluster         *cluster.Cluster
 	directory       Directory
 	owner           *owner.Service
@@ -63,23 +63,23 @@
 	choices         *lru.Cache[string, placement.Choice]
 	log             zerolog.Logger
 
-	mu      sync.Mutex
-	figures map[figureKey]figure
-	grants  map[string]*grant // in force
+	mu        sync.Mutex
+	estimates map[estimateKey]cachedEstimate
+	grants    map[string]*grant // in force
 }
 
-// Holders knows which engines hold a weight version; none where it does not know.
+// Holders provides the names of the engines that hold a weight version; none if unknown.
 type Holders interface {
 	Holding(model, version string) []string
 }
 
-// figureKey names an engine with the weights that it was asked about.
-type figureKey struct {
+// estimateKey identifies an engine and the weights for which its estimate was requested.
+type estimateKey struct {
 	endpoint, model, version string
 }
 
-// figure is what an owner last said of an engine.
-type figure struct {
+// cachedEstimate is an owner's last estimate of an engine.
+type cachedEstimate struct {
 	at     time.Time
 	engine placement.Engine
 }
@@ -89,19 +89,18 @@
 	_ runs.Placer    = (*Router)(nil)
 )
 
-// New returns the service. ungoverned is called for each run that starts without
-// a grant.
-func New(estimateTimeout time.Duration, ungoverned func(), log zerolog.Logger) (*Router, error) {
-	choices, err := lru.New[string, placement.Choice](explained)
+// New returns the service. It calls countUngranted for each run that starts without a grant.
+func New(estimateTimeout time.Duration, countUngranted func(), log zerolog.Logger) (*Router, error) {
+	choices, err := lru.New[string, placement.Choice](maxExplained)
 	if err != nil {
 		return nil, err
 	}
 	return &Router{
 		estimateTimeout: estimateTimeout,
-		ungoverned:      ungoverned,
+		countUngranted:  countUngranted,
 		choices:         choices,
 		log:             log.With().Str("service", Name).Logger(),
-		figures:         make(map[figureKey]figure),
+		estimates:       make(map[estimateKey]cachedEstimate),
 		grants:          make(map[string]*grant),
 	}, nil
 }
@@ -131,53 +130,55 @@
 		return err
 	}
 	r.holders = rollouts.Versions
-	r.cluster.OnChange(r.handOver)
+	r.cluster.OnChange(r.notifyNewOwners)
 	return nil
 }
 
-// Place implements runs.Placer. Where all engines were tried it takes one of them
-// again, as one that restarted may serve by now.
+// Place implements runs.Placer. If all engines were tried, it tries them again, as one that
+// restarted may accept requests by now.
 func (r *Router) Place(ctx context.Context, req *runs.Request, tried []string) (runs.Grant, error) {
-	g, err := r.placeBeside(ctx, req, tried)
+	g, err := r.placeUntried(ctx, req, tried)
 	if len(tried) > 0 && result.Is(err, result.NoEndpoint) {
-		return r.placeBeside(ctx, req, nil)
+		return r.placeUntried(ctx, req, nil)
 	}
 	return g, err
 }
 
-// placeBeside places a request on an engine that is not among those tried.
-func (r *Router) placeBeside(ctx context.Context, req *runs.Request, tried []string) (runs.Grant, error) {
+// placeUntried places a request on an engine that is not among those tried.
+func (r *Router) placeUntried(ctx context.Context, req *runs.Request, tried []string) (runs.Grant, error) {
 	var refused error
 	tried = slices.Clone(tried)
 	for range maxPlacements {
 		choice, endpoint, err := r.choose(ctx, req, tried)
 		if err != nil {
-			return nil, firstOf(refused, err)
+			return nil, firstError(refused, err)
 		}
 		g := r.newGrant(req, endpoint, choice)
 		err = r.acquire(ctx, g, choice)
 		if err == nil {
 			return g, nil
 		}
-		if !mayPlaceElsewhere(err) {
+		if !isRetryableElsewhere(err) {
 			return nil, err
 		}
-		refused = firstOf(refused, err)
+		refused = firstError(refused, err)
 		tried = append(tried, endpoint.GetName())
 	}
 	return nil, refused
 }
 
-// firstOf keeps the first engine's refusal, which says when to come back.
-func firstOf(refused, err error) error {
+// firstError returns the first engine's refusal, which holds the retry delay, or err if there was
+// none.
+func firstError(refused, err error) error {
 	if refused != nil {
 		return refused
 	}
 	return err
 }
 
-// mayPlaceElsewhere tells refusals that another engine may not give.
-func mayPlaceElsewhere(err error) bool {
+// isRetryableElsewhere reports whether another engine may accept a request that was refused with
+// err.
+func isRetryableElsewhere(err error) bool {
 	switch result.From(err).Code {
 	case result.Shed, result.EndpointRefused, result.NoEndpoint, result.DeadlineUnmeetable:
 		return true
@@ -185,10 +186,10 @@
 	return false
 }
 
-// choose picks an engine among those not tried.
+// choose selects an engine among those not tried.
 func (r *Router) choose(ctx context.Context, req *runs.Request, tried []string) (placement.Choice, *pb.Endpoint, error) {
 	view := r.directory.View()
-	endpoints := r.serving(view, req, tried)
+	endpoints := r.servingEndpoints(view, req, tried)
 	if len(endpoints) == 0 {
 		return placement.Choice{}, nil, result.New(result.NoEndpoint, result.WithField("model"))
 	}
@@ -205,10 +206,10 @@
 }
 
 func (r *Router) place(ctx context.Context, req *runs.Request, view *config.View, endpoints []*pb.Endpoint) (placement.Choice, error) {
-	engines := r.lastFigures(req, endpoints)
+	engines := r.cachedEngines(req, endpoints)
 	model, _ := view.Model(req.Model)
 	request := placement.Request{TimeLeft: time.Until(req.Deadline), Weights: owner.ObjectiveOf(model)}
-	if len(req.Chain) < cheapChunks {
+	if len(req.Chain) < minChunks {
 		return placement.PlaceByLoad(request, engines, globalRand{})
 	}
 	answer := r.estimate(ctx, req, engines, r.owner.StoresFor(req.Chain))
@@ -216,22 +217,22 @@
 	return placement.Place(request, engines, answer.stores, globalRand{})
 }
 
-// lastFigures starts the list of candidates with what owners said earlier.
-func (r *Router) lastFigures(req *runs.Request, endpoints []*pb.Endpoint) []placement.Engine {
+// cachedEngines returns an engine for each endpoint, with the usable values of its cached estimate.
+func (r *Router) cachedEngines(req *runs.Request, endpoints []*pb.Endpoint) []placement.Engine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	engines := make([]placement.Engine, len(endpoints))
 	for i, e := range endpoints {
 		engines[i] = placement.Engine{Endpoint: e.GetName(), FailureDomain: e.GetFailureDomain(), Status: placement.Late}
-		f, ok := r.figures[figureKey{e.GetName(), req.Model, req.Version}]
+		f, ok := r.estimates[estimateKey{e.GetName(), req.Model, req.Version}]
 		if !ok {
 			continue
 		}
-		// The layout doesn't age: without one no store is asked, and a prompt that returns
-		// after a pause would be read whole.
+		// The layout does not expire: without one no store is queried, and a prompt that returns
+		// after a pause would be read in full.
 		engines[i].Layout = f.engine.Layout
-		if now.Sub(f.at) > figuresAge {
+		if now.Sub(f.at) > estimateMaxAge {
 			continue
 		}
 		engines[i].LastWait = f.engine.LastWait
@@ -243,21 +244,21 @@
 	return engines
 }
 
-func (r *Router) noteFigures(p *owner.Prompt, engines []placement.Engine) {
+func (r *Router) cacheEstimates(p *owner.Prompt, engines []placement.Engine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	for _, e := range engines {
-		r.figures[figureKey{e.Endpoint, p.Model, p.Version}] = figure{at: now, engine: e}
+		r.estimates[estimateKey{e.Endpoint, p.Model, p.Version}] = cachedEstimate{at: now, engine: e}
 	}
 }
 
-// Explain returns why a recent request went where it did.
+// Explain returns the placement of a recent request, with the verdict on each candidate.
 func (r *Router) Explain(requestID string) (placement.Choice, bool) {
 	return r.choices.Get(requestID)
 }
 
-// promptOf tells owners of a request.
+// promptOf returns the description of a request's prompt that is sent to owners.
 func promptOf(req *runs.Request) owner.Prompt {
 	p := owner.Prompt{
 		Account:  req.Account,
@@ -275,7 +276,7 @@
 	return p
 }
 
-// globalRand draws from the process's random source, which needs no lock.
+// globalRand uses the process's global random source, which is safe for concurrent use.
 type globalRand struct{}
 
 var _ placement.Rand = globalRand{}
