--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -18,13 +18,13 @@
 func (r *RetrySchedule) After(now time.Time, wait, spacing, maxDelay time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := now.Add(wait)
-	if at.Before(r.next) {
-		at = r.next
+	retryAt := now.Add(wait)
+	if retryAt.Before(r.next) {
+		retryAt = r.next
 	}
-	if last := now.Add(maxDelay); at.After(last) {
-		at = last
+	if last := now.Add(maxDelay); retryAt.After(last) {
+		retryAt = last
 	}
-	r.next = at.Add(spacing)
-	return at.Sub(now)
+	r.next = retryAt.Add(spacing)
+	return retryAt.Sub(now)
 }
--- a/internal/enginestate/grants.go
+++ b/internal/enginestate/grants.go
@@ -77,19 +77,19 @@
 
 // Release ends a grant and updates the learned speeds. Unknown runs are ignored, so repeating it is
 // safe.
-func (e *Engine) Release(now time.Time, run string, seen Observed) {
+func (e *Engine) Release(now time.Time, run string, observed Observed) {
 	g := e.grants[run]
 	if g == nil {
 		return
 	}
-	if seen.FirstToken > 0 && !g.Started {
-		since := max(seen.Total-seen.FirstToken, 0)
-		e.FirstToken(now.Add(-since), run, seen.Prompt, seen.Cached)
+	if observed.FirstToken > 0 && !g.Started {
+		since := max(observed.Total-observed.FirstToken, 0)
+		e.FirstToken(now.Add(-since), run, observed.Prompt, observed.Cached)
 	}
 	e.endGrant(now, g)
-	switch seen.Outcome {
+	switch observed.Outcome {
 	case Completed:
-		e.learnRun(now, g, seen)
+		e.learnRun(now, g, observed)
 		e.health.succeeded()
 	case Failed:
 		e.health.failed(now, g.GrantedAt)
--- a/internal/enginestate/speed.go
+++ b/internal/enginestate/speed.go
@@ -33,13 +33,13 @@
 	e.speed(g.Model).prefill.Add(float64(computed)/took, float64(computed))
 }
 
-func (e *Engine) learnRun(now time.Time, g *Grant, seen Observed) {
+func (e *Engine) learnRun(now time.Time, g *Grant, observed Observed) {
 	e.runTime.Add(now.Sub(g.GrantedAt).Seconds(), 1)
-	if seen.Output < minSteps || seen.Total <= seen.FirstToken {
+	if observed.Output < minSteps || observed.Total <= observed.FirstToken {
 		return
 	}
-	steps := float64(seen.Output - 1)
-	e.speed(g.Model).step.Add((seen.Total-seen.FirstToken).Seconds()/steps, steps)
+	steps := float64(observed.Output - 1)
+	e.speed(g.Model).step.Add((observed.Total-observed.FirstToken).Seconds()/steps, steps)
 }
 
 // speed is the learned speed of one model on this engine.
--- a/internal/enginestate/tick.go
+++ b/internal/enginestate/tick.go
@@ -152,8 +152,8 @@
 	if p.Deadline.IsZero() {
 		return at
 	}
-	whole := e.prefillTime(p.Model, p.PromptTokens-p.CachedTokens)
-	last := p.Deadline.Add(-deadlineMargin * (whole + e.outstanding(now)))
+	fullPrefill := e.prefillTime(p.Model, p.PromptTokens-p.CachedTokens)
+	last := p.Deadline.Add(-deadlineMargin * (fullPrefill + e.outstanding(now)))
 	if last.Before(at) {
 		return latest(last, p.poppedAt)
 	}
--- a/internal/placer/alloc_test.go
+++ b/internal/placer/alloc_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// maxAllocs bounds the allocations of one placement among nine engines, which takes 69.
+// maxAllocs bounds the allocations of one placement among nine engines. A placement takes 69.
 const maxAllocs = 80
 
 // TestPlacementAllocates bounds the allocations of a placement, as each request pays for them.
--- a/internal/placer/backoff_test.go
+++ b/internal/placer/backoff_test.go
@@ -18,8 +18,8 @@
 	w.members[0].Signals.BackOff(time.Second, now)
 	w.members[1].Signals.BackOff(3*time.Second, now)
 	w.members[2].Health.Failed(now, true)
-	at := w.count(20, plainQuery())
-	test.Eq(t, 20, at["e2"], test.Sprint("e2 is avoided, but the only endpoint without a backoff"))
+	placed := w.count(20, plainQuery())
+	test.Eq(t, 20, placed["e2"], test.Sprint("e2 is avoided, but the only endpoint without a backoff"))
 	test.Zero(t, w.count(20, query())["e0"]+w.count(20, query())["e1"])
 
 	w.members[2].Signals.BackOff(2*time.Second, now)
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -103,20 +103,20 @@
 // domain and the known ones count.
 func (s *search) domainUses(candidates []*fleet.Member, known []string) (byDomain []*domainUse, all domainUse) {
 	for _, m := range candidates {
-		at := m.Endpoint()
-		if at.Domain != s.Domain && !slices.Contains(known, at.Domain) {
+		endpoint := m.Endpoint()
+		if endpoint.Domain != s.Domain && !slices.Contains(known, endpoint.Domain) {
 			continue
 		}
-		i := slices.IndexFunc(byDomain, func(u *domainUse) bool { return u.domain == at.Domain })
+		i := slices.IndexFunc(byDomain, func(u *domainUse) bool { return u.domain == endpoint.Domain })
 		if i < 0 {
 			i = len(byDomain)
-			byDomain = append(byDomain, &domainUse{domain: at.Domain})
+			byDomain = append(byDomain, &domainUse{domain: endpoint.Domain})
 		}
 		u := byDomain[i]
 		running := m.Load.Running() + s.others.Of(m.ID, m.Born).Running
 		u.engines = append(u.engines, m)
-		u.running, u.slots = u.running+running, u.slots+at.Slots
-		all.running, all.slots = all.running+running, all.slots+at.Slots
+		u.running, u.slots = u.running+running, u.slots+endpoint.Slots
+		all.running, all.slots = all.running+running, all.slots+endpoint.Slots
 	}
 	return byDomain, all
 }
@@ -128,13 +128,13 @@
 	for _, u := range uses {
 		sum += u.spareRequests(all)
 	}
-	at := s.Random() * sum
+	target := s.Random() * sum
 	for _, u := range uses {
 		spare := u.spareRequests(all)
-		if spare > 0 && at < spare {
+		if spare > 0 && target < spare {
 			return u
 		}
-		at -= spare
+		target -= spare
 	}
 	return nil
 }
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -203,9 +203,10 @@
 }
 
 // TestFindsRoomAtUnsampledEngine checks that the only engine of the failure domain with free memory
-// takes every prompt. A node first considers only engines with an open connection and two others.
-// Without a second look at all engines, callers were refused and came back late though others had
-// room: 105 of 480 attempts of the largest prompts in the 4 s after new weights were published.
+// gets every prompt. A node first considers only engines with an open connection and two others. If
+// it did not consider all others after that, callers would be refused and retry late though some
+// engine has room: 105 of 480 attempts of the largest prompts in the 4 s after new weights were
+// published.
 func TestFindsRoomAtUnsampledEngine(t *testing.T) {
 	w := newWorld(t, source{})
 	w.Whole = func() bool { return false }
@@ -244,8 +245,8 @@
 }
 
 // TestFillsMemoryThatHoldsManyPrompts checks that a prompt may fill an engine's memory beyond 0.85
-// where it holds many such prompts. Otherwise callers of the largest prompts are refused and come
-// back late though there is room: engines reported 94,000 of 149,000 tokens held while nodes
+// where it holds many such prompts. Otherwise callers of the largest prompts are refused and retry
+// late though there is room: engines reported 94,000 of 149,000 tokens held while nodes
 // estimated 131,000, as prompts in transit or half read hold less than they will.
 func TestFillsMemoryThatHoldsManyPrompts(t *testing.T) {
 	w := newWorld(t, source{}, 1)
--- a/internal/placer/cold_test.go
+++ b/internal/placer/cold_test.go
@@ -12,8 +12,8 @@
 	"github.com/cherryward/cherryward/internal/slowstart"
 )
 
-// limitColdStart limits the requests a second that each cold endpoint gets from all the given nodes
-// together; this node is "n".
+// limitColdStart limits the requests per second that each cold endpoint gets from all the given
+// nodes together; this node is "n".
 func (w *world) limitColdStart(perSecond int, nodes ...string) {
 	w.SlowStart = &slowstart.Limiter{Node: "n", View: func(string, int) slowstart.View { return slowstart.View{Generation: 1, Nodes: nodes} }}
 	w.MostCold = func(*routing.Service) int { return perSecond }
@@ -21,17 +21,17 @@
 
 // count places the given number of requests and returns how many went to each endpoint.
 func (w *world) count(requests int, q *forward.Query) map[string]int {
-	at := make(map[string]int)
+	placed := make(map[string]int)
 	for range requests {
 		if p, ok := w.Place(q); ok {
-			at[p.Member.ID]++
+			placed[p.Member.ID]++
 		}
 	}
-	return at
+	return placed
 }
 
 // TestColdEndpointGetsItsShare checks that a cold endpoint gets no more than this node's share of
-// requests a second, and warm endpoints get the rest, though the cold one looks the least busy.
+// requests per second, and warm endpoints get the rest, though the cold one looks the least busy.
 func TestColdEndpointGetsItsShare(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	w.limitColdStart(16, "n")
@@ -40,9 +40,9 @@
 	for _, m := range []int{0, 2} {
 		w.members[m].Load.Begin(100_000, 0)
 	}
-	at := w.count(40, query())
-	test.Eq(t, 2, at["e1"])
-	test.Eq(t, 38, at["e0"]+at["e2"])
+	placed := w.count(40, query())
+	test.Eq(t, 2, placed["e1"])
+	test.Eq(t, 38, placed["e0"]+placed["e2"])
 	test.Zero(t, w.count(40, plain)["e1"], test.Sprint("all kinds of requests together use up one share"))
 }
 
@@ -72,6 +72,6 @@
 	for _, m := range w.members {
 		m.Chill(time.Now().Add(time.Hour))
 	}
-	at := w.count(40, query())
-	test.Eq(t, 40, at["e0"]+at["e1"]+at["e2"])
+	placed := w.count(40, query())
+	test.Eq(t, 40, placed["e0"]+placed["e1"]+placed["e2"])
 }
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -34,9 +34,9 @@
 	for _, m := range []int{0, 2} {
 		w.members[m].Load.Begin(100_000, 0)
 	}
-	at := w.count(40, query())
-	test.Eq(t, 1, at["e1"], test.Sprint("the next request is allowed half a mean interval later"))
-	test.Eq(t, 39, at["e0"]+at["e2"])
+	placed := w.count(40, query())
+	test.Eq(t, 1, placed["e1"], test.Sprint("the next request is allowed half a mean interval later"))
+	test.Eq(t, 39, placed["e0"]+placed["e2"])
 	test.Zero(t, w.count(40, plainQuery())["e1"])
 }
 
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -164,9 +164,9 @@
 	w.versions.wanted, w.versions.age = 2, 9*time.Second
 	p, ok = w.Place(query())
 	must.True(t, ok)
-	left := time.Until(p.BeginBy)
-	test.Positive(t, left)
-	test.Less(t, limit-w.versions.age, left, test.Sprint("prompts are withdrawn before the limit"))
+	remaining := time.Until(p.BeginBy)
+	test.Positive(t, remaining)
+	test.Less(t, limit-w.versions.age, remaining, test.Sprint("prompts are withdrawn before the limit"))
 	w.versions.age = limit
 	_, ok = w.Place(query())
 	test.False(t, ok)
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -80,7 +80,7 @@
 	p.sources[i] = addr
 }
 
-// reason returns the reason code of the plan: where most of the prompt comes from.
+// reason returns the reason code of the plan, by the sources of its parts.
 func (p *plan) reason() string {
 	switch {
 	case p.fromStore && p.fetched > 0:
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -96,11 +96,11 @@
 	l := &located{version: version, salt: saltOf(s.q, version), current: version >= s.rollout.wanted}
 	mayName := s.Kept.ClockMS() > 0 && s.MayName(s.q.Attributes.Model, version)
 	for _, part := range s.q.Attributes.Parts {
-		at := s.locatePart(part, l.salt, mayName)
+		p := s.locatePart(part, l.salt, mayName)
 		if version == 0 {
-			at.stores, at.holders = nil, nil
+			p.stores, p.holders = nil, nil
 		}
-		l.parts = append(l.parts, at)
+		l.parts = append(l.parts, p)
 	}
 	s.located[version] = l
 	return l
@@ -108,28 +108,28 @@
 
 func (s *search) locatePart(part forward.Part, salt string, mayName bool) locatedPart {
 	key := kept.Part{Salt: salt, ID: part.ID}
-	at := locatedPart{Part: part}
+	located := locatedPart{Part: part}
 	for id, h := range s.Kept.Engines() {
 		// KV cache is not fetched from engines of evacuated failure domains, but is from stores
 		// there, as these are not endpoints.
 		if h.Has(key) >= part.Tokens && !s.evacuated(h.Domain) {
-			if at.engines == nil {
-				at.engines = make(map[string]*kept.Holder)
+			if located.engines == nil {
+				located.engines = make(map[string]*kept.Holder)
 			}
-			at.engines[id] = h
-			at.holders = append(at.holders, h)
+			located.engines[id] = h
+			located.holders = append(located.holders, h)
 		}
 	}
 	if !mayName {
-		return at
+		return located
 	}
 	for _, h := range s.Kept.Stores() {
 		if h.Names(s.now) && h.Has(key) >= part.Tokens {
-			at.stores = append(at.stores, h)
-			at.holders = append(at.holders, h)
+			located.stores = append(located.stores, h)
+			located.holders = append(located.holders, h)
 		}
 	}
-	return at
+	return located
 }
 
 // plan returns how an engine would obtain the parts. An engine can use a part only if it has all
--- a/internal/placer/unreported.go
+++ b/internal/placer/unreported.go
@@ -71,8 +71,8 @@
 func fillLevel(filled []float64, amount float64) float64 {
 	sorted := slices.Sorted(slices.Values(filled))
 	sum := 0.0
-	for i, at := range sorted {
-		sum += at
+	for i, current := range sorted {
+		sum += current
 		level := (amount + sum) / float64(i+1)
 		if i+1 == len(sorted) || level <= sorted[i+1] {
 			return level
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -159,39 +159,39 @@
 
 // FirstToken implements runs.Grant. It notifies the owner in the background; if this fails, the
 // owner uses its prediction.
-func (g *grant) FirstToken(seen runs.Observed) {
+func (g *grant) FirstToken(observed runs.Observed) {
 	req := &owner.FirstTokenRequest{
 		Endpoint:     g.endpoint.GetName(),
 		Grant:        g.id,
-		PromptTokens: seen.PromptTokens,
-		CachedTokens: seen.CachedTokens,
+		PromptTokens: observed.PromptTokens,
+		CachedTokens: observed.CachedTokens,
 	}
 	go func() { _, _ = callOwner(g.r, req.Endpoint, owner.MethodFirst, req, g.r.owner.FirstToken) }()
 }
 
 // Done implements runs.Grant. It releases the grant in the background.
-func (g *grant) Done(seen runs.Observed) {
+func (g *grant) Done(observed runs.Observed) {
 	g.r.mu.Lock()
 	delete(g.r.grants, g.id)
 	g.r.mu.Unlock()
-	go g.release(seen)
+	go g.release(observed)
 }
 
 // release reports the result of the run to the owner and caches the engine's wait from the
 // response.
-func (g *grant) release(seen runs.Observed) {
+func (g *grant) release(observed runs.Observed) {
 	req := &owner.ReleaseRequest{
 		Endpoint:     g.endpoint.GetName(),
 		Grant:        g.id,
-		Outcome:      uint8(outcome(seen)),
-		FirstToken:   seen.FirstToken,
-		Total:        seen.Total,
-		PromptTokens: seen.PromptTokens,
-		CachedTokens: seen.CachedTokens,
-		OutputTokens: seen.OutputTokens,
-		Incarnation:  seen.Incarnation,
+		Outcome:      uint8(outcome(observed)),
+		FirstToken:   observed.FirstToken,
+		Total:        observed.Total,
+		PromptTokens: observed.PromptTokens,
+		CachedTokens: observed.CachedTokens,
+		OutputTokens: observed.OutputTokens,
+		Incarnation:  observed.Incarnation,
 		Prompt:       g.prompt,
-		Blocks:       seen.Blocks,
+		Blocks:       observed.Blocks,
 	}
 	resp, err := callOwner(g.r, g.endpoint.GetName(), owner.MethodRelease, req, g.r.owner.Release)
 	if err != nil {
@@ -206,14 +206,14 @@
 }
 
 // outcome returns how a run ended, from the owner's point of view.
-func outcome(seen runs.Observed) enginestate.Outcome {
+func outcome(observed runs.Observed) enginestate.Outcome {
 	switch {
-	case seen.Complete:
+	case observed.Complete:
 		return enginestate.Completed
-	case seen.Err == nil:
+	case observed.Err == nil:
 		return enginestate.Abandoned
 	}
-	e := result.From(seen.Err)
+	e := result.From(observed.Err)
 	switch e.Code {
 	case result.CallerGone, result.DeadlinePassed:
 		return enginestate.Abandoned
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -66,10 +66,10 @@
 	for _, u := range r.Upstreams {
 		total += u.Weight
 	}
-	left := draw * total
+	remaining := draw * total
 	for _, u := range r.Upstreams {
-		left -= u.Weight
-		if left < 0 {
+		remaining -= u.Weight
+		if remaining < 0 {
 			return u.Service
 		}
 	}
