--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// announcePause is the time between two looks whether the own entry is there.
-	announcePause = 500 * time.Millisecond
-	// readBack is the time after which an entry that was written must be there, with some
-	// reads in between: written twice at a common start, it ended all nodes' waiting reads twice.
-	readBack = 2 * time.Second
+	// announceInterval is the time between two checks that this node's entry is present.
+	announceInterval = 500 * time.Millisecond
+	// readBackDelay is the time after a write until the entry is checked again. It spans several
+	// reads of the topic, so that a node does not write twice when many nodes start together: each
+	// write ends every node's waiting read.
+	readBackDelay = 2 * time.Second
 )
 
-// missing reports whether the topic was read and lacks this node, or has it as gone.
-func (r *roster) missing() bool {
+// ownEntryMissing reports whether the topic was read and does not hold this node's entry as this
+// node would write it, for example because it is marked as gone.
+func (r *roster) ownEntryMissing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.read && r.entries[r.node] != r.own
+	return r.loaded && r.entries[r.node] != r.own
 }
 
-// announce writes this node's entry whenever it is missing. Writing it twice does
-// no harm.
+// announce writes this node's entry whenever it is missing, until ctx is done. Writing the entry
+// twice is harmless.
 func (r *roster) announce(ctx context.Context) error {
 	for ctx.Err() == nil {
 		retry.Sleep(ctx, r.announceOnce(ctx))
@@ -34,23 +36,23 @@
 	return nil
 }
 
-// announceOnce writes the entry if it is missing, and returns the time until the next look.
+// announceOnce writes the entry if it is missing, and returns the time until the next check.
 func (r *roster) announceOnce(ctx context.Context) (pause time.Duration) {
-	if !r.missing() {
-		return announcePause
+	if !r.ownEntryMissing() {
+		return announceInterval
 	}
-	err := r.put(ctx)
+	err := r.writeOwnEntry(ctx)
 	r.log.Info().Str("event", "announced").Str("addr", r.own.Addr).Str("domain", r.own.Domain).AnErr("error", err).Send()
 	if err != nil {
-		return announcePause
+		return announceInterval
 	}
-	return readBack
+	return readBackDelay
 }
 
-func (r *roster) put(ctx context.Context) error {
+func (r *roster) writeOwnEntry(ctx context.Context) error {
 	value, err := json.Marshal(r.own)
 	if err != nil {
-		return eris.Wrap(err, "encode the node's entry")
+		return eris.Wrap(err, "encode this node's entry")
 	}
 	return r.topic.Put(ctx, r.node, value)
 }
--- /dev/null
+++ b/internal/gateway/cachestart.go
@@ -0,0 +1,54 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/cherryward/cherryward/coord/retry"
+	"github.com/cherryward/cherryward/internal/pace"
+)
+
+const (
+	// reportTimeout is how long a starting node of a large system waits for the nodes that read the
+	// store for its failure domain to report what all stores hold, before it queries the stores
+	// itself. After a power loss those nodes first have to query the stores, which takes a second
+	// or two.
+	reportTimeout = 4 * time.Second
+	// firstReportTimeout replaces reportTimeout at the first start of the whole system. The stores
+	// may then come up 5 s after the nodes, and hold nothing that a request could miss.
+	firstReportTimeout = 10 * time.Second
+	// firstListTimeout is how long nodes that start together for the first time need to list
+	// themselves. Until then a large system looks like a small one, in which every node queries the
+	// stores.
+	firstListTimeout = 2 * time.Second
+	// reportCheckInterval is the time between two checks whether all stores have been reported.
+	reportCheckInterval = 50 * time.Millisecond
+)
+
+// awaitReports waits until other nodes have reported what all stores hold, or until this node
+// should query the stores itself. It prevents nodes that start together from all querying each
+// store, which serves few readers at once.
+func (k *cacheTracker) awaitReports(ctx context.Context) {
+	for ctx.Err() == nil && !k.index.Told(k.node.clock.Now()) && k.shouldAwaitReports(k.node.clock.Since(k.node.started)) {
+		retry.Sleep(ctx, reportCheckInterval)
+	}
+	k.node.log.Info().Str("event", "kept_begins").Bool("told", k.index.Told(k.node.clock.Now())).Int("stores", len(k.index.Stores())).
+		Int("nodes", k.node.roster.Nodes()).Int64("age_ms", k.node.clock.Since(k.node.started).Milliseconds()).Send()
+}
+
+// shouldAwaitReports reports whether a node that started age ago should still wait for other nodes
+// to report what the stores hold.
+func (k *cacheTracker) shouldAwaitReports(age time.Duration) bool {
+	roster := k.node.roster
+	switch {
+	case !roster.Loaded():
+		return age < firstListTimeout // the system may be a large one
+	case pace.Whole(roster.Nodes()):
+		return k.node.boot.Load().First && age < firstListTimeout
+	case roster.readerCandidate():
+		return false
+	case k.node.boot.Load().First:
+		return age < firstReportTimeout
+	}
+	return age < reportTimeout
+}
--- /dev/null
+++ b/internal/gateway/cachetracker.go
@@ -0,0 +1,149 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/cherryward/cherryward/coord/retry"
+	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/peerload"
+	"github.com/cherryward/cherryward/internal/placer"
+)
+
+const (
+	// followInterval is the time between two checks for engines and stores that were added or
+	// removed.
+	followInterval = 300 * time.Millisecond
+	// initialFollowInterval is followInterval at a starting node until it knows of a store. Callers
+	// arrive at once, and each prompt part that is not known to be cached is computed again.
+	initialFollowInterval = 10 * time.Millisecond
+	// maxFreshConfigAge is the maximum age of the configuration at which a node counts as knowing
+	// the wanted versions: somewhat more than its age in normal operation. A longer age delays the
+	// freeing of outdated parts, whose space new parts need.
+	maxFreshConfigAge = 2800 * time.Millisecond
+	// maxReferenceConfigAge is the maximum age of the configuration at which a node references
+	// parts of the version that it takes for the wanted one. Other nodes cannot have seen a
+	// replacement before that configuration was current, and wait for freeDelay from then on. KV
+	// cache is therefore still fetched from stores during a metadata store outage of some seconds.
+	maxReferenceConfigAge = replacedReferenceTime + maxFreshConfigAge
+	// replacedReferenceTime is how long parts of a replaced version are still referenced, for
+	// engines that have not loaded the new one. It is about the duration of a rollout.
+	replacedReferenceTime = 9 * time.Second
+	// freeDelay is the time from the replacement of a version until its parts are freed. A node
+	// references them until replacedReferenceTime after it saw the new version, which happens at
+	// most maxFreshConfigAge late, and no fetch takes longer than placer.FetchLimit.
+	freeDelay = replacedReferenceTime + maxFreshConfigAge + placer.FetchLimit + 500*time.Millisecond
+	// minReportedLatenessMs is the lateness of fetches above which it is reported to peers. A busy
+	// engine alone delays a typical first event by less.
+	minReportedLatenessMs = 100.0
+	// freeSlots and freeSlotInterval stagger the nodes' searches for parts to free, so that most
+	// nodes find nothing left.
+	freeSlots        = 6
+	freeSlotInterval = 400 * time.Millisecond
+	// nonStandbyFreeDelay is the additional delay at nodes of a large system that are not standbys.
+	// Freeing sends a reference to each part to its store, which saturates a small host's link.
+	nonStandbyFreeDelay = 8 * time.Second
+)
+
+// cacheTracker tracks which KV-cache parts engines and stores hold, and frees outdated parts.
+type cacheTracker struct {
+	node   *Node
+	index  *kept.Index
+	floors versionFloors
+}
+
+var _ kept.Outdated = (*cacheTracker)(nil)
+
+// follow updates the index's holders from the configuration and the fleet until ctx is done. A
+// starting node queries the stores first: reading thousands of events from each engine takes a
+// small host some hundred ms, and the engines' parts are also at stores.
+func (k *cacheTracker) follow(ctx context.Context) error {
+	stores := k.stores()
+	for ; len(stores) == 0 && ctx.Err() == nil; stores = k.stores() {
+		retry.Sleep(ctx, initialFollowInterval)
+	}
+	k.index.Replace(nil, stores)
+	k.awaitReports(ctx)
+	k.index.Follow(ctx, nil, stores)
+	for ctx.Err() == nil {
+		retry.Sleep(ctx, followInterval)
+		k.index.Follow(ctx, k.engines(), k.stores())
+	}
+	k.index.Wait()
+	return nil
+}
+
+// engines returns the engines whose events this node reads. An engine is left out if all nodes
+// together would exceed its limit of concurrent readers; its contents are then estimated from the
+// engines to which sessions are assigned.
+func (k *cacheTracker) engines() []*kept.Holder {
+	config, _ := k.node.state.Config()
+	if config == nil {
+		return nil
+	}
+	nodes := k.node.nodes()
+	var engines []*kept.Holder
+	for _, m := range k.node.fleet.All() {
+		service := config.Service(m.Service)
+		if service == nil || service.Engine == nil || nodes > eventReadersOrDefault(service.Engine.EventReaders) {
+			continue
+		}
+		at := m.Endpoint()
+		h := kept.NewHolder(m.ID, at.Addr, at.Domain)
+		h.Born = at.Born
+		h.Mbps = service.Engine.LinkMbps
+		h.Readers = service.Engine.EventReaders
+		engines = append(engines, h)
+	}
+	return engines
+}
+
+// stores returns the configured KV-cache stores.
+func (k *cacheTracker) stores() []*kept.Holder {
+	config, _ := k.node.state.Config()
+	if config == nil {
+		return nil
+	}
+	var stores []*kept.Holder
+	for i := range config.Services {
+		s := config.Services[i].Store
+		if s == nil {
+			continue
+		}
+		h := kept.NewHolder(s.Addr, s.Addr, s.Domain)
+		h.Mbps = s.LinkMbps
+		h.First = s.FirstDelay
+		h.Tokens = s.KVTokens
+		h.Readers = s.EventReaders
+		stores = append(stores, h)
+	}
+	return stores
+}
+
+// pace returns how long a read of a holder's events waits, and the time between the start of two
+// reads. In a large system only a few nodes poll the holder.
+func (k *cacheTracker) pace(h *kept.Holder) (wait, pause time.Duration) {
+	return pace.Events(k.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
+}
+
+// lateStores returns the stores whose fetches by this node exceed minReportedLatenessMs.
+func (k *cacheTracker) lateStores() []peerload.Late {
+	var list []peerload.Late
+	now := k.node.clock.Now()
+	for _, store := range k.index.Stores() {
+		if ms := store.Late.MS(now); ms >= minReportedLatenessMs {
+			list = append(list, peerload.Late{Addr: store.Addr, MS: int(ms)})
+		}
+	}
+	return list
+}
+
+// eventReadersOrDefault returns the number of concurrent event readers that a holder serves: the
+// configured number, or pace.MeshNodes if it is not configured.
+func eventReadersOrDefault(configured int) int {
+	if configured > 0 {
+		return configured
+	}
+	return pace.MeshNodes
+}
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -14,20 +14,21 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// TestEndpointsAreServed tells operators which endpoints are restricted, and an empty list where none is.
-func TestEndpointsAreServed(t *testing.T) {
+// TestServeRestrictedEndpoints checks that the endpoint list contains the restricted endpoints, and
+// is an empty JSON list if there are none.
+func TestServeRestrictedEndpoints(t *testing.T) {
 	n := &Node{fleet: fleet.New(zerolog.Nop()), log: zerolog.Nop()}
-	ask := func() (listed []fleet.Status) {
+	get := func() (listed []fleet.Status) {
 		w := httptest.NewRecorder()
 		n.serveReady(w, httptest.NewRequest(http.MethodGet, pathEndpoints, nil))
 		must.Eq(t, http.StatusOK, w.Code)
 		must.NoError(t, json.Unmarshal(w.Body.Bytes(), &listed))
 		return listed
 	}
-	test.Eq(t, []fleet.Status{}, ask())
+	test.Eq(t, []fleet.Status{}, get())
 	n.fleet.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1"}, time.Now())
 	n.fleet.Member("e").Signals.BackOff(time.Minute, time.Now())
-	listed := ask()
+	listed := get()
 	must.Len(t, 1, listed)
 	test.Between(t, 59_000, listed[0].Backoff.LeftMs, 60_000)
 }
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -8,42 +8,45 @@
 	"github.com/cherryward/cherryward/platform"
 )
 
-// evacuations are the failure domains that the operators have evacuated: nothing is to be sent to the
-// endpoints there. Its zero value has none. Requests read it at every look for an endpoint.
+// evacuations holds the failure domains that operators have evacuated: their endpoints receive no
+// requests. The zero value has none. It is read for every selection of an endpoint.
 type evacuations struct {
-	// domains are those of the orders in force. The map is never changed in place.
+	// domains are the evacuated failure domains. The map is replaced, never modified.
 	domains atomic.Pointer[map[string]bool]
-	// ending is called before a failure domain's endpoints may get requests again; nil for nothing.
-	ending func(domain string)
+	// onEnd, if not nil, is called before the endpoints of a failure domain may receive requests
+	// again.
+	onEnd func(domain string)
 }
 
-// evacuationChange is an order that was given or taken back.
+// evacuationChange is the start or the end of an evacuation.
 type evacuationChange struct {
 	domain string
-	begun  bool
-	offset int64 // of the record; 0 where the order is missing in a snapshot
+	active bool
+	offset int64 // of the record; 0 if a snapshot lacks the order
 }
 
 // inForce reports whether a failure domain is evacuated.
-func (e *evacuations) inForce(domain string) bool { return e.all()[domain] }
+func (e *evacuations) inForce(domain string) bool { return e.activeDomains()[domain] }
 
-// all returns the failure domains that are evacuated, as far as this node saw. It is not to be changed.
-func (e *evacuations) all() map[string]bool {
+// activeDomains returns the evacuated failure domains according to the records read so far. Callers
+// must not modify the map.
+func (e *evacuations) activeDomains() map[string]bool {
 	if domains := e.domains.Load(); domains != nil {
 		return *domains
 	}
 	return nil
 }
 
-// apply takes the orders of a batch and returns what changed. An order that a snapshot lacks was taken
-// back, whether the record of that was read or not. One that was taken back and given again within a
-// batch stays in force throughout, but its endpoints count as given back: they may be cold.
+// apply applies the evacuation orders of a batch and returns what changed. An order that is missing
+// in a snapshot has been withdrawn, even if the record of the withdrawal was never read. An order
+// that is withdrawn and issued again within one batch stays in force, but its end is still
+// reported, since its endpoints may have become cold.
 func (e *evacuations) apply(b *follow.Batch) []evacuationChange {
 	if !b.Snapshot && len(b.Records) == 0 {
 		return nil
 	}
 	next := make(map[string]bool)
-	maps.Copy(next, e.all())
+	maps.Copy(next, e.activeDomains())
 	present := make(map[string]bool)
 	var changes []evacuationChange
 	for i := range b.Records {
@@ -52,17 +55,17 @@
 		if !ok {
 			continue
 		}
-		begun := r.Value != nil
-		present[domain] = begun
-		if begun == next[domain] {
+		active := r.Value != nil
+		present[domain] = active
+		if active == next[domain] {
 			continue
 		}
-		if begun {
+		if active {
 			next[domain] = true
 		} else {
 			delete(next, domain)
 		}
-		changes = append(changes, evacuationChange{domain: domain, begun: begun, offset: r.Offset})
+		changes = append(changes, evacuationChange{domain: domain, active: active, offset: r.Offset})
 	}
 	if b.Snapshot {
 		for domain := range next {
@@ -75,19 +78,19 @@
 	if len(changes) == 0 {
 		return nil
 	}
-	e.tellEnding(changes)
+	e.notifyEnded(changes)
 	e.domains.Store(&next)
 	return changes
 }
 
-// tellEnding tells of the orders that are taken back.
-func (e *evacuations) tellEnding(changes []evacuationChange) {
-	if e.ending == nil {
+// notifyEnded calls onEnd for each evacuation that ends.
+func (e *evacuations) notifyEnded(changes []evacuationChange) {
+	if e.onEnd == nil {
 		return
 	}
 	for _, change := range changes {
-		if !change.begun {
-			e.ending(change.domain)
+		if !change.active {
+			e.onEnd(change.domain)
 		}
 	}
 }
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -11,81 +11,86 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// given and takenBack are records of an evacuation order.
-func given(domain string) follow.Record {
+// evacuationRecord and evacuationEndRecord return the records that start and end an evacuation.
+func evacuationRecord(domain string) follow.Record {
 	return follow.Record{Key: "evacuate/" + domain, Value: []byte("{}")}
 }
-func takenBack(domain string) follow.Record { return follow.Record{Key: "evacuate/" + domain} }
+func evacuationEndRecord(domain string) follow.Record {
+	return follow.Record{Key: "evacuate/" + domain}
+}
 
+// newEvacuationState returns a state, and a list to which the domains of ended evacuations are
+// appended.
 func newEvacuationState() (s *state, ended *[]string) {
 	ended = new([]string)
 	s = newState(noBounds, zerolog.Nop())
-	s.evacuations.ending = func(domain string) { *ended = append(*ended, domain) }
+	s.evacuations.onEnd = func(domain string) { *ended = append(*ended, domain) }
 	return s, ended
 }
 
-func (s *state) readsNow(snapshot bool, records ...follow.Record) {
+// applyNow applies records as a read that was sent now.
+func (s *state) applyNow(snapshot bool, records ...follow.Record) {
 	s.Apply(follow.Batch{Records: records, Snapshot: snapshot, ProvenAt: time.Now()})
 }
 
-// Callers' requests reached endpoints of a failure domain long after the operators had asked that
-// nothing more be sent there: nodes read only the configuration and the versions of weights of the
-// operators' topic, and passed over the orders.
+// Nodes once processed only the configuration and the weight versions in the operators' topic and
+// ignored evacuation orders, so that requests reached endpoints of evacuated failure domains.
 
-// TestEvacuationOrders follows orders through records, snapshots and their removal.
+// TestEvacuationOrders applies orders through records, snapshots and removals.
 func TestEvacuationOrders(t *testing.T) {
 	s, ended := newEvacuationState()
 	test.False(t, s.Evacuated("north"))
-	s.readsNow(true, given("north"))
-	test.True(t, s.Evacuated("north"), test.Sprint("found at the start"))
+	s.applyNow(true, evacuationRecord("north"))
+	test.True(t, s.Evacuated("north"), test.Sprint("found by the first read"))
 	test.False(t, s.Evacuated("east"))
-	s.readsNow(false, given("east"), given("nowhere"))
+	s.applyNow(false, evacuationRecord("east"), evacuationRecord("nowhere"))
 	test.True(t, s.Evacuated("north") && s.Evacuated("east") && s.Evacuated("nowhere"))
-	s.readsNow(false)
-	test.True(t, s.Evacuated("east"), test.Sprint("nothing new was read"))
-	s.readsNow(false, takenBack("north"))
+	s.applyNow(false)
+	test.True(t, s.Evacuated("east"), test.Sprint("no records were read"))
+	s.applyNow(false, evacuationEndRecord("north"))
 	test.False(t, s.Evacuated("north"))
 	test.True(t, s.Evacuated("east"))
-	s.readsNow(true, given("east"))
+	s.applyNow(true, evacuationRecord("east"))
 	test.True(t, s.Evacuated("east"))
-	test.False(t, s.Evacuated("nowhere"), test.Sprint("taken back in a gap of the history"))
+	test.False(t, s.Evacuated("nowhere"), test.Sprint("withdrawn, but the record was not read"))
 	test.Eq(t, []string{"north", "nowhere"}, *ended)
 }
 
-// TestEvacuationValues takes an order with any value for one: its writer can only be an operator, and
-// sending nothing is the safe reading.
+// TestEvacuationValues checks that an order is accepted with any value: only operators write it,
+// and to send nothing is the safe interpretation.
 func TestEvacuationValues(t *testing.T) {
 	for _, value := range []string{"{}", "null", "", "\xff", `{"x":1}`} {
 		s, _ := newEvacuationState()
-		s.readsNow(false, follow.Record{Key: "evacuate/north", Value: append([]byte{}, value...)})
+		s.applyNow(false, follow.Record{Key: "evacuate/north", Value: append([]byte{}, value...)})
 		test.True(t, s.Evacuated("north"), test.Sprint(value))
 	}
 	s, _ := newEvacuationState()
-	s.readsNow(false, follow.Record{Key: "evacuate/", Value: []byte("{}")}, follow.Record{Key: "evacuated/north", Value: []byte("{}")})
+	s.applyNow(false, follow.Record{Key: "evacuate/", Value: []byte("{}")}, follow.Record{Key: "evacuated/north", Value: []byte("{}")})
 	test.False(t, s.Evacuated(""), test.Sprint("no failure domain is named"))
 	test.False(t, s.Evacuated("north"))
 }
 
-// TestEvacuationGivenAgain tells that endpoints are given back also where the order was taken back and
-// given again between two reads: they may have turned cold.
-func TestEvacuationGivenAgain(t *testing.T) {
+// TestEvacuationReissued checks that the end of an evacuation is reported even if the order was
+// withdrawn and issued again between two reads: the endpoints may have become cold.
+func TestEvacuationReissued(t *testing.T) {
 	s, ended := newEvacuationState()
-	s.readsNow(false, given("north"))
-	s.readsNow(false, takenBack("north"), given("north"))
+	s.applyNow(false, evacuationRecord("north"))
+	s.applyNow(false, evacuationEndRecord("north"), evacuationRecord("north"))
 	test.True(t, s.Evacuated("north"))
 	test.Eq(t, []string{"north"}, *ended)
-	s.readsNow(false, takenBack("north"))
+	s.applyNow(false, evacuationEndRecord("north"))
 	test.False(t, s.Evacuated("north"))
 	test.Eq(t, []string{"north", "north"}, *ended)
 }
 
-// TestEvacuationsBeforeRequests knows the orders in force before it has a configuration to serve by.
-func TestEvacuationsBeforeRequests(t *testing.T) {
+// TestEvacuationsBeforeConfig checks that the evacuations are known as soon as a configuration is
+// available, in either order of the records.
+func TestEvacuationsBeforeConfig(t *testing.T) {
 	s, _ := newEvacuationState()
 	config := follow.Record{Key: "config", Value: []byte(`{"version":1,"routes":[],"services":[],"limits":{},"tenants":[]}`)}
-	for _, records := range [][]follow.Record{{config, given("north")}, {given("north"), config}} {
+	for _, records := range [][]follow.Record{{config, evacuationRecord("north")}, {evacuationRecord("north"), config}} {
 		fresh, _ := newEvacuationState()
-		fresh.readsNow(true, slices.Clone(records)...)
+		fresh.applyNow(true, slices.Clone(records)...)
 		c, _ := fresh.Config()
 		test.NotNil(t, c)
 		test.True(t, fresh.Evacuated("north"))
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -10,43 +10,43 @@
 	"github.com/cherryward/cherryward/platform"
 )
 
-// askPause is the time between two questions to another node for what changed in a
-// topic. With the age of that node's copy it stays well within the operators' bounds.
-const askPause = 400 * time.Millisecond
+// relayPollInterval is the time between two requests to another node for changes of a topic.
+// Together with the age of that node's copy it stays well within the operators' bounds.
+const relayPollInterval = 400 * time.Millisecond
 
-// nodesAskPause is the same for the nodes' addresses, which change seldom.
-const nodesAskPause = 3 * time.Second
+// nodesRelayPollInterval is relayPollInterval for the nodes' addresses, which rarely change.
+const nodesRelayPollInterval = 3 * time.Second
 
-// followers are what keeps the node's copies of topics current.
+// followers keep this node's copies of the store's topics current.
 type followers struct {
 	config, endpoints, nodes *follow.Follower
 }
 
-// followers returns the followers of the store's topics, whose copies other nodes may
-// ask for.
+// followers returns the followers of the store's topics, and serves their copies to other nodes.
 func (n *Node) followers(store *platform.Store) followers {
 	copies := relay.New(n.conn)
 	follower := func(name, topic string, held *relay.Copy) (*follow.Follower, *relay.Topic) {
 		copies.Serve(name, held)
 		from := &relay.Topic{Name: name, Store: store.Topic(topic), Relay: copies, Readers: n.readers, Backups: n.roster.backups, Fallback: n.fallbackPause, Log: n.log}
-		return &follow.Follower{Name: name, Topic: from, Sink: held, Retry: storeRetry, RetryMost: storeRetryMost, Reject: n.state.rejected.record, Clock: n.clock, Log: n.log}, from
+		return &follow.Follower{Name: name, Topic: from, Sink: held, Retry: storeRetry, RetryMost: maxStoreRetry, Reject: n.state.rejected.record, Clock: n.clock, Log: n.log}, from
 	}
 	var f followers
 	var from *relay.Topic
 	f.config, from = follower("config", platform.TopicOperator, &relay.Copy{Sink: n.state, Clock: n.clock})
-	f.config.Wait, f.config.Pause = unless(from.Relayed, n.configWait), either(from.Relayed, askPause, nil)
+	f.config.Wait, f.config.Pause = zeroIfRelayed(from.Relayed, n.configWait), intervalIfRelayed(from.Relayed, relayPollInterval, nil)
 	f.endpoints, from = follower("registry", platform.TopicEndpoints, &relay.Copy{Sink: n.registry, Clock: n.clock, Same: platform.SameEndpoint, Brief: platform.BriefEndpoint})
-	// Each heartbeat is a record, so a read that waits for one would end many times a
+	// Each heartbeat is a record, so a read that waits for a change would end many times per
 	// second.
-	f.endpoints.Pause = either(from.Relayed, askPause, n.registryPause)
+	f.endpoints.Pause = intervalIfRelayed(from.Relayed, relayPollInterval, n.registryPause)
 	f.nodes, from = follower("nodes", platform.NodesTopic, &relay.Copy{Sink: n.roster, Clock: n.clock})
-	from.MaxAge = oldestNodes
-	f.nodes.Wait, f.nodes.Pause = unless(from.Relayed, n.nodesWait), either(from.Relayed, nodesAskPause, n.rosterPause)
+	from.MaxAge = maxNodesAge
+	f.nodes.Wait, f.nodes.Pause = zeroIfRelayed(from.Relayed, n.nodesWait), intervalIfRelayed(from.Relayed, nodesRelayPollInterval, n.rosterPause)
 	return f
 }
 
-// unless returns a setting that is nothing while a topic is read from another node.
-func unless(relayed func() bool, setting func() time.Duration) func() time.Duration {
+// zeroIfRelayed returns a function that returns 0 while a topic is read from another node, and the
+// value of setting otherwise.
+func zeroIfRelayed(relayed func() bool, setting func() time.Duration) func() time.Duration {
 	return func() time.Duration {
 		if relayed() {
 			return 0
@@ -55,48 +55,50 @@
 	}
 }
 
-// either returns a setting that is asked while a topic is read from another node, else
-// what own returns; nil for nothing.
-func either(relayed func() bool, asked time.Duration, own func() time.Duration) func() time.Duration {
+// intervalIfRelayed returns a function that returns interval while a topic is read from another
+// node, and the value of direct otherwise. A nil direct stands for 0.
+func intervalIfRelayed(relayed func() bool, interval time.Duration, direct func() time.Duration) func() time.Duration {
 	return func() time.Duration {
 		switch {
 		case relayed():
-			return asked
-		case own == nil:
+			return interval
+		case direct == nil:
 			return 0
 		}
-		return own()
+		return direct()
 	}
 }
 
-// readers returns the nodes that this one asks for what the store has.
+// readers returns the nodes from which this node obtains the store's contents, empty if it reads
+// the store itself.
 func (n *Node) readers() []netip.AddrPort {
 	addrs, _ := n.roster.readers()
 	return addrs
 }
 
-// relayed reports whether other nodes read the store, and ask the stores of KV cache, for this one.
+// relayed reports whether other nodes read the metadata store and poll the KV-cache stores on
+// behalf of this node.
 func (n *Node) relayed() bool { return len(n.readers()) > 0 }
 
-// storeReaders returns the number of nodes that share the reads of the store: all, at a
-// node that reads it for want of one to ask.
-func (n *Node) storeReaders() int {
+// storeReaderCount returns the number of nodes among which reads of the store are divided: all
+// nodes, or pace.MeshNodes at one of the few nodes of a large system that read for the others.
+func (n *Node) storeReaderCount() int {
 	if _, own := n.roster.readers(); own {
 		return pace.MeshNodes
 	}
 	return n.nodes()
 }
 
-// fallbackPause is the time between two reads of a store that fails, at a node for which
-// others read it. These tell it as soon as the store is back.
+// fallbackPause returns the time between two reads of a failing store, at a node that relies on
+// others to read it. Those nodes report to it as soon as the store is back.
 func (n *Node) fallbackPause() time.Duration { return pace.Fallback(n.nodes()) }
 
-// configWait is how long a read of the configuration waits for a change.
+// configWait returns how long a read of the configuration waits for a change.
 func (n *Node) configWait() time.Duration {
-	return pace.ConfigWait(n.storeReaders(), n.bounds().Revoke)
+	return pace.ConfigWait(n.storeReaderCount(), n.bounds().Revoke)
 }
 
-// nodesWait is how long a read of the nodes' addresses waits for a change.
+// nodesWait returns how long a read of the nodes' addresses waits for a change.
 func (n *Node) nodesWait() time.Duration {
 	if _, own := n.roster.readers(); own {
 		return readerNodesWait
@@ -104,6 +106,7 @@
 	return nodesWait
 }
 
+// registryPause returns the time between two reads of the registry.
 func (n *Node) registryPause() time.Duration {
 	if _, own := n.roster.readers(); own {
 		return pace.Reader(n.bounds().Drain)
@@ -111,10 +114,10 @@
 	return pace.Registry(n.nodes(), n.bounds().Drain)
 }
 
-// rosterPause is the time between two reads of the nodes' addresses.
+// rosterPause returns the time between two reads of the nodes' addresses.
 func (n *Node) rosterPause() time.Duration {
-	if n.clock.Since(n.started) < gatherTime {
-		return gatherPause
+	if n.clock.Since(n.started) < startupWindow {
+		return startupReadInterval
 	}
 	return pace.Roster(n.nodes())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway puts together a node that stands between the clients and
-// servers of the users' platform.
+// Package gateway assembles a gateway node, which forwards requests from clients to the servers of
+// the users' platform.
 package gateway
 
 import (
@@ -31,59 +31,59 @@
 )
 
 const (
-	// storeRetry is the pause after a failed read of the store.
+	// storeRetry is the delay after a failed read of the store.
 	storeRetry = 250 * time.Millisecond
-	// storeRetryMost is the same after several. A node must know what changed within the
-	// stable window, 3 s or more, after the store is back.
-	storeRetryMost = time.Second
-	// stopMargin is kept of the grace time for the process's own end.
+	// maxStoreRetry is the delay after repeated failures. A node must learn what changed within the
+	// stable window, at least 3 s, after the store is back.
+	maxStoreRetry = time.Second
+	// stopMargin is the part of the grace period reserved for the exit of the process.
 	stopMargin = 500 * time.Millisecond
 
-	// leaseMargin is added to the lease bound before another node gives orders, for
-	// the way of the last order.
+	// leaseMargin is added to the lease bound before another node issues orders, to cover the
+	// transit time of the last order.
 	leaseMargin = 200 * time.Millisecond
 
-	// takeoverTime is how long a node that doesn't stand by leaves the claim on orders to
-	// those that do after it last heard of a holder. They need the rest of the claim's
-	// time, the lease bound and a read of the log: 5.5 s.
-	takeoverTime = 8 * time.Second
+	// takeoverDelay is how long a node that is not a standby waits, after the last message from a
+	// holder of the claim on orders, before it tries to take the claim. The standbys need up to
+	// 5.5 s: the rest of the claim's duration, the lease bound and a read of the log.
+	takeoverDelay = 8 * time.Second
 
-	// heardTime is how long a node may be silent that others ask for what the store has:
-	// a few of its messages may be lost.
-	heardTime = time.Second
+	// peerTimeout is how long a node that reads the store for others may be silent before it counts
+	// as unavailable. It tolerates the loss of a few messages.
+	peerTimeout = time.Second
 )
 
-// Node is a gateway node, listening but not yet running.
+// Node is a gateway node. New opens its listeners; Run starts it.
 type Node struct {
-	kernel     *kernel.Kernel
-	clock      *clock.Clock
-	boot       atomic.Pointer[bootstrap.Node]
-	state      *state
-	fleet      *fleet.Fleet
-	registry   *registry
-	callers    *server
-	balancer   *server // answers whether the node is ready
-	keeping    *keeping
-	events     *kept.Peers // tells and asks other nodes what stores keep
-	orders     *weights.Service
-	conn       *datagram.Conn // to and from other nodes
-	peers      *peerload.Exchange
-	roster     *roster
-	quarantine *quarantine.Service
-	recorder   *recorder
-	started    time.Time
-	leaving    atomic.Bool
-	toldReady  atomic.Bool // the newest answer to the balancer
-	log        zerolog.Logger
+	kernel        *kernel.Kernel
+	clock         *clock.Clock
+	boot          atomic.Pointer[bootstrap.Node]
+	state         *state
+	fleet         *fleet.Fleet
+	registry      *registry
+	callers       *server
+	readyServer   *server // readiness checks of the balancer, metrics
+	cacheTracker  *cacheTracker
+	events        *kept.Peers // exchanges the stores' contents with other nodes
+	orders        *weights.Service
+	conn          *datagram.Conn // messages to and from other nodes
+	peers         *peerload.Exchange
+	roster        *roster
+	quarantine    *quarantine.Service
+	recorder      *recorder
+	started       time.Time
+	leaving       atomic.Bool
+	reportedReady atomic.Bool // last readiness reported to the balancer
+	log           zerolog.Logger
 }
 
-// New opens the node's listeners and puts its services together. load reads the
-// boot file anew, in case it changes.
+// New opens the node's listeners and creates its services. load reads the boot file again, to
+// detect changes.
 func New(boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
 	return NewOn(clock.System(), boot, load, log)
 }
 
-// NewOn does so on a host whose clock counts the time in which it is suspended.
+// NewOn is New for a host with the given clock, which must count time spent in suspension.
 func NewOn(host *clock.Clock, boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
 	limitMemory(boot.MemoryBytes)
 	n := &Node{
@@ -100,10 +100,10 @@
 	n.state.clock = host
 	n.registry = newRegistry(n.fleet, n.state.config.Load, n.bounds, n.state.rejected)
 	n.registry.clock = host
-	n.state.configured = n.registry.reconsider
-	n.state.evacuations.ending = n.registry.chill
+	n.state.onConfig = n.registry.reevaluate
+	n.state.evacuations.onEnd = n.registry.markDomainCold
 	store := platform.NewStore(boot.StoreAddr)
-	if err := n.addParts(store); err != nil {
+	if err := n.buildComponents(store); err != nil {
 		return nil, err
 	}
 	if err := n.listen(); err != nil {
@@ -112,20 +112,20 @@
 	return n, n.registerServices(store, load)
 }
 
-// addParts makes what requests are decided with.
-func (n *Node) addParts(store *platform.Store) (err error) {
+// buildComponents creates the components on which decisions about requests depend.
+func (n *Node) buildComponents(store *platform.Store) (err error) {
 	boot := n.boot.Load()
 	engines := platform.NewEngines()
-	n.keeping = &keeping{node: n}
-	n.keeping.index = kept.NewIndex(engines, n.keeping.pace, n.log)
-	n.keeping.index.Relayed = n.relayed
-	n.keeping.index.Clock = n.clock
+	n.cacheTracker = &cacheTracker{node: n}
+	n.cacheTracker.index = kept.NewIndex(engines, n.cacheTracker.pace, n.log)
+	n.cacheTracker.index.Relayed = n.relayed
+	n.cacheTracker.index.Clock = n.clock
 	n.conn, err = datagram.Listen(peerAddr(boot), n.log)
 	if err != nil {
 		return err
 	}
 	n.conn.Bound(pace.Answers(boot.LinkBytes))
-	n.events = &kept.Peers{Index: n.keeping.index, Conn: n.conn, Readers: n.readers}
+	n.events = &kept.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
 	n.events.Serve()
 	n.peers = peerload.New(peerload.Config{
 		Node:       boot.Name,
@@ -133,24 +133,24 @@
 		Conn:       n.conn,
 		Members:    n.fleet.All,
 		Member:     n.fleet.Member,
-		Late:       n.keeping.late,
-		Orders:     n.givenOrders,
-		Names:      n.keeping.names,
-		Neighbours: n.neighbours,
+		Late:       n.cacheTracker.lateStores,
+		Orders:     n.orderStatus,
+		Names:      n.cacheTracker.referencedFloors,
+		Neighbours: n.domainPeers,
 		Role:       func() peerload.Role { return n.roster.role() },
 		LinkBytes:  boot.LinkBytes,
 		Clock:      n.clock,
 		Log:        n.log,
 	})
 	own := nodeEntry{Addr: n.conn.Addr(), Domain: boot.Domain, MilliCores: boot.MilliCores}
-	n.roster = newRoster(boot.Name, own, store.Topic(platform.NodesTopic), n.peers.SetPeers, n.heard, n.log)
+	n.roster = newRoster(boot.Name, own, store.Topic(platform.NodesTopic), n.peers.SetPeers, n.peerAlive, n.log)
 	n.roster.clock = n.clock
 	n.roster.rejected = n.state.rejected
 	n.quarantine = quarantine.New(quarantine.Config{
 		Node: boot.Name, Conn: n.conn, Peers: n.roster.Peers, Topic: store.Topic(platform.NodesTopic), Now: n.clock.Now, Log: n.log,
 	})
-	n.roster.holds, n.roster.changed = n.quarantine.Apply, n.quarantine.PeersChanged
-	n.roster.lease.grace = goneGrace(boot.Bounds.RetryWindow)
+	n.roster.applyHoldRecord, n.roster.changed = n.quarantine.Apply, n.quarantine.PeersChanged
+	n.roster.lease.grace = removalGrace(boot.Bounds.RetryWindow)
 	n.orders, err = weights.New(weights.Config{
 		Node:    boot.Name,
 		Fleet:   n.fleet,
@@ -173,20 +173,20 @@
 // listen opens the listeners for callers and for the balancer.
 func (n *Node) listen() (err error) {
 	boot := n.boot.Load()
-	n.callers, err = listen("callers", boot.CallersAddr, closing(&n.leaving, n.handler()), &n.leaving, n.log)
+	n.callers, err = listen("callers", boot.CallersAddr, closeWhenLeaving(&n.leaving, n.handler()), &n.leaving, n.log)
 	if err != nil {
 		return err
 	}
-	n.callers.linger = leaveTime
+	n.callers.linger = lingerTime
 	n.callers.needs = []string{"ready", "config", "registry", "kept"}
-	n.balancer, err = listen("ready", boot.ReadyAddr, http.HandlerFunc(n.serveReady), &n.leaving, n.log)
+	n.readyServer, err = listen("ready", boot.ReadyAddr, http.HandlerFunc(n.serveReady), &n.leaving, n.log)
 	return err
 }
 
-// registerServices hands all services to the kernel.
+// registerServices registers all services with the kernel.
 func (n *Node) registerServices(store *platform.Store, load func() (*bootstrap.Node, error)) error {
 	followers := n.followers(store)
-	return n.register(n.balancer, n.callers,
+	return n.register(n.readyServer, n.callers,
 		&task{name: "config", run: followers.config.Run},
 		&task{name: "registry", run: followers.endpoints.Run},
 		&task{name: "roster", run: followers.nodes.Run},
@@ -198,9 +198,9 @@
 		&task{name: "suspension", run: n.watchSuspension},
 		&task{name: "sweep", run: newSweeper(n).run},
 		&task{name: "reload", run: func(ctx context.Context) error { return n.reload(ctx, load) }},
-		&task{name: "kept", run: n.keeping.follow},
+		&task{name: "kept", run: n.cacheTracker.follow},
 		&task{name: "events", run: n.events.Run},
-		&task{name: "free", run: n.keeping.free},
+		&task{name: "free", run: n.cacheTracker.free},
 	)
 }
 
@@ -216,7 +216,7 @@
 func (n *Node) handler() *forward.Handler {
 	boot := n.boot.Load()
 	budgets := forward.NewBudgets(boot.Bounds, n.nodes)
-	budgets.Held = n.roster.Counted
+	budgets.Held = n.roster.HoldsLease
 	budgets.Clock = n.clock
 	return &forward.Handler{
 		Dialect:    platform.Dialect{},
@@ -238,8 +238,8 @@
 		Domain:       n.boot.Load().Domain,
 		Fleet:        n.fleet,
 		Versions:     n.state,
-		Kept:         n.keeping.index,
-		MayName:      n.keeping.mayName,
+		Kept:         n.cacheTracker.index,
+		MayName:      n.cacheTracker.mayReference,
 		Peers:        n.peers.Table,
 		Kick:         n.peers.Kick,
 		Usual:        &kept.Lateness{},
@@ -248,9 +248,9 @@
 		VersionApply: func() time.Duration { return n.bounds().VersionApply },
 		Evacuated:    n.state.Evacuated,
 		SlowStart:    &slowstart.Limiter{Node: n.boot.Load().Name, View: n.roster.senders},
-		MostCold:     n.mostCold,
+		MostCold:     n.maxColdRate,
 		Throttle:     &throttle.Limiter{Node: n.boot.Load().Name, View: n.roster.throttlers},
-		Excused:      n.state.excused,
+		Excused:      n.state.startupGrace,
 		Services:     &placer.Services{},
 		Nodes:        n.nodes,
 		Unheard:      n.peers.Unheard,
@@ -261,7 +261,7 @@
 
 func (n *Node) bounds() bootstrap.Bounds { return n.boot.Load().Bounds }
 
-// peerAddr is where the node hears its peers.
+// peerAddr returns the address at which the node receives messages from its peers.
 func peerAddr(boot *bootstrap.Node) string {
 	return net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPorts[0]))
 }
@@ -269,11 +269,11 @@
 // CallersAddr returns the address that callers connect to.
 func (n *Node) CallersAddr() string { return n.callers.listener.Addr().String() }
 
-// Nodes returns the number of nodes that are listed, this one included.
+// Nodes returns the number of listed nodes, this one included.
 func (n *Node) Nodes() int { return n.roster.Nodes() }
 
-// Holds returns the requests that are or were held.
+// Holds returns the current and past holds on requests.
 func (n *Node) Holds() []quarantine.Hold { return n.quarantine.Holds() }
 
-// Run serves until ctx is done, then stops gracefully.
+// Run serves until ctx is done, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error { return n.kernel.Run(ctx) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,9 +12,9 @@
 	"github.com/cherryward/cherryward/internal/kept"
 )
 
-// TestRatesAtStart has a node that starts ask as often as it does later on: after a loss
-// of power it knows nothing of what is kept, and each part that it doesn't know is read.
-func TestRatesAtStart(t *testing.T) {
+// TestReadIntervalsAtStart checks that a starting node reads as often as later on: after a power
+// loss it does not know which parts are cached, and each unknown part is computed again.
+func TestReadIntervalsAtStart(t *testing.T) {
 	boot := &bootstrap.Node{
 		Name: "n", Domain: "north", IP: "127.0.0.1", CallersAddr: "127.0.0.1:0", ReadyAddr: "127.0.0.1:0",
 		MemoryBytes: 256 << 20, StoreAddr: "127.0.0.1:9",
@@ -24,8 +24,8 @@
 	must.NoError(t, err)
 	defer n.conn.Close()
 	defer n.callers.listener.Close()
-	defer n.balancer.listener.Close()
-	_, pause := n.keeping.pace(kept.NewHolder("e", "127.0.0.1:9", "north"))
+	defer n.readyServer.listener.Close()
+	_, pause := n.cacheTracker.pace(kept.NewHolder("e", "127.0.0.1:9", "north"))
 	test.Eq(t, 250*time.Millisecond, pause)
 	test.Eq(t, 400*time.Millisecond, n.registryPause())
 	test.Eq(t, 900*time.Millisecond, n.configWait())
--- a/internal/gateway/lease.go
+++ b/internal/gateway/lease.go
@@ -7,65 +7,67 @@
 )
 
 const (
-	// entryProof is how long a node counts itself as one of those that the others count
-	// after its entry was certainly in the topic. It is the longest age of that proof on a
-	// calm day, 20 s (a read that waits 10 s proves what was when it was sent, and the next
-	// one takes as long), and an outage of the store of 40 s.
-	entryProof = 60 * time.Second
-	// leaseSlack is added to what others wait after that: timers fire late.
-	leaseSlack = 2 * time.Second
+	// leaseDuration is how long a node considers itself counted by the others after its entry was
+	// last known to be in the topic. It covers the maximum age of that proof in normal operation,
+	// 20 s (a read that waits 10 s proves the state at the time it was sent, and the next read
+	// takes as long), plus a store outage of 40 s.
+	leaseDuration = 60 * time.Second
+	// timerSlack is added to the time that other nodes wait beyond the lease, since timers fire
+	// late.
+	timerSlack = 2 * time.Second
 )
 
-// goneGrace returns how long an entry is marked before it is removed, and how long a node
-// whose entry was removed stands back after it has one again. A node that is cut off acts as
-// counted for entryProof; what it did last is over after a window of the retry budget, and
-// after the longest fetch that it named on the oldest configuration.
-func goneGrace(budgetWindow time.Duration) time.Duration {
-	return entryProof + max(budgetWindow, staleNaming+placer.FetchLimit) + leaseSlack
+// removalGrace returns how long an entry stays marked before it is removed, and how long a node
+// whose entry was removed waits after it has an entry again. A disconnected node acts as counted
+// for leaseDuration. The effects of its last actions end after a window of the retry budget, and
+// after the longest fetch of a part that it referenced with the oldest permitted configuration.
+func removalGrace(budgetWindow time.Duration) time.Duration {
+	return leaseDuration + max(budgetWindow, maxReferenceConfigAge+placer.FetchLimit) + timerSlack
 }
 
-// lease is a node's right to act as one of those that the others count: to use its share of
-// the retry budget, and to name parts at stores that others free on all nodes' promises.
+// lease is a node's right to act as one of the nodes that the others count: to use its share of the
+// retry budget, and to reference parts at stores, which other nodes free only once every counted
+// node has agreed.
 //
-// Guarantee: nobody leaves a node out of the count while its lease holds, nor within the time
-// that what it did last takes to end. A lease is dated by reads of the topic that found the
-// node's own entry without a mark; others remove an entry goneGrace after it was marked, and
-// only where it wasn't written since. A node that was left out holds no lease until the others
-// have read its new entry, or hold none themselves.
+// Guarantee: no node excludes another from the count while the other's lease is valid, nor until
+// the effects of its last actions have ended. The lease is renewed by each read of the topic that
+// finds the node's own entry unmarked. Other nodes remove an entry removalGrace after it was
+// marked, and only if it was not written since. A removed node has no valid lease until the others
+// have read its new entry, or have no valid lease themselves.
 type lease struct {
-	grace  time.Duration
-	proven time.Time // when the entry was certainly there; at first the node's start
-	ever   bool      // the entry was there
-	out    bool      // it was there, and is no more
-	from   time.Time // the lease doesn't hold before
+	grace      time.Duration
+	proven     time.Time // last time the entry was known to be present; initially the node's start
+	everListed bool      // the entry has been present
+	removed    bool      // the entry was present and has disappeared
+	validFrom  time.Time // the lease is invalid before this time
 }
 
-// sighting is what a read of the topic tells of a node's own entry.
-type sighting struct {
+// entryObservation is the state of a node's own entry according to a read of the topic.
+type entryObservation struct {
 	listed, gone bool
-	touched      bool // the read brought a record of it
+	updated      bool // the read returned a record of the entry
 	provenAt, at time.Time
 }
 
-// see takes a read's word. An entry that was removed and written again between two reads
-// leaves no trace but a record after a lapsed proof.
-func (l *lease) see(s sighting) {
+// observe updates the lease from a read of the topic. If an entry was removed and written again
+// between two reads, the only evidence is a record that arrives after the proof has expired.
+func (l *lease) observe(s entryObservation) {
 	switch {
 	case !s.listed:
-		l.out = l.ever
+		l.removed = l.everListed
 	case !s.gone:
-		lapsed := l.ever && s.touched && s.provenAt.Sub(l.proven) >= entryProof
-		if l.out || lapsed {
-			l.from = s.at.Add(l.grace)
+		lapsed := l.everListed && s.updated && s.provenAt.Sub(l.proven) >= leaseDuration
+		if l.removed || lapsed {
+			l.validFrom = s.at.Add(l.grace)
 		}
-		l.ever, l.out = true, false
+		l.everListed, l.removed = true, false
 		if s.provenAt.After(l.proven) {
 			l.proven = s.provenAt
 		}
 	}
 }
 
-// holds reports whether the others certainly count this node.
-func (l *lease) holds(now time.Time) bool {
-	return !l.out && !now.Before(l.from) && now.Sub(l.proven) < entryProof
+// valid reports whether the other nodes are certain to count this node.
+func (l *lease) valid(now time.Time) bool {
+	return !l.removed && !now.Before(l.validFrom) && now.Sub(l.proven) < leaseDuration
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -36,18 +36,17 @@
 	metricBackoff     = "cherryward_gateway_backoff_endpoints"
 )
 
-// secondsBounds are the upper bounds of the buckets, the same on all nodes so that
-// their series can be added up.
+// secondsBounds are the upper bounds of the histogram buckets, in seconds. They are the same on all
+// nodes so that their series can be added up.
 var secondsBounds = []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 5, 15}
 
-// recorder keeps a node's metrics. The number of series is bounded by the kinds of
-// routes, their ranks and the result codes, whatever the number of routes and
-// accounts.
+// recorder holds a node's metrics. The number of series is bounded by the route kinds, their ranks
+// and the result codes; it does not depend on the number of routes and accounts.
 type recorder struct{ set *metrics.Set }
 
 var _ forward.Recorder = (*recorder)(nil)
 
-// newRecorder returns the metrics of a node, with gauges that read its state.
+// newRecorder returns a recorder with gauges that read the node's state.
 func newRecorder(n *Node) *recorder {
 	set := metrics.NewSet()
 	set.NewGauge(metricConfigAge, func() float64 {
@@ -89,29 +88,31 @@
 	set.NewGauge(metricHeld, func() float64 { return float64(n.quarantine.Held()) })
 	set.NewGauge(metricSuspended, func() float64 { return n.clock.Suspended().Seconds() })
 	set.NewGauge(metricSuspects, func() float64 { return float64(n.quarantine.Suspects()) })
-	set.NewGauge(metricEvacuated, func() float64 { return float64(len(n.state.evacuations.all())) })
+	set.NewGauge(metricEvacuated, func() float64 { return float64(len(n.state.evacuations.activeDomains())) })
 	set.NewGauge(metricCold, func() float64 { return n.countEndpoints((*fleet.Member).Cold) })
 	set.NewGauge(metricLimited, func() float64 { return n.countEndpoints(isLimited) })
 	set.NewGauge(metricBackoff, func() float64 { return n.countEndpoints(isBackingOff) })
 	return &recorder{set: set}
 }
 
-// countEndpoints returns the number of endpoints of which something holds now.
-func (n *Node) countEndpoints(is func(m *fleet.Member, now time.Time) bool) float64 {
+// countEndpoints returns the number of endpoints for which match returns true now.
+func (n *Node) countEndpoints(match func(m *fleet.Member, now time.Time) bool) float64 {
 	now, count := n.clock.Now(), 0
 	for _, m := range n.fleet.All() {
-		if is(m, now) {
+		if match(m, now) {
 			count++
 		}
 	}
 	return float64(count)
 }
 
+// isLimited reports whether a rate limit of the endpoint is in force.
 func isLimited(m *fleet.Member, _ time.Time) bool {
 	limit, known := m.Signals.RateLimit()
 	return known && limit.InForce
 }
 
+// isBackingOff reports whether requests to the endpoint are suspended by a backoff.
 func isBackingOff(m *fleet.Member, now time.Time) bool {
 	_, backsOff := m.Signals.Backoff(now)
 	return backsOff
@@ -128,7 +129,7 @@
 	r.set.GetOrCreatePrometheusHistogramExt(metricTotal+labels+`}`, secondsBounds).Update(o.Total.Seconds())
 }
 
-// classOf names a route's class: its kind and rank.
+// classOf returns a route's class label: its kind and rank, or "none" without a route.
 func classOf(route *routing.Route) string {
 	if route == nil {
 		return "none"
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -19,14 +19,15 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// TestMetricsAreDescribed keeps the operators' page and the served metrics the same.
-func TestMetricsAreDescribed(t *testing.T) {
+// TestMetricsAreDocumented checks that the operators' documentation lists exactly the served
+// metrics.
+func TestMetricsAreDocumented(t *testing.T) {
 	n := &Node{
 		state: newState(noBounds, zerolog.Nop()), fleet: fleet.New(zerolog.Nop()), peers: &peerload.Exchange{Table: peerload.NewTable()},
 		roster:     newRoster("n", nodeEntry{}, nil, nil, nil, zerolog.Nop()),
 		quarantine: &quarantine.Service{Table: quarantine.NewTable(time.Now)},
 	}
-	n.boot.Store(bootOf(t))
+	n.boot.Store(testBoot(t))
 	r := newRecorder(n)
 	r.Forwarded(&forward.Outcome{Route: &routing.Route{}, First: time.Second, Total: time.Second})
 	w := httptest.NewRecorder()
--- a/internal/gateway/nodeentry.go
+++ b/internal/gateway/nodeentry.go
@@ -7,31 +7,32 @@
 	"github.com/rotisserie/eris"
 )
 
-// nodeEntry is a node's entry in the topic.
+// nodeEntry is a node's entry in the topic of the nodes.
 type nodeEntry struct {
-	Addr   string `json:"addr"`   // where it hears its peers, IP:PORT
+	Addr   string `json:"addr"`   // receives messages from peers, IP:PORT
 	Domain string `json:"domain"` // failure domain
-	// MilliCores is what the node may use of a processor, in thousandths of a core; 0 if not
-	// known. Those with most of it work for the others.
+	// MilliCores is the processor time available to the node, in thousandths of a core; 0 if
+	// unknown. The nodes with the most perform work for the others.
 	MilliCores int `json:"millicores,omitempty"`
-	// Gone is true where another node has not heard this one for long. It writes its entry
-	// anew if it lives; else its entry is removed.
+	// Gone is true if another node has not heard from this one for a long time. A live node then
+	// writes its entry again; otherwise the entry is removed.
 	Gone bool `json:"gone,omitempty"`
 }
 
-// decodeNode decodes a node's entry. An error means that it names no node: other writers'
-// records would take shares of what nodes share, and be told of loads.
+// decodeNode decodes a node's entry. It fails if the value does not describe a node with a usable
+// address: records of other writers must not count as nodes, which get a share of the common limits
+// and receive load messages.
 func decodeNode(value []byte) (nodeEntry, error) {
 	var e nodeEntry
 	if err := json.Unmarshal(value, &e); err != nil {
-		return nodeEntry{}, eris.Wrap(err, "decode a node's entry")
+		return nodeEntry{}, eris.Wrap(err, "decode node entry")
 	}
 	addr, err := netip.ParseAddrPort(e.Addr)
 	if err != nil {
-		return nodeEntry{}, eris.Wrap(err, "decode a node's address")
+		return nodeEntry{}, eris.Wrap(err, "decode node address")
 	}
 	if ip := addr.Addr().Unmap(); addr.Port() == 0 || ip.IsUnspecified() || ip.IsMulticast() {
-		return nodeEntry{}, eris.Errorf("no node can be at %s", addr)
+		return nodeEntry{}, eris.Errorf("decode node address: %s is not a unicast address with a port", addr)
 	}
 	return e, nil
 }
--- /dev/null
+++ b/internal/gateway/peers.go
@@ -0,0 +1,42 @@
+package gateway
+
+import (
+	"github.com/cherryward/cherryward/internal/peerload"
+	"github.com/cherryward/cherryward/internal/weights"
+)
+
+var _ weights.Peers = (*Node)(nil)
+
+// Standby implements weights.Peers.
+func (n *Node) Standby() bool { return n.roster.Standby() }
+
+// Led implements weights.Peers.
+func (n *Node) Led() bool { return n.peers.Table.Led(n.clock.Now(), takeoverDelay) }
+
+// orderStatus returns the status of this node's orders that is reported to peers.
+func (n *Node) orderStatus() (closed []weights.Closed, leads bool) {
+	return n.orders.Closed(), n.orders.Leads()
+}
+
+// peerAlive reports whether a message of another node of the failure domain arrived within
+// peerTimeout.
+func (n *Node) peerAlive(node string) bool {
+	return n.peers.Table.Heard(node, n.clock.Now(), peerTimeout)
+}
+
+// domainPeers returns the other nodes of the failure domain. The nodes that read the store for
+// others also report for the domain.
+func (n *Node) domainPeers() peerload.Neighbours {
+	_, own := n.roster.readers()
+	return peerload.Neighbours{Others: n.roster.othersByDomain()[n.boot.Load().Domain], Speaks: own}
+}
+
+// nodes returns the number of nodes among which shared limits are divided: the listed nodes, or
+// those whose messages arrived recently if they are more. Until the list has been read, no node
+// whose messages arrived is considered gone.
+func (n *Node) nodes() int {
+	if !n.roster.Loaded() {
+		return n.peers.Table.Nodes()
+	}
+	return max(n.roster.Nodes(), n.peers.Table.Lately(n.clock.Now()))
+}
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -11,96 +11,98 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// domainReaders is the number of nodes of a failure domain that read the store and collect loads
-// for the others, in a large system. One that is lost is replaced as soon as it isn't heard; for
-// one that is cut off from the store, the other stands in meanwhile. domainStandbys is the
-// number of nodes that are heard by all so that they can take a reader's place at once.
+// domainReaders is the number of nodes of a failure domain of a large system that read the store
+// and collect loads for the others. A reader that fails is replaced as soon as its messages cease;
+// while one is cut off from the store, the other serves alone. domainStandbys is the number of
+// further nodes that all others report to, so that they can replace a reader at once.
 const (
 	domainReaders  = 2
 	domainStandbys = 2
 )
 
-// neighbour is a node whose address is known.
-type neighbour struct {
+// rosterNode is a node with a valid address.
+type rosterNode struct {
 	name, domain string
 	hash         uint64
 	milliCores   int
 	addr         netip.AddrPort
 }
 
-// compareNeighbours puts first who can do most for the others: of 59 nodes of a failure domain
-// three may have four times the processor and ten times the link of the rest.
-func compareNeighbours(a, b neighbour) int {
+// compareNodes orders nodes by decreasing capacity, since capacities differ widely: of 59 nodes of
+// a failure domain, three may have four times the processor and ten times the link of the rest.
+func compareNodes(a, b rosterNode) int {
 	return cmp.Or(cmp.Compare(b.milliCores, a.milliCores), cmp.Compare(a.hash, b.hash))
 }
 
-// neighbours returns the nodes of this failure domain, this one included.
-func (r *roster) neighbours() []neighbour {
-	return r.sorted(func(e nodeEntry) bool { return e.Domain == r.own.Domain })
+// listDomainNodes returns the nodes of this failure domain, this one included. The caller must hold
+// mu.
+func (r *roster) listDomainNodes() []rosterNode {
+	return r.sortedNodes(func(e nodeEntry) bool { return e.Domain == r.own.Domain })
 }
 
-// sorted returns the nodes that match, those with most of a processor first, and equal ones in
-// the order of their names' hashes.
-func (r *roster) sorted(match func(nodeEntry) bool) []neighbour {
-	var list []neighbour
+// sortedNodes returns the nodes that match, by decreasing processor capacity and then by the hashes
+// of their names. The caller must hold mu.
+func (r *roster) sortedNodes(match func(nodeEntry) bool) []rosterNode {
+	var list []rosterNode
 	for name, e := range r.entries {
 		addr, err := netip.ParseAddrPort(e.Addr)
 		if err != nil || !match(e) {
 			continue
 		}
-		list = append(list, neighbour{name: name, domain: e.Domain, hash: xxhash.Sum64String(name), milliCores: e.MilliCores, addr: addr})
+		list = append(list, rosterNode{name: name, domain: e.Domain, hash: xxhash.Sum64String(name), milliCores: e.MilliCores, addr: addr})
 	}
-	slices.SortFunc(list, compareNeighbours)
+	slices.SortFunc(list, compareNodes)
 	return list
 }
 
-// readers returns the nodes that read the store for this one: the first few of its
-// failure domain that were heard lately. None means that it reads the store itself, as
-// all do in a small system; own is true where it is one of the few of a large one. Nodes
-// may differ for a while in whom they take for a reader: then more read the store.
+// readers returns the nodes that read the store for this one: the first nodes of its failure domain
+// whose messages arrived recently. If it returns none, this node reads the store itself, as all
+// nodes of a small system do; own is true if it is one of the few readers of a large one. Nodes may
+// temporarily disagree on the readers, in which case more nodes read the store.
 func (r *roster) readers() (addrs []netip.AddrPort, own bool) {
 	if pace.Whole(r.Nodes()) {
 		return nil, false
 	}
-	role := r.rank(r.neighboursNow())
+	role := r.assignRole(r.currentDomainNodes())
 	if role.Collects || len(role.Collectors) < domainReaders {
-		return nil, role.Collects // else its own entry is not there yet
+		return nil, role.Collects // otherwise its own entry is not listed yet
 	}
 	return role.Collectors, false
 }
 
-// mayRead reports whether this node is among those that read the store for its failure domain or
-// stand by to do so, as far as the list tells. A node that starts hears nobody yet.
-func (r *roster) mayRead() bool {
-	near := r.neighboursNow()
-	own := slices.IndexFunc(near, func(n neighbour) bool { return n.name == r.node })
+// readerCandidate reports whether, according to the list alone, this node is a reader of the store
+// for its failure domain or a standby for one. A node that has just started has not received
+// messages from any other yet.
+func (r *roster) readerCandidate() bool {
+	domainNodes := r.currentDomainNodes()
+	own := slices.IndexFunc(domainNodes, func(n rosterNode) bool { return n.name == r.node })
 	return own >= 0 && own < domainReaders+domainStandbys
 }
 
-// role returns this node's part in telling loads: the readers collect. Until its own entry is
-// there it tells all itself.
+// role returns this node's role in the exchange of loads: the readers collect them. Until its own
+// entry is listed, a node sends its loads to all others itself.
 func (r *roster) role() peerload.Role {
-	near := r.neighboursNow()
-	if !slices.ContainsFunc(near, func(n neighbour) bool { return n.name == r.node }) {
+	domainNodes := r.currentDomainNodes()
+	if !slices.ContainsFunc(domainNodes, func(n rosterNode) bool { return n.name == r.node }) {
 		return peerload.Role{}
 	}
-	return r.rank(near)
+	return r.assignRole(domainNodes)
 }
 
-// neighboursNow returns the nodes of this failure domain as they were listed last.
-func (r *roster) neighboursNow() []neighbour {
+// currentDomainNodes returns the nodes of this failure domain as listed by the last read.
+func (r *roster) currentDomainNodes() []rosterNode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.near
+	return r.domainNodes
 }
 
-// rank returns who of the neighbours, in their order, are the readers, and whether this node is one
-// of them or of those that stand by. Who isn't heard doesn't count.
-func (r *roster) rank(near []neighbour) (role peerload.Role) {
+// assignRole returns which of the given nodes, in their order, are the readers, and whether this
+// node is a reader or a standby. Nodes whose messages ceased are skipped.
+func (r *roster) assignRole(domainNodes []rosterNode) (role peerload.Role) {
 	rank := 0
-	for _, n := range near {
+	for _, n := range domainNodes {
 		self := n.name == r.node
-		if !self && !r.heard(n.name) {
+		if !self && !r.peerAlive(n.name) {
 			continue
 		}
 		switch {
@@ -118,21 +120,22 @@
 	return role
 }
 
-// backups returns nodes that read the store, whichever failure domain they are in, but for
-// this one: those of a small system, and each failure domain's readers of a large one.
+// backups returns the other nodes that read the store, in any failure domain: all nodes of a small
+// system, or the readers of each failure domain of a large one.
 func (r *roster) backups() []netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.others
+	return r.backupAddrs
 }
 
-// readersElsewhere returns what backups returns. A node that is gone may be among them.
-func (r *roster) readersElsewhere() []netip.AddrPort {
-	whole := pace.Whole(len(r.entries))
+// listBackups computes the result of backups. It may include nodes that are gone. The caller must
+// hold mu.
+func (r *roster) listBackups() []netip.AddrPort {
+	small := pace.Whole(len(r.entries))
 	found := make(map[string]int) // nodes, by failure domain
 	var addrs []netip.AddrPort
-	for _, n := range r.sorted(func(nodeEntry) bool { return true }) {
-		if n.name == r.node || !whole && found[n.domain] == domainReaders {
+	for _, n := range r.sortedNodes(func(nodeEntry) bool { return true }) {
+		if n.name == r.node || !small && found[n.domain] == domainReaders {
 			continue
 		}
 		found[n.domain]++
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -7,35 +7,37 @@
 )
 
 const (
-	// readyShare is the part of the revocation bound up to which a node with an
-	// ageing configuration counts as ready. Callers are better served elsewhere
-	// before it has to refuse their keys.
+	// readyShare is the fraction of the revocation bound up to which a node with an aging
+	// configuration counts as ready. Other nodes serve callers better before this one has to reject
+	// their keys.
 	readyShare = 0.5
-	// readyMargin is what the configuration's age may be beyond two waits of a read,
-	// its age on a calm day, at a node that counts as ready.
+	// readyMargin is added to two waits of a read, the configuration's age in normal operation, to
+	// give the age up to which a node always counts as ready.
 	readyMargin = 500 * time.Millisecond
 
 	pathReady   = "/-/readyz"
 	pathMetrics = "/metrics"
-	// pathEndpoints lists the endpoints that don't take any number of requests, in JSON.
+	// pathEndpoints lists the endpoints to which requests are restricted, in JSON.
 	pathEndpoints = "/endpoints"
 )
 
-// ready reports whether callers are well served here.
+// ready reports whether this node can serve callers well: it has a current configuration and at
+// least one endpoint, and is not shutting down.
 func (n *Node) ready() bool {
 	config, age := n.state.Config()
-	return config != nil && n.current(age) && !n.fleet.Empty() && !n.leaving.Load()
+	return config != nil && n.configCurrent(age) && !n.fleet.Empty() && !n.leaving.Load()
 }
 
-// current reports whether a configuration of that age serves callers as well as another
-// node's would. Where stale keys are accepted, a node that hears others does as they do
-// while the store is away: each of them would have told it of a newer one.
-func (n *Node) current(age time.Duration) bool {
+// configCurrent reports whether a configuration of the given age is as good as another node's. If
+// stale keys are accepted, a node that receives messages from others counts as current while the
+// store is unavailable: any of them would have reported a newer configuration.
+func (n *Node) configCurrent(age time.Duration) bool {
 	bounds := n.bounds()
-	limit := max(time.Duration(readyShare*float64(bounds.Revoke)), 2*n.configWait()+askPause+readyMargin)
-	return age < limit || bounds.AcceptStaleKeys && n.peers.Table.Hears(n.clock.Now(), heardTime)
+	limit := max(time.Duration(readyShare*float64(bounds.Revoke)), 2*n.configWait()+relayPollInterval+readyMargin)
+	return age < limit || bounds.AcceptStaleKeys && n.peers.Table.Hears(n.clock.Now(), peerTimeout)
 }
 
+// serveReady serves readiness checks, metrics and the list of restricted endpoints.
 func (n *Node) serveReady(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == pathMetrics:
@@ -44,14 +46,14 @@
 		n.serveEndpoints(w)
 	case r.URL.Path != pathReady:
 		w.WriteHeader(http.StatusNotFound)
-	case n.tellReady():
+	case n.reportReady():
 		w.WriteHeader(http.StatusOK)
 	default:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// serveEndpoints answers with a list of fleet.Status.
+// serveEndpoints responds with a list of fleet.Status.
 func (n *Node) serveEndpoints(w http.ResponseWriter) {
 	data, err := json.Marshal(n.fleet.Restricted(n.clock.Now()))
 	if err != nil {
@@ -65,13 +67,13 @@
 	}
 }
 
-// Ready reports whether the node tells the balancer to send callers.
+// Ready reports whether the node reports itself ready to the balancer.
 func (n *Node) Ready() bool { return n.ready() }
 
-// tellReady returns what ready does, and logs each change with what decided it.
-func (n *Node) tellReady() bool {
+// reportReady returns the result of ready, and logs each change with the conditions behind it.
+func (n *Node) reportReady() bool {
 	ready := n.ready()
-	if n.toldReady.Swap(ready) != ready {
+	if n.reportedReady.Swap(ready) != ready {
 		config, age := n.state.Config()
 		n.log.Info().Str("event", "ready").Bool("ready", ready).Bool("configured", config != nil).
 			Int64("config_age_ms", age.Milliseconds()).Bool("endpoints", !n.fleet.Empty()).
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -16,48 +16,47 @@
 )
 
 const (
-	// lapseOutage is the shortest outage of the registry during which entries may
-	// have lapsed though their endpoints live: half of the three heartbeats after
-	// which an entry is removed.
-	lapseOutage = 1500 * time.Millisecond
-	// entriesBack is how long after the registry's return living endpoints have put their
-	// entries back: about 2 s, as the platform says.
-	entriesBack = 2200 * time.Millisecond
-	// mostAhead is how far a server's clock may be ahead of this host's. An entry of another
-	// writer that claims a later start would shut the server of its id out for good.
-	mostAhead = time.Minute
-	// lapseMargin is taken off a bound for the time between the end of a hold and the arrival of
-	// a request that was placed before.
+	// minLapseOutage is the shortest outage of the registry during which entries of live endpoints
+	// may have expired: half of the three heartbeats after which an entry is removed.
+	minLapseOutage = 1500 * time.Millisecond
+	// reregistrationTime is how long live endpoints take to restore their entries after the
+	// registry is back: about 2 s according to the platform.
+	reregistrationTime = 2200 * time.Millisecond
+	// maxClockSkew is how far a server's clock may be ahead of this host's. Without it, an entry of
+	// another writer that claims a later start would exclude the server with its id permanently.
+	maxClockSkew = time.Minute
+	// lapseMargin is subtracted from a bound to cover the time between the end of a hold and the
+	// arrival of a request that was placed before.
 	lapseMargin = 100 * time.Millisecond
 )
 
-// lapseHold returns how long after the return of the registry endpoints stay whose entries are
-// missing. A request must not reach one that is gone later than the drain bound after this node
-// could know it, nor once the outage excuses the node no more; the return may have been noticed a
-// failed read late.
+// lapseHold returns how long endpoints with missing entries are kept after the registry is back. A
+// request must not reach an endpoint that is gone later than the drain bound after this node could
+// have known, nor after the stable window that follows the outage. The node may notice the return
+// of the registry one failed read late.
 func lapseHold(b bootstrap.Bounds) time.Duration {
-	return min(entriesBack, b.Drain-lapseMargin, b.StableWindow-storeRetryMost-lapseMargin)
+	return min(reregistrationTime, b.Drain-lapseMargin, b.StableWindow-maxStoreRetry-lapseMargin)
 }
 
-// registry takes the endpoints' entries to the fleet.
+// registry transfers the endpoints' entries to the fleet.
 //
-// Guarantee: the fleet holds endpoints of services that the configuration names, and no
-// others: an endpoint in the fleet gets requests and orders, and counts among those that
-// load weights. Entries and configuration may come in any order.
+// Guarantee: the fleet contains exactly the endpoints of services that the configuration names. An
+// endpoint in the fleet receives requests and orders, and counts toward the endpoints that load
+// weights. Entries and configuration may arrive in any order.
 type registry struct {
 	fleet    *fleet.Fleet
-	config   func() *routing.Config // nil before the first
+	config   func() *routing.Config // returns nil before the first configuration
 	bounds   func() bootstrap.Bounds
 	rejected *rejected
-	clock    *clock.Clock // nil is the steady clock
+	clock    *clock.Clock // nil is the monotonic clock
 
-	mu         sync.Mutex
-	doubtUntil time.Time // entries that are missing until then may only have lapsed
-	// entries are the newest readable ones, by id.
+	mu          sync.Mutex
+	lapsesUntil time.Time // entries missing before this time may merely have expired
+	// entries holds the newest valid entries by endpoint id.
 	entries map[string]entry
 }
 
-// entry is an endpoint's entry as it was read.
+// entry is an endpoint's entry with its encoded form.
 type entry struct {
 	value    []byte
 	endpoint *fleet.Endpoint
@@ -74,16 +73,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	if b.Failed && b.Gap > lapseOutage {
-		r.doubt(now)
+	if b.Failed && b.Gap > minLapseOutage {
+		r.beginLapseHold(now)
 	}
-	r.fleet.Together(func() { r.applyAll(&b, now) })
-	// The doubt's timer may have run since now was taken, before what was found missing.
+	r.fleet.Together(func() { r.applyRecords(&b, now) })
+	// The timer that ends the hold may have fired after now was read and before the missing entries
+	// were found.
 	r.fleet.Expire(r.clock.Now())
 }
 
-// applyAll takes the records of a batch.
-func (r *registry) applyAll(b *follow.Batch, now time.Time) {
+// applyRecords applies the records of a batch.
+func (r *registry) applyRecords(b *follow.Batch, now time.Time) {
 	present := make(map[string]bool, len(b.Records))
 	for i := range b.Records {
 		record := &b.Records[i]
@@ -98,19 +98,21 @@
 	}
 }
 
-// doubt has entries that are missing count as lapsed for a while. All holds end with it, by a
-// timer: holds that are counted from when each entry was found missing, which may be at the end of
-// the doubt, and that end with the next read, are longer than the drain bound.
-func (r *registry) doubt(now time.Time) {
+// beginLapseHold starts a period in which missing entries count as expired rather than removed. A
+// timer ends the hold of all of them together. If each hold started when its entry was found
+// missing, possibly near the end of the period, and ended at the next read, it would exceed the
+// drain bound.
+func (r *registry) beginLapseHold(now time.Time) {
 	hold := lapseHold(r.bounds())
-	r.doubtUntil = now.Add(hold)
+	r.lapsesUntil = now.Add(hold)
 	time.AfterFunc(hold, func() { r.fleet.EndLapses(r.clock.Now()) })
 }
 
-// remove takes an endpoint off whose entry is missing.
+// remove removes an endpoint whose entry is missing, or holds it if the entry may merely have
+// expired.
 func (r *registry) remove(id string, now time.Time) {
-	if now.Before(r.doubtUntil) {
-		r.fleet.Lapse(id, r.doubtUntil)
+	if now.Before(r.lapsesUntil) {
+		r.fleet.Lapse(id, r.lapsesUntil)
 		return
 	}
 	r.fleet.Remove(id)
@@ -124,31 +126,31 @@
 	}
 	e, err := r.decode(record)
 	endpoint := e.endpoint
-	if err == nil && endpoint.Born > now.Add(mostAhead).UnixMilli() {
-		err = eris.Errorf("a start in the future: %d", endpoint.Born)
+	if err == nil && endpoint.Born > now.Add(maxClockSkew).UnixMilli() {
+		err = eris.Errorf("endpoint entry claims a start in the future: %d", endpoint.Born)
 	}
 	if err != nil {
 		r.rejected.record(record, err)
-		// The newest record of the key names no server. It is no lapse, so the endpoint is
-		// not held; if it lives, its next heartbeat brings it back. That an id was seen
-		// draining the fleet remembers, and requests under way go on.
+		// The newest record of the key describes no server. This is not an expiry, so the endpoint
+		// is not held; if it is alive, its next heartbeat restores it. The fleet still remembers
+		// that an id was seen draining, and requests in progress continue.
 		delete(r.entries, record.Key)
 		r.fleet.Remove(record.Key)
 		return
 	}
 	if r.fleet.Outdated(endpoint) {
-		return // it arrived late, or isn't the endpoint's own
+		return // it arrived late, or another writer wrote it
 	}
 	if before := r.entries[record.Key].endpoint; before != nil && before.Service != endpoint.Service {
-		r.fleet.Remove(record.Key) // what was learned is of another service
+		r.fleet.Remove(record.Key) // the recorded state belongs to another service
 	}
 	r.entries[record.Key] = e
-	r.use(endpoint, r.config(), now)
+	r.syncEndpoint(endpoint, r.config(), now)
 }
 
-// decode decodes an entry. Most are heartbeats that say the same as the one before: decoded anew, those
-// of thousands of endpoints take a good part of a small host's processor.
-// A value is kept as a copy: the record's own is a part of all that was read with it.
+// decode decodes an entry. Most entries are heartbeats equal to the previous one, which are not
+// decoded again: for thousands of endpoints, decoding takes a considerable part of a small host's
+// processor. The value is copied, since the record's own value is a slice of the whole response.
 func (r *registry) decode(record *follow.Record) (entry, error) {
 	if known := r.entries[record.Key]; known.endpoint != nil && bytes.Equal(known.value, record.Value) {
 		return known, nil
@@ -157,7 +159,7 @@
 	return entry{bytes.Clone(record.Value), endpoint}, err
 }
 
-// retain forgets the entries that are not present.
+// retain deletes the entries that are not present.
 func (r *registry) retain(present map[string]bool) {
 	for id := range r.entries {
 		if !present[id] {
@@ -166,23 +168,23 @@
 	}
 }
 
-// reconsider takes up the endpoints of services that the configuration names now, and drops
-// those of services that it doesn't name any more.
-func (r *registry) reconsider() {
+// reevaluate adds the endpoints of services that the configuration now names, and removes those of
+// services that it no longer names.
+func (r *registry) reevaluate() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	config := r.config()
 	r.fleet.Together(func() {
 		for _, e := range r.entries {
-			r.use(e.endpoint, config, now)
+			r.syncEndpoint(e.endpoint, config, now)
 		}
 	})
 }
 
-// chill has the endpoints of a failure domain count as cold, as after they started: they may have
-// turned cold while nothing was sent to them, without a new start and before an entry says so.
-func (r *registry) chill(domain string) {
+// markDomainCold marks the endpoints of a failure domain as cold, as after a start. They may have
+// become cold while they received no requests, without a restart and before an entry reports it.
+func (r *registry) markDomainCold(domain string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	config := r.config()
@@ -198,9 +200,10 @@
 	}
 }
 
-// use has the fleet hold an endpoint whose service is named, and no other.
-func (r *registry) use(endpoint *fleet.Endpoint, config *routing.Config, now time.Time) {
-	usable := served(endpoint, config)
+// syncEndpoint updates the fleet's endpoint, or removes it if the configuration does not let it
+// serve.
+func (r *registry) syncEndpoint(endpoint *fleet.Endpoint, config *routing.Config, now time.Time) {
+	usable := servable(endpoint, config)
 	if usable == nil {
 		r.fleet.Remove(endpoint.ID)
 		return
@@ -208,11 +211,11 @@
 	r.fleet.Update(usable, now)
 }
 
-// served returns an endpoint as its service's configuration lets it serve, and nil where it
-// can't: its service is not named or is a store, which registers nowhere, or it serves a
-// service of engines without a model. An endpoint of a plain service has no weights,
-// whatever its entry says, so that it gets no orders.
-func served(endpoint *fleet.Endpoint, config *routing.Config) *fleet.Endpoint {
+// servable returns an endpoint as its service's configuration lets it serve. It returns nil if the
+// service is not configured, is a store (stores do not register), or is an engine service and the
+// endpoint has no model. The weights of an endpoint of a plain service are removed, whatever its
+// entry contains, so that it receives no orders.
+func servable(endpoint *fleet.Endpoint, config *routing.Config) *fleet.Endpoint {
 	if config == nil {
 		return nil
 	}
--- a/internal/gateway/registry_bench_test.go
+++ b/internal/gateway/registry_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// manyEntries are the heartbeats of so many engines, of which each has written one.
-func manyEntries(engines int, seq int) []follow.Record {
+// heartbeats returns one heartbeat entry of each of the given number of engines.
+func heartbeats(engines int, seq int) []follow.Record {
 	records := make([]follow.Record, 0, engines)
 	for i := range engines {
 		value := fmt.Sprintf(`{"service":"s","address":"10.%d.%d.%d:8080","zone":"d%d","version":"v1","slots":64,"state":"ready","cold-left-ms":0,`+
@@ -24,35 +24,36 @@
 	return records
 }
 
+// newLargeRegistry returns a registry whose configuration names one service of engines.
 func newLargeRegistry() *registry {
 	config := (&routing.Config{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{}}}}).Index()
 	return newRegistry(fleet.New(zerolog.Nop()), func() *routing.Config { return config }, noBounds, newRejected(zerolog.Nop()))
 }
 
-// A start of a system of 300 nodes before 3,000 endpoints took each node over a second of its processor:
-// the list that requests read was made, and sorted, anew for each entry of the registry.
+// The list of endpoints that requests read was once rebuilt and sorted for each entry of the
+// registry. With 300 nodes and 3,000 endpoints this took over a second of each node's processor at
+// a start.
 
-// TestOneListForEachRead makes one list for all that a read of the registry brings, and none for
-// heartbeats.
-func TestOneListForEachRead(t *testing.T) {
+// TestOneRebuildPerRead checks that a read of the registry rebuilds the list once, and that
+// heartbeats do not rebuild it.
+func TestOneRebuildPerRead(t *testing.T) {
 	r := newLargeRegistry()
-	r.Apply(follow.Batch{Records: manyEntries(500, 1), Snapshot: true, ProvenAt: time.Now()})
+	r.Apply(follow.Batch{Records: heartbeats(500, 1), Snapshot: true, ProvenAt: time.Now()})
 	test.Len(t, 500, r.fleet.Members("s"))
 	test.Eq(t, 1, r.fleet.Rebuilds())
-	r.Apply(follow.Batch{Records: manyEntries(500, 2), ProvenAt: time.Now()})
+	r.Apply(follow.Batch{Records: heartbeats(500, 2), ProvenAt: time.Now()})
 	test.Eq(t, 1, r.fleet.Rebuilds())
-	r.Apply(follow.Batch{Records: manyEntries(400, 3), Snapshot: true, ProvenAt: time.Now()})
+	r.Apply(follow.Batch{Records: heartbeats(400, 3), Snapshot: true, ProvenAt: time.Now()})
 	test.Len(t, 400, r.fleet.Members("s"))
 	test.Eq(t, 2, r.fleet.Rebuilds())
-	r.reconsider()
+	r.reevaluate()
 	test.Eq(t, 2, r.fleet.Rebuilds())
 }
 
-// BenchmarkRegistry reads the entries of so many engines at a start, their heartbeats after it, and as
-// many entries that say something else.
+// BenchmarkRegistry measures the first read of the entries, heartbeats, and entries that changed.
 func BenchmarkRegistry(b *testing.B) {
 	for _, engines := range []int{60, 1000, 3000} {
-		first, changes := manyEntries(engines, 1), manyEntries(engines, 2)
+		first, changes := heartbeats(engines, 1), heartbeats(engines, 2)
 		b.Run(fmt.Sprint("start, ", engines, " engines"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/gateway/registry_late_test.go
+++ b/internal/gateway/registry_late_test.go
@@ -14,8 +14,8 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// lateTopic is a topic whose reads all succeed at once. An entry is removed right after the first
-// read.
+// lateTopic is a topic whose reads all succeed at once. The second read returns the removal of an
+// entry.
 type lateTopic struct{ reads int }
 
 func (l *lateTopic) Newest(context.Context) (follow.Page, error) {
@@ -30,22 +30,23 @@
 	return follow.Page{Records: []follow.Record{{Key: "e1", Offset: from}}, Next: from + 1}, nil
 }
 
-// TestLateReadIsNoOutage has an endpoint's removal keep the drain bound where a node reads late,
-// without the store having been away: nothing lapsed, and nothing excuses the node.
-func TestLateReadIsNoOutage(t *testing.T) {
+// TestLateReadIsNotAnOutage checks that an endpoint is removed within the drain bound if a node
+// reads late although the store was available: no entry can have expired, and no outage extends the
+// bound.
+func TestLateReadIsNotAnOutage(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
 		{Drain: 2 * time.Second, StableWindow: 3 * time.Second},
 		{Drain: 3 * time.Second, StableWindow: 4 * time.Second},
 	} {
 		t.Run(bounds.Drain.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRegistered()
+				r := newRegistryFixture()
 				r.bounds = func() bootstrap.Bounds { return bounds }
 				r.configure(t, 1, engines)
 				ctx, cancel := context.WithCancel(t.Context())
 				f := follow.Follower{
 					Name: "registry", Topic: &lateTopic{}, Sink: r, Log: zerolog.Nop(),
-					Pause: func() time.Duration { return lapseOutage + 10*time.Millisecond },
+					Pause: func() time.Duration { return minLapseOutage + 10*time.Millisecond },
 				}
 				var wg sync.WaitGroup
 				wg.Go(func() { _ = f.Run(ctx) })
--- a/internal/gateway/registry_outdated_test.go
+++ b/internal/gateway/registry_outdated_test.go
@@ -6,16 +6,16 @@
 	"github.com/shoenig/test"
 )
 
-// TestStrangeServiceTakesNothing keeps a live server, and what is under way at it, beside an
-// entry under its id that is of no newer start.
-func TestStrangeServiceTakesNothing(t *testing.T) {
+// TestOutdatedEntryKeepsEndpoint checks that an entry without a newer start does not replace a live
+// endpoint with the same id, or end its requests in progress.
+func TestOutdatedEntryKeepsEndpoint(t *testing.T) {
 	for name, value := range map[string]string{
 		"no start":         entryOf("plain", "ready", ""),
 		"no start, same":   entryOf("engines", "ready", models),
 		"an earlier start": entryOf("plain", "ready", `,"born":5`),
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRegistered()
+			r := newRegistryFixture()
 			r.configure(t, 1, engines+","+plain)
 			own := entryOf("engines", "ready", models+`,"born":10`)
 			r.put("e1", own)
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -15,8 +15,8 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// registered is a node's registry with the state that names the services.
-type registered struct {
+// registryFixture is a node's registry with the state that names the services.
+type registryFixture struct {
 	*registry
 	state  *state
 	offset int64
@@ -26,22 +26,23 @@
 	return bootstrap.Bounds{Drain: 2 * time.Second, StableWindow: 3 * time.Second}
 }
 
-func newRegistered() *registered {
+func newRegistryFixture() *registryFixture {
 	s := newState(registryBounds, zerolog.Nop())
-	r := &registered{registry: newRegistry(fleet.New(zerolog.Nop()), s.config.Load, registryBounds, s.rejected), state: s}
-	s.configured = r.reconsider
+	r := &registryFixture{registry: newRegistry(fleet.New(zerolog.Nop()), s.config.Load, registryBounds, s.rejected), state: s}
+	s.onConfig = r.reevaluate
 	return r
 }
 
-// configure has a version of the configuration name the services.
-func (r *registered) configure(t *testing.T, version int, services string) {
+// configure applies a version of the configuration that names the services.
+func (r *registryFixture) configure(t *testing.T, version int, services string) {
 	t.Helper()
 	value := fmt.Sprintf(`{"version":%d,"services":[%s]}`, version, services)
 	r.state.Apply(follow.Batch{ProvenAt: time.Now(), Records: []follow.Record{{Key: "config", Value: []byte(value)}}})
 	must.Eq(t, int64(version), r.state.config.Load().Version)
 }
 
-func (r *registered) put(key, value string) {
+// put applies a record; an empty value removes the entry.
+func (r *registryFixture) put(key, value string) {
 	r.offset++
 	record := follow.Record{Key: key, Offset: r.offset}
 	if value != "" {
@@ -50,8 +51,8 @@
 	r.Apply(follow.Batch{Records: []follow.Record{record}, ProvenAt: time.Now()})
 }
 
-// ids returns the endpoints of a service that take requests.
-func (r *registered) ids(service string) string {
+// ids returns the ids of a service's endpoints that accept requests, each followed by a space.
+func (r *registryFixture) ids(service string) string {
 	ids := ""
 	for _, m := range r.fleet.Members(service) {
 		ids += m.ID + " "
@@ -59,6 +60,7 @@
 	return ids
 }
 
+// entryOf returns an encoded endpoint entry. more is inserted before its closing brace.
 func entryOf(service, state, more string) string {
 	return fmt.Sprintf(`{"service":%q,"address":"10.0.0.1:80","zone":"north","version":"v1","slots":8,"state":%q,"cold-left-ms":0,"seq":1%s}`, service, state, more)
 }
@@ -70,13 +72,13 @@
 	models    = `,"models":[{"name":"m","version":1}]`
 )
 
-// TestUnnamedServices leaves endpoints of services out that the configuration doesn't name,
-// whichever came first.
-func TestUnnamedServices(t *testing.T) {
-	r := newRegistered()
+// TestUnconfiguredServices checks that endpoints of services that the configuration does not name
+// are left out, whether the entry or the configuration arrived first.
+func TestUnconfiguredServices(t *testing.T) {
+	r := newRegistryFixture()
 	r.put("e1", entryOf("engines", "ready", models))
 	r.put("x1", entryOf("strangers", "ready", models))
-	test.True(t, r.fleet.Empty(), test.Sprint("nothing is named yet"))
+	test.True(t, r.fleet.Empty(), test.Sprint("no configuration yet"))
 	r.configure(t, 1, engines+","+plain+","+keptStore)
 	test.Eq(t, "e1 ", r.ids("engines"))
 	test.Len(t, 1, r.fleet.All())
@@ -87,8 +89,8 @@
 	r.put("k1", entryOf("keep", "ready", models))
 	test.Eq(t, "e1 ", r.ids("engines"), test.Sprint("an engine has models"))
 	test.Eq(t, "p1 ", r.ids("plain"))
-	test.Eq(t, 0, r.fleet.Members("plain")[0].VersionOf("m"), test.Sprint("it gets no orders"))
-	test.Eq(t, "", r.ids("keep"), test.Sprint("a store registers nowhere"))
+	test.Eq(t, 0, r.fleet.Members("plain")[0].VersionOf("m"), test.Sprint("it must receive no orders"))
+	test.Eq(t, "", r.ids("keep"), test.Sprint("stores do not register"))
 
 	r.configure(t, 2, engines+`,{"name":"strangers","engine":{"models":[{"name":"m"}]}}`)
 	test.Eq(t, "x1 ", r.ids("strangers"))
@@ -105,11 +107,11 @@
 	test.Eq(t, 0, r.rejected.Load())
 }
 
-// TestUnreadableEntries has an entry that names no server take away what its key named, and
-// no other; a heartbeat brings a living server back, unless it was draining.
+// TestUnreadableEntries checks that an invalid entry removes the endpoint of its key and no other.
+// A heartbeat restores a live endpoint, unless it was draining.
 func TestUnreadableEntries(t *testing.T) {
 	for _, value := range []string{"\xff\xfe", "{", "{}", "null", entryOf("engines", "leaving", models), entryOf("", "ready", models)} {
-		r := newRegistered()
+		r := newRegistryFixture()
 		r.configure(t, 1, engines)
 		for _, id := range []string{"e1", "e2", "e3"} {
 			r.put(id, entryOf("engines", "ready", models))
@@ -128,15 +130,16 @@
 	}
 }
 
-// TestUnreadableAfterAnOutage holds entries that lapsed, and those alone.
-func TestUnreadableAfterAnOutage(t *testing.T) {
+// TestUnreadableEntryAfterOutage checks that after an outage missing entries are held, but invalid
+// ones are not.
+func TestUnreadableEntryAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistered()
+		r := newRegistryFixture()
 		r.configure(t, 1, engines)
 		for _, id := range []string{"e1", "e2"} {
 			r.put(id, entryOf("engines", "ready", models))
 		}
-		r.Apply(follow.Batch{Snapshot: true, Gap: lapseOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1", Value: []byte("{")}}})
+		r.Apply(follow.Batch{Snapshot: true, Gap: minLapseOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1", Value: []byte("{")}}})
 		test.Eq(t, "e2 ", r.ids("engines"))
 		time.Sleep(lapseHold(registryBounds()))
 		r.Apply(follow.Batch{})
@@ -144,30 +147,30 @@
 	})
 }
 
-// TestHoldsEndWithTheDoubt drops an endpoint that leaves while entries may only have lapsed by
-// the drain bound, also where nothing is read any more.
-func TestHoldsEndWithTheDoubt(t *testing.T) {
+// TestHoldsEndTogether checks that an endpoint that leaves while missing entries are held is
+// removed within the drain bound, even if nothing is read afterwards.
+func TestHoldsEndTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistered()
+		r := newRegistryFixture()
 		r.configure(t, 1, engines)
 		for _, id := range []string{"e1", "e2"} {
 			r.put(id, entryOf("engines", "ready", models))
 		}
 		returned := time.Now()
-		r.Apply(follow.Batch{Gap: lapseOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1"}}})
+		r.Apply(follow.Batch{Gap: minLapseOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1"}}})
 		time.Sleep(1700 * time.Millisecond)
 		r.put("e2", "")
-		test.Eq(t, "e1 e2 ", r.ids("engines"), test.Sprint("both may be back"))
+		test.Eq(t, "e1 e2 ", r.ids("engines"), test.Sprint("both entries may return"))
 		time.Sleep(time.Until(returned.Add(registryBounds().Drain)))
 		test.Eq(t, "", r.ids("engines"))
 	})
 }
 
-// TestLapseHold keeps within each bound.
+// TestLapseHold checks that the hold respects each bound.
 func TestLapseHold(t *testing.T) {
 	for _, tc := range []struct{ drain, stable, want time.Duration }{
 		{2 * time.Second, 3 * time.Second, 1900 * time.Millisecond},
-		{3 * time.Second, 4 * time.Second, entriesBack},
+		{3 * time.Second, 4 * time.Second, reregistrationTime},
 		{time.Second, 3 * time.Second, 900 * time.Millisecond},
 		{3 * time.Second, 3 * time.Second, 1900 * time.Millisecond},
 	} {
@@ -175,10 +178,10 @@
 	}
 }
 
-// TestStartInTheFuture has an entry that claims a start long ahead of the clock name no server, so
-// that the server of its id is used again at its next heartbeat.
+// TestStartInTheFuture checks that an entry that claims a start far ahead of the clock is rejected,
+// and that the server with its id is used again after its next heartbeat.
 func TestStartInTheFuture(t *testing.T) {
-	r := newRegistered()
+	r := newRegistryFixture()
 	r.configure(t, 1, engines)
 	born := func(at time.Time) string { return fmt.Sprintf(`%s,"born":%d`, models, at.UnixMilli()) }
 	now := time.Now()
@@ -188,5 +191,5 @@
 	r.put("e1", entryOf("engines", "ready", born(now)))
 	test.Eq(t, "e1 ", r.ids("engines"))
 	r.put("e2", entryOf("engines", "ready", born(now.Add(10*time.Second))))
-	test.Eq(t, "e1 e2 ", r.ids("engines"), test.Sprint("clocks differ"))
+	test.Eq(t, "e1 e2 ", r.ids("engines"), test.Sprint("clocks may differ by some seconds"))
 }
--- a/internal/gateway/registry_timer_test.go
+++ b/internal/gateway/registry_timer_test.go
@@ -11,17 +11,18 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// TestHoldThatBeginsAsTheDoubtEnds drops an endpoint that is found missing while the doubt ends:
-// its timer may run between the look at the clock and the hold, and nothing may be read again.
-func TestHoldThatBeginsAsTheDoubtEnds(t *testing.T) {
+// TestHoldThatStartsAsTimerFires checks that an endpoint that is found missing just as the hold
+// period ends is removed. The timer may fire between the reading of the clock and the hold, and no
+// further read may follow.
+func TestHoldThatStartsAsTimerFires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistered()
+		r := newRegistryFixture()
 		r.configure(t, 1, engines)
 		for _, id := range []string{"e1", "e2"} {
 			r.put(id, entryOf("engines", "ready", models))
 		}
 		returned := time.Now()
-		r.Apply(follow.Batch{Gap: lapseOutage + 1, Failed: true})
+		r.Apply(follow.Batch{Gap: minLapseOutage + 1, Failed: true})
 		hold := lapseHold(registryBounds())
 		time.Sleep(hold - time.Millisecond)
 		config := r.config
--- a/internal/gateway/rejected.go
+++ b/internal/gateway/rejected.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// rejectedBurst is the number of rejected records that are logged in rejectedPeriod: a
-	// writer of rubbish must not fill the log. All are counted.
+	// rejectedBurst is the number of rejected records that are logged in each rejectedPeriod, so
+	// that a faulty writer cannot flood the log. All rejected records are counted.
 	rejectedBurst  = 20
 	rejectedPeriod = 10 * time.Second
 )
 
-// rejected counts and logs the records of the store that can't be used.
+// rejected counts and logs the store's records that cannot be used.
 type rejected struct {
 	atomic.Int64
 	log zerolog.Logger
@@ -26,7 +26,7 @@
 	return &rejected{log: log.Sample(&zerolog.BurstSampler{Burst: rejectedBurst, Period: rejectedPeriod})}
 }
 
-// record notes a record that can't be used.
+// record counts and logs a record that cannot be used.
 func (r *rejected) record(record *follow.Record, cause error) {
 	r.Add(1)
 	r.log.Error().Str("event", "record_rejected").Str("key", record.Key).Int64("offset", record.Offset).Err(cause).Send()
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -11,13 +11,12 @@
 	"github.com/cherryward/cherryward/internal/bootstrap"
 )
 
-// reloadPause is the time between two looks at the boot file, which may change
-// without a signal.
+// reloadPause is the time between two checks of the boot file, which may change without a signal.
 const reloadPause = 2 * time.Second
 
-// reload takes changes of the boot file until ctx is done: at once on SIGHUP, else
-// within reloadPause. What was bound at the start, the listeners and the store's
-// address, stays; a change of these is logged and takes a restart.
+// reload applies changes of the boot file until ctx is done: at once on SIGHUP, otherwise within
+// reloadPause. The listeners and the store's address are fixed at the start; a change of these is
+// logged and requires a restart.
 func (n *Node) reload(ctx context.Context, load func() (*bootstrap.Node, error)) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -32,12 +31,13 @@
 			n.log.Info().Str("event", "hangup").Send()
 		case <-ticker.C:
 		}
-		n.take(load())
+		n.applySettings(load())
 	}
 }
 
-// take puts changed settings in force. A file that can't be read keeps the old ones.
-func (n *Node) take(next *bootstrap.Node, err error) {
+// applySettings puts changed settings into effect. If the file could not be read, the present
+// settings stay.
+func (n *Node) applySettings(next *bootstrap.Node, err error) {
 	if err != nil {
 		n.log.Error().Str("event", "reload_failed").AnErr("error", err).Send()
 		return
--- a/internal/gateway/role_test.go
+++ b/internal/gateway/role_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// rolesOf returns the roles of the nodes of one failure domain of so many, in which every tenth
-// may use most of a processor, and of which those in lost are not heard.
+// rolesOf returns the roles of the nodes of one failure domain, without those in lost, whose
+// messages do not arrive. Every tenth node has more processor capacity than the rest.
 func rolesOf(t *testing.T, nodes int, lost map[string]bool) map[string]peerload.Role {
 	t.Helper()
 	var batch follow.Batch
@@ -39,9 +39,9 @@
 	return roles
 }
 
-// TestRoles has two nodes of a failure domain collect and two stand by, those that may use most of
-// a processor first, and all others tell the two; when these are lost, those that stood by take
-// over.
+// TestRoles checks that two nodes of a failure domain collect and two are standbys, those with the
+// most processor capacity first, and that all others report to the collectors. If these are lost,
+// the standbys take over.
 func TestRoles(t *testing.T) {
 	lost := make(map[string]bool)
 	for step := range 3 {
@@ -62,14 +62,15 @@
 		must.Len(t, domainReaders, collect)
 		must.Len(t, domainStandbys, standby)
 		for _, name := range collect {
-			test.True(t, step == 2 || name[len(name)-1] == '3', test.Sprint("the larger ones go first: ", name))
+			test.True(t, step == 2 || name[len(name)-1] == '3', test.Sprint("the nodes with the most capacity come first: ", name))
 			lost[name] = true
 		}
 	}
 }
 
-// TestRoleOfAStranger has a node whose entry isn't there yet tell all nodes itself.
-func TestRoleOfAStranger(t *testing.T) {
-	r, _ := rosterOf(t, "stranger", 30)
+// TestRoleOfUnlistedNode checks that a node whose entry is not listed yet sends its loads to all
+// nodes itself.
+func TestRoleOfUnlistedNode(t *testing.T) {
+	r, _ := rosterWith(t, "stranger", 30)
 	test.Eq(t, peerload.Role{}, r.role())
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -18,76 +18,78 @@
 )
 
 const (
-	// nodesWait is how long a read waits for a node to come.
+	// nodesWait is how long a read of the nodes' entries waits for a change.
 	nodesWait = 10 * time.Second
-	// readerNodesWait is the same at a node of a large system that reads for others, and oldestNodes
-	// the oldest copy of it that these believe: twice that, with a margin. With the shorter bound of
-	// the other topics all nodes would find each copy too old, and read the addresses themselves.
+	// readerNodesWait replaces nodesWait at a node of a large system that reads for others, and
+	// maxNodesAge is the maximum age at which those accept its copy: twice the wait plus a margin.
+	// With the shorter maximum of the other topics, every node would find each copy too old and
+	// read the entries itself.
 	readerNodesWait = 5 * time.Second
-	oldestNodes     = 12 * time.Second
-	// gatherTime is how long after its start a node expects others to come up with it, as after
-	// a loss of power, and gatherPause the time between two reads of the nodes' addresses
-	// meanwhile: each node's coming ends a waiting read of all others.
-	gatherTime  = 4 * time.Second
-	gatherPause = 300 * time.Millisecond
+	maxNodesAge     = 12 * time.Second
+	// startupWindow is how long after its start a node expects others to start with it, as after a
+	// power loss. startupReadInterval is the time between two reads of the nodes' entries during
+	// that time: each new node ends the waiting read of every other.
+	startupWindow       = 4 * time.Second
+	startupReadInterval = 300 * time.Millisecond
 )
 
-// standbys is the number of nodes of a large system that follow the claim on orders
-// while another node holds it: enough that one is left after the loss of two.
-const standbys = 3
+// orderStandbys is the number of nodes of a large system that follow the claim on orders while
+// another node holds it. One is left after the loss of two.
+const orderStandbys = 3
 
-// putter writes the newest record of a key.
-type putter interface {
+// entryWriter writes entries to the topic of the nodes.
+type entryWriter interface {
+	// Put writes the newest record of a key.
 	Put(ctx context.Context, key string, value []byte) error
-	// PutIf does so where the topic still ends at an offset, and fails with
-	// follow.ErrChanged else. Without a value the key is removed.
+	// PutIf is Put on condition that the topic still ends at the given offset; otherwise it fails
+	// with follow.ErrChanged. A nil value removes the key.
 	PutIf(ctx context.Context, key string, value []byte, end int64) error
 }
 
-// roster knows the addresses of all nodes, and makes this one known.
+// roster holds the entries of all nodes, and publishes this node's entry.
 type roster struct {
-	node  string
-	clock *clock.Clock // nil is the steady clock
-	own   nodeEntry
-	topic putter
-	set   func(peers []peerload.Peer)
-	log   zerolog.Logger
-	// rejected notes the entries that can't be used.
+	node     string
+	clock    *clock.Clock // nil is the monotonic clock
+	own      nodeEntry
+	topic    entryWriter
+	setPeers func(peers []peerload.Peer)
+	log      zerolog.Logger
+	// rejected records the entries that cannot be used.
 	rejected *rejected
 
-	count   atomic.Int64 // nodes, this one included
+	count   atomic.Int64 // number of nodes, this one included
 	standby atomic.Bool
 
-	// heard reports whether a node was heard lately.
-	heard func(node string) bool
-	// holds takes the records of held requests, which share the topic with the nodes: these follow it
-	// anyway. Nil where nothing takes them.
-	holds func(record *follow.Record) error
-	// changed is told of each batch of records. Nil for nothing.
+	// peerAlive reports whether a message of a node arrived recently.
+	peerAlive func(node string) bool
+	// applyHoldRecord, if not nil, receives the records of held requests. They share the topic with
+	// the nodes' entries, since every node follows it.
+	applyHoldRecord func(record *follow.Record) error
+	// changed, if not nil, is called after each batch of records.
 	changed func()
 
-	mu      sync.Mutex
-	lease   lease
-	entries map[string]nodeEntry // by node
-	written map[string]time.Time // when a node's newest record was read
-	end     int64                // of the topic, as far as it was read
-	near    []neighbour          // the nodes of this failure domain, in the order of sorted
-	others  []netip.AddrPort     // what backups returns
-	// byDomain is what othersByDomain returns.
+	mu          sync.Mutex
+	lease       lease
+	entries     map[string]nodeEntry // by node
+	writtenAt   map[string]time.Time // when the newest record of each node was read
+	end         int64                // offset up to which the topic was read
+	domainNodes []rosterNode         // nodes of this failure domain, as returned by listDomainNodes
+	backupAddrs []netip.AddrPort     // result of backups
+	// byDomain is the result of othersByDomain.
 	byDomain map[string][]string
-	members  members // who may send to cold endpoints
-	read     bool
+	members  members // nodes that may send to cold endpoints
+	loaded   bool
 }
 
 var _ follow.Sink = (*roster)(nil)
 
-func newRoster(node string, own nodeEntry, topic putter, set func([]peerload.Peer), heard func(string) bool, log zerolog.Logger) *roster {
+func newRoster(node string, own nodeEntry, topic entryWriter, setPeers func([]peerload.Peer), peerAlive func(string) bool, log zerolog.Logger) *roster {
 	r := &roster{
-		node: node, own: own, topic: topic, set: set, heard: heard, log: log, rejected: newRejected(log),
-		lease:   lease{proven: time.Now(), grace: goneGrace(0)},
-		entries: make(map[string]nodeEntry), written: make(map[string]time.Time),
+		node: node, own: own, topic: topic, setPeers: setPeers, peerAlive: peerAlive, log: log, rejected: newRejected(log),
+		lease:   lease{proven: time.Now(), grace: removalGrace(0)},
+		entries: make(map[string]nodeEntry), writtenAt: make(map[string]time.Time),
 	}
-	r.summarize()
+	r.recompute()
 	return r
 }
 
@@ -101,15 +103,15 @@
 	for i := range b.Records {
 		r.apply(&b.Records[i])
 	}
-	r.noteWritten(&b)
-	r.read, r.end = true, b.Next
+	r.recordWrites(&b)
+	r.loaded, r.end = true, b.Next
 	r.members.proven = b.ProvenAt
-	r.summarize()
+	r.recompute()
 	peers := make([]peerload.Peer, 0, len(r.entries))
 	for name, e := range r.entries {
 		peers = append(peers, peerload.Peer{Node: name, Addr: e.Addr, Domain: e.Domain})
 	}
-	r.set(peers)
+	r.setPeers(peers)
 	if r.changed != nil {
 		r.changed()
 	}
@@ -127,8 +129,8 @@
 	e, err := decodeNode(record.Value)
 	if err != nil {
 		r.rejected.record(record, err)
-		// This node writes its own again. What is known of another stays: it may name parts
-		// at stores, which must not be freed as if it were gone.
+		// This node writes its own entry again. The previous entry of another node stays: that node
+		// may reference parts at stores, which must not be freed as if it were gone.
 		if record.Key == r.node {
 			delete(r.entries, record.Key)
 		}
@@ -138,35 +140,37 @@
 }
 
 func (r *roster) applyHold(record *follow.Record) {
-	if r.holds == nil {
+	if r.applyHoldRecord == nil {
 		return
 	}
-	if err := r.holds(record); err != nil {
+	if err := r.applyHoldRecord(record); err != nil {
 		r.rejected.record(record, err)
 	}
 }
 
-// noteWritten notes whose records were read, and what they say of this node's own entry.
-func (r *roster) noteWritten(b *follow.Batch) {
+// recordWrites records which nodes' records were read, and updates the lease from this node's own
+// entry.
+func (r *roster) recordWrites(b *follow.Batch) {
 	now := r.clock.Now()
-	touched := b.Snapshot
+	updated := b.Snapshot
 	for i := range b.Records {
 		key := b.Records[i].Key
-		r.written[key] = now
-		touched = touched || key == r.node
+		r.writtenAt[key] = now
+		updated = updated || key == r.node
 	}
-	for name := range r.written {
+	for name := range r.writtenAt {
 		if _, listed := r.entries[name]; !listed {
-			delete(r.written, name)
+			delete(r.writtenAt, name)
 		}
 	}
 	own, listed := r.entries[r.node]
-	r.lease.see(sighting{listed: listed, gone: own.Gone, touched: touched, provenAt: b.ProvenAt, at: now})
+	r.lease.observe(entryObservation{listed: listed, gone: own.Gone, updated: updated, provenAt: b.ProvenAt, at: now})
 }
 
-// summarize counts the nodes, and finds out whether this one stands by: all do in a
-// small system, in a larger one the first few in the order of their names' hashes.
-func (r *roster) summarize() {
+// recompute updates everything that is derived from the entries: the number of nodes, the lists of
+// nodes, and whether this node is a standby for the claim on orders. All nodes of a small system
+// are standbys; in a large one, those whose names have the lowest hashes.
+func (r *roster) recompute() {
 	nodes := len(r.entries)
 	if _, listed := r.entries[r.node]; !listed {
 		nodes++
@@ -178,15 +182,15 @@
 			before++
 		}
 	}
-	r.near = r.neighbours()
-	r.others = r.readersElsewhere()
-	r.byDomain = r.groupOthers()
-	r.members.take(r.entries)
+	r.domainNodes = r.listDomainNodes()
+	r.backupAddrs = r.listBackups()
+	r.byDomain = r.groupOthersByDomain()
+	r.members.update(r.entries)
 	r.count.Store(int64(nodes))
-	r.standby.Store(pace.Whole(nodes) || before < standbys)
+	r.standby.Store(pace.Whole(nodes) || before < orderStandbys)
 }
 
-// Others returns the names of all other nodes whose entries are there.
+// Others returns the names of all other listed nodes.
 func (r *roster) Others() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,12 +203,12 @@
 	return names
 }
 
-// Peers returns the addresses of all other nodes whose entries are there, by their names.
+// Peers returns the addresses of all other listed nodes by name.
 func (r *roster) Peers() map[string]netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	peers := make(map[string]netip.AddrPort, len(r.entries))
-	for _, n := range r.sorted(func(nodeEntry) bool { return true }) {
+	for _, n := range r.sortedNodes(func(nodeEntry) bool { return true }) {
 		if n.name != r.node {
 			peers[n.name] = n.addr
 		}
@@ -212,16 +216,17 @@
 	return peers
 }
 
-// othersByDomain returns the same by failure domain. It is not to be changed: it is made once
-// for each change of the topic, and asked for with each part that may be freed.
+// othersByDomain returns the names of all other listed nodes by failure domain. Callers must not
+// modify the result: it is computed once per change of the topic, since it is needed for each part
+// that may be freed.
 func (r *roster) othersByDomain() map[string][]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byDomain
 }
 
-// groupOthers returns what othersByDomain does.
-func (r *roster) groupOthers() map[string][]string {
+// groupOthersByDomain computes the result of othersByDomain.
+func (r *roster) groupOthersByDomain() map[string][]string {
 	names := make(map[string][]string)
 	for name, e := range r.entries {
 		if name != r.node {
@@ -231,24 +236,24 @@
 	return names
 }
 
-// Nodes returns the number of nodes whose entries are there, this one included. Some may be
-// gone for less than goneAfter and goneGrace.
+// Nodes returns the number of listed nodes, this one included. A node that is gone remains listed
+// until silenceTimeout and removalGrace have passed.
 func (r *roster) Nodes() int { return int(r.count.Load()) }
 
-// Read reports whether the topic was read.
-func (r *roster) Read() bool {
+// Loaded reports whether the topic has been read.
+func (r *roster) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.read
+	return r.loaded
 }
 
-// Counted reports whether the other nodes certainly count this one, so that it may use what
-// they leave to it.
-func (r *roster) Counted() bool {
+// HoldsLease reports whether the other nodes are certain to count this one, so that it may use its
+// share of common limits.
+func (r *roster) HoldsLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lease.holds(r.clock.Now())
+	return r.lease.valid(r.clock.Now())
 }
 
-// Standby reports whether this node follows the claim on orders while another holds it.
+// Standby reports whether this node follows the claim on orders while another node holds it.
 func (r *roster) Standby() bool { return r.standby.Load() }
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -9,22 +9,23 @@
 	"github.com/cherryward/cherryward/internal/senders"
 )
 
-// oldestView is the oldest copy of the nodes' addresses by which a node sends to cold endpoints. A copy
-// is twice as old as a read waits on a calm day, 20 s. Two nodes' views are at most so far apart, so
-// that they differ by what changed meanwhile.
-const oldestView = 25 * time.Second
+// maxViewAge is the maximum age of the list of nodes with which a node sends to cold endpoints. The
+// list is up to 20 s old in normal operation, twice the wait of a read. The lists of two nodes are
+// at most maxViewAge apart, and differ only by what changed in between.
+const maxViewAge = 25 * time.Second
 
-// members are the nodes that may send to endpoints which all together may send little. Nodes that are gone stay among them until
-// their entries are removed: all nodes read the same, where what each hears differs.
+// members are the nodes that may send to endpoints whose total rate of requests is limited. Nodes
+// that are gone remain members until their entries are removed: all nodes read the same entries,
+// whereas the messages that they receive differ.
 type members struct {
 	generation int64
-	proven     time.Time // when the list was certainly current
+	proven     time.Time // last time the list was known to be current
 	all        []string
 	byDomain   map[string][]string
 }
 
-// take takes the nodes' entries. Whether one is marked as gone changes nothing.
-func (m *members) take(entries map[string]nodeEntry) {
+// update replaces the members by the nodes in entries. Marks of nodes as gone are ignored.
+func (m *members) update(entries map[string]nodeEntry) {
 	all := slices.Sorted(maps.Keys(entries))
 	byDomain := make(map[string][]string)
 	for _, name := range all {
@@ -38,42 +39,44 @@
 	m.all, m.byDomain = all, byDomain
 }
 
-// of returns the nodes of a failure domain, which place most of what its endpoints get, or all where
-// there are too few.
-func (m *members) of(domain string, senders int) []string {
-	if near := m.byDomain[domain]; len(near) >= senders {
-		return near
+// forDomain returns the nodes of a failure domain, which place most requests to its endpoints, or
+// all nodes if the domain has fewer than minSenders.
+func (m *members) forDomain(domain string, minSenders int) []string {
+	if local := m.byDomain[domain]; len(local) >= minSenders {
+		return local
 	}
 	return m.all
 }
 
 // senders returns the nodes that may send to cold endpoints of a failure domain.
-func (r *roster) senders(domain string, most int) senders.View {
-	return r.view(domain, most, oldestView)
+func (r *roster) senders(domain string, minSenders int) senders.View {
+	return r.view(domain, minSenders, maxViewAge)
 }
 
-// throttlers returns the nodes that may send to endpoints of a failure domain that name a limit. Their
-// copy of the list may be as old as others count a node for: while the store is away no node comes, and a
-// service whose endpoints all name limits would be served by nobody.
-func (r *roster) throttlers(domain string, most int) senders.View {
-	return r.view(domain, most, entryProof)
+// throttlers returns the nodes that may send to endpoints of a failure domain that state a rate
+// limit. The maximum age of the list is the time for which other nodes count this one: no node can
+// join while the store is unavailable, and with a shorter age no node would serve a service whose
+// endpoints all state limits.
+func (r *roster) throttlers(domain string, minSenders int) senders.View {
+	return r.view(domain, minSenders, leaseDuration)
 }
 
-// view returns the nodes that may send to endpoints of a failure domain: none where this node's own entry
-// is not there, or its copy of the list is too old, as others may not count it.
-func (r *roster) view(domain string, most int, oldest time.Duration) senders.View {
+// view returns the nodes that may send to endpoints of a failure domain. It returns none if this
+// node's own entry is not listed or its copy of the list is older than maxAge, since other nodes
+// may not count it.
+func (r *roster) view(domain string, minSenders int, maxAge time.Duration) senders.View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, listed := r.entries[r.node]
-	if !listed || r.clock.Since(r.members.proven) > oldest {
+	if !listed || r.clock.Since(r.members.proven) > maxAge {
 		return senders.View{Generation: -1}
 	}
-	return senders.View{Generation: r.members.generation, Nodes: r.members.of(domain, most)}
+	return senders.View{Generation: r.members.generation, Nodes: r.members.forDomain(domain, minSenders)}
 }
 
-// mostCold returns the requests in a second that a cold endpoint of a service may get from all nodes
-// together; 0 where it stands any number.
-func (n *Node) mostCold(s *routing.Service) int {
+// maxColdRate returns the requests per second that a cold endpoint of a service may receive from
+// all nodes together; 0 if the rate is not limited.
+func (n *Node) maxColdRate(s *routing.Service) int {
 	bounds := n.bounds()
 	if s.ColdPerSecond <= 0 {
 		return 0
--- a/internal/gateway/senders_test.go
+++ b/internal/gateway/senders_test.go
@@ -16,94 +16,99 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// rosterReads has a roster read the entries of so many nodes in three failure domains, proven so long ago.
-func rosterReads(t *testing.T, r *roster, nodes int, ago time.Duration) {
+// applyEntries applies the entries of the given number of nodes in three failure domains, read ago
+// earlier.
+func applyEntries(t *testing.T, r *roster, nodes int, ago time.Duration) {
 	t.Helper()
 	batch := follow.Batch{Snapshot: true, ProvenAt: time.Now().Add(-ago)}
 	for i := range nodes {
-		batch.Records = append(batch.Records, nodeRecord(t, i, i == 3))
+		batch.Records = append(batch.Records, entryRecord(t, i, i == 3))
 	}
 	r.Apply(batch)
 }
 
-func newSenders(t *testing.T, node string) *roster {
+func newSendersRoster(t *testing.T, node string) *roster {
 	t.Helper()
 	return newRoster(node, nodeEntry{Addr: "10.0.1.1:7", Domain: "d0"}, noTopic{}, func([]peerload.Peer) {}, func(string) bool { return false }, zerolog.Nop())
 }
 
-// TestSendersOfAColdEndpoint are the nodes of its failure domain, those that are gone among them, as
-// all read the same; or all nodes, where there are too few.
-func TestSendersOfAColdEndpoint(t *testing.T) {
-	r := newSenders(t, "n1")
-	test.SliceEmpty(t, r.senders("d0", 4).Nodes, test.Sprint("nothing was read yet"))
-	rosterReads(t, r, 12, 0)
+// TestSendersToColdEndpoint checks that the senders are the nodes of the endpoint's failure domain,
+// including those marked as gone, since all nodes read the same entries; or all nodes if the domain
+// has too few.
+func TestSendersToColdEndpoint(t *testing.T) {
+	r := newSendersRoster(t, "n1")
+	test.SliceEmpty(t, r.senders("d0", 4).Nodes, test.Sprint("the list has not been read"))
+	applyEntries(t, r, 12, 0)
 	view := r.senders("d0", 4)
 	test.Eq(t, []string{"n0", "n3", "n6", "n9"}, view.Nodes)
 	test.Len(t, 12, r.senders("d0", 5).Nodes)
 	test.Len(t, 12, r.senders("elsewhere", 1).Nodes)
-	rosterReads(t, r, 12, 0)
+	applyEntries(t, r, 12, 0)
 	test.Eq(t, view.Generation, r.senders("d0", 4).Generation, test.Sprint("nothing changed"))
-	rosterReads(t, r, 13, 0)
+	applyEntries(t, r, 13, 0)
 	test.NotEq(t, view.Generation, r.senders("d0", 4).Generation)
 	test.True(t, slices.Contains(r.senders("d0", 4).Nodes, "n12"))
 }
 
-// TestSendersNeedAView has a node send nothing to cold endpoints where its own entry is missing, or its
-// copy of the list is too old to count on.
-func TestSendersNeedAView(t *testing.T) {
-	r := newSenders(t, "other")
-	rosterReads(t, r, 12, 0)
+// TestSendersNeedCurrentList checks that a node sends nothing to cold endpoints if its own entry is
+// missing or its copy of the list is too old.
+func TestSendersNeedCurrentList(t *testing.T) {
+	r := newSendersRoster(t, "other")
+	applyEntries(t, r, 12, 0)
 	test.SliceEmpty(t, r.senders("d0", 4).Nodes, test.Sprint("others don't count it"))
-	r = newSenders(t, "n0")
-	rosterReads(t, r, 12, oldestView+time.Second)
-	test.SliceEmpty(t, r.senders("d0", 4).Nodes, test.Sprint("cut off for long"))
-	rosterReads(t, r, 12, time.Second)
+	r = newSendersRoster(t, "n0")
+	applyEntries(t, r, 12, maxViewAge+time.Second)
+	test.SliceEmpty(t, r.senders("d0", 4).Nodes, test.Sprint("the list is too old"))
+	applyEntries(t, r, 12, time.Second)
 	test.Len(t, 4, r.senders("d0", 4).Nodes)
 }
 
-// TestMostCold follows the operators' bound, and has none for services that stand any number.
-func TestMostCold(t *testing.T) {
+// TestMaxColdRate checks the limit that follows from the operators' bounds, and that services
+// without a limit have none.
+func TestMaxColdRate(t *testing.T) {
 	n := &Node{}
 	n.boot.Store(&bootstrap.Node{Bounds: bootstrap.Bounds{ColdOverage: 1.5, ColdTolerance: 5}})
-	test.Eq(t, 32, n.mostCold(&routing.Service{ColdPerSecond: 18}))
-	test.Eq(t, 1+5, n.mostCold(&routing.Service{ColdPerSecond: 1}))
-	test.Zero(t, n.mostCold(&routing.Service{}))
+	test.Eq(t, 32, n.maxColdRate(&routing.Service{ColdPerSecond: 18}))
+	test.Eq(t, 1+5, n.maxColdRate(&routing.Service{ColdPerSecond: 1}))
+	test.Zero(t, n.maxColdRate(&routing.Service{}))
 	n.boot.Store(&bootstrap.Node{})
-	test.Eq(t, 18, n.mostCold(&routing.Service{ColdPerSecond: 18}), test.Sprint("without a bound, what it stands"))
-	test.Eq(t, 1, n.mostCold(&routing.Service{ColdPerSecond: 0.2}))
+	test.Eq(t, 18, n.maxColdRate(&routing.Service{ColdPerSecond: 18}), test.Sprint("without a bound, the service's own limit"))
+	test.Eq(t, 1, n.maxColdRate(&routing.Service{ColdPerSecond: 0.2}))
 }
 
-// Endpoints of an evacuated failure domain were given back cold, under the starts that they had, and
-// all nodes sent there at once: no entry had told that they had turned cold.
+// Endpoints of an evacuated failure domain that had become cold, without a restart, received
+// requests from all nodes at once when the evacuation ended, since no entry had reported them as
+// cold.
 
-// TestGivenBackCold counts all endpoints of a failure domain as cold when it is given back.
-func TestGivenBackCold(t *testing.T) {
+// TestColdAfterEvacuation checks that all endpoints of a failure domain count as cold when its
+// evacuation ends.
+func TestColdAfterEvacuation(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	config := (&routing.Config{Services: []routing.Service{{Name: "s", ColdStart: 3 * time.Second}}}).Index()
 	r := newRegistry(f, func() *routing.Config { return config }, noBounds, newRejected(zerolog.Nop()))
 	s := newState(noBounds, zerolog.Nop())
-	s.evacuations.ending = r.chill
+	s.evacuations.onEnd = r.markDomainCold
 	now := time.Now()
 	for i, domain := range []string{"north", "east"} {
 		f.Update(&fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Domain: domain}, now)
 	}
-	s.readsNow(false, given("north"))
-	s.readsNow(false, takenBack("north"))
+	s.applyNow(false, evacuationRecord("north"))
+	s.applyNow(false, evacuationEndRecord("north"))
 	members := f.Members("s")
 	test.True(t, members[0].Cold(now.Add(2900*time.Millisecond)))
 	test.False(t, members[1].Cold(now))
 }
 
-// TestThrottlersOutliveAnOutage has nodes go on sending to limited endpoints during an outage of the store in which
-// they send nothing to cold ones, as long as others count them, and not for longer.
-func TestThrottlersOutliveAnOutage(t *testing.T) {
-	r := newSenders(t, "n0")
-	rosterReads(t, r, 12, oldestView+time.Second)
+// TestThrottlersDuringOutage checks that nodes continue to send to rate-limited endpoints during a
+// store outage in which they send nothing to cold ones, for as long as other nodes count them.
+func TestThrottlersDuringOutage(t *testing.T) {
+	r := newSendersRoster(t, "n0")
+	applyEntries(t, r, 12, maxViewAge+time.Second)
 	test.SliceEmpty(t, r.senders("d0", 4).Nodes)
 	test.Len(t, 4, r.throttlers("d0", 4).Nodes)
-	rosterReads(t, r, 12, entryProof+time.Second)
+	applyEntries(t, r, 12, leaseDuration+time.Second)
 	test.SliceEmpty(t, r.throttlers("d0", 4).Nodes)
-	r = newSenders(t, "other")
-	rosterReads(t, r, 12, 0)
+	r = newSendersRoster(t, "other")
+	applyEntries(t, r, 12, 0)
 	test.SliceEmpty(t, r.throttlers("d0", 4).Nodes, test.Sprint("others don't count it"))
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// headerTimeout bounds how long a caller may take to send a header.
+	// headerTimeout limits the time a caller may take to send the request header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a caller's idle connection is kept. It is longer
-	// than callers reuse one, which the configuration bounds.
+	// idleTimeout is how long an idle connection of a caller is kept open. It is longer than the
+	// time for which callers reuse a connection, which the configuration limits.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes is where the HTTP server itself refuses a header; the
-	// configuration's own bound is lower.
+	// maxHeaderBytes is the header size above which the HTTP server itself refuses a request. The
+	// configured limit is lower.
 	maxHeaderBytes = 64 << 10
-	// leaveTime is how long a stopping node still takes new connections: the
-	// balancer asks for readiness once a second and needs two misses.
-	leaveTime = 2500 * time.Millisecond
+	// lingerTime is how long a stopping node still accepts new connections: the balancer checks
+	// readiness once per second and needs two failures.
+	lingerTime = 2500 * time.Millisecond
 )
 
-// server is a listener with its HTTP server, as a service of the kernel.
+// server is a listener with its HTTP server, run as a kernel service.
 type server struct {
 	name     string
 	needs    []string
 	listener net.Listener
 	http     *http.Server
-	// leaving is set when the node begins to stop.
+	// leaving is set when the node starts to shut down.
 	leaving *atomic.Bool
-	// linger is how long the server goes on after it began to stop.
+	// linger is how long the server accepts new requests after the shutdown starts.
 	linger time.Duration
 	log    zerolog.Logger
 }
@@ -48,6 +48,8 @@
 	_ kernel.Stopper = (*server)(nil)
 )
 
+// listen opens a listener at addr and returns a server for it. It fails if the address cannot be
+// bound.
 func listen(name, addr string, handler http.Handler, leaving *atomic.Bool, log zerolog.Logger) (*server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -86,23 +88,23 @@
 	return eris.Wrapf(err, "serve %s", s.name)
 }
 
-// Stop implements kernel.Stopper. New requests are taken until the balancer has
-// noticed; requests under way are finished until ctx is done.
+// Stop implements kernel.Stopper. New requests are accepted until the balancer has noticed the
+// shutdown; requests in progress may finish until ctx is done.
 func (s *server) Stop(ctx context.Context) error {
 	s.leaving.Store(true)
 	s.log.Info().Str("event", "stopping").Str("server", s.name).Send()
 	retry.Sleep(ctx, s.linger)
 	if err := s.http.Shutdown(ctx); err != nil {
-		// The grace time is over: what is still under way is cut off by the end of
-		// the process, as the operators' own kill would do.
+		// The grace period is over: remaining requests are cut off when the process exits, as if an
+		// operator had killed it.
 		s.log.Warn().Str("event", "requests_cut").Str("server", s.name).AnErr("error", err).Send()
 	}
 	return nil
 }
 
-// closing asks callers, while the node stops, to use another connection for their
-// next request.
-func closing(leaving *atomic.Bool, next http.Handler) http.Handler {
+// closeWhenLeaving asks callers, while the node shuts down, to use a new connection for their next
+// request.
+func closeWhenLeaving(leaving *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if leaving.Load() {
 			w.Header().Set("Connection", "close")
--- a/internal/gateway/start_begin_test.go
+++ b/internal/gateway/start_begin_test.go
@@ -14,10 +14,10 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// TestStartedPromptsBeginInTime has prompts that a node places on replaced weights while its start
-// excuses it begin by the end of that time, or be withdrawn: the version may have been named long
-// before, and engines may be slow to begin.
-func TestStartedPromptsBeginInTime(t *testing.T) {
+// TestPromptsBeginWithinStartupGrace checks that prompts that a node places on replaced weights
+// during its startup grace period must begin by the end of that period or be withdrawn: the version
+// may have been announced long before, and engines may be slow to begin.
+func TestPromptsBeginWithinStartupGrace(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
 		{VersionApply: 10 * time.Second, StableWindow: 3 * time.Second},
 		{VersionApply: 15 * time.Second, StableWindow: 4 * time.Second},
@@ -26,7 +26,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newStarter(bounds)
 				started := time.Now()
-				s.finds()
+				s.readNewVersion()
 				p, ok := s.placer.Place(&forward.Query{
 					Route:      &routing.Route{Priority: 1, Objective: time.Second},
 					Service:    &routing.Service{Name: "s", Engine: &routing.Engine{TokenBytes: 1}},
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -34,7 +34,7 @@
 	index := kept.NewIndex(nil, nil, zerolog.Nop())
 	s.placer = &placer.Placer{
 		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kept.Lateness{},
-		Excused: s.state.excused,
+		Excused: s.state.startupGrace,
 		MayName: func(string, int64) bool { return false }, Whole: func() bool { return true }, Closed: func() []weights.Closed { return nil },
 		VersionApply: func() time.Duration { return bounds.VersionApply }, Services: &placer.Services{}, Nodes: func() int { return 1 },
 		Now: time.Now, Random: rand.Float64,
@@ -42,14 +42,14 @@
 	return s
 }
 
-// finds has the node find version 2 in its first read of the store.
-func (s *starter) finds() {
+// readNewVersion applies a first read of the store that finds version 2.
+func (s *starter) readNewVersion() {
 	record := follow.Record{Key: "version/" + model, Value: fmt.Appendf(nil, `{"model":%q,"version":2}`, model)}
 	s.state.Apply(follow.Batch{Records: []follow.Record{record}, Snapshot: true, ProvenAt: time.Now()})
 }
 
-// places reports whether a prompt is placed on the engine.
-func (s *starter) places() bool {
+// canPlace reports whether a prompt is placed on the engine.
+func (s *starter) canPlace() bool {
 	_, ok := s.placer.Place(&forward.Query{
 		Route:      &routing.Route{Priority: 1, Objective: time.Second},
 		Service:    &routing.Service{Name: "s", Engine: &routing.Engine{TokenBytes: 1}},
@@ -58,22 +58,16 @@
 	return ok
 }
 
-// TestStartAmongOldWeights has a node that starts use engines whose weights were replaced, for
-// as long as its start excuses it and no longer.
+// TestStartWithReplacedWeights checks that a starting node uses engines with replaced weights until
+// its startup grace period ends, and no longer.
 //
-// What operators saw: a request that began on a version long after a newer one was
-// acknowledged, further than the bound on new weights. The order of events: engines were slow to
-// come to a new version, since answers to orders were lost; a node was restarted; it found the
-// new version in the store, took it for named 7 s ago, and placed prompts on engines that other
-// nodes had left alone for long.
-//
-// The cause: the age of what a node finds at its start was a constant, counted from the read
-// that found it. It kept the bound for one set of bounds (12 s less 2 s for a run to begin, less
-// the stable window of 3 s) if the read came at once. With a bound of 15 s and a window of 4 s
-// the node went on for 6 s, and a late first read added its lateness in any case. The evidence:
-// log lines of restarted nodes, "weights_named" and then prompts on weights=1 until 3.2 s after
-// "start", 20 s after the other nodes' "weights_named".
-func TestStartAmongOldWeights(t *testing.T) {
+// It guards against a restarted node that places prompts on replaced weights beyond the bound on
+// new weights, on engines that other nodes no longer use. This happened when the age of a version
+// found at the start was a constant, counted from the read that found it. The constant (12 s less
+// 2 s for a run to begin, less the stable window of 3 s) was right for one set of bounds and an
+// immediate read only. With a bound of 15 s and a window of 4 s the node continued for 6 s, and a
+// late first read added its delay in any case.
+func TestStartWithReplacedWeights(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
 		{VersionApply: 10 * time.Second, StableWindow: 3 * time.Second},
 		{VersionApply: 12 * time.Second, StableWindow: 3 * time.Second},
@@ -86,10 +80,10 @@
 					s := newStarter(bounds)
 					started := time.Now()
 					time.Sleep(late)
-					s.finds()
-					test.True(t, s.places(), test.Sprint("callers are served on old weights at first"))
+					s.readNewVersion()
+					test.True(t, s.canPlace(), test.Sprint("old weights are used at first"))
 					time.Sleep(time.Until(started.Add(bounds.StableWindow)))
-					test.False(t, s.places(), test.Sprint("the start excuses the node no more"))
+					test.False(t, s.canPlace(), test.Sprint("the startup grace period is over"))
 				})
 			})
 		}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -17,37 +17,37 @@
 	"github.com/cherryward/cherryward/platform"
 )
 
-// state is what the operators want: the configuration and the versions of
-// weights, with the time at which both were certainly current.
+// state is the configuration and the weight versions that the operators want, with the last time at
+// which both were known to be current.
 //
-// Guarantees: the configuration's version never falls while the process runs. A node without a
-// configuration has no evacuations either, and takes no requests.
+// Guarantees: the configuration's version never decreases while the process runs. A node without a
+// configuration has no evacuations and accepts no requests.
 type state struct {
 	log      zerolog.Logger
-	clock    *clock.Clock // nil is the steady clock
-	started  time.Time    // of the process
+	clock    *clock.Clock // nil is the monotonic clock
+	started  time.Time    // start of the process
 	bounds   func() bootstrap.Bounds
 	rejected *rejected
 	config   atomic.Pointer[routing.Config]
-	// configured is called when another configuration is in force; nil for nothing.
-	configured  func()
+	// onConfig, if not nil, is called after a new configuration takes effect.
+	onConfig    func()
 	evacuations evacuations
-	proven      atomic.Pointer[time.Time]
+	provenAt    atomic.Pointer[time.Time]
 
 	mu       sync.Mutex
-	versions map[string][]namedVersion // by model, rising
-	changed  chan struct{}             // signalled when a version was named
+	versions map[string][]announcedVersion // by model, in increasing order
+	changed  chan struct{}                 // signaled when a version is announced
 }
 
-// namedVersion is a version of a model that the operators named.
-type namedVersion struct {
+// announcedVersion is a version of a model that the operators announced.
+type announcedVersion struct {
 	version int64
-	seen    time.Time // when it was first seen here
-	// notBefore is a time at which it was not named yet, as far as is known.
+	seen    time.Time // when this node first read it
+	// notBefore is the latest time at which the version is known not to have been announced yet.
 	notBefore time.Time
-	// prompt is true where it was seen soon after it was named, since the state
-	// was known to be current shortly before.
-	prompt bool
+	// timely is true if the version was read soon after its announcement: the state was known to be
+	// current shortly before.
+	timely bool
 }
 
 var (
@@ -60,69 +60,73 @@
 func newState(bounds func() bootstrap.Bounds, log zerolog.Logger) *state {
 	return &state{
 		log: log, started: time.Now(), bounds: bounds, rejected: newRejected(log),
-		versions: make(map[string][]namedVersion), changed: make(chan struct{}, 1),
+		versions: make(map[string][]announcedVersion), changed: make(chan struct{}, 1),
 	}
 }
 
-// sight is when a batch of records was seen, and since when they may have been there.
-type sight struct {
+// observation is when a batch of records was read, and the earliest time at which they may have
+// been written.
+type observation struct {
 	at, notBefore time.Time
-	prompt        bool
+	timely        bool
 }
 
-// startMargin is how long before a start excuses a node no more its last prompts are placed on
-// replaced weights: the way from a placement to the engine, and the late turns of a busy host.
+// startMargin is how long before the end of the startup grace period the last prompts are placed on
+// replaced weights. It covers the time from a placement to its arrival at the engine, and
+// scheduling delays of a busy host.
 const startMargin = 250 * time.Millisecond
 
-// namedBeforeStart returns when a version counts as named that the first read finds, as it may
-// have been at any time before. Engines with older weights get prompts until the start excuses
-// the node no more. The time counts from the start, not from the read, and follows the bounds: one
-// that is fixed keeps those of some deployments alone.
-func (s *state) namedBeforeStart() time.Time {
+// assumedAnnounceTime returns the announcement time that is assumed for a version found by the
+// first read, since the version may have been announced at any earlier time. Engines with older
+// weights receive prompts until the startup grace period ends. The time is counted from the start
+// of the process, not from the read, and depends on the configured bounds: a constant would be
+// right for some deployments only.
+func (s *state) assumedAnnounceTime() time.Time {
 	bounds := s.bounds()
 	return s.started.Add(bounds.StableWindow - startMargin - placer.ReplacedLimit(bounds.VersionApply))
 }
 
-// excused implements placer.Placer.Excused.
-func (s *state) excused() (started, until time.Time) {
+// startupGrace implements placer.Placer.Excused. It returns the start of the process and the end of
+// the stable window that follows it.
+func (s *state) startupGrace() (started, until time.Time) {
 	return s.started, s.started.Add(s.bounds().StableWindow)
 }
 
 // Apply implements follow.Sink. The configuration and the evacuations are stored before the time at
-// which they were current, so that a reader who takes them the other way round never
-// finds it fresher than it is.
+// which they were current. A reader that loads them in the reverse order therefore never takes the
+// state for fresher than it is.
 func (s *state) Apply(b follow.Batch) {
-	sight := sight{at: s.clock.Now(), notBefore: s.namedBeforeStart()}
-	if before := s.proven.Load(); before != nil {
-		sight.notBefore = *before
-		sight.prompt = b.ProvenAt.Sub(*before) < namingAge
+	obs := observation{at: s.clock.Now(), notBefore: s.assumedAnnounceTime()}
+	if before := s.provenAt.Load(); before != nil {
+		obs.notBefore = *before
+		obs.timely = b.ProvenAt.Sub(*before) < maxFreshConfigAge
 	}
 	for _, change := range s.evacuations.apply(&b) {
-		s.log.Info().Str("event", "evacuation").Str("domain", change.domain).Bool("in_force", change.begun).Int64("offset", change.offset).Send()
+		s.log.Info().Str("event", "evacuation").Str("domain", change.domain).Bool("in_force", change.active).Int64("offset", change.offset).Send()
 	}
 	for i := range b.Records {
-		s.applyRecord(&b.Records[i], &sight)
+		s.applyRecord(&b.Records[i], &obs)
 	}
-	s.proven.Store(&b.ProvenAt)
+	s.provenAt.Store(&b.ProvenAt)
 }
 
-func (s *state) applyRecord(r *follow.Record, sight *sight) {
+func (s *state) applyRecord(r *follow.Record, obs *observation) {
 	if r.Value == nil {
-		return // the operators never withdraw a configuration
+		return // operators never remove a configuration
 	}
 	if platform.IsConfig(r.Key) {
 		s.applyConfig(r)
 		return
 	}
 	if model, ok := platform.ModelOf(r.Key); ok {
-		s.applyVersion(model, r, sight)
+		s.applyVersion(model, r, obs)
 	}
 }
 
 func (s *state) applyConfig(r *follow.Record) {
 	config, err := platform.DecodeConfig(r.Value)
 	if err != nil {
-		s.rejected.record(r, err) // what was in force stays
+		s.rejected.record(r, err) // the previous configuration stays in effect
 		return
 	}
 	before := s.config.Load()
@@ -132,8 +136,8 @@
 	s.config.Store(config)
 	s.log.Info().Str("event", "config").Int64("version", config.Version).Int64("offset", r.Offset).
 		Int("routes", len(config.Routes)).Int("accounts", len(config.Accounts)).Ints("ranks", ranks(config)).Send()
-	if s.configured != nil {
-		s.configured()
+	if s.onConfig != nil {
+		s.onConfig()
 	}
 }
 
@@ -148,7 +152,7 @@
 	return list
 }
 
-func (s *state) applyVersion(model string, r *follow.Record, sight *sight) {
+func (s *state) applyVersion(model string, r *follow.Record, obs *observation) {
 	version, err := platform.DecodeVersion(model, r.Value)
 	if err != nil {
 		s.rejected.record(r, err)
@@ -158,14 +162,14 @@
 	named := s.versions[model]
 	newer := len(named) == 0 || version > named[len(named)-1].version
 	if newer {
-		s.versions[model] = append(named, namedVersion{version: version, seen: sight.at, notBefore: sight.notBefore, prompt: sight.prompt})
+		s.versions[model] = append(named, announcedVersion{version: version, seen: obs.at, notBefore: obs.notBefore, timely: obs.timely})
 	}
 	s.mu.Unlock()
 	if !newer {
 		return
 	}
 	s.log.Info().Str("event", "weights_named").Str("model", model).Int64("version", version).Int64("offset", r.Offset).
-		Int64("age_at_most_ms", sight.at.Sub(sight.notBefore).Milliseconds()).Bool("prompt", sight.prompt).Send()
+		Int64("age_at_most_ms", obs.at.Sub(obs.notBefore).Milliseconds()).Bool("prompt", obs.timely).Send()
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -174,14 +178,15 @@
 
 // Config implements forward.State.
 func (s *state) Config() (*routing.Config, time.Duration) {
-	proven := s.proven.Load()
+	proven := s.provenAt.Load()
 	if proven == nil {
 		return nil, 0
 	}
 	return s.config.Load(), s.clock.Since(*proven)
 }
 
-// Evacuated reports whether the operators asked that a failure domain's endpoints get nothing.
+// Evacuated reports whether operators have evacuated a failure domain, so that its endpoints must
+// receive no requests.
 func (s *state) Evacuated(domain string) bool { return s.evacuations.inForce(domain) }
 
 // Wanted implements placer.Versions.
@@ -196,9 +201,9 @@
 	return newest.version, newest.notBefore
 }
 
-// replaced returns the first version that replaced one, and false for a version
-// that is still wanted.
-func (s *state) replaced(model string, version int64) (by namedVersion, ok bool) {
+// replaced returns the first announced version that is newer than the given one, and false if none
+// is.
+func (s *state) replaced(model string, version int64) (by announcedVersion, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, named := range s.versions[model] {
@@ -206,7 +211,7 @@
 			return named, true
 		}
 	}
-	return namedVersion{}, false
+	return announcedVersion{}, false
 }
 
 // Replaced implements placer.Versions.
--- a/internal/gateway/suspended.go
+++ b/internal/gateway/suspended.go
@@ -7,15 +7,15 @@
 	"github.com/cherryward/cherryward/coord/retry"
 )
 
-// suspendedLook is the time between two looks whether the host was suspended. They are for the log
-// alone: what is decided reads the clock itself.
-const suspendedLook = 200 * time.Millisecond
+// suspensionCheckInterval is the time between two checks whether the host was suspended. They only
+// serve the log: decisions read the clock itself.
+const suspensionCheckInterval = 200 * time.Millisecond
 
-// watchSuspension logs each time for which the host was suspended, until ctx is done.
+// watchSuspension logs each suspension of the host, until ctx is done.
 func (n *Node) watchSuspension(ctx context.Context) error {
 	known := n.clock.Suspended()
 	for ctx.Err() == nil {
-		retry.Sleep(ctx, suspendedLook)
+		retry.Sleep(ctx, suspensionCheckInterval)
 		now := n.clock.Suspended()
 		if now == known {
 			continue
--- a/internal/gateway/sweep.go
+++ b/internal/gateway/sweep.go
@@ -16,46 +16,46 @@
 )
 
 const (
-	// goneAfter is how long a node may give no sign of life before its entry is marked: far
-	// longer than a restart or a pause takes, as each false mark costs two writes and ends all
-	// nodes' waiting reads twice.
-	goneAfter = 60 * time.Second
-	// sweepPause is the time between two looks for nodes that are gone, each of which writes
-	// at most one entry: where failure domains are cut off from one another, but not from the
-	// store, a sweeper makes no more than 12 writes a minute, and the marked nodes as many.
-	sweepPause = 5 * time.Second
-	// sweepers is the number of nodes that look after the same others. One may have lost the
-	// store.
-	sweepers = 2
+	// silenceTimeout is how long a node may show no activity before its entry is marked. It is far
+	// longer than a restart or a pause of a process, since each false mark costs two writes and
+	// twice ends every node's waiting read.
+	silenceTimeout = 60 * time.Second
+	// sweepInterval is the time between two checks for nodes that are gone. Each check writes at
+	// most one entry: if failure domains are cut off from one another but not from the store, a
+	// sweeper makes at most 12 writes per minute, and the marked nodes as many.
+	sweepInterval = 5 * time.Second
+	// sweepersPerGroup is the number of nodes that watch the same group of nodes, in case one has
+	// lost the store.
+	sweepersPerGroup = 2
 )
 
 // sweeper removes the entries of nodes that are gone from the topic.
 //
-// An entry is marked first, which asks its node whether it lives: if it reads the topic, it
-// writes its entry anew. An entry that stays marked for goneGrace is removed. Both writes
-// follow the newest record that the sweeper knows, so that of two sweepers one fails, and
-// nothing is removed that was written meanwhile. See lease for why a node that lives and is
-// removed nevertheless does no harm.
+// An entry is marked first. If its node is alive and reads the topic, it writes the entry again; an
+// entry that stays marked for removalGrace is removed. Both writes are conditional on the newest
+// record that the sweeper has read. One of two concurrent sweepers therefore fails, and no entry
+// that was written meanwhile is removed. See lease for why the removal of a live node is harmless.
 type sweeper struct {
 	roster *roster
-	// alive reports whether a node, or any of its failure domain if that is another one, was
-	// heard within a time.
+	// alive reports whether a message of a node, or of any node of its failure domain if that is a
+	// different one, arrived within the given time.
 	alive func(name, domain string, within time.Duration) bool
-	// hears reports whether any node was heard: one that hears nobody is cut off itself.
-	hears func(within time.Duration) bool
+	// connected reports whether a message of any node arrived within the given time. A node that
+	// receives none is itself disconnected.
+	connected func(within time.Duration) bool
 
-	signs map[string]time.Time // a node's last sign of life
-	last  time.Time            // look; zero where this node didn't sweep
+	lastSeen  map[string]time.Time // last activity of each node
+	lastSweep time.Time            // zero if this node was not a sweeper at the last check
 }
 
-// listing is another node's entry as the sweeper sees it.
-type listing struct {
+// listedEntry is another node's entry as read by the sweeper.
+type listedEntry struct {
 	nodeEntry
-	name    string
-	written time.Time
+	name      string
+	writtenAt time.Time
 }
 
-// newSweeper returns a node's sweeper.
+// newSweeper returns the sweeper of a node.
 func newSweeper(n *Node) *sweeper {
 	table := n.peers.Table
 	return &sweeper{
@@ -64,64 +64,65 @@
 			now := n.clock.Now()
 			return table.Heard(name, now, within) || domain != n.roster.own.Domain && table.HeardOf(domain, now, within)
 		},
-		hears: func(within time.Duration) bool {
+		connected: func(within time.Duration) bool {
 			now := n.clock.Now()
 			return table.Hears(now, within) || table.HearsAfar(now, within)
 		},
 	}
 }
 
-// run sweeps until ctx is done.
+// run sweeps at each sweepInterval until ctx is done.
 func (s *sweeper) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		retry.Sleep(ctx, sweepPause)
+		retry.Sleep(ctx, sweepInterval)
 		s.sweep(ctx, s.roster.clock.Now())
 	}
 	return nil
 }
 
-// sweep looks once, and writes at most one entry.
+// sweep checks all entries once, and writes at most one.
 func (s *sweeper) sweep(ctx context.Context, now time.Time) {
-	if !s.roster.sweeps() {
-		s.last = time.Time{}
+	if !s.roster.isSweeper() {
+		s.lastSweep = time.Time{}
 		return
 	}
-	listed, end := s.roster.listed()
-	s.note(listed, now)
-	if !s.hears(sweepPause) {
+	listed, end := s.roster.listEntries()
+	s.updateLastSeen(listed, now)
+	if !s.connected(sweepInterval) {
 		return
 	}
 	for i := range listed {
-		if do := s.due(&listed[i], now); do != keepEntry {
-			s.write(ctx, &listed[i], do, end)
+		if next := s.nextAction(&listed[i], now); next != keepEntry {
+			s.write(ctx, &listed[i], next, end)
 			return
 		}
 	}
 }
 
-// note takes the nodes' signs of life: messages and entries that they wrote. After a pause of
-// this process all count as alive, as it heard nobody meanwhile, and so they do for a node that
-// begins to sweep, as those of a large system tell the sweepers alone that they live.
-func (s *sweeper) note(listed []listing, now time.Time) {
-	before := s.signs
-	if now.Sub(s.last) > 2*sweepPause {
+// updateLastSeen records the nodes' activity: messages and written entries. After a pause of this
+// process all nodes count as active, since it received no messages meanwhile. The same holds for a
+// node that becomes a sweeper, since the nodes of a large system report their activity to the
+// sweepers only.
+func (s *sweeper) updateLastSeen(listed []listedEntry, now time.Time) {
+	before := s.lastSeen
+	if now.Sub(s.lastSweep) > 2*sweepInterval {
 		before = nil
 	}
-	s.last = now
-	s.signs = make(map[string]time.Time, len(listed))
+	s.lastSweep = now
+	s.lastSeen = make(map[string]time.Time, len(listed))
 	for _, l := range listed {
-		sign, known := before[l.name]
+		seen, known := before[l.name]
 		switch {
-		case !known || s.alive(l.name, l.Domain, sweepPause):
-			sign = now
-		case l.written.After(sign):
-			sign = l.written
+		case !known || s.alive(l.name, l.Domain, sweepInterval):
+			seen = now
+		case l.writtenAt.After(seen):
+			seen = l.writtenAt
 		}
-		s.signs[l.name] = sign
+		s.lastSeen[l.name] = seen
 	}
 }
 
-// action is what is to be done with an entry.
+// action is the operation to perform on an entry.
 type action int
 
 const (
@@ -135,69 +136,71 @@
 	return [...]string{keepEntry: "keep", markEntry: "mark", removeEntry: "remove"}[a]
 }
 
-// due returns what is to be done with an entry. Its mark is a record, too, from which on
-// goneGrace counts.
-func (s *sweeper) due(l *listing, now time.Time) action {
-	silent := now.Sub(s.signs[l.name])
+// nextAction returns the operation to perform on an entry. The mark is itself a record, so
+// removalGrace is counted from it.
+func (s *sweeper) nextAction(l *listedEntry, now time.Time) action {
+	silent := now.Sub(s.lastSeen[l.name])
 	switch {
 	case l.Gone && silent >= s.roster.lease.grace:
 		return removeEntry
-	case !l.Gone && silent >= goneAfter:
+	case !l.Gone && silent >= silenceTimeout:
 		return markEntry
 	}
 	return keepEntry
 }
 
-func (s *sweeper) write(ctx context.Context, l *listing, do action, end int64) {
-	err := s.put(ctx, l, do, end)
+// write performs an operation on an entry and logs the result.
+func (s *sweeper) write(ctx context.Context, l *listedEntry, next action, end int64) {
+	err := s.put(ctx, l, next, end)
 	if errors.Is(err, follow.ErrChanged) {
-		return // another sweeper was first, or the node lives
+		return // another sweeper wrote first, or the node is alive
 	}
-	s.roster.log.Info().Str("event", "node_gone").Str("node", l.name).Stringer("action", do).AnErr("error", err).Send()
+	s.roster.log.Info().Str("event", "node_gone").Str("node", l.name).Stringer("action", next).AnErr("error", err).Send()
 }
 
-func (s *sweeper) put(ctx context.Context, l *listing, do action, end int64) error {
-	if do == removeEntry {
+func (s *sweeper) put(ctx context.Context, l *listedEntry, next action, end int64) error {
+	if next == removeEntry {
 		return s.roster.topic.PutIf(ctx, l.name, nil, end)
 	}
 	marked := l.nodeEntry
 	marked.Gone = true
 	value, err := json.Marshal(marked)
 	if err != nil {
-		return eris.Wrap(err, "encode a marked entry")
+		return eris.Wrap(err, "encode marked node entry")
 	}
 	return s.roster.topic.PutIf(ctx, l.name, value, end)
 }
 
-// listed returns the other nodes' entries by name, and where the topic ended when they were read.
-func (r *roster) listed() (list []listing, end int64) {
+// listEntries returns the other nodes' entries, sorted by name, and the offset up to which the
+// topic was read.
+func (r *roster) listEntries() (list []listedEntry, end int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, e := range r.entries {
 		if name != r.node {
-			list = append(list, listing{nodeEntry: e, name: name, written: r.written[name]})
+			list = append(list, listedEntry{nodeEntry: e, name: name, writtenAt: r.writtenAt[name]})
 		}
 	}
-	slices.SortFunc(list, func(a, b listing) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(list, func(a, b listedEntry) int { return strings.Compare(a.name, b.name) })
 	return list, r.end
 }
 
-// sweeps reports whether this node looks after the others: the first few that were heard
-// lately, of a small system, or of each failure domain of a large one. They look after the
-// nodes of failure domains of which nobody is heard, too.
-func (r *roster) sweeps() bool {
-	whole := pace.Whole(r.Nodes())
+// isSweeper reports whether this node watches the others. The sweepers are the first active nodes
+// of a small system, or of each failure domain of a large one. They also watch the nodes of failure
+// domains from which no message arrives.
+func (r *roster) isSweeper() bool {
+	small := pace.Whole(r.Nodes())
 	r.mu.Lock()
-	near := r.sorted(func(e nodeEntry) bool { return whole || e.Domain == r.own.Domain })
+	group := r.sortedNodes(func(e nodeEntry) bool { return small || e.Domain == r.own.Domain })
 	r.mu.Unlock()
 	before := 0
-	for _, n := range near {
+	for _, n := range group {
 		if n.name == r.node {
-			return before < sweepers
+			return before < sweepersPerGroup
 		}
-		if r.heard(n.name) {
+		if r.peerAlive(n.name) {
 			before++
 		}
 	}
-	return false // its own entry is not there
+	return false // its own entry is not listed
 }
--- a/internal/gateway/sweep_test.go
+++ b/internal/gateway/sweep_test.go
@@ -13,136 +13,139 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// goneTime is how long a node that is gone stays listed at most: until its entry is marked and
-// removed, with looks that come in between.
-func goneTime() time.Duration { return goneAfter + goneGrace(0) + 6*sweepPause }
+// maxRemovalTime returns the longest time that a node that is gone stays listed: until its entry is
+// marked and removed, including the checks in between.
+func maxRemovalTime() time.Duration { return silenceTimeout + removalGrace(0) + 6*sweepInterval }
 
-// TestReplacedNodeLeavesTheList replaces nodes of small and large systems by others of another
-// name and address, one and ten in a row. They leave the count of all nodes, at two writes for
-// each, while those that live stay.
-func TestReplacedNodeLeavesTheList(t *testing.T) {
+// TestReplacedNodesAreRemoved replaces nodes of small and large systems, one or ten in a row, by
+// nodes with other names and addresses. The replaced nodes must leave the count of all nodes, with
+// two writes for each, while live nodes stay.
+func TestReplacedNodesAreRemoved(t *testing.T) {
 	for _, tc := range []struct{ nodes, replaced int }{{7, 1}, {7, 10}, {30, 10}} {
 		t.Run(fmt.Sprint(tc.replaced, " of ", tc.nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSystem()
+				s := newCluster()
 				s.startAll(t, tc.nodes)
 				writes := s.log.writes
 				test.Eq(t, tc.nodes, writes)
 				for i := range tc.replaced {
-					s.kill(fmt.Sprint("n", i))
+					s.stop(fmt.Sprint("n", i))
 					s.start(fmt.Sprint("n", tc.nodes+i), tc.nodes+i, fmt.Sprint("d", i%3))
 					s.run(t, 4*time.Second)
 				}
-				s.agree(t, tc.nodes+tc.replaced)
-				// Others look after a node once the system is no more a large one.
-				s.run(t, 2*goneTime()+time.Duration(tc.replaced)*sweepPause)
-				s.agree(t, tc.nodes)
+				s.requireCount(t, tc.nodes+tc.replaced)
+				// Other sweepers become responsible for a node when the system stops being a large
+				// one.
+				s.run(t, 2*maxRemovalTime()+time.Duration(tc.replaced)*sweepInterval)
+				s.requireCount(t, tc.nodes)
 				test.Eq(t, writes+3*tc.replaced, s.log.writes)
 				for name, n := range s.nodes {
-					test.True(t, n.Counted(), test.Sprint(name))
+					test.True(t, n.HoldsLease(), test.Sprint(name))
 				}
 				before := s.log.reads
 				s.run(t, 10*time.Minute)
-				test.Eq(t, writes+3*tc.replaced, s.log.writes, test.Sprint("nothing is written while nothing changes"))
+				test.Eq(t, writes+3*tc.replaced, s.log.writes, test.Sprint("no writes without changes"))
 				test.Between(t, 59*tc.nodes, s.log.reads-before, 61*tc.nodes)
 			})
 		})
 	}
 }
 
-// TestLostDomainLeavesTheList removes the nodes of a failure domain of which none is left.
-func TestLostDomainLeavesTheList(t *testing.T) {
+// TestLostDomainIsRemoved checks that the nodes of a failure domain are removed when none of them
+// is left.
+func TestLostDomainIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSystem()
+		s := newCluster()
 		s.startAll(t, 24)
 		for i := 0; i < 24; i += 3 {
-			s.kill(fmt.Sprint("n", i))
+			s.stop(fmt.Sprint("n", i))
 		}
-		s.run(t, goneTime()+2*8*sweepPause)
-		s.agree(t, 16)
+		s.run(t, maxRemovalTime()+2*8*sweepInterval)
+		s.requireCount(t, 16)
 	})
 }
 
-// TestLivingNodeStaysListed freezes a node for less than it takes to be gone, restarts it, and
-// cuts it off from the other nodes but not from the store. It never leaves the count, and the
-// cut costs two writes each time that it was silent for long.
-func TestLivingNodeStaysListed(t *testing.T) {
+// TestLiveNodeStaysListed freezes a node for less than silenceTimeout, restarts it, and disconnects
+// it from the other nodes but not from the store. It must never leave the count, and the
+// disconnection may cost two writes per silenceTimeout.
+func TestLiveNodeStaysListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSystem()
+		s := newCluster()
 		s.startAll(t, 7)
 		writes := s.log.writes
 		n := s.nodes["n3"]
 		n.frozen = true
-		s.run(t, goneAfter/2)
+		s.run(t, silenceTimeout/2)
 		n.frozen = false
-		s.run(t, goneAfter/2)
-		s.kill("n3")
-		s.run(t, goneAfter/2)
+		s.run(t, silenceTimeout/2)
+		s.stop("n3")
+		s.run(t, silenceTimeout/2)
 		n = s.start("n3", 3, "d0")
-		s.run(t, 2*goneTime())
+		s.run(t, 2*maxRemovalTime())
 		test.Eq(t, writes, s.log.writes)
 		n.silent = true
 		const cut = 10 * time.Minute
 		for range int(cut / time.Second) {
 			s.run(t, time.Second)
-			s.agree(t, 7)
-			test.True(t, n.Counted())
+			s.requireCount(t, 7)
+			test.True(t, n.HoldsLease())
 		}
-		test.LessEq(t, 2*int(cut/goneAfter), s.log.writes-writes)
+		test.LessEq(t, 2*int(cut/silenceTimeout), s.log.writes-writes)
 		test.Greater(t, writes, s.log.writes)
 	})
 }
 
-// TestNodeThatHearsNobodyMarksNone has a node that is cut off from the others leave their
-// entries alone, and one that was frozen give them time to be heard.
-func TestNodeThatHearsNobodyMarksNone(t *testing.T) {
+// TestIsolatedNodeMarksNone checks that a node that receives no messages does not mark the other
+// nodes' entries.
+func TestIsolatedNodeMarksNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSystem()
+		s := newCluster()
 		s.startAll(t, 2)
 		writes := s.log.writes
 		s.nodes["n0"].silent = true
-		s.run(t, goneTime())
+		s.run(t, maxRemovalTime())
 		test.Eq(t, writes, s.log.writes)
 	})
 }
 
-// TestFrozenSweeperWaitsAnew has a node that was frozen give the others time to be heard.
-func TestFrozenSweeperWaitsAnew(t *testing.T) {
+// TestResumedSweeperWaits checks that a sweeper that was frozen gives the other nodes a full
+// silenceTimeout to be heard again.
+func TestResumedSweeperWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSystem()
+		s := newCluster()
 		s.startAll(t, 3)
 		for _, n := range s.nodes {
 			n.silent = true
-			n.sweeper.hears = func(time.Duration) bool { return true }
+			n.sweeper.connected = func(time.Duration) bool { return true }
 		}
-		time.Sleep(goneAfter)
-		s.run(t, goneAfter-2*sweepPause)
+		time.Sleep(silenceTimeout)
+		s.run(t, silenceTimeout-2*sweepInterval)
 		test.Eq(t, 3, s.log.writes)
-		s.run(t, 4*sweepPause)
+		s.run(t, 4*sweepInterval)
 		test.Greater(t, 3, s.log.writes)
 	})
 }
 
-// TestSweeperRuns marks a node that is gone.
+// TestSweeperRuns checks that run marks a node that is gone.
 func TestSweeperRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSystem()
+		s := newCluster()
 		s.startAll(t, 2)
 		s.nodes["n1"].silent = true
 		sweeper := s.nodes["n0"].sweeper
-		sweeper.hears = func(time.Duration) bool { return true }
-		ctx, cancel := context.WithTimeout(t.Context(), goneAfter+3*sweepPause)
+		sweeper.connected = func(time.Duration) bool { return true }
+		ctx, cancel := context.WithTimeout(t.Context(), silenceTimeout+3*sweepInterval)
 		defer cancel()
 		must.NoError(t, sweeper.run(ctx))
 		test.Eq(t, 3, s.log.writes)
 	})
 }
 
-// TestSweepersDontFight has one of two that write at once fail, and a node that wrote its entry
-// meanwhile stay.
-func TestSweepersDontFight(t *testing.T) {
-	log := &nodesLog{}
-	n := &listedNode{log: log}
+// TestConcurrentSweeperWrites checks that one of two concurrent conditional writes fails, and that
+// a node that has written its entry meanwhile stays.
+func TestConcurrentSweeperWrites(t *testing.T) {
+	log := &memoryTopic{}
+	n := &simNode{log: log}
 	must.NoError(t, n.Put(t.Context(), "a", []byte("{}")))
 	end := int64(len(log.records))
 	must.NoError(t, n.PutIf(t.Context(), "a", []byte(`{"gone":true}`), end))
@@ -153,22 +156,23 @@
 	test.Len(t, 1, log.newest())
 }
 
-// TestNodesFollowTheList counts the nodes that are listed, or heard and not listed yet, once
-// the list was read; before, none that was heard is taken for gone.
-func TestNodesFollowTheList(t *testing.T) {
+// TestNodeCount checks that the listed nodes are counted, or those whose messages arrived recently
+// if they are more. Before the list has been read, no node whose messages arrived is considered
+// gone.
+func TestNodeCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newView("n0")
-		hears := func(names ...string) {
+		receive := func(names ...string) {
 			for i, name := range names {
 				v.node.peers.Table.Take(peerload.Digest{Node: name, Incarnation: time.Now().UnixNano(), Seq: int64(i)}, time.Now())
 			}
 		}
-		hears("n1", "n2", "n3")
+		receive("n1", "n2", "n3")
 		time.Sleep(time.Minute)
 		test.Eq(t, 4, v.node.nodes())
-		v.knows(t, "n0", "n1")
+		v.setNodes(t, "n0", "n1")
 		test.Eq(t, 2, v.node.nodes())
-		hears("n1", "n4", "n5")
+		receive("n1", "n4", "n5")
 		test.Eq(t, 4, v.node.nodes())
 		time.Sleep(time.Minute)
 		test.Eq(t, 2, v.node.nodes())
--- a/internal/gateway/task.go
+++ b/internal/gateway/task.go
@@ -6,7 +6,7 @@
 	"github.com/cherryward/cherryward/internal/kernel"
 )
 
-// task is a loop as a service of the kernel.
+// task runs a function as a kernel service.
 type task struct {
 	name string
 	run  func(ctx context.Context) error
--- a/internal/gateway/topic_test.go
+++ b/internal/gateway/topic_test.go
@@ -15,16 +15,16 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// errCut is what calls of a node fail with that is cut off from the store.
-var errCut = errors.New("cut off")
+// errDisconnected is the error of calls to the store by a disconnected node.
+var errDisconnected = errors.New("disconnected from the store")
 
-// nodesLog is a topic in memory, for one goroutine.
-type nodesLog struct {
+// memoryTopic is a topic in memory. It is not safe for concurrent use.
+type memoryTopic struct {
 	records       []follow.Record
-	writes, reads int // calls that succeeded
+	writes, reads int // successful calls
 }
 
-func (l *nodesLog) put(key string, value []byte, end int64) error {
+func (l *memoryTopic) put(key string, value []byte, end int64) error {
 	if end >= 0 && end != int64(len(l.records)) {
 		return follow.ErrChanged
 	}
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// newest returns the newest record of each key.
-func (l *nodesLog) newest() []follow.Record {
+// newest returns the newest record of each key that is not removed.
+func (l *memoryTopic) newest() []follow.Record {
 	newest := make(map[string]follow.Record)
 	for _, r := range l.records {
 		newest[r.Key] = r
@@ -48,41 +48,42 @@
 	return list
 }
 
-// listedNode is a node of which only the list of nodes runs, step by step. Its process may be
-// frozen, and it may be cut off from the store and not heard by other nodes, nor hear them.
-type listedNode struct {
+// simNode is a simulated node that runs only the handling of the list of nodes, step by step. Its
+// process may be frozen, disconnected from the store, or silent: it then neither sends messages to
+// other nodes nor receives any.
+type simNode struct {
 	*roster
-	log     *nodesLog
+	log     *memoryTopic
 	sweeper *sweeper
 
-	frozen, cut, silent bool
+	frozen, disconnected, silent bool
 
-	next               int64 // offset to read from
-	sent               time.Time
-	answer             *follow.Batch // to the read that was sent; nil while it waits
-	announces, sweepAt time.Time
+	next                int64 // offset of the next read
+	sent                time.Time
+	response            *follow.Batch // response to the read in progress; nil while it waits
+	announceAt, sweepAt time.Time
 }
 
-var _ putter = (*listedNode)(nil)
+var _ entryWriter = (*simNode)(nil)
 
-// Put implements putter.
-func (n *listedNode) Put(ctx context.Context, key string, value []byte) error {
+// Put implements entryWriter.
+func (n *simNode) Put(ctx context.Context, key string, value []byte) error {
 	return n.PutIf(ctx, key, value, -1)
 }
 
-// PutIf implements putter.
-func (n *listedNode) PutIf(_ context.Context, key string, value []byte, end int64) error {
-	if n.cut {
-		return errCut
+// PutIf implements entryWriter.
+func (n *simNode) PutIf(_ context.Context, key string, value []byte, end int64) error {
+	if n.disconnected {
+		return errDisconnected
 	}
 	return n.log.put(key, value, end)
 }
 
-// read has the store answer the node's read, which waits for a change. It proves what was when
-// it was sent, and is taken when the process runs.
-func (n *listedNode) read() {
-	if n.cut {
-		n.sent, n.answer = time.Time{}, nil
+// read simulates a read that waits for a change. Its response proves the state at the time the read
+// was sent, and is applied once the process runs.
+func (n *simNode) read() {
+	if n.disconnected {
+		n.sent, n.response = time.Time{}, nil
 		return
 	}
 	if n.sent.IsZero() {
@@ -90,75 +91,78 @@
 	}
 	end := int64(len(n.log.records))
 	first := n.next < 0
-	if n.answer == nil && (first || n.next < end || time.Since(n.sent) >= nodesWait) {
-		n.answer = &follow.Batch{Snapshot: first, ProvenAt: n.sent, Next: end, Records: n.log.newest()}
+	if n.response == nil && (first || n.next < end || time.Since(n.sent) >= nodesWait) {
+		n.response = &follow.Batch{Snapshot: first, ProvenAt: n.sent, Next: end, Records: n.log.newest()}
 		if !first {
-			n.answer.Records = n.log.records[n.next:]
+			n.response.Records = n.log.records[n.next:]
 		}
 		n.log.reads++
 	}
-	if n.frozen || n.answer == nil {
+	if n.frozen || n.response == nil {
 		return
 	}
-	n.Apply(*n.answer)
-	n.next, n.answer, n.sent = n.answer.Next, nil, time.Now()
+	n.Apply(*n.response)
+	n.next, n.response, n.sent = n.response.Next, nil, time.Now()
 }
 
-// step has the node do what is due.
-func (n *listedNode) step(ctx context.Context) {
+// step performs the node's work that is due now.
+func (n *simNode) step(ctx context.Context) {
 	n.read()
 	if n.frozen {
 		return
 	}
 	now := time.Now()
-	if !now.Before(n.announces) {
-		n.announces = now.Add(n.announceOnce(ctx))
+	if !now.Before(n.announceAt) {
+		n.announceAt = now.Add(n.announceOnce(ctx))
 	}
 	if !now.Before(n.sweepAt) {
-		n.sweepAt = now.Add(sweepPause)
+		n.sweepAt = now.Add(sweepInterval)
 		n.sweeper.sweep(ctx, now)
 	}
 }
 
-// system are nodes that share a list.
-type system struct {
-	log   *nodesLog
-	nodes map[string]*listedNode
-	order []*listedNode // in which they were started
+// cluster is a set of simulated nodes that share a topic.
+type cluster struct {
+	log   *memoryTopic
+	nodes map[string]*simNode
+	order []*simNode // in the order of their start
 }
 
-func newSystem() *system { return &system{log: &nodesLog{}, nodes: make(map[string]*listedNode)} }
+func newCluster() *cluster { return &cluster{log: &memoryTopic{}, nodes: make(map[string]*simNode)} }
 
-// start starts a node, whose address comes from its number.
-func (s *system) start(name string, number int, domain string) *listedNode {
-	n := &listedNode{log: s.log, next: -1, sweepAt: time.Now().Add(sweepPause)}
+// start starts a node with an address derived from number.
+func (s *cluster) start(name string, number int, domain string) *simNode {
+	n := &simNode{log: s.log, next: -1, sweepAt: time.Now().Add(sweepInterval)}
 	own := nodeEntry{Addr: fmt.Sprintf("10.0.0.%d:7700", 1+number), Domain: domain}
-	n.roster = newRoster(name, own, n, func([]peerload.Peer) {}, func(other string) bool { return s.hears(n, other) }, zerolog.Nop())
+	n.roster = newRoster(name, own, n, func([]peerload.Peer) {}, func(other string) bool { return s.connected(n, other) }, zerolog.Nop())
 	n.sweeper = &sweeper{
 		roster: n.roster,
-		alive:  func(other, domain string, _ time.Duration) bool { return s.hears(n, other) || s.hearsOf(n, domain) },
-		hears:  func(time.Duration) bool { return s.hearsAny(n) },
+		alive: func(other, domain string, _ time.Duration) bool {
+			return s.connected(n, other) || s.connectedToDomain(n, domain)
+		},
+		connected: func(time.Duration) bool { return s.connectedToAny(n) },
 	}
 	s.nodes[name] = n
 	s.order = append(s.order, n)
 	return n
 }
 
-// startAll starts so many nodes, in three failure domains, and waits until all are listed.
-func (s *system) startAll(t *testing.T, count int) {
+// startAll starts the given number of nodes in three failure domains, and waits until all are
+// listed.
+func (s *cluster) startAll(t *testing.T, count int) {
 	t.Helper()
 	for i := range count {
 		s.start(fmt.Sprint("n", i), i, fmt.Sprint("d", i%3))
 	}
 	s.run(t, 2*nodesWait)
-	s.agree(t, count)
+	s.requireCount(t, count)
 }
 
-// kill ends a node for good.
-func (s *system) kill(name string) { delete(s.nodes, name) }
+// stop stops a node permanently.
+func (s *cluster) stop(name string) { delete(s.nodes, name) }
 
-// run lets time pass.
-func (s *system) run(t *testing.T, d time.Duration) {
+// run simulates the passing of a time.
+func (s *cluster) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	const step = 100 * time.Millisecond
 	for range int(d / step) {
@@ -171,34 +175,35 @@
 	}
 }
 
-// agree checks that all nodes count so many.
-func (s *system) agree(t *testing.T, count int) {
+// requireCount checks that every node counts the given number of nodes.
+func (s *cluster) requireCount(t *testing.T, count int) {
 	t.Helper()
 	for name, n := range s.nodes {
 		must.Eq(t, count, n.Nodes(), must.Sprint(name))
 	}
 }
 
-// hears reports whether a node hears another one.
-func (s *system) hears(n *listedNode, other string) bool {
+// connected reports whether a node receives the messages of another one.
+func (s *cluster) connected(n *simNode, other string) bool {
 	peer := s.nodes[other]
 	return peer != nil && peer != n && !n.silent && !peer.silent && !peer.frozen
 }
 
-func (s *system) hearsAny(n *listedNode) bool {
+// connectedToAny reports whether a node receives messages of any other.
+func (s *cluster) connectedToAny(n *simNode) bool {
 	for name := range s.nodes {
-		if s.hears(n, name) {
+		if s.connected(n, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// hearsOf reports whether a node hears one that speaks for another failure domain, as in large
-// systems some do.
-func (s *system) hearsOf(n *listedNode, domain string) bool {
+// connectedToDomain reports whether a node receives the messages of a reporter of another failure
+// domain, which only large systems have.
+func (s *cluster) connectedToDomain(n *simNode, domain string) bool {
 	for name, peer := range s.nodes {
-		if domain != n.own.Domain && peer.own.Domain == domain && !pace.Whole(peer.Nodes()) && s.hears(n, name) {
+		if domain != n.own.Domain && peer.own.Domain == domain && !pace.Whole(peer.Nodes()) && s.connected(n, name) {
 			return true
 		}
 	}
--- a/internal/gateway/views_test.go
+++ b/internal/gateway/views_test.go
@@ -16,9 +16,9 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// view is what one node knows of versions.
+// view is a node reduced to the state and the cache tracker.
 type view struct {
-	*keeping
+	*cacheTracker
 	state *state
 }
 
@@ -30,18 +30,18 @@
 	n.roster = newRoster(name, nodeEntry{}, nil, nil, nil, zerolog.Nop())
 	n.fleet = fleet.New(zerolog.Nop())
 	n.peers = &peerload.Exchange{Table: peerload.NewTable()}
-	return view{keeping: &keeping{node: n}, state: n.state}
+	return view{cacheTracker: &cacheTracker{node: n}, state: n.state}
 }
 
-// sees notes the weights of the view's only engine.
-func (v view) sees(version int64) {
+// setEngineVersion sets the weights of the view's only engine.
+func (v view) setEngineVersion(version int64) {
 	v.node.fleet.Update(&fleet.Endpoint{ID: "e", Service: "s", Weights: []fleet.Weights{{Model: model, Version: version}}}, time.Now())
 }
 
-// knows notes the other nodes that there are.
-func (v view) knows(t *testing.T, names ...string) {
+// setNodes applies the entries of the listed nodes.
+func (v view) setNodes(t *testing.T, names ...string) {
 	t.Helper()
-	v.node.roster.set = func([]peerload.Peer) {}
+	v.node.roster.setPeers = func([]peerload.Peer) {}
 	var batch follow.Batch
 	for _, name := range names {
 		value, err := json.Marshal(nodeEntry{Addr: "10.0.0.1:1"})
@@ -51,14 +51,14 @@
 	v.node.roster.Apply(batch)
 }
 
-// hears takes another view's newest promises.
-func (v view) hears(from view, seq int64) {
+// receiveFrom receives another view's newest version floors.
+func (v view) receiveFrom(from view, seq int64) {
 	name := from.node.boot.Load().Name
-	v.node.peers.Table.Take(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, Names: from.names()}, time.Now())
+	v.node.peers.Table.Take(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, Names: from.referencedFloors()}, time.Now())
 }
 
-// read takes the versions named since the last read, as a read that was sent now.
-func (v view) read(t *testing.T, versions ...int64) {
+// readVersions applies the versions announced since the last read, as a read that was sent now.
+func (v view) readVersions(t *testing.T, versions ...int64) {
 	t.Helper()
 	batch := follow.Batch{ProvenAt: time.Now()}
 	for _, version := range versions {
@@ -71,8 +71,8 @@
 
 func salt(version int64) string { return kept.Salt{Model: model, Version: version}.String() }
 
-// newLargeViews returns the views of a large system's nodes: the freer is alone in its failure
-// domain, the others are in a second one. The freer is one of the few that free early.
+// newLargeViews returns the views of a large system's nodes. The freer is alone in its failure
+// domain and is a standby, so that it frees early; the others share a second failure domain.
 func newLargeViews(t *testing.T) (freer view, others []view) {
 	t.Helper()
 	for i := 0; ; i++ {
@@ -82,6 +82,7 @@
 	}
 }
 
+// largeViews returns the views of a large system whose first node is the freer.
 func largeViews(t *testing.T, freer string) (view, []view) {
 	t.Helper()
 	names := []string{freer}
@@ -104,14 +105,14 @@
 	return others[0], others[1:]
 }
 
-// domainOf returns the failure domain of a large system's node; the freer is the first.
+// domainOf returns the failure domain of the node with an index; the freer has index 0.
 func domainOf(node int) string { return fmt.Sprint("d", min(node, 1)) }
 
-// hearsDomain takes what a node says of its failure domain.
-func (v view) hearsDomain(speaker view, seq int64) {
-	near := speaker.node.roster.othersByDomain()[speaker.node.roster.own.Domain]
+// receiveDomain receives a node's report on its failure domain.
+func (v view) receiveDomain(reporter view, seq int64) {
+	domainNodes := reporter.node.roster.othersByDomain()[reporter.node.roster.own.Domain]
 	v.node.peers.Table.TakeDomain(peerload.DomainDigest{
-		Node: speaker.node.boot.Load().Name, Domain: speaker.node.roster.own.Domain, Incarnation: 1, Seq: seq,
-		Members: peerload.MembersOf(near...) + peerload.MembersOf(speaker.node.boot.Load().Name), Names: speaker.node.peers.Table.DomainNames(speaker.names(), near),
+		Node: reporter.node.boot.Load().Name, Domain: reporter.node.roster.own.Domain, Incarnation: 1, Seq: seq,
+		Members: peerload.MembersOf(domainNodes...) + peerload.MembersOf(reporter.node.boot.Load().Name), Names: reporter.node.peers.Table.DomainNames(reporter.referencedFloors(), domainNodes),
 	}, time.Now())
 }
