--- a/internal/gateway/cachetracker.go
+++ b/internal/gateway/cachetracker.go
@@ -124,7 +124,7 @@
 // pace returns how long a read of a holder's events waits, and the time between the start of two
 // reads. In a large system only a few nodes poll the holder.
 func (k *cacheTracker) pace(h *kept.Holder) (wait, pause time.Duration) {
-	return pace.Events(k.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
+	return pace.EventIntervals(k.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
 }
 
 // lateStores returns the stores whose fetches by this node exceed minReportedLatenessMs.
@@ -140,10 +140,10 @@
 }
 
 // eventReadersOrDefault returns the number of concurrent event readers that a holder serves: the
-// configured number, or pace.MeshNodes if it is not configured.
+// configured number, or pace.MaxMeshNodes if it is not configured.
 func eventReadersOrDefault(configured int) int {
 	if configured > 0 {
 		return configured
 	}
-	return pace.MeshNodes
+	return pace.MaxMeshNodes
 }
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -81,17 +81,17 @@
 func (n *Node) relayed() bool { return len(n.readers()) > 0 }
 
 // storeReaderCount returns the number of nodes among which reads of the store are divided: all
-// nodes, or pace.MeshNodes at one of the few nodes of a large system that read for the others.
+// nodes, or pace.MaxMeshNodes at one of the few nodes of a large system that read for the others.
 func (n *Node) storeReaderCount() int {
 	if _, own := n.roster.readers(); own {
-		return pace.MeshNodes
+		return pace.MaxMeshNodes
 	}
 	return n.nodes()
 }
 
 // fallbackPause returns the time between two reads of a failing store, at a node that relies on
 // others to read it. Those nodes report to it as soon as the store is back.
-func (n *Node) fallbackPause() time.Duration { return pace.Fallback(n.nodes()) }
+func (n *Node) fallbackPause() time.Duration { return pace.FallbackInterval(n.nodes()) }
 
 // configWait returns how long a read of the configuration waits for a change.
 func (n *Node) configWait() time.Duration {
@@ -109,9 +109,9 @@
 // registryPause returns the time between two reads of the registry.
 func (n *Node) registryPause() time.Duration {
 	if _, own := n.roster.readers(); own {
-		return pace.Reader(n.bounds().Drain)
+		return pace.ReaderInterval(n.bounds().Drain)
 	}
-	return pace.Registry(n.nodes(), n.bounds().Drain)
+	return pace.RegistryInterval(n.nodes(), n.bounds().Drain)
 }
 
 // rosterPause returns the time between two reads of the nodes' addresses.
@@ -119,5 +119,5 @@
 	if n.clock.Since(n.started) < startupWindow {
 		return startupReadInterval
 	}
-	return pace.Roster(n.nodes())
+	return pace.RosterInterval(n.nodes())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	n.conn.Bound(pace.Answers(boot.LinkBytes))
+	n.conn.Bound(pace.AnswerRate(boot.LinkBytes))
 	n.events = &kept.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
 	n.events.Serve()
 	n.peers = peerload.New(peerload.Config{
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -14,10 +14,10 @@
 	revoke = 5 * time.Second
 )
 
-// TestRates keeps the rates of all nodes together bounded, up to the largest system.
-func TestRates(t *testing.T) {
+// TestRateLimits checks the limits on the rates of all nodes together, up to the largest system.
+func TestRateLimits(t *testing.T) {
 	for _, nodes := range []int{1, 7, 12, 13, 30, 85, 300, 1000} {
-		registry := pace.Registry(nodes, drain)
+		registry := pace.RegistryInterval(nodes, drain)
 		test.LessEq(t, drain/2, registry)
 		config := pace.ConfigWait(nodes, revoke)
 		test.LessEq(t, revoke/3, config)
@@ -30,63 +30,63 @@
 	}
 }
 
-// TestDomainDigests bounds the messages of a node that speaks for its failure domain.
+// TestDomainDigests checks the limit on the messages of a node that reports for its failure domain.
 func TestDomainDigests(t *testing.T) {
 	for _, nodes := range []int{10, 60, 900} {
 		test.LessEq(t, 200, float64(nodes)/pace.DomainDigests(nodes).Seconds(), test.Sprint(nodes, " nodes"))
 	}
 }
 
-// TestLinkShares leaves requests half of a link, whatever it carries, and takes one that is not
-// known for the slowest.
+// TestLinkShares checks that messages and responses leave half of a link for requests at any rate,
+// and that an unknown link counts as the minLinkRate.
 func TestLinkShares(t *testing.T) {
 	const second = time.Second
-	for _, link := range []int{0, slowest, 2 * slowest, 20 * slowest} {
-		told := pace.LongestMessage(1, link, second)
-		test.LessEq(t, max(link, slowest)/2, told+pace.Answers(link), test.Sprint(link))
-		test.Eq(t, second, pace.Spread(told, link))
-		test.GreaterEq(t, pace.MessageBytes, told)
+	for _, link := range []int{0, minLinkRate, 2 * minLinkRate, 20 * minLinkRate} {
+		longest := pace.LongestMessage(1, link, second)
+		test.LessEq(t, max(link, minLinkRate)/2, longest+pace.AnswerRate(link), test.Sprint(link))
+		test.Eq(t, second, pace.Spread(longest, link))
+		test.GreaterEq(t, pace.MessageBytes, longest)
 	}
 }
 
-// slowest is 10 Mbit/s in bytes a second.
-const slowest = 1_250_000
+// minLinkRate is 10 Mbit/s in bytes per second.
+const minLinkRate = 1_250_000
 
-// TestReader leaves half of the drain bound after a read and a question.
-func TestReader(t *testing.T) {
-	const question = 400 * time.Millisecond
+// TestReaderInterval checks that a read and a poll leave half of the drain bound.
+func TestReaderInterval(t *testing.T) {
+	const poll = 400 * time.Millisecond
 	for _, bound := range []time.Duration{2 * time.Second, drain, 4 * time.Second} {
-		test.LessEq(t, bound/2, pace.Reader(bound)+question)
+		test.LessEq(t, bound/2, pace.ReaderInterval(bound)+poll)
 	}
 }
 
-// TestFallback bounds the reads of a store that is away, by all nodes for three topics, and has
-// none wait in a small system.
-func TestFallback(t *testing.T) {
-	test.Eq(t, 0, pace.Fallback(12))
+// TestFallbackInterval checks the limit on reads of a failing store by all nodes for three topics,
+// and that nodes of a small system do not wait.
+func TestFallbackInterval(t *testing.T) {
+	test.Eq(t, 0, pace.FallbackInterval(12))
 	for _, nodes := range []int{13, 85, 1000} {
-		test.LessEq(t, 3*45, 3*float64(nodes)/pace.Fallback(nodes).Seconds(), test.Sprint(nodes, " nodes"))
+		test.LessEq(t, 3*45, 3*float64(nodes)/pace.FallbackInterval(nodes).Seconds(), test.Sprint(nodes, " nodes"))
 	}
 }
 
-// TestReadersFit keeps the readers that wait at a holder below the number that it
-// lets wait.
-func TestReadersFit(t *testing.T) {
+// TestEventReaderLimit checks that the number of readers that wait at a holder does not exceed its
+// limit.
+func TestEventReaderLimit(t *testing.T) {
 	for _, nodes := range []int{12, 13, 85, 1000} {
 		for _, readers := range []int{0, 1, 12, 100} {
-			wait, pause := pace.Events(nodes, readers)
+			wait, pause := pace.EventIntervals(nodes, readers)
 			waiting := float64(nodes) * wait.Seconds() / max(pause, wait).Seconds()
 			test.LessEq(t, float64(max(readers, 1))+1e-9, waiting, test.Sprint(nodes, " nodes, ", readers, " readers"))
 		}
 	}
 }
 
-// TestSmallSystems keeps the rates of a system in which everybody tells everybody.
-func TestSmallSystems(t *testing.T) {
-	test.Eq(t, 400*time.Millisecond, pace.Registry(7, 2*time.Second))
+// TestSmallSystem checks the rates of a system in which all nodes send all reports to one another.
+func TestSmallSystem(t *testing.T) {
+	test.Eq(t, 400*time.Millisecond, pace.RegistryInterval(7, 2*time.Second))
 	test.Eq(t, 900*time.Millisecond, pace.ConfigWait(7, revoke))
-	test.Eq(t, 0, pace.Roster(7))
-	wait, pause := pace.Events(7, 12)
+	test.Eq(t, 0, pace.RosterInterval(7))
+	wait, pause := pace.EventIntervals(7, 12)
 	test.Eq(t, 800*time.Millisecond, wait)
 	test.Eq(t, 250*time.Millisecond, pause)
 	spacing, interval := pace.Digests(6)
