--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,34 +1,35 @@
-// Package clock tells how much time has passed on a host that may be suspended meanwhile.
+// Package clock measures elapsed time on a host that may be suspended.
 //
-// The steady clock of Go's time package stands still while a host is suspended: what is some
-// seconds older than it seems (a claim, a proof that keys are valid, a copy of the registry) would
-// be trusted for longer than others rely on. The time of day counts on, but may be set.
+// The monotonic clock of Go's time package stops while a host is suspended. Anything whose age it
+// measures (a claim, a proof that keys are valid, a copy of the registry) would therefore be
+// trusted for longer than others rely on. The wall clock continues, but may be set.
 //
 // Guarantee: times of one Clock differ by the time that has passed, suspension included, whatever
-// the time of day is set to. The first reading after a suspension counts it.
+// the wall clock is set to. The first reading after a suspension includes it.
 //
-// Times of a Clock are to be compared with times of the same Clock alone: time.Since and time.Until
-// are wrong for them. Timers don't fire sooner by it: who waits looks at the clock again.
+// Compare times of a Clock only with times of the same Clock: time.Since and time.Until are wrong
+// for them. Timers do not fire earlier because of a suspension; code that waits must read the clock
+// again.
 package clock
 
 import "time"
 
-// Clock counts the time that passes. A nil Clock is the steady clock, on which nothing is suspended.
+// Clock measures elapsed time. A nil Clock is the monotonic clock and never reports a suspension.
 type Clock struct {
 	start     time.Time
 	suspended func(now time.Time) time.Duration
 }
 
-// New returns a clock of a host that has been suspended for as long as suspended returns, which
-// must not fall. It is told the steady clock's time.
+// New returns a clock of a host whose total time in suspension is returned by suspended. That
+// function receives the time of the monotonic clock, and its result must not decrease.
 func New(suspended func(now time.Time) time.Duration) *Clock {
 	return &Clock{start: time.Now(), suspended: suspended}
 }
 
-// System returns a clock of this host, which reads CLOCK_BOOTTIME.
-func System() *Clock { return New(newSuspension().at) }
+// System returns a clock of this host, based on CLOCK_BOOTTIME.
+func System() *Clock { return New(newSuspension().suspendedBy) }
 
-// Now returns the present time.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
 	if c == nil {
@@ -43,7 +44,7 @@
 // Until returns the time until t.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Suspended returns for how long the host has been suspended since the clock was made.
+// Suspended returns how long the host has been suspended since the clock was created.
 func (c *Clock) Suspended() time.Duration {
 	if c == nil {
 		return 0
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest makes clocks of hosts that tests suspend.
+// Package clocktest provides clocks of simulated hosts that tests can suspend.
 package clocktest
 
 import (
@@ -8,18 +8,18 @@
 	"github.com/cherryward/cherryward/internal/clock"
 )
 
-// Host is a host that tests suspend.
+// Host is a simulated host with its clock.
 type Host struct {
 	*clock.Clock
 	suspended atomic.Int64
 }
 
-// New returns a host that was never suspended.
+// New returns a host that has never been suspended.
 func New() *Host {
 	h := &Host{}
 	h.Clock = clock.New(func(time.Time) time.Duration { return time.Duration(h.suspended.Load()) })
 	return h
 }
 
-// Suspend has the host have been suspended for d: its clock jumps, and its timers don't.
+// Suspend simulates a suspension of the host for d: its clock advances by d, its timers do not.
 func (h *Host) Suspend(d time.Duration) { h.suspended.Add(int64(d)) }
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -8,87 +8,92 @@
 )
 
 const (
-	// stepTolerance is how far the time of day may move against the steady clock, as it is
-	// disciplined all the time, before the suspended time is measured anew.
+	// stepTolerance is how far the wall clock may move against the monotonic clock before the time
+	// in suspension is measured again. The wall clock moves slightly all the time because it is
+	// disciplined.
 	stepTolerance = time.Millisecond
-	// measurePause is the time between two measurements where the time of day shows none: it may
-	// have been set back by as much as the host was suspended.
-	measurePause = 100 * time.Millisecond
-	// shortest is the shortest suspension that counts. The two clocks are read one after the other,
-	// and a busy host may run something else in between.
-	shortest = 5 * time.Millisecond
-	// readings bounds how often both clocks are read for one measurement.
-	readings = 5
+	// measureInterval is the time between two measurements while the wall clock indicates no
+	// suspension: it may have been set back by exactly the time in suspension.
+	measureInterval = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that is counted. The two clocks are read one after
+	// the other, and a busy host may run something else in between.
+	minSuspension = 5 * time.Millisecond
+	// maxReadings is the maximum number of times that both clocks are read for one measurement.
+	maxReadings = 5
 )
 
-// suspension measures for how long the host has been suspended, by the difference of CLOCK_BOOTTIME
-// and CLOCK_MONOTONIC. Each takes a system call, so both are read only where the time of day, which
-// comes with the steady clock for nothing, moved against that, and now and then.
+// suspension measures how long the host has been suspended, as the difference of CLOCK_BOOTTIME and
+// CLOCK_MONOTONIC. Reading each takes a system call, so both are read only if the wall clock, which
+// every reading of the monotonic clock includes at no cost, moved against it, and at each
+// measureInterval.
 type suspension struct {
-	start  time.Time
-	before time.Duration // how much the host had been suspended at the start
+	start   time.Time
+	initial time.Duration // time in suspension at the start
 
-	total    atomic.Int64 // nanoseconds, never falls
-	measured atomic.Int64 // steady nanoseconds from the start to the newest measurement
-	ahead    atomic.Int64 // nanoseconds by which the time of day was ahead of the steady clock then
+	total         atomic.Int64 // nanoseconds in suspension since the start, never decreases
+	lastMeasured  atomic.Int64 // monotonic nanoseconds from the start to the last measurement
+	wallClockLead atomic.Int64 // nanoseconds by which the wall clock led the monotonic clock then
 }
 
 func newSuspension() *suspension {
 	s := &suspension{start: time.Now()}
-	s.before, _ = difference()
+	s.initial, _ = clockDifference()
 	return s
 }
 
-// at returns for how long the host has been suspended by a time of the steady clock.
-func (s *suspension) at(now time.Time) time.Duration {
-	steady := now.Sub(s.start)
-	ahead := now.UnixNano() - int64(steady)
-	moved := time.Duration(ahead - s.ahead.Load()).Abs()
-	if moved > stepTolerance || steady-time.Duration(s.measured.Load()) > measurePause {
+// suspendedBy returns how long the host has been suspended up to a time of the monotonic clock.
+func (s *suspension) suspendedBy(now time.Time) time.Duration {
+	elapsed := now.Sub(s.start)
+	wallClockLead := now.UnixNano() - int64(elapsed)
+	moved := time.Duration(wallClockLead - s.wallClockLead.Load()).Abs()
+	if moved > stepTolerance || elapsed-time.Duration(s.lastMeasured.Load()) > measureInterval {
 		s.measure()
-		s.measured.Store(int64(steady))
-		s.ahead.Store(ahead)
+		s.lastMeasured.Store(int64(elapsed))
+		s.wallClockLead.Store(wallClockLead)
 	}
 	return time.Duration(s.total.Load())
 }
 
+// measure updates the time in suspension if the clocks can be read and it grew by at least
+// minSuspension.
 func (s *suspension) measure() {
-	all, ok := difference()
+	suspended, ok := clockDifference()
 	if !ok {
 		return
 	}
 	for {
 		total := s.total.Load()
-		if all-s.before < time.Duration(total)+shortest || s.total.CompareAndSwap(total, int64(all-s.before)) {
+		if suspended-s.initial < time.Duration(total)+minSuspension || s.total.CompareAndSwap(total, int64(suspended-s.initial)) {
 			return
 		}
 	}
 }
 
-// difference returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC, as exactly as they could
-// be read within shortest; false where they could not.
-func difference() (time.Duration, bool) {
-	for range readings {
-		first, err := read(unix.CLOCK_MONOTONIC)
+// clockDifference returns the difference between CLOCK_BOOTTIME and CLOCK_MONOTONIC, accurate to
+// less than minSuspension. It returns false if the clocks could not be read that accurately.
+func clockDifference() (time.Duration, bool) {
+	for range maxReadings {
+		first, err := readClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, false
 		}
-		boot, err := read(unix.CLOCK_BOOTTIME)
+		boot, err := readClock(unix.CLOCK_BOOTTIME)
 		if err != nil {
 			return 0, false
 		}
-		second, err := read(unix.CLOCK_MONOTONIC)
+		second, err := readClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, false
 		}
-		if second-first < shortest/2 {
+		if second-first < minSuspension/2 {
 			return boot - first, true
 		}
 	}
 	return 0, false
 }
 
-func read(id int32) (time.Duration, error) {
+// readClock returns the time of the clock with the given id.
+func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	err := unix.ClockGettime(id, &t)
 	return time.Duration(t.Nano()), err
