--- a/internal/gateway/cachestart.go
+++ b/internal/gateway/cachestart.go
@@ -28,26 +28,26 @@
 // awaitReports waits until other nodes have reported what all stores hold, or until this node
 // should query the stores itself. It prevents nodes that start together from all querying each
 // store, which serves few readers at once.
-func (k *cacheTracker) awaitReports(ctx context.Context) {
-	for ctx.Err() == nil && !k.index.Told(k.node.clock.Now()) && k.shouldAwaitReports(k.node.clock.Since(k.node.started)) {
+func (c *cacheTracker) awaitReports(ctx context.Context) {
+	for ctx.Err() == nil && !c.index.Told(c.node.clock.Now()) && c.shouldAwaitReports(c.node.clock.Since(c.node.started)) {
 		retry.Sleep(ctx, reportCheckInterval)
 	}
-	k.node.log.Info().Str("event", "kept_begins").Bool("told", k.index.Told(k.node.clock.Now())).Int("stores", len(k.index.Stores())).
-		Int("nodes", k.node.roster.Nodes()).Int64("age_ms", k.node.clock.Since(k.node.started).Milliseconds()).Send()
+	c.node.log.Info().Str("event", "kept_begins").Bool("told", c.index.Told(c.node.clock.Now())).Int("stores", len(c.index.Stores())).
+		Int("nodes", c.node.roster.Nodes()).Int64("age_ms", c.node.clock.Since(c.node.started).Milliseconds()).Send()
 }
 
 // shouldAwaitReports reports whether a node that started age ago should still wait for other nodes
 // to report what the stores hold.
-func (k *cacheTracker) shouldAwaitReports(age time.Duration) bool {
-	roster := k.node.roster
+func (c *cacheTracker) shouldAwaitReports(age time.Duration) bool {
+	roster := c.node.roster
 	switch {
 	case !roster.Loaded():
 		return age < firstListTimeout // the system may be a large one
 	case pace.Whole(roster.Nodes()):
-		return k.node.boot.Load().First && age < firstListTimeout
+		return c.node.boot.Load().First && age < firstListTimeout
 	case roster.readerCandidate():
 		return false
-	case k.node.boot.Load().First:
+	case c.node.boot.Load().First:
 		return age < firstReportTimeout
 	}
 	return age < reportTimeout
--- a/internal/gateway/cachetracker.go
+++ b/internal/gateway/cachetracker.go
@@ -58,40 +58,40 @@
 // follow updates the index's holders from the configuration and the fleet until ctx is done. A
 // starting node queries the stores first: reading thousands of events from each engine takes a
 // small host some hundred ms, and the engines' parts are also at stores.
-func (k *cacheTracker) follow(ctx context.Context) error {
-	stores := k.stores()
-	for ; len(stores) == 0 && ctx.Err() == nil; stores = k.stores() {
+func (c *cacheTracker) follow(ctx context.Context) error {
+	stores := c.stores()
+	for ; len(stores) == 0 && ctx.Err() == nil; stores = c.stores() {
 		retry.Sleep(ctx, initialFollowInterval)
 	}
-	k.index.Replace(nil, stores)
-	k.awaitReports(ctx)
-	k.index.Follow(ctx, nil, stores)
+	c.index.Replace(nil, stores)
+	c.awaitReports(ctx)
+	c.index.Follow(ctx, nil, stores)
 	for ctx.Err() == nil {
 		retry.Sleep(ctx, followInterval)
-		k.index.Follow(ctx, k.engines(), k.stores())
+		c.index.Follow(ctx, c.engines(), c.stores())
 	}
-	k.index.Wait()
+	c.index.Wait()
 	return nil
 }
 
 // engines returns the engines whose events this node reads. An engine is left out if all nodes
 // together would exceed its limit of concurrent readers; its contents are then estimated from the
 // engines to which sessions are assigned.
-func (k *cacheTracker) engines() []*kept.Holder {
-	config, _ := k.node.state.Config()
+func (c *cacheTracker) engines() []*kept.Holder {
+	config, _ := c.node.state.Config()
 	if config == nil {
 		return nil
 	}
-	nodes := k.node.nodes()
+	nodes := c.node.nodes()
 	var engines []*kept.Holder
-	for _, m := range k.node.fleet.All() {
+	for _, m := range c.node.fleet.All() {
 		service := config.Service(m.Service)
 		if service == nil || service.Engine == nil || nodes > eventReadersOrDefault(service.Engine.EventReaders) {
 			continue
 		}
-		at := m.Endpoint()
-		h := kept.NewHolder(m.ID, at.Addr, at.Domain)
-		h.Born = at.Born
+		endpoint := m.Endpoint()
+		h := kept.NewHolder(m.ID, endpoint.Addr, endpoint.Domain)
+		h.Born = endpoint.Born
 		h.Mbps = service.Engine.LinkMbps
 		h.Readers = service.Engine.EventReaders
 		engines = append(engines, h)
@@ -100,8 +100,8 @@
 }
 
 // stores returns the configured KV-cache stores.
-func (k *cacheTracker) stores() []*kept.Holder {
-	config, _ := k.node.state.Config()
+func (c *cacheTracker) stores() []*kept.Holder {
+	config, _ := c.node.state.Config()
 	if config == nil {
 		return nil
 	}
@@ -123,15 +123,15 @@
 
 // pace returns how long a read of a holder's events waits, and the time between the start of two
 // reads. In a large system only a few nodes poll the holder.
-func (k *cacheTracker) pace(h *kept.Holder) (wait, pause time.Duration) {
-	return pace.EventIntervals(k.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
+func (c *cacheTracker) pace(h *kept.Holder) (wait, pause time.Duration) {
+	return pace.EventIntervals(c.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
 }
 
 // lateStores returns the stores whose fetches by this node exceed minReportedLatenessMs.
-func (k *cacheTracker) lateStores() []peerload.Late {
+func (c *cacheTracker) lateStores() []peerload.Late {
 	var list []peerload.Late
-	now := k.node.clock.Now()
-	for _, store := range k.index.Stores() {
+	now := c.node.clock.Now()
+	for _, store := range c.index.Stores() {
 		if ms := store.Late.MS(now); ms >= minReportedLatenessMs {
 			list = append(list, peerload.Late{Addr: store.Addr, MS: int(ms)})
 		}
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -33,8 +33,8 @@
 	s.Apply(follow.Batch{Records: records, Snapshot: snapshot, ProvenAt: time.Now()})
 }
 
-// Nodes once processed only the configuration and the weight versions in the operators' topic and
-// ignored evacuation orders, so that requests reached endpoints of evacuated failure domains.
+// If nodes ignore evacuation orders in the operators' topic, requests reach the endpoints of
+// evacuated failure domains.
 
 // TestEvacuationOrders applies orders through records, snapshots and removals.
 func TestEvacuationOrders(t *testing.T) {
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -25,22 +25,22 @@
 // followers returns the followers of the store's topics, and serves their copies to other nodes.
 func (n *Node) followers(store *platform.Store) followers {
 	copies := relay.New(n.conn)
-	follower := func(name, topic string, held *relay.Copy) (*follow.Follower, *relay.Topic) {
-		copies.Serve(name, held)
-		from := &relay.Topic{Name: name, Store: store.Topic(topic), Relay: copies, Readers: n.readers, Backups: n.roster.backups, Fallback: n.fallbackPause, Log: n.log}
-		return &follow.Follower{Name: name, Topic: from, Sink: held, Retry: storeRetry, RetryMost: maxStoreRetry, Reject: n.state.rejected.record, Clock: n.clock, Log: n.log}, from
+	follower := func(name, topic string, replica *relay.Copy) (*follow.Follower, *relay.Topic) {
+		copies.Serve(name, replica)
+		source := &relay.Topic{Name: name, Store: store.Topic(topic), Relay: copies, Readers: n.readers, Backups: n.roster.backups, Fallback: n.fallbackPause, Log: n.log}
+		return &follow.Follower{Name: name, Topic: source, Sink: replica, Retry: storeRetry, RetryMost: maxStoreRetry, Reject: n.state.rejected.record, Clock: n.clock, Log: n.log}, source
 	}
 	var f followers
-	var from *relay.Topic
-	f.config, from = follower("config", platform.TopicOperator, &relay.Copy{Sink: n.state, Clock: n.clock})
-	f.config.Wait, f.config.Pause = zeroIfRelayed(from.Relayed, n.configWait), intervalIfRelayed(from.Relayed, relayPollInterval, nil)
-	f.endpoints, from = follower("registry", platform.TopicEndpoints, &relay.Copy{Sink: n.registry, Clock: n.clock, Same: platform.SameEndpoint, Brief: platform.BriefEndpoint})
+	var source *relay.Topic
+	f.config, source = follower("config", platform.TopicOperator, &relay.Copy{Sink: n.state, Clock: n.clock})
+	f.config.Wait, f.config.Pause = zeroIfRelayed(source.Relayed, n.configWait), intervalIfRelayed(source.Relayed, relayPollInterval, nil)
+	f.endpoints, source = follower("registry", platform.TopicEndpoints, &relay.Copy{Sink: n.registry, Clock: n.clock, Same: platform.SameEndpoint, Brief: platform.BriefEndpoint})
 	// Each heartbeat is a record, so a read that waits for a change would end many times per
 	// second.
-	f.endpoints.Pause = intervalIfRelayed(from.Relayed, relayPollInterval, n.registryPause)
-	f.nodes, from = follower("nodes", platform.NodesTopic, &relay.Copy{Sink: n.roster, Clock: n.clock})
-	from.MaxAge = maxNodesAge
-	f.nodes.Wait, f.nodes.Pause = zeroIfRelayed(from.Relayed, n.nodesWait), intervalIfRelayed(from.Relayed, nodesRelayPollInterval, n.rosterPause)
+	f.endpoints.Pause = intervalIfRelayed(source.Relayed, relayPollInterval, n.registryPause)
+	f.nodes, source = follower("nodes", platform.NodesTopic, &relay.Copy{Sink: n.roster, Clock: n.clock})
+	source.MaxAge = maxNodesAge
+	f.nodes.Wait, f.nodes.Pause = zeroIfRelayed(source.Relayed, n.nodesWait), intervalIfRelayed(source.Relayed, nodesRelayPollInterval, n.rosterPause)
 	return f
 }
 
@@ -83,7 +83,7 @@
 // storeReaderCount returns the number of nodes among which reads of the store are divided: all
 // nodes, or pace.MaxMeshNodes at one of the few nodes of a large system that read for the others.
 func (n *Node) storeReaderCount() int {
-	if _, own := n.roster.readers(); own {
+	if _, isReader := n.roster.readers(); isReader {
 		return pace.MaxMeshNodes
 	}
 	return n.nodes()
@@ -100,7 +100,7 @@
 
 // nodesWait returns how long a read of the nodes' addresses waits for a change.
 func (n *Node) nodesWait() time.Duration {
-	if _, own := n.roster.readers(); own {
+	if _, isReader := n.roster.readers(); isReader {
 		return readerNodesWait
 	}
 	return nodesWait
@@ -108,7 +108,7 @@
 
 // registryPause returns the time between two reads of the registry.
 func (n *Node) registryPause() time.Duration {
-	if _, own := n.roster.readers(); own {
+	if _, isReader := n.roster.readers(); isReader {
 		return pace.ReaderInterval(n.bounds().Drain)
 	}
 	return pace.RegistryInterval(n.nodes(), n.bounds().Drain)
--- a/internal/gateway/lease.go
+++ b/internal/gateway/lease.go
@@ -51,18 +51,18 @@
 
 // observe updates the lease from a read of the topic. If an entry was removed and written again
 // between two reads, the only evidence is a record that arrives after the proof has expired.
-func (l *lease) observe(s entryObservation) {
+func (l *lease) observe(o entryObservation) {
 	switch {
-	case !s.listed:
+	case !o.listed:
 		l.removed = l.everListed
-	case !s.gone:
-		lapsed := l.everListed && s.updated && s.provenAt.Sub(l.proven) >= leaseDuration
+	case !o.gone:
+		lapsed := l.everListed && o.updated && o.provenAt.Sub(l.proven) >= leaseDuration
 		if l.removed || lapsed {
-			l.validFrom = s.at.Add(l.grace)
+			l.validFrom = o.at.Add(l.grace)
 		}
 		l.everListed, l.removed = true, false
-		if s.provenAt.After(l.proven) {
-			l.proven = s.provenAt
+		if o.provenAt.After(l.proven) {
+			l.proven = o.provenAt
 		}
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -27,8 +27,8 @@
 // domainPeers returns the other nodes of the failure domain. The nodes that read the store for
 // others also report for the domain.
 func (n *Node) domainPeers() peerload.Neighbours {
-	_, own := n.roster.readers()
-	return peerload.Neighbours{Others: n.roster.othersByDomain()[n.boot.Load().Domain], Speaks: own}
+	_, isReader := n.roster.readers()
+	return peerload.Neighbours{Others: n.roster.othersByDomain()[n.boot.Load().Domain], Speaks: isReader}
 }
 
 // nodes returns the number of nodes among which shared limits are divided: the listed nodes, or
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -57,9 +57,9 @@
 
 // readers returns the nodes that read the store for this one: the first nodes of its failure domain
 // whose messages arrived recently. If it returns none, this node reads the store itself, as all
-// nodes of a small system do; own is true if it is one of the few readers of a large one. Nodes may
-// temporarily disagree on the readers, in which case more nodes read the store.
-func (r *roster) readers() (addrs []netip.AddrPort, own bool) {
+// nodes of a small system do; isReader is true if it is one of the few readers of a large one.
+// Nodes may temporarily disagree on the readers, in which case more nodes read the store.
+func (r *roster) readers() (addrs []netip.AddrPort, isReader bool) {
 	if pace.Whole(r.Nodes()) {
 		return nil, false
 	}
--- a/internal/gateway/references.go
+++ b/internal/gateway/references.go
@@ -36,30 +36,30 @@
 }
 
 // raise sets the floor of a model to version if that is higher than the present one.
-func (o *versionFloors) raise(model string, version int64, now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.versions == nil {
-		o.versions = make(map[string]versionFloor)
+func (f *versionFloors) raise(model string, version int64, now time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.versions == nil {
+		f.versions = make(map[string]versionFloor)
 	}
-	if version > o.versions[model].version {
-		o.versions[model] = versionFloor{version: version, since: now}
+	if version > f.versions[model].version {
+		f.versions[model] = versionFloor{version: version, since: now}
 	}
 }
 
 // get returns the floor of a model; the zero value if none was set.
-func (o *versionFloors) get(model string) versionFloor {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.versions[model]
+func (f *versionFloors) get(model string) versionFloor {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.versions[model]
 }
 
 // list returns the floors of all models, sorted by model.
-func (o *versionFloors) list() []peerload.Named {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	list := make([]peerload.Named, 0, len(o.versions))
-	for model, v := range o.versions {
+func (f *versionFloors) list() []peerload.Named {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	list := make([]peerload.Named, 0, len(f.versions))
+	for model, v := range f.versions {
 		list = append(list, peerload.Named{Model: model, Oldest: v.version})
 	}
 	slices.SortFunc(list, func(a, b peerload.Named) int { return strings.Compare(a.Model, b.Model) })
@@ -69,23 +69,23 @@
 // referencedFloors returns the oldest version of each model whose parts this node references, after
 // raising it to what the engines have loaded. The result is a commitment: other nodes may free
 // older parts.
-func (k *cacheTracker) referencedFloors() []peerload.Named {
-	now := k.node.clock.Now()
-	for model, version := range k.minEngineVersions() {
-		wanted, _ := k.node.state.Wanted(model)
-		k.floors.raise(model, min(version, wanted), now)
+func (c *cacheTracker) referencedFloors() []peerload.Named {
+	now := c.node.clock.Now()
+	for model, version := range c.minEngineVersions() {
+		wanted, _ := c.node.state.Wanted(model)
+		c.floors.raise(model, min(version, wanted), now)
 	}
-	return k.floors.list()
+	return c.floors.list()
 }
 
 // minEngineVersions returns the oldest version of each model that any engine has.
-func (k *cacheTracker) minEngineVersions() map[string]int64 {
+func (c *cacheTracker) minEngineVersions() map[string]int64 {
 	versions := make(map[string]int64)
-	for _, m := range k.node.fleet.All() {
+	for _, m := range c.node.fleet.All() {
 		for _, w := range m.Endpoint().Weights {
-			has := m.VersionOf(w.Model)
-			if known, listed := versions[w.Model]; !listed || has < known {
-				versions[w.Model] = has
+			version := m.VersionOf(w.Model)
+			if lowest, listed := versions[w.Model]; !listed || version < lowest {
+				versions[w.Model] = version
 			}
 		}
 	}
@@ -93,8 +93,8 @@
 }
 
 // configFresh reports whether the configuration is recent enough to know which versions are wanted.
-func (k *cacheTracker) configFresh() bool {
-	_, age := k.node.state.Config()
+func (c *cacheTracker) configFresh() bool {
+	_, age := c.node.state.Config()
 	return age < maxFreshConfigAge
 }
 
@@ -106,62 +106,62 @@
 // references the wanted version only, and if it remains disconnected, it stops doing so before
 // other nodes may free those parts. A node that the others may not count references nothing, since
 // they do not wait for its commitment.
-func (k *cacheTracker) mayReference(model string, version int64) bool {
-	if version < k.floors.get(model).version || !k.node.roster.HoldsLease() {
+func (c *cacheTracker) mayReference(model string, version int64) bool {
+	if version < c.floors.get(model).version || !c.node.roster.HoldsLease() {
 		return false
 	}
-	if by, replaced := k.node.state.replaced(model, version); replaced {
-		return by.timely && k.node.clock.Since(by.seen) < replacedReferenceTime
+	if by, replaced := c.node.state.replaced(model, version); replaced {
+		return by.timely && c.node.clock.Since(by.seen) < replacedReferenceTime
 	}
-	_, age := k.node.state.Config()
+	_, age := c.node.state.Config()
 	return age < maxReferenceConfigAge
 }
 
 // Outdated implements kept.Outdated.
-func (k *cacheTracker) Outdated(text string) bool {
+func (c *cacheTracker) Outdated(text string) bool {
 	salt, ok := kept.ParseSalt(text)
 	if !ok {
 		return false
 	}
-	by, replaced := k.node.state.replaced(salt.Model, salt.Version)
+	by, replaced := c.node.state.replaced(salt.Model, salt.Version)
 	if !replaced {
 		return false
 	}
-	turn := k.freeStagger()
-	return k.node.clock.Since(by.seen) > freeDelay+turn || k.unreferenced(salt.Model, salt.Version, turn)
+	stagger := c.freeStagger()
+	return c.node.clock.Since(by.seen) > freeDelay+stagger || c.unreferenced(salt.Model, salt.Version, stagger)
 }
 
 // unreferenced reports whether all nodes have stated long enough ago that they do not reference a
 // version. This makes room for the parts of new weights sooner than freeDelay alone: while stores
 // are full of parts of the previous version, shared prompt parts are computed again.
-func (k *cacheTracker) unreferenced(model string, version int64, turn time.Duration) bool {
-	own := k.floors.get(model)
-	if !k.node.roster.HoldsLease() {
+func (c *cacheTracker) unreferenced(model string, version int64, stagger time.Duration) bool {
+	own := c.floors.get(model)
+	if !c.node.roster.HoldsLease() {
 		return false // its list of the nodes whose commitment is required may be outdated
 	}
-	if own.version <= version || k.node.clock.Since(own.since) < unreferencedDelay+turn {
+	if own.version <= version || c.node.clock.Since(own.since) < unreferencedDelay+stagger {
 		return false
 	}
-	since, all := k.unreferencedByOthers(model, version)
-	return all && k.node.clock.Since(since) >= unreferencedDelay+turn
+	since, all := c.unreferencedByOthers(model, version)
+	return all && c.node.clock.Since(since) >= unreferencedDelay+stagger
 }
 
 // unreferencedByOthers returns the time since which all other nodes have referenced only newer
 // versions; false if not all have. In a large system, the reporter of each failure domain confirms
 // this for the nodes of its domain: it must have received their messages itself and know the same
 // nodes as this one. A reporter checks the nodes of its own domain itself.
-func (k *cacheTracker) unreferencedByOthers(model string, version int64) (since time.Time, all bool) {
-	table := k.node.peers.Table
-	if pace.Whole(k.node.roster.Nodes()) {
-		return table.Unnamed(model, version, k.node.roster.Others())
+func (c *cacheTracker) unreferencedByOthers(model string, version int64) (since time.Time, all bool) {
+	table := c.node.peers.Table
+	if pace.Whole(c.node.roster.Nodes()) {
+		return table.Unnamed(model, version, c.node.roster.Others())
 	}
-	for domain, names := range k.node.roster.othersByDomain() {
-		said, ok := k.unreferencedInDomain(domain, names, model, version)
+	for domain, names := range c.node.roster.othersByDomain() {
+		domainSince, ok := c.unreferencedInDomain(domain, names, model, version)
 		if !ok {
 			return time.Time{}, false
 		}
-		if said.After(since) {
-			since = said
+		if domainSince.After(since) {
+			since = domainSince
 		}
 	}
 	return since, true
@@ -169,8 +169,8 @@
 
 // unreferencedInDomain is unreferencedByOthers for the nodes of one failure domain of a large
 // system.
-func (k *cacheTracker) unreferencedInDomain(domain string, names []string, model string, version int64) (since time.Time, all bool) {
-	table, roster := k.node.peers.Table, k.node.roster
+func (c *cacheTracker) unreferencedInDomain(domain string, names []string, model string, version int64) (since time.Time, all bool) {
+	table, roster := c.node.peers.Table, c.node.roster
 	members := peerload.MembersOf(names...)
 	if domain == roster.own.Domain {
 		if since, all = table.Unnamed(model, version, names); all {
@@ -183,15 +183,15 @@
 
 // freeStagger returns the delay of this node's search for parts to free, relative to the first
 // node.
-func (k *cacheTracker) freeStagger() time.Duration {
-	turn := time.Duration(xxhash.Sum64String(k.node.boot.Load().Name)%freeSlots) * freeSlotInterval
-	if !k.node.Standby() {
-		turn += nonStandbyFreeDelay
+func (c *cacheTracker) freeStagger() time.Duration {
+	stagger := time.Duration(xxhash.Sum64String(c.node.boot.Load().Name)%freeSlots) * freeSlotInterval
+	if !c.node.Standby() {
+		stagger += nonStandbyFreeDelay
 	}
-	return turn
+	return stagger
 }
 
 // free frees outdated parts until ctx is done.
-func (k *cacheTracker) free(ctx context.Context) error {
-	return k.index.Free(ctx, k, k.configFresh, func() bool { return !pace.Whole(k.node.nodes()) })
+func (c *cacheTracker) free(ctx context.Context) error {
+	return c.index.Free(ctx, c, c.configFresh, func() bool { return !pace.Whole(c.node.nodes()) })
 }
--- a/internal/gateway/registry_bench_test.go
+++ b/internal/gateway/registry_bench_test.go
@@ -30,9 +30,9 @@
 	return newRegistry(fleet.New(zerolog.Nop()), func() *routing.Config { return config }, noBounds, newRejected(zerolog.Nop()))
 }
 
-// The list of endpoints that requests read was once rebuilt and sorted for each entry of the
-// registry. With 300 nodes and 3,000 endpoints this took over a second of each node's processor at
-// a start.
+// The list of endpoints that requests read must not be rebuilt for each entry of the registry: with
+// 300 nodes and 3,000 endpoints, building and sorting it for each entry takes over a second of each
+// node's processor at a start.
 
 // TestOneRebuildPerRead checks that a read of the registry rebuilds the list once, and that
 // heartbeats do not rebuild it.
--- a/internal/gateway/registry_late_test.go
+++ b/internal/gateway/registry_late_test.go
@@ -14,7 +14,7 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// lateTopic is a topic whose reads all succeed at once. The second read returns the removal of an
+// lateTopic is a topic whose reads all succeed at once. The first Read returns the removal of an
 // entry.
 type lateTopic struct{ reads int }
 
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -139,6 +139,7 @@
 	r.entries[record.Key] = e
 }
 
+// applyHold passes a record of a held request to applyHoldRecord.
 func (r *roster) applyHold(record *follow.Record) {
 	if r.applyHoldRecord == nil {
 		return
@@ -175,11 +176,11 @@
 	if _, listed := r.entries[r.node]; !listed {
 		nodes++
 	}
-	before := 0
+	lowerHashes := 0
 	own := xxhash.Sum64String(r.node)
 	for name := range r.entries {
 		if xxhash.Sum64String(name) < own {
-			before++
+			lowerHashes++
 		}
 	}
 	r.domainNodes = r.listDomainNodes()
@@ -187,7 +188,7 @@
 	r.byDomain = r.groupOthersByDomain()
 	r.members.update(r.entries)
 	r.count.Store(int64(nodes))
-	r.standby.Store(pace.Whole(nodes) || before < orderStandbys)
+	r.standby.Store(pace.Whole(nodes) || lowerHashes < orderStandbys)
 }
 
 // Others returns the names of all other listed nodes.
--- a/internal/gateway/senders_test.go
+++ b/internal/gateway/senders_test.go
@@ -76,9 +76,8 @@
 	test.Eq(t, 1, n.maxColdRate(&routing.Service{ColdPerSecond: 0.2}))
 }
 
-// Endpoints of an evacuated failure domain that had become cold, without a restart, received
-// requests from all nodes at once when the evacuation ended, since no entry had reported them as
-// cold.
+// If endpoints of an evacuated failure domain become cold without a restart, no entry reports them
+// as cold. When the evacuation ends, all nodes would send to them at once.
 
 // TestColdAfterEvacuation checks that all endpoints of a failure domain count as cold when its
 // evacuation ends.
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -62,11 +62,11 @@
 // its startup grace period ends, and no longer.
 //
 // It guards against a restarted node that places prompts on replaced weights beyond the bound on
-// new weights, on engines that other nodes no longer use. This happened when the age of a version
-// found at the start was a constant, counted from the read that found it. The constant (12 s less
-// 2 s for a run to begin, less the stable window of 3 s) was right for one set of bounds and an
-// immediate read only. With a bound of 15 s and a window of 4 s the node continued for 6 s, and a
-// late first read added its delay in any case.
+// new weights, on engines that other nodes no longer use. This happens if the age of a version
+// found at the start is a constant, counted from the read that found it. A constant (12 s less 2 s
+// for a run to begin, less the stable window of 3 s) is right for one set of bounds and an
+// immediate read only. With a bound of 15 s and a window of 4 s the node would continue for 6 s,
+// and a late first read would add its delay in any case.
 func TestStartWithReplacedWeights(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
 		{VersionApply: 10 * time.Second, StableWindow: 3 * time.Second},
--- a/internal/gateway/sweep.go
+++ b/internal/gateway/sweep.go
@@ -158,6 +158,7 @@
 	s.roster.log.Info().Str("event", "node_gone").Str("node", l.name).Stringer("action", next).AnErr("error", err).Send()
 }
 
+// put marks or removes an entry on condition that the topic still ends at end.
 func (s *sweeper) put(ctx context.Context, l *listedEntry, next action, end int64) error {
 	if next == removeEntry {
 		return s.roster.topic.PutIf(ctx, l.name, nil, end)
@@ -193,13 +194,13 @@
 	r.mu.Lock()
 	group := r.sortedNodes(func(e nodeEntry) bool { return small || e.Domain == r.own.Domain })
 	r.mu.Unlock()
-	before := 0
+	active := 0
 	for _, n := range group {
 		if n.name == r.node {
-			return before < sweepersPerGroup
+			return active < sweepersPerGroup
 		}
 		if r.peerAlive(n.name) {
-			before++
+			active++
 		}
 	}
 	return false // its own entry is not listed
--- a/internal/gateway/sweep_test.go
+++ b/internal/gateway/sweep_test.go
@@ -108,8 +108,8 @@
 	})
 }
 
-// TestResumedSweeperWaits checks that a sweeper that was frozen gives the other nodes a full
-// silenceTimeout to be heard again.
+// TestResumedSweeperWaits checks that a sweeper that was frozen waits for a full silenceTimeout
+// before it marks other nodes.
 func TestResumedSweeperWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newCluster()
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -115,8 +115,8 @@
 	if nodes <= max(readers, 1) {
 		return eventsWait, eventsInterval
 	}
-	places := float64(max(readers, 1)) * eventsReaderShare
-	return eventsShortWait, time.Duration(float64(eventsShortWait) * float64(nodes) / places)
+	slots := float64(max(readers, 1)) * eventsReaderShare
+	return eventsShortWait, time.Duration(float64(eventsShortWait) * float64(nodes) / slots)
 }
 
 // Digests returns the shortest and the longest time between two messages to peers.
