--- /dev/null
+++ b/internal/gateway/references.go
@@ -0,0 +1,197 @@
+package gateway
+
+import (
+	"context"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/peerload"
+	"github.com/cherryward/cherryward/internal/placer"
+)
+
+// unreferencedDelay is the time from the last node's statement that it no longer references a
+// version until its parts may be freed: the longest fetch that may have started before, plus a
+// margin for clock differences.
+const unreferencedDelay = placer.FetchLimit + 300*time.Millisecond
+
+// versionFloors records the oldest version of each model whose parts this node references at
+// stores. A floor rises once no engine has an older version, and never falls. The zero value is
+// ready for use, and it is safe for concurrent use.
+type versionFloors struct {
+	mu       sync.Mutex
+	versions map[string]versionFloor
+}
+
+// versionFloor is the oldest referenced version, and the time since which nothing older is
+// referenced.
+type versionFloor struct {
+	version int64
+	since   time.Time
+}
+
+// raise sets the floor of a model to version if that is higher than the present one.
+func (f *versionFloors) raise(model string, version int64, now time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.versions == nil {
+		f.versions = make(map[string]versionFloor)
+	}
+	if version > f.versions[model].version {
+		f.versions[model] = versionFloor{version: version, since: now}
+	}
+}
+
+// get returns the floor of a model; the zero value if none was set.
+func (f *versionFloors) get(model string) versionFloor {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.versions[model]
+}
+
+// list returns the floors of all models, sorted by model.
+func (f *versionFloors) list() []peerload.Named {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	list := make([]peerload.Named, 0, len(f.versions))
+	for model, v := range f.versions {
+		list = append(list, peerload.Named{Model: model, Oldest: v.version})
+	}
+	slices.SortFunc(list, func(a, b peerload.Named) int { return strings.Compare(a.Model, b.Model) })
+	return list
+}
+
+// referencedFloors returns the oldest version of each model whose parts this node references, after
+// raising it to what the engines have loaded. The result is a commitment: other nodes may free
+// older parts.
+func (c *cacheTracker) referencedFloors() []peerload.Named {
+	now := c.node.clock.Now()
+	for model, version := range c.minEngineVersions() {
+		wanted, _ := c.node.state.Wanted(model)
+		c.floors.raise(model, min(version, wanted), now)
+	}
+	return c.floors.list()
+}
+
+// minEngineVersions returns the oldest version of each model that any engine has.
+func (c *cacheTracker) minEngineVersions() map[string]int64 {
+	versions := make(map[string]int64)
+	for _, m := range c.node.fleet.All() {
+		for _, w := range m.Endpoint().Weights {
+			version := m.VersionOf(w.Model)
+			if lowest, listed := versions[w.Model]; !listed || version < lowest {
+				versions[w.Model] = version
+			}
+		}
+	}
+	return versions
+}
+
+// configFresh reports whether the configuration is recent enough to know which versions are wanted.
+func (c *cacheTracker) configFresh() bool {
+	_, age := c.node.state.Config()
+	return age < maxFreshConfigAge
+}
+
+// mayReference reports whether this node may reference parts of a version at stores.
+//
+// A part is freed freeDelay after its version was replaced, or once all nodes have committed to no
+// longer reference it. A node that saw the replacement promptly stops referencing the old version
+// in time by its own clock. A node that saw it late, because it was disconnected or frozen,
+// references the wanted version only, and if it remains disconnected, it stops doing so before
+// other nodes may free those parts. A node that the others may not count references nothing, since
+// they do not wait for its commitment.
+func (c *cacheTracker) mayReference(model string, version int64) bool {
+	if version < c.floors.get(model).version || !c.node.roster.HoldsLease() {
+		return false
+	}
+	if by, replaced := c.node.state.replaced(model, version); replaced {
+		return by.timely && c.node.clock.Since(by.seen) < replacedReferenceTime
+	}
+	_, age := c.node.state.Config()
+	return age < maxReferenceConfigAge
+}
+
+// Outdated implements kept.Outdated.
+func (c *cacheTracker) Outdated(text string) bool {
+	salt, ok := kept.ParseSalt(text)
+	if !ok {
+		return false
+	}
+	by, replaced := c.node.state.replaced(salt.Model, salt.Version)
+	if !replaced {
+		return false
+	}
+	stagger := c.freeStagger()
+	return c.node.clock.Since(by.seen) > freeDelay+stagger || c.unreferenced(salt.Model, salt.Version, stagger)
+}
+
+// unreferenced reports whether all nodes have stated long enough ago that they do not reference a
+// version. This makes room for the parts of new weights sooner than freeDelay alone: while stores
+// are full of parts of the previous version, shared prompt parts are computed again.
+func (c *cacheTracker) unreferenced(model string, version int64, stagger time.Duration) bool {
+	own := c.floors.get(model)
+	if !c.node.roster.HoldsLease() {
+		return false // its list of the nodes whose commitment is required may be outdated
+	}
+	if own.version <= version || c.node.clock.Since(own.since) < unreferencedDelay+stagger {
+		return false
+	}
+	since, all := c.unreferencedByOthers(model, version)
+	return all && c.node.clock.Since(since) >= unreferencedDelay+stagger
+}
+
+// unreferencedByOthers returns the time since which all other nodes have referenced only newer
+// versions; false if not all have. In a large system, the reporter of each failure domain confirms
+// this for the nodes of its domain: it must have received their messages itself and know the same
+// nodes as this one. A reporter checks the nodes of its own domain itself.
+func (c *cacheTracker) unreferencedByOthers(model string, version int64) (since time.Time, all bool) {
+	table := c.node.peers.Table
+	if pace.Whole(c.node.roster.Nodes()) {
+		return table.Unnamed(model, version, c.node.roster.Others())
+	}
+	for domain, names := range c.node.roster.othersByDomain() {
+		domainSince, ok := c.unreferencedInDomain(domain, names, model, version)
+		if !ok {
+			return time.Time{}, false
+		}
+		if domainSince.After(since) {
+			since = domainSince
+		}
+	}
+	return since, true
+}
+
+// unreferencedInDomain is unreferencedByOthers for the nodes of one failure domain of a large
+// system.
+func (c *cacheTracker) unreferencedInDomain(domain string, names []string, model string, version int64) (since time.Time, all bool) {
+	table, roster := c.node.peers.Table, c.node.roster
+	members := peerload.MembersOf(names...)
+	if domain == roster.own.Domain {
+		if since, all = table.Unnamed(model, version, names); all {
+			return since, true
+		}
+		members += peerload.MembersOf(roster.node)
+	}
+	return table.UnnamedIn(domain, members, model, version)
+}
+
+// freeStagger returns the delay of this node's search for parts to free, relative to the first
+// node.
+func (c *cacheTracker) freeStagger() time.Duration {
+	stagger := time.Duration(xxhash.Sum64String(c.node.boot.Load().Name)%freeSlots) * freeSlotInterval
+	if !c.node.Standby() {
+		stagger += nonStandbyFreeDelay
+	}
+	return stagger
+}
+
+// free frees outdated parts until ctx is done.
+func (c *cacheTracker) free(ctx context.Context) error {
+	return c.index.Free(ctx, c, c.configFresh, func() bool { return !pace.Whole(c.node.nodes()) })
+}
