--- a/internal/kept/epoch.go
+++ b/internal/kept/epoch.go
@@ -3,58 +3,61 @@
 import "time"
 
 const (
-	// FetchLimit is the longest time that a fetch from a store may take.
+	// FetchLimit is the maximum duration of a fetch from a store.
 	FetchLimit = 1500 * time.Millisecond
-	// namedFor is how long after a store was certainly in the epoch in which it kept a part the part
-	// is named for a fetch: a question that waits for events takes up to 0.8 s, the next one begins
-	// 0.25 s later, and other nodes hear of its answer after 0.5 s.
-	namedFor = 2500 * time.Millisecond
-	// fetchTime is the longest time from when a part is named until its fetch has ended, with a
-	// margin for clocks.
-	fetchTime = FetchLimit + 300*time.Millisecond
-	// emptyFor is how long after this node has seen a store empty no part is sent there.
-	emptyFor = namedFor + fetchTime
+	// namingWindow is how long a part may be named as the source of a fetch after its store's epoch
+	// was last confirmed. An events request waits up to 0.8 s, the next one starts 0.25 s later,
+	// and its response reaches other nodes after another 0.5 s.
+	namingWindow = 2500 * time.Millisecond
+	// maxFetchTime is the maximum time from naming a part to the end of its fetch, with a margin
+	// for clock differences.
+	maxFetchTime = FetchLimit + 300*time.Millisecond
+	// emptyStoreDelay is how long no part is sent to a store after this node saw that it is empty.
+	emptyStoreDelay = namingWindow + maxFetchTime
 )
 
-// A store that restarts has lost its parts, and whoever doesn't know that yet has them fetched from it:
-// parts that are missing are read, but one that is being saved anew is taken though it isn't whole. So
-// nobody saves to a store that was seen to restart until everybody else has stopped naming what it had:
-// each names a part only for namedFor after the store was certainly in that part's epoch, which was
-// before the restart. A node that starts waits in the same way for a store that keeps nothing.
+// A store that restarts loses its parts, but nodes that have not yet seen the restart still name
+// it as a source of fetches. Fetching a missing part is harmless, because the engine then computes
+// it, but a part that is being saved again would be fetched although it is incomplete. Therefore
+// no node saves to a restarted store until all nodes have stopped naming its former parts: a node
+// names a part only for namingWindow after it last confirmed the part's epoch, which was before the
+// restart. A node that starts waits in the same way for a store that keeps nothing.
 
-// prove notes when the holder was certainly in the epoch of its events, and waits with saves where that
-// begins.
-func (h *Holder) prove(e *Events, now time.Time) {
+// confirmEpoch updates the time at which the holder's epoch was last confirmed. If the events
+// start a new epoch, it delays saves by emptyStoreDelay.
+func (h *Holder) confirmEpoch(e *Events, now time.Time) {
 	if e.Epoch != h.epoch {
-		h.proven = time.Time{}
-		h.savesFrom = now.Add(emptyFor)
+		h.epochConfirmedAt = time.Time{}
+		h.savesAllowedAt = now.Add(emptyStoreDelay)
 	}
-	if h.proven.Before(e.ProvenAt) {
-		h.proven = e.ProvenAt
+	if h.epochConfirmedAt.Before(e.ProvenAt) {
+		h.epochConfirmedAt = e.ProvenAt
 	}
 }
 
-// Names reports whether what a store keeps may be named for a fetch: it was certainly in the same epoch
-// shortly before.
+// Names reports whether parts of the store may be named as the source of a fetch: the store is
+// reachable and its epoch was confirmed less than namingWindow ago.
 func (h *Holder) Names(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.lost && now.Sub(h.proven) < namedFor
+	return !h.unreachable && now.Sub(h.epochConfirmedAt) < namingWindow
 }
 
-// Saves reports whether parts may be sent to a store.
+// Saves reports whether parts may be sent to the store.
 func (h *Holder) Saves(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.saves(now)
+	return h.acceptsSaves(now)
 }
 
-func (h *Holder) saves(now time.Time) bool { return !h.lost && !now.Before(h.savesFrom) }
+func (h *Holder) acceptsSaves(now time.Time) bool {
+	return !h.unreachable && !now.Before(h.savesAllowedAt)
+}
 
-// ages returns how long ago the holder was certainly in its epoch, and how much longer nothing is to
-// be sent there.
-func (h *Holder) ages(now time.Time) (proven, savesIn time.Duration) {
+// updateAges returns the time since the holder's epoch was last confirmed, and the remaining time
+// until parts may be sent to it.
+func (h *Holder) updateAges(now time.Time) (age, savesIn time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return now.Sub(h.proven), max(h.savesFrom.Sub(now), 0)
+	return now.Sub(h.epochConfirmedAt), max(h.savesAllowedAt.Sub(now), 0)
 }
--- a/internal/kept/free.go
+++ b/internal/kept/free.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	// freePause is the time between two looks for parts to free.
-	freePause = time.Second
-	// freeBatch is the largest number of parts freed by one call in a small system, and
-	// slowFreeBatch in a large one, where all nodes hear of each part that is freed: with
-	// 22 stores that is 45 KB of events a second for each node.
-	freeBatch     = 500
-	slowFreeBatch = 40
+	// freeInterval is the time between two scans for parts to free.
+	freeInterval = time.Second
+	// freeBatch is the maximum number of parts freed by one call in a small system.
+	// largeSystemFreeBatch is the maximum in a large one, where every node receives an event for
+	// each freed part: with 22 stores these are 45 KB of events per second and node.
+	freeBatch            = 500
+	largeSystemFreeBatch = 40
 )
 
-// Outdated tells which salts no request names any more.
+// Outdated decides which salts are no longer in use.
 type Outdated interface {
-	// Outdated reports whether parts under the salt may be freed: whether every
-	// node has stopped naming them, and each fetch that was begun has ended.
+	// Outdated reports whether parts under the salt may be freed: every node has stopped naming
+	// them, and each fetch that had started has ended.
 	Outdated(salt string) bool
 }
 
-// Free frees the stores' outdated parts until ctx is done. Nodes may do so at the
-// same time: what one frees can't be in use by another, by the rule of Outdated.
-// active reports whether this node should, slowly whether the system is large.
+// Free frees outdated parts of all stores until ctx is done. Several nodes may free at the same
+// time: no node still uses a part that rule declares outdated. active reports whether this node
+// should free parts, slowly whether the system is large.
 func (x *Index) Free(ctx context.Context, rule Outdated, active, slowly func() bool) error {
 	for ctx.Err() == nil {
-		retry.Sleep(ctx, freePause)
+		retry.Sleep(ctx, freeInterval)
 		if !active() {
 			continue
 		}
-		most := freeBatch
+		limit := freeBatch
 		if slowly() {
-			most = slowFreeBatch
+			limit = largeSystemFreeBatch
 		}
 		for _, store := range x.Stores() {
-			x.freeAt(ctx, store, rule, most)
+			x.freeOutdated(ctx, store, rule, limit)
 		}
 	}
 	return nil
 }
 
-func (x *Index) freeAt(ctx context.Context, store *Holder, rule Outdated, most int) {
-	parts, epoch := store.under(rule.Outdated)
+// freeOutdated frees up to limit outdated parts of one store.
+func (x *Index) freeOutdated(ctx context.Context, store *Holder, rule Outdated, limit int) {
+	parts, epoch := store.partsMatching(rule.Outdated)
 	if len(parts) == 0 || !store.Reachable() {
 		return
 	}
-	parts = parts[:min(len(parts), most)] // the largest, as each freed part is told once, whatever its size
+	parts = parts[:min(len(parts), limit)] // the largest first: a freed part costs one event whatever its size
 	err := x.Source.Free(ctx, store.Addr, parts, epoch)
 	x.Log.Info().Str("event", "parts_freed").Str("store", store.Addr).Int("parts", len(parts)).
 		Str("salt", parts[0].Salt).AnErr("error", err).Send()
@@ -57,6 +58,6 @@
 		return
 	}
 	for _, part := range parts {
-		store.forget(part)
+		store.removePart(part)
 	}
 }
--- a/internal/kept/index.go
+++ b/internal/kept/index.go
@@ -14,58 +14,60 @@
 )
 
 const (
-	// eventsRetry is the pause after a question that failed, and eventsRetryMost the same after
-	// several, at a node that others may tell what the holder keeps. Those ask on meanwhile.
-	eventsRetry     = 500 * time.Millisecond
-	eventsRetryMost = 8 * time.Second
-	// relayedFor is how long a holder isn't asked after another node told of it: two
-	// questions to that node may fail.
-	relayedFor = 900 * time.Millisecond
+	// minEventsBackoff is the pause after a failed request for events. maxEventsBackoff bounds the
+	// exponential backoff of a node to which other nodes relay events; those other nodes keep
+	// requesting at the shorter interval.
+	minEventsBackoff = 500 * time.Millisecond
+	maxEventsBackoff = 8 * time.Second
+	// relayLifetime is how long a relayed update replaces requests to the holder. It lets two
+	// requests to the relaying node fail.
+	relayLifetime = 900 * time.Millisecond
 )
 
-// Index is what is kept at all holders. It is safe for concurrent use.
+// Index records which parts are kept at all holders. It is safe for concurrent use.
 type Index struct {
 	Source Source
 	Log    zerolog.Logger
-	// Pace returns how long a question to a holder waits for an event, and the time
-	// between the start of two. Events come in batches then.
+	// Pace returns how long a request to a holder waits for the first event, and the minimum time
+	// between the start of two requests. A pause makes events arrive in batches.
 	Pace func(h *Holder) (wait, pause time.Duration)
-	// Relayed reports whether other nodes ask the stores for this one; nil for never. It then asks
-	// a store that fails ever more seldom: one that comes up answers few readers at once.
+	// Relayed reports whether other nodes request the stores' events and relay them to this one;
+	// nil means never. If they do, this node backs off exponentially from a store that fails,
+	// because a store that is starting can serve few readers at once.
 	Relayed func() bool
-	// Clock dates what holders and nodes tell. Nil is the steady clock.
+	// Clock timestamps responses and relayed updates. Nil is the monotonic clock.
 	Clock *clock.Clock
 
 	view atomic.Pointer[view]
 
-	mu     sync.Mutex
-	cancel map[*Holder]context.CancelFunc
-	lapses *lapses // nil until the first Follow
-	wg     sync.WaitGroup
-	// engineClock is the newest reading of the engines' clock.
+	mu          sync.Mutex
+	cancel      map[*Holder]context.CancelFunc
+	relayExpiry *relayExpiryWatcher // nil until the first Follow
+	wg          sync.WaitGroup
+	// engineClock is the latest reading of the engines' clock.
 	engineClock atomic.Pointer[clockReading]
 }
 
-// view is the immutable list of holders.
+// view is an immutable list of holders.
 type view struct {
 	engines map[string]*Holder
 	stores  []*Holder
 }
 
-// clockReading is the engines' clock at a local time.
+// clockReading is a reading of the engines' clock and the local time at which it was made.
 type clockReading struct {
 	ms int64
 	at time.Time
 }
 
 // NewIndex returns an index without holders.
-func NewIndex(source Source, paced func(h *Holder) (wait, pause time.Duration), log zerolog.Logger) *Index {
-	x := &Index{Source: source, Pace: paced, Log: log, cancel: make(map[*Holder]context.CancelFunc)}
+func NewIndex(source Source, pace func(h *Holder) (wait, pause time.Duration), log zerolog.Logger) *Index {
+	x := &Index{Source: source, Pace: pace, Log: log, cancel: make(map[*Holder]context.CancelFunc)}
 	x.view.Store(&view{engines: make(map[string]*Holder)})
 	return x
 }
 
-// Engine returns what is kept at an engine, or nil.
+// Engine returns the holder of the engine with the id, or nil.
 func (x *Index) Engine(id string) *Holder { return x.view.Load().engines[id] }
 
 // Engines returns all engines.
@@ -74,8 +76,8 @@
 // Stores returns all stores.
 func (x *Index) Stores() []*Holder { return x.view.Load().stores }
 
-// ClockMS returns the engines' clock, at least as late as it was read; 0 while it
-// is not known.
+// ClockMS returns an estimate of the engines' clock in ms that is never behind the latest reading;
+// 0 if there is no reading.
 func (x *Index) ClockMS() int64 {
 	r := x.engineClock.Load()
 	if r == nil {
@@ -84,16 +86,16 @@
 	return r.ms + x.Clock.Since(r.at).Milliseconds()
 }
 
-// Follow replaces the holders, and asks them for their events. Known ones, by id, start and
-// address, stay as they are.
+// Follow replaces the list of holders and requests their events until ctx is done. Holders that
+// are listed already, with the same id, start time and address, keep their state.
 func (x *Index) Follow(ctx context.Context, engines, stores []*Holder) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.Replace(engines, stores)
-	if x.lapses == nil {
-		x.lapses = newLapses()
-		x.lapses.clock = x.Clock
-		x.wg.Go(func() { x.lapses.run(ctx) })
+	if x.relayExpiry == nil {
+		x.relayExpiry = newRelayExpiryWatcher()
+		x.relayExpiry.clock = x.Clock
+		x.wg.Go(func() { x.relayExpiry.run(ctx) })
 	}
 	next := x.view.Load()
 	for _, h := range next.engines {
@@ -105,7 +107,8 @@
 	x.stopOthers(next)
 }
 
-// Replace replaces the holders, whose events come by Take then.
+// Replace replaces the list of holders without requesting their events, which the caller then
+// supplies. Holders that are listed already keep their state.
 func (x *Index) Replace(engines, stores []*Holder) {
 	old := x.view.Load()
 	next := &view{engines: make(map[string]*Holder)}
@@ -116,13 +119,13 @@
 		next.engines[h.ID] = h
 	}
 	for _, h := range stores {
-		next.stores = append(next.stores, x.known(old.stores, h))
+		next.stores = append(next.stores, x.existingStore(old.stores, h))
 	}
 	x.view.Store(next)
 }
 
-// known returns the store that is followed already under the address, or h.
-func (x *Index) known(stores []*Holder, h *Holder) *Holder {
+// existingStore returns the listed store with the same address and size as h, or h.
+func (x *Index) existingStore(stores []*Holder, h *Holder) *Holder {
 	for _, s := range stores {
 		if s.Addr == h.Addr && s.Tokens == h.Tokens {
 			return s
@@ -154,44 +157,45 @@
 	}
 }
 
-// follow asks one holder for its events until ctx is done.
+// follow requests the events of one holder until ctx is done.
 func (x *Index) follow(ctx context.Context, h *Holder) {
 	failures := 0
 	for ctx.Err() == nil {
-		begun := x.Clock.Now()
-		if h.relayedFor(begun) > 0 {
-			x.lapses.wait(ctx, h)
+		started := x.Clock.Now()
+		if h.relayRemaining(started) > 0 {
+			x.relayExpiry.wait(ctx, h)
 			continue
 		}
 		wait, pause := x.Pace(h)
-		events, err := x.Source.Events(ctx, h.Addr, h.since(), wait)
+		events, err := x.Source.Events(ctx, h.Addr, h.nextEvent(), wait)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
 			pause = max(pause, x.retryPause(failures))
 			failures++
-			if h.failed() {
+			if h.markUnreachable() {
 				x.Log.Warn().Str("event", "events_lost").Str("holder", h.ID).AnErr("error", err).Send()
 			}
 		default:
 			failures = 0
-			events.ProvenAt = begun
+			events.ProvenAt = started
 			x.Take(h, &events)
 		}
-		retry.Sleep(ctx, pause-x.Clock.Since(begun))
+		retry.Sleep(ctx, pause-x.Clock.Since(started))
 	}
 }
 
-// retryPause returns the pause after a question that failed, after so many that did before it.
+// retryPause returns the pause after a failed request that follows the given number of consecutive
+// failures.
 func (x *Index) retryPause(failures int) time.Duration {
 	if x.Relayed == nil || !x.Relayed() {
-		return eventsRetry
+		return minEventsBackoff
 	}
-	return min(eventsRetry<<min(failures, 10), eventsRetryMost)
+	return min(minEventsBackoff<<min(failures, 10), maxEventsBackoff)
 }
 
-// Take notes a holder's events.
+// Take applies a batch of events to a holder.
 func (x *Index) Take(h *Holder, e *Events) {
 	if e.ClockMS > 0 {
 		x.engineClock.Store(&clockReading{ms: e.ClockMS, at: x.Clock.Now()})
@@ -205,5 +209,5 @@
 	h.apply(e, x.Clock.Now())
 }
 
-// Wait returns when all following has ended.
+// Wait returns when all goroutines started by Follow have ended.
 func (x *Index) Wait() { x.wg.Wait() }
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -1,10 +1,9 @@
-// Package kept knows which parts of prompts are kept as KV cache, at which engines
-// and stores.
+// Package kept records which parts of prompts are kept as KV cache, at which engines and stores.
 //
-// What it knows comes from events that are late and sometimes lost, so it may be
-// wrong either way. Nothing rests on its being right but time: an engine reads what
-// it doesn't find. The one exception is a store's part that is freed while it is
-// fetched, which the rule of Outdated guards against.
+// The record is built from events that arrive late and are sometimes lost, so it may list too much
+// or too little. Errors cost time only: an engine computes a part that it doesn't find. The one
+// exception is a store's part that is freed while it is fetched, which Free prevents by its rule
+// for outdated salts.
 package kept
 
 import (
@@ -17,223 +16,226 @@
 	"time"
 )
 
-// Part is a part of a prompt under the salt that it is kept with.
+// Part identifies a part of a prompt, under the salt with which it is kept.
 type Part struct {
 	Salt string `json:"salt"`
 	ID   string `json:"id"`
 }
 
-// Change is one event: how many tokens of a part are kept now, 0 for none.
+// Change is one event: the number of tokens of a part that are kept after it, 0 if the part was
+// removed.
 type Change struct {
-	Number int64 `json:"number"` // of the event, rising within an epoch
+	Number int64 `json:"number"` // of the event; ascending within an epoch
 	Part   Part  `json:"part"`
 	Tokens int   `json:"tokens"`
 }
 
-// Events are what changed at one holder since a number.
+// Events is a batch of changes at one holder, the response to a request for events.
 type Events struct {
-	Epoch   int64 // changes when the holder restarts, which empties it
-	Next    int64 // to ask from next time
-	Gap     bool  // older events are no longer there
-	Whole   *Page // Changes are a part of all that is kept, for a node that knows nothing of it yet
-	Changes []Change
-	Unread  int   // events that could not be read, which are not among Changes
-	ClockMS int64 // the engines' clock, which all share
-	// ProvenAt is when the holder was certainly in this epoch: before it, or the node that was told
-	// so, was asked. Zero is when they are taken.
+	Epoch        int64 // changes when the holder restarts, which empties it
+	Next         int64 // number from which to request next
+	Gap          bool  // some of the requested events are no longer retained
+	SnapshotPage *Page // if set, Changes is a page of a snapshot, for a node without any state of the holder
+	Changes      []Change
+	Unread       int   // number of events that could not be decoded; not in Changes
+	ClockMS      int64 // the engines' shared clock
+	// ProvenAt is a time at which the holder was certainly in this epoch: just before the request
+	// was sent to the holder, or earlier if another node relayed the events. Zero means the time
+	// at which the events are applied.
 	ProvenAt time.Time
-	// SavesIn is how much longer nothing is to be sent there, where another node tells all that is
-	// kept.
+	// SavesIn is the remaining time in which nothing may be sent to the holder, if another node
+	// relayed a snapshot.
 	SavesIn time.Duration
 }
 
-// Source asks engines and stores what they keep. Its calls may be repeated.
+// Source requests events from engines and stores and frees parts. Its calls are idempotent.
 type Source interface {
-	// Events returns the events since a number, waiting up to wait for the first.
+	// Events returns the events from a number on, waiting up to wait for the first one.
 	Events(ctx context.Context, addr string, since int64, wait time.Duration) (Events, error)
-	// Free removes parts from a store in the given epoch.
+	// Free removes parts from a store if it is still in the given epoch.
 	Free(ctx context.Context, addr string, parts []Part, epoch int64) error
 }
 
 // Holder is an engine or a store that keeps parts. It is safe for concurrent use.
 type Holder struct {
-	ID     string // of an engine; a store's address
-	Born   int64  // start of an engine, Unix milliseconds; 0 if not said
+	ID     string // engine id, or the address of a store
+	Born   int64  // start time of an engine, Unix milliseconds; 0 if unknown
 	Addr   string
 	Domain string  // failure domain
-	Mbps   float64 // of its link
+	Mbps   float64 // link bandwidth
 	First  time.Duration
-	Tokens int // that a store has room for; 0 for an engine
-	// Readers is the number of questions for events that wait there at once; 0 if not
-	// known.
+	Tokens int // capacity of a store; 0 for an engine
+	// Readers is the number of requests for events that are pending at the holder; 0 if unknown.
 	Readers int
-	// relayed is until when another node's word stands in for questions; nil for never.
-	relayed atomic.Pointer[time.Time]
-	// Late is how much later this node's fetches from here ended than expected.
+	// relayedUntil is when relayed updates stop replacing requests; nil if there were none.
+	relayedUntil atomic.Pointer[time.Time]
+	// Late is the delay of this node's fetches from the holder beyond the expected time.
 	Late Lateness
 
-	mu     sync.Mutex
-	epoch  int64
-	next   int64
-	parts  map[Part]int
-	salts  map[string]int     // number of parts under each salt
-	used   int                // tokens in parts
-	saving map[Part]time.Time // that this node had sent to a store
-	lost   bool               // the last question failed
-	proven time.Time          // when it was certainly in this epoch
-	// savesFrom is from when on parts may be sent to a store.
-	savesFrom time.Time
-	recent    journal  // what other nodes may ask for
-	told      snapshot // what nodes that start were told last
-	copied    copied   // what another node told of a snapshot so far
+	mu               sync.Mutex
+	epoch            int64
+	next             int64
+	parts            map[Part]int
+	salts            map[string]int     // number of parts under each salt
+	used             int                // tokens in parts
+	pendingSaves     map[Part]time.Time // parts that this node sent to the store, unconfirmed, with the send time
+	unreachable      bool               // the last request failed
+	epochConfirmedAt time.Time          // when the epoch was last confirmed
+	// savesAllowedAt is the time from which parts may be sent to a store.
+	savesAllowedAt time.Time
+	recent         journal          // changes to relay to other nodes
+	cachedSnapshot snapshot         // cached snapshot for nodes that start
+	progress       snapshotProgress // progress of a snapshot relayed by another node
 }
 
-// NewHolder returns a holder of which nothing is known yet.
+// NewHolder returns a holder without any recorded parts.
 func NewHolder(id, addr, domain string) *Holder {
 	return &Holder{
 		ID: id, Addr: addr, Domain: domain,
-		parts: make(map[Part]int), salts: make(map[string]int), saving: make(map[Part]time.Time),
+		parts: make(map[Part]int), salts: make(map[string]int), pendingSaves: make(map[Part]time.Time),
 	}
 }
 
-// Has returns the number of tokens of a part that are kept.
+// Has returns the number of tokens of the part that the holder keeps.
 func (h *Holder) Has(p Part) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.parts[p]
 }
 
-// Reachable reports whether the holder answered the last question.
+// Reachable reports whether the last request to the holder succeeded.
 func (h *Holder) Reachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.lost
+	return !h.unreachable
 }
 
-// relayedFor returns how much longer another node's word on what the holder keeps stands.
-func (h *Holder) relayedFor(now time.Time) time.Duration {
-	until := h.relayed.Load()
+// relayRemaining returns how much longer relayed updates replace requests to the holder.
+func (h *Holder) relayRemaining(now time.Time) time.Duration {
+	until := h.relayedUntil.Load()
 	if until == nil {
 		return 0
 	}
 	return max(until.Sub(now), 0)
 }
 
-// forget notes that a part was freed, before its event tells.
-func (h *Holder) forget(p Part) {
+// removePart records that a part was freed, ahead of the event that confirms it.
+func (h *Holder) removePart(p Part) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.set(p, 0)
 }
 
 const (
-	// savePatience is how long a part that was sent to a store is waited for before it
-	// is sent again.
-	savePatience = 4 * time.Second
-	// mostSaves is the number of parts that this node had sent and that were not told of since,
-	// from which those sent longer ago than savesFor are forgotten.
-	mostSaves = 2000
-	savesFor  = 30 * time.Second
+	// saveTimeout is how long an event is awaited for a part that was sent to a store, before the
+	// part may be sent again.
+	saveTimeout = 4 * time.Second
+	// maxPendingSaves is the number of unconfirmed saves at which those older than
+	// pendingSaveLifetime are discarded.
+	maxPendingSaves     = 2000
+	pendingSaveLifetime = 30 * time.Second
 )
 
-// BeginSave reports whether a part should be sent to the store, and notes that it
-// is.
+// BeginSave reports whether a part should be sent to the store, and if so records it as being
+// saved.
 func (h *Holder) BeginSave(p Part, tokens int, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.parts[p] > 0 || !h.saves(now) || h.used+tokens > h.Tokens {
+	if h.parts[p] > 0 || !h.acceptsSaves(now) || h.used+tokens > h.Tokens {
 		return false
 	}
-	if sent, under := h.saving[p]; under && now.Sub(sent) < savePatience {
+	if sent, pending := h.pendingSaves[p]; pending && now.Sub(sent) < saveTimeout {
 		return false
 	}
-	if len(h.saving) >= mostSaves {
-		maps.DeleteFunc(h.saving, func(_ Part, sent time.Time) bool { return now.Sub(sent) >= savesFor })
+	if len(h.pendingSaves) >= maxPendingSaves {
+		maps.DeleteFunc(h.pendingSaves, func(_ Part, sent time.Time) bool { return now.Sub(sent) >= pendingSaveLifetime })
 	}
-	h.saving[p] = now
+	h.pendingSaves[p] = now
 	return true
 }
 
-// Missed reports whether a part was sent to the store and should have been told of by now. Mostly it is
-// there: a store tells of each part once, and of one whose event was lost nobody hears again. One that
-// broke off on its way keeps its room there and is taken no more.
+// Missed reports whether a part was sent to the store at least saveTimeout ago and no event has
+// confirmed it. The store usually has it: it emits one event for each part, and a lost event is
+// not repeated. A part whose transfer was interrupted keeps its room in the store, which rejects
+// it from then on.
 func (h *Holder) Missed(p Part, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	sent, known := h.saving[p]
-	return known && now.Sub(sent) >= savePatience
+	sent, known := h.pendingSaves[p]
+	return known && now.Sub(sent) >= saveTimeout
 }
 
-// Room returns how many tokens a store has room for yet, without saves under way.
+// Room returns the free capacity of a store in tokens, not counting saves in progress.
 func (h *Holder) Room() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.Tokens - h.used
 }
 
-// DropSave notes that a part is not on its way to the store, as the request that was to send
-// it did not run.
+// DropSave discards the record of a save because the request that was to send the part did not
+// run.
 func (h *Holder) DropSave(p Part) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.saving, p)
+	delete(h.pendingSaves, p)
 }
 
-// apply takes a batch of events.
+// apply applies a batch of events.
 func (h *Holder) apply(e *Events, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e.ProvenAt.IsZero() {
 		e.ProvenAt = now
 	}
-	if e.Whole != nil {
-		h.copyPage(e, now)
+	if e.SnapshotPage != nil {
+		h.applyPage(e, now)
 		return
 	}
-	h.lost = false
-	if h.copied.Pages > 0 {
-		h.clearParts() // the holder itself tells all, and what was told so far may be older
+	h.unreachable = false
+	if h.progress.Pages > 0 {
+		h.clearParts() // the holder sends its full state, and the relayed pages may be older
 	}
 	first := h.epoch == 0
-	h.prove(e, now)
+	h.confirmEpoch(e, now)
 	if e.Epoch != h.epoch {
 		h.epoch = e.Epoch
 		if h.next > 0 {
-			h.restarted()
+			h.resetEpoch()
 			return
 		}
 	}
-	h.recent.note(h.next, e)
+	h.recent.record(h.next, e)
 	h.next = e.Next
-	h.setAll(e.Changes)
+	h.applyChanges(e.Changes)
 	if first && (e.Gap || len(h.parts) > 0) {
-		h.savesFrom = now
+		h.savesAllowedAt = now
 	}
 }
 
-// setAll notes what is kept of parts now. A save of them is no longer under way.
-func (h *Holder) setAll(changes []Change) {
+// applyChanges applies changes, and ends the saves of the changed parts.
+func (h *Holder) applyChanges(changes []Change) {
 	for _, c := range changes {
 		h.set(c.Part, c.Tokens)
-		delete(h.saving, c.Part)
+		delete(h.pendingSaves, c.Part)
 	}
 }
 
-// restarted forgets what was kept. Events are numbered anew, so all are asked for. On
-// the first contact there is nothing to forget, and saves may be under way already.
-func (h *Holder) restarted() {
+// resetEpoch clears the state of the former epoch. Events are numbered from the start again, so all
+// of them are requested. It isn't called for the first response, when there is no state to clear
+// and saves may be in progress.
+func (h *Holder) resetEpoch() {
 	h.clearParts()
-	clear(h.saving)
+	clear(h.pendingSaves)
 	h.recent = journal{}
 	h.next = 0
 }
 
-// clearParts forgets what is kept, but not what was sent to be saved.
+// clearParts clears the recorded parts, but not the saves in progress.
 func (h *Holder) clearParts() {
 	clear(h.parts)
 	clear(h.salts)
 	h.used = 0
-	h.copied = copied{}
+	h.progress = snapshotProgress{}
 }
 
 func (h *Holder) set(p Part, tokens int) {
@@ -253,25 +255,26 @@
 	}
 }
 
-func (h *Holder) since() int64 {
+// nextEvent returns the number of the next event to request.
+func (h *Holder) nextEvent() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.next
 }
 
-// failed notes that a question was not answered. It reports whether the one before
-// was.
-func (h *Holder) failed() bool {
+// markUnreachable records that a request failed. It reports whether the previous one succeeded.
+func (h *Holder) markUnreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	first := !h.lost
-	h.lost = true
+	first := !h.unreachable
+	h.unreachable = true
 	return first
 }
 
-// under returns the parts under salts that match, of which there are few, the largest first, and the
-// epoch in which they were kept. Most looks find none, and there are many more parts than salts.
-func (h *Holder) under(match func(salt string) bool) (parts []Part, epoch int64) {
+// partsMatching returns the parts whose salts match, the largest first, and the epoch in which
+// they were kept. It tests each salt once, not each part: there are few salts and many parts, and
+// most calls match none.
+func (h *Holder) partsMatching(match func(salt string) bool) (parts []Part, epoch int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	matching := make(map[string]bool)
--- a/internal/kept/kept_test.go
+++ b/internal/kept/kept_test.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	part  = Part{Salt: Salt{Model: "m", Version: 2}.String(), ID: "p"}
-	other = Part{Salt: Salt{Model: "m", Version: 1}.String(), ID: "p"}
-	now   = time.Unix(1000, 0)
+	part         = Part{Salt: Salt{Model: "m", Version: 2}.String(), ID: "p"}
+	outdatedPart = Part{Salt: Salt{Model: "m", Version: 1}.String(), ID: "p"}
+	now          = time.Unix(1000, 0)
 )
 
 func newStore() *Holder {
@@ -23,58 +23,60 @@
 
 func TestEvents(t *testing.T) {
 	h := newStore()
-	h.apply(&Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}, {Part: other, Tokens: 16}}}, time.Now())
+	h.apply(&Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}, {Part: outdatedPart, Tokens: 16}}}, time.Now())
 	test.Eq(t, 40, h.Has(part))
 	h.apply(&Events{Epoch: 5, Next: 3, Changes: []Change{{Part: part, Tokens: 0}}}, time.Now())
 	test.Eq(t, 0, h.Has(part))
 	test.Eq(t, 16, h.used)
-	test.Eq(t, 3, h.since())
+	test.Eq(t, 3, h.nextEvent())
 }
 
-// TestRestart asks for all events of a holder that came back empty.
+// TestRestart checks that all events of a holder are requested after it restarted empty.
 func TestRestart(t *testing.T) {
 	h := newStore()
 	h.apply(&Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}}, time.Now())
 	h.apply(&Events{Epoch: 6, Next: 1}, time.Now())
 	test.Eq(t, 0, h.Has(part))
-	test.Eq(t, 0, h.since())
+	test.Eq(t, 0, h.nextEvent())
 	h.apply(&Events{Epoch: 6, Next: 1, Changes: []Change{{Part: part, Tokens: 16}}}, time.Now())
 	test.Eq(t, 16, h.Has(part))
-	test.Eq(t, 1, h.since())
+	test.Eq(t, 1, h.nextEvent())
 }
 
-// TestMissed tells of a part that was sent and not told of for long enough, until it is.
+// TestMissed checks that a sent part is reported once no event has confirmed it for saveTimeout,
+// until one does.
 func TestMissed(t *testing.T) {
 	h, now := newStore(), time.Now()
 	test.False(t, h.Missed(part, now), test.Sprint("never sent"))
 	must.True(t, h.BeginSave(part, 40, now))
-	test.False(t, h.Missed(part, now.Add(savePatience-time.Millisecond)), test.Sprint("under way"))
-	test.True(t, h.Missed(part, now.Add(savePatience)))
+	test.False(t, h.Missed(part, now.Add(saveTimeout-time.Millisecond)), test.Sprint("in progress"))
+	test.True(t, h.Missed(part, now.Add(saveTimeout)))
 	h.apply(&Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}}, now)
-	test.False(t, h.Missed(part, now.Add(savePatience)), test.Sprint("kept"))
+	test.False(t, h.Missed(part, now.Add(saveTimeout)), test.Sprint("kept"))
 }
 
-// TestSavesAreForgotten bounds what is remembered of parts that were sent and never told of.
-func TestSavesAreForgotten(t *testing.T) {
+// TestPendingSavesAreBounded checks that the number of recorded saves stays bounded if no event
+// confirms any.
+func TestPendingSavesAreBounded(t *testing.T) {
 	h, now := newStore(), time.Now()
 	h.Tokens = 1_000_000
-	for i := range 4 * mostSaves {
+	for i := range 4 * maxPendingSaves {
 		must.True(t, h.BeginSave(Part{Salt: "s", ID: fmt.Sprint(i)}, 1, now))
-		now = now.Add(2 * savesFor / mostSaves)
-		must.LessEq(t, mostSaves, len(h.saving))
+		now = now.Add(2 * pendingSaveLifetime / maxPendingSaves)
+		must.LessEq(t, maxPendingSaves, len(h.pendingSaves))
 	}
 }
 
 func TestBeginSave(t *testing.T) {
 	h := newStore()
 	test.True(t, h.BeginSave(part, 40, now))
-	test.False(t, h.BeginSave(part, 40, now.Add(time.Second)), test.Sprint("under way"))
-	test.True(t, h.BeginSave(part, 40, now.Add(savePatience)), test.Sprint("never arrived"))
-	test.False(t, h.BeginSave(other, 101, now), test.Sprint("no room"))
+	test.False(t, h.BeginSave(part, 40, now.Add(time.Second)), test.Sprint("in progress"))
+	test.True(t, h.BeginSave(part, 40, now.Add(saveTimeout)), test.Sprint("never arrived"))
+	test.False(t, h.BeginSave(outdatedPart, 101, now), test.Sprint("no room"))
 	h.apply(&Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}}, time.Now())
 	test.False(t, h.BeginSave(part, 40, now.Add(time.Minute)), test.Sprint("kept"))
-	h.failed()
-	test.False(t, h.BeginSave(other, 16, now), test.Sprint("out of reach"))
+	h.markUnreachable()
+	test.False(t, h.BeginSave(outdatedPart, 16, now), test.Sprint("store is unreachable"))
 }
 
 func TestSalt(t *testing.T) {
@@ -89,57 +91,59 @@
 	}
 }
 
-// TestFirstContactKeepsSaves lets a store's first answer arrive after a save was begun.
+// TestFirstContactKeepsSaves checks that a store's first response doesn't discard saves that were
+// started before it, while a restart does.
 func TestFirstContactKeepsSaves(t *testing.T) {
 	h := newStore()
 	test.True(t, h.BeginSave(part, 40, now))
 	h.apply(&Events{Epoch: 7, Next: 1}, now)
-	test.False(t, h.BeginSave(part, 40, now), test.Sprint("the save is under way"))
+	test.False(t, h.BeginSave(part, 40, now), test.Sprint("the save is in progress"))
 	h.apply(&Events{Epoch: 8, Next: 1}, now)
-	test.False(t, h.BeginSave(part, 40, now.Add(emptyFor-time.Millisecond)), test.Sprint("others may still name what the store had"))
-	test.True(t, h.BeginSave(part, 40, now.Add(emptyFor)), test.Sprint("a restart lost it"))
+	test.False(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay-time.Millisecond)), test.Sprint("other nodes may still name its former parts"))
+	test.True(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay)), test.Sprint("the restart discarded it"))
 }
 
-// TestPartsAreMatchedBySalt asks once for each salt of a store, whatever the number of parts
-// under it, and forgets salts whose parts are gone.
+// TestPartsAreMatchedBySalt checks that the match function is called once for each salt of a
+// store, whatever the number of parts, and that salts without parts are removed.
 func TestPartsAreMatchedBySalt(t *testing.T) {
 	h := newStore()
 	var changes []Change
 	for i := range 100 {
 		changes = append(changes, Change{Part: Part{Salt: part.Salt, ID: fmt.Sprint(i)}, Tokens: 1})
 	}
-	h.apply(&Events{Epoch: 5, Next: 102, Changes: append(changes, Change{Part: other, Tokens: 16})}, time.Now())
-	asked := 0
+	h.apply(&Events{Epoch: 5, Next: 102, Changes: append(changes, Change{Part: outdatedPart, Tokens: 16})}, time.Now())
+	calls := 0
 	of := func(want string) func(string) bool {
 		return func(salt string) bool {
-			asked++
+			calls++
 			return salt == want
 		}
 	}
-	parts, epoch := h.under(of(other.Salt))
-	test.Eq(t, []Part{other}, parts)
+	parts, epoch := h.partsMatching(of(outdatedPart.Salt))
+	test.Eq(t, []Part{outdatedPart}, parts)
 	test.Eq(t, 5, epoch)
-	test.Eq(t, 2, asked)
-	parts, _ = h.under(of(part.Salt))
+	test.Eq(t, 2, calls)
+	parts, _ = h.partsMatching(of(part.Salt))
 	test.Len(t, 100, parts)
-	h.forget(other)
-	h.forget(other)
-	asked = 0
-	parts, _ = h.under(of(other.Salt))
+	h.removePart(outdatedPart)
+	h.removePart(outdatedPart)
+	calls = 0
+	parts, _ = h.partsMatching(of(outdatedPart.Salt))
 	test.SliceEmpty(t, parts)
-	test.Eq(t, 1, asked)
+	test.Eq(t, 1, calls)
 }
 
-// TestLargestOutdatedPartsComeFirst has the parts that make the most room freed first: as few are freed in
-// a second, stores were full of replaced parts for 5 s after new weights.
+// TestLargestOutdatedPartsComeFirst checks that the largest parts are freed first. Few parts are
+// freed per second, so otherwise stores stay full of replaced parts after new weights, for 5 s in
+// one case.
 func TestLargestOutdatedPartsComeFirst(t *testing.T) {
 	h := newStore()
 	var changes []Change
 	for i, tokens := range []int{40, 900, 16, 5000, 900} {
-		changes = append(changes, Change{Part: Part{Salt: other.Salt, ID: fmt.Sprint(i)}, Tokens: tokens})
+		changes = append(changes, Change{Part: Part{Salt: outdatedPart.Salt, ID: fmt.Sprint(i)}, Tokens: tokens})
 	}
 	h.apply(&Events{Epoch: 5, Next: 6, Changes: append(changes, Change{Part: part, Tokens: 9000})}, time.Now())
-	parts, _ := h.under(func(salt string) bool { return salt == other.Salt })
+	parts, _ := h.partsMatching(func(salt string) bool { return salt == outdatedPart.Salt })
 	var ids []string
 	for _, p := range parts {
 		ids = append(ids, p.ID)
@@ -147,8 +151,9 @@
 	test.Eq(t, []string{"3", "1", "4", "0", "2"}, ids)
 }
 
-// TestJournalIsCopiedSeldom drops the oldest changes of a full journal many at a time.
-func TestJournalIsCopiedSeldom(t *testing.T) {
+// TestJournalTrimsInSteps checks that a full journal is trimmed in large steps, not at each
+// change.
+func TestJournalTrimsInSteps(t *testing.T) {
 	h := newStore()
 	h.apply(&Events{Epoch: 5, Next: 1}, time.Now())
 	next := int64(1)
@@ -161,7 +166,7 @@
 			copies++
 		}
 	}
-	test.LessEq(t, 2*journalLength/journalSlack, copies)
+	test.LessEq(t, 2*journalLength/journalTrimStep, copies)
 	e, ok := h.Since(Position{Epoch: 5, Next: next - journalLength}, journalLength)
 	test.True(t, ok)
 	test.Eq(t, next-journalLength, e.Changes[0].Number)
--- a/internal/kept/packed.go
+++ b/internal/kept/packed.go
@@ -7,20 +7,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// errPacked is returned for what packChanges doesn't write.
-var errPacked = eris.New("packed changes end early, or hold what is no number")
+// errPacked is returned for data that packChanges can't have written.
+var errPacked = eris.New("decode packed changes: truncated data or a number out of range")
 
-// packed are changes of one store in the order of their numbers, in short: the number of salts
-// and the salts; then for each change how much its number is above the one before, which of the
-// salts, the part's id and its tokens. Numbers are unsigned varints, and texts have their length
-// before them. An id has twice the length before it, and one more where it is hexadecimal and stands
-// as bytes. A change takes 12 bytes of a message, 18 with ids as text, 78 as JSON (300 changes with
-// ids of 8 digits): each of 295 nodes hears of all parts that are saved.
-type packed []byte
+// packedChanges is a compact encoding of changes of one store in ascending order of their numbers:
+// the number of salts and the salts, then for each change the difference of its number to the
+// previous one, the index of its salt, the part's id and its tokens. Numbers are unsigned varints,
+// and strings are prefixed with their length. The prefix of an id is twice its length, plus one if
+// the id is hexadecimal and encoded as bytes. A change takes 12 bytes of a message, compared with
+// 18 with ids as text and 78 as JSON (300 changes with ids of 8 digits). The size matters because
+// each of 295 nodes receives an event for every saved part.
+type packedChanges []byte
 
-// packChanges packs changes whose numbers rise.
-func packChanges(changes []Change) packed {
-	var data packed
+// packChanges encodes changes, which must be in ascending order of their numbers.
+func packChanges(changes []Change) packedChanges {
+	var data packedChanges
 	salts := make(map[string]uint64)
 	var names []string
 	for _, c := range changes {
@@ -48,7 +49,7 @@
 	return append(binary.AppendUvarint(data, uint64(len(text))), text...)
 }
 
-// appendID appends a part's id: as bytes where it is hexadecimal, as hashes are.
+// appendID appends a part's id, as bytes if it is lower-case hexadecimal like a hash.
 func appendID(data []byte, id string) []byte {
 	raw, err := hex.DecodeString(id)
 	if err != nil || hex.EncodeToString(raw) != id {
@@ -57,8 +58,8 @@
 	return append(binary.AppendUvarint(data, uint64(len(raw))<<1|1), raw...)
 }
 
-// unpack returns the changes.
-func (p packed) unpack() ([]Change, error) {
+// unpack decodes the changes.
+func (p packedChanges) unpack() ([]Change, error) {
 	r := unpacker{data: p}
 	salts := make([]string, 0, 4)
 	for range r.number(len(p)) {
@@ -67,38 +68,38 @@
 	var changes []Change
 	number := int64(0)
 	for len(r.data) > 0 && !r.failed {
-		number += int64(r.number(mostNumber))
+		number += int64(r.number(maxNumber))
 		salt := r.number(len(salts) - 1)
-		c := Change{Number: number, Part: Part{ID: r.id()}, Tokens: r.number(mostTokens)}
-		if r.failed || number > mostNumber {
+		c := Change{Number: number, Part: Part{ID: r.id()}, Tokens: r.number(maxTokens)}
+		if r.failed || number > maxNumber {
 			break
 		}
 		c.Part.Salt = salts[salt]
 		changes = append(changes, c)
 	}
-	if r.failed || number > mostNumber {
+	if r.failed || number > maxNumber {
 		return nil, errPacked
 	}
 	return changes, nil
 }
 
 const (
-	// mostNumber and mostTokens bound what is unpacked: sums of them stay exact.
-	mostNumber = 1 << 60
-	mostTokens = 1 << 40
+	// maxNumber and maxTokens bound decoded values, so that sums of them don't overflow.
+	maxNumber = 1 << 60
+	maxTokens = 1 << 40
 )
 
-// unpacker takes fields off packed changes. After a field that can't be taken it gives nothing
-// but zeros.
+// unpacker reads fields from packed changes. After the first invalid field it returns zero values
+// only.
 type unpacker struct {
 	data   []byte
 	failed bool
 }
 
-// number takes a number of at most most.
-func (r *unpacker) number(most int) int {
+// number reads an unsigned varint of at most limit.
+func (r *unpacker) number(limit int) int {
 	n, length := binary.Uvarint(r.data)
-	if r.failed || length <= 0 || most < 0 || n > uint64(most) {
+	if r.failed || length <= 0 || limit < 0 || n > uint64(limit) {
 		r.failed = true
 		return 0
 	}
@@ -106,10 +107,10 @@
 	return int(n)
 }
 
-// text takes a text.
+// text reads a length-prefixed string.
 func (r *unpacker) text() string { return string(r.bytes(r.number(len(r.data)))) }
 
-// id takes a part's id.
+// id reads a part's id.
 func (r *unpacker) id() string {
 	length := r.number(2*len(r.data) + 1)
 	raw := r.bytes(length >> 1)
@@ -119,7 +120,7 @@
 	return string(raw)
 }
 
-// bytes takes so many bytes.
+// bytes reads n bytes.
 func (r *unpacker) bytes(n int) []byte {
 	if r.failed || n > len(r.data) {
 		r.failed = true
--- a/internal/kept/packed_test.go
+++ b/internal/kept/packed_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// siteChanges are changes as a store of a large deployment has them.
+// siteChanges returns changes like those of a store in a large deployment.
 func siteChanges(n int) []Change {
 	list := make([]Change, n)
 	for i := range list {
@@ -18,8 +18,9 @@
 	return list
 }
 
-// TestPackedTravelsWhole unpacks what was packed, at a quarter of the bytes of JSON.
-func TestPackedTravelsWhole(t *testing.T) {
+// TestPackedChangesRoundTrip checks that encoding is lossless and takes less than a third of the
+// bytes of JSON.
+func TestPackedChangesRoundTrip(t *testing.T) {
 	for _, want := range [][]Change{nil, siteChanges(1), siteChanges(300)} {
 		got, err := packChanges(want).unpack()
 		must.NoError(t, err)
@@ -34,7 +35,7 @@
 	test.LessEq(t, 300*changeBytes, len(short))
 }
 
-// TestPackedIDs keeps ids that are no hexadecimal, or not as hashes are written.
+// TestPackedIDs checks ids that are not hexadecimal, or not in the form of a hash.
 func TestPackedIDs(t *testing.T) {
 	for _, id := range []string{"", "a", "ab", "AB", "abc", "0g", "00ff00ff00ff00ff", "a/b c"} {
 		got, err := packChanges([]Change{{Number: 1, Part: Part{Salt: "s", ID: id}, Tokens: 5}}).unpack()
@@ -43,40 +44,42 @@
 	}
 }
 
-// TestPackedCutShort refuses what was cut between two fields.
-func TestPackedCutShort(t *testing.T) {
+// TestPackedChangesTruncated checks that truncated or invalid data is rejected, unless it ends
+// between two changes.
+func TestPackedChangesTruncated(t *testing.T) {
 	data := packChanges(siteChanges(3))
 	for n := range len(data) {
 		got, err := data[:n].unpack()
 		if err == nil {
-			test.SliceContainsSubset(t, siteChanges(3), got, test.Sprint("whole changes before the cut"))
+			test.SliceContainsSubset(t, siteChanges(3), got, test.Sprint("complete changes before the cut"))
 			test.Less(t, 3, len(got))
 		}
 	}
-	for _, wrong := range []packed{{}, {1}, {1, 9, 'x'}, {0, 1, 0, 1, 'a', 1}, {0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}} {
+	for _, wrong := range []packedChanges{{}, {1}, {1, 9, 'x'}, {0, 1, 0, 1, 'a', 1}, {0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}} {
 		_, err := wrong.unpack()
 		test.Error(t, err, test.Sprint([]byte(wrong)))
 	}
 }
 
-// FuzzUnpack: an error, or changes in order within bounds.
+// FuzzUnpack checks that any data yields an error or changes in ascending order and within bounds.
 func FuzzUnpack(f *testing.F) {
 	f.Add([]byte(packChanges(siteChanges(2))))
 	f.Add([]byte{1, 0, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		changes, err := packed(data).unpack()
+		changes, err := packedChanges(data).unpack()
 		if err != nil {
 			return
 		}
 		last := int64(0)
 		for _, c := range changes {
-			test.True(t, c.Number >= last && c.Number <= mostNumber && c.Tokens >= 0 && c.Tokens <= mostTokens)
+			test.True(t, c.Number >= last && c.Number <= maxNumber && c.Tokens >= 0 && c.Tokens <= maxTokens)
 			last = c.Number
 		}
 	})
 }
 
-// BenchmarkUnpack unpacks 100 changes: 9.8 µs, 161 µs as JSON; 9.2 µs with ids as text.
+// BenchmarkUnpack decodes 100 changes, packed and as JSON. Typical times are 9.8 µs and 161 µs;
+// 9.2 µs with ids as text.
 func BenchmarkUnpack(b *testing.B) {
 	changes := siteChanges(100)
 	short := packChanges(changes)
--- a/internal/kept/peers.go
+++ b/internal/kept/peers.go
@@ -14,147 +14,152 @@
 )
 
 const (
-	// eventsMethod is the name of the call. It may be repeated. A node of a build that answers
-	// otherwise must not know it, so that the stores themselves are asked.
+	// eventsMethod is the name of the call, which is idempotent. Builds with an incompatible
+	// response must use another name: the call then fails, and the stores are requested directly.
 	eventsMethod = "node.kept"
-	// askPause is the time between two questions to another node.
-	askPause = 300 * time.Millisecond
-	// askTimeout bounds a question to a node of the same failure domain.
-	askTimeout = 150 * time.Millisecond
-	// askAgain is how long stores are asked themselves after a node didn't answer.
-	askAgain = time.Second
-	// mostChanges bounds the changes in an answer, of changeBytes each at most in a datagram,
-	// and leastChanges is what is told where the connection has no bytes to spare: other answers
-	// go before events, which come late at worst.
-	mostChanges  = 300
-	leastChanges = 20
-	changeBytes  = 36
-	// answerBytes bounds an answer, with room for what is around it, and storeBytes is what each store
-	// takes in it beyond its changes or pages.
-	answerBytes = datagram.MaxBytes - 1<<10
-	storeBytes  = 100
-	// mostAgeMs bounds the ages that nodes tell, in ms: an older word is worth no more.
-	mostAgeMs = 3600_000
-	// mostAnswers bounds the answers to one look: 41 stores of 1,300 parts each take 119.
-	mostAnswers = 500
+	// relayRequestInterval is the time between two requests to another node.
+	relayRequestInterval = 300 * time.Millisecond
+	// relayRequestTimeout is the timeout of a request to a node of the same failure domain.
+	relayRequestTimeout = 150 * time.Millisecond
+	// relayRetryDelay is the time until another node is tried after a failed request. Meanwhile the
+	// stores are requested directly.
+	relayRetryDelay = time.Second
+	// maxChanges bounds the changes in a response, each of which takes at most changeBytes in a
+	// datagram. minChanges is the bound if the connection has no spare bandwidth: responses to
+	// other calls have priority, because events may arrive late.
+	maxChanges  = 300
+	minChanges  = 20
+	changeBytes = 36
+	// maxResponseBytes bounds a response, leaving room for the message envelope.
+	// storeOverheadBytes is what each store takes in it in addition to its changes or pages.
+	maxResponseBytes   = datagram.MaxBytes - 1<<10
+	storeOverheadBytes = 100
+	// maxAgeMs bounds the ages in relayed updates, in ms. Older updates are of no use.
+	maxAgeMs = 3600_000
+	// maxResponses bounds the responses that are requested in a row: a full copy of 41 stores with
+	// 1,300 parts each takes 119.
+	maxResponses = 500
 )
 
-// Peers has few nodes of a large system ask the stores for their events, and the others
-// ask those.
+// Peers lets a few nodes of a large system request the stores' events and relay them to the
+// others.
 //
-// What another node tells is as good as what the store told it: changes in the order of
-// their numbers, of one epoch, without a gap, or all that is kept to a node that starts. Where it
-// can't tell that, it says nothing of a store, and the store itself is asked.
+// A relayed update is equivalent to one from the store: either changes of one epoch in the order
+// of their numbers, without a gap, or a full snapshot for a node that starts. A node that can
+// provide neither omits the store from its response, and the store is requested directly.
 type Peers struct {
 	Index *Index
 	Conn  *datagram.Conn
-	// Readers are the nodes that ask the stores. None means that this node does.
-	Readers func() []netip.AddrPort
-	turn    int
+	// Readers returns the nodes that request the stores' events for others. If it is empty, this
+	// node requests them itself.
+	Readers    func() []netip.AddrPort
+	nextReader int
 }
 
-// told is what one node tells another.
-type told struct {
-	Events  []toldStore `json:"events"`
-	ClockMS int64       `json:"clock_ms"`
-	// More is true where there was no room for stores of which the asker knows nothing.
+// relayResponse is the response to a request for relayed events.
+type relayResponse struct {
+	Events  []storeUpdate `json:"events"`
+	ClockMS int64         `json:"clock_ms"`
+	// More is true if the response had no room for all the pages that the requesting node lacks.
 	More bool `json:"more,omitempty"`
 }
 
-// toldStore are the changes of one store.
-type toldStore struct {
+// storeUpdate is the update of one store.
+type storeUpdate struct {
 	Position
-	Changes packed `json:"changes,omitempty"`
-	// AgeMs is how long ago the store was certainly in its epoch, and SavesInMs how much longer
-	// nothing is to be sent there.
+	Changes packedChanges `json:"changes,omitempty"`
+	// AgeMs is the time since the store's epoch was last confirmed, and SavesInMs the remaining
+	// time in which nothing may be sent to the store.
 	AgeMs     int64 `json:"age_ms"`
 	SavesInMs int64 `json:"saves_in_ms,omitempty"`
-	// Page is nil, or says that Changes are a page of all that the store kept before Next.
+	// Page is set if Changes is a page of a snapshot of what the store kept before event Next.
 	Page *Page `json:"page,omitempty"`
 }
 
-// Serve answers other nodes. It must be called before the connection runs.
+// Serve registers the handler for requests of other nodes. It must be called before the connection
+// runs.
 func (p *Peers) Serve() {
 	p.Conn.Handle(eventsMethod, func(params json.RawMessage) (any, error) {
-		var asked []Position
-		if err := json.Unmarshal(params, &asked); err != nil {
-			return nil, eris.Wrap(err, "decode a question for events")
+		var positions []Position
+		if err := json.Unmarshal(params, &positions); err != nil {
+			return nil, eris.Wrap(err, "decode request for relayed events")
 		}
-		return p.Index.tell(asked, p.Conn.Spare()), nil
+		return p.Index.relayEvents(positions, p.Conn.Spare()), nil
 	})
 }
 
-// tell returns what this node knows beyond the positions: all of the stores of which the asker knows
-// nothing, as far as there is room, and what happened at the others, which are not asked for as long
-// as each answer speaks of them. It takes about as many bytes as there are to spare, but
-// leastChanges in any case.
-func (x *Index) tell(asked []Position, spare int) told {
-	answer := told{ClockMS: x.ClockMS()}
-	room := min(spare, answerBytes)
+// relayEvents returns the updates that this node has beyond the given positions: snapshots of the
+// stores for which the requester has no state, as far as there is room, and the changes at the
+// other stores. Every response covers those, because the requester polls a store directly if no
+// response mentions it. The response takes about spare bytes, but always has room for minChanges
+// changes.
+func (x *Index) relayEvents(positions []Position, spare int) relayResponse {
+	response := relayResponse{ClockMS: x.ClockMS()}
+	room := min(spare, maxResponseBytes)
 	known := 0
-	for i := range asked {
-		if !asked[i].unknown() {
+	for i := range positions {
+		if !positions[i].isEmpty() {
 			known++
 		}
 	}
-	most := min(max(spare/changeBytes, leastChanges), mostChanges)
-	taken := x.tellPages(&answer, asked, max(room-known*storeBytes, room/2))
+	limit := min(max(spare/changeBytes, minChanges), maxChanges)
+	taken := x.addPages(&response, positions, max(room-known*storeOverheadBytes, room/2))
 	if taken > 0 {
-		most = leastChanges
+		limit = minChanges
 	}
-	x.tellChanges(&answer, asked, most, answerBytes-taken)
-	return answer
+	x.addChanges(&response, positions, limit, maxResponseBytes-taken)
+	return response
 }
 
-// tellPages adds pages of the stores of which the asker knows nothing, in so many bytes of the message.
-// It returns how many it took.
-func (x *Index) tellPages(answer *told, asked []Position, room int) (taken int) {
-	for i := range asked {
-		store := x.store(asked[i].Addr)
-		if store == nil || !asked[i].unknown() {
+// addPages adds snapshot pages of the stores for which the requester has no state, in up to room
+// bytes of the message. It returns the bytes taken.
+func (x *Index) addPages(response *relayResponse, positions []Position, room int) (taken int) {
+	for i := range positions {
+		store := x.store(positions[i].Addr)
+		if store == nil || !positions[i].isEmpty() {
 			continue
 		}
 		s, ok := store.snapshot()
 		if !ok {
-			continue // only the store itself can tell
+			continue // only the store itself can provide it
 		}
-		for number := s.after(asked[i].Copied); number < len(s.pages); number++ {
-			needs := base64.StdEncoding.EncodedLen(len(s.pages[number])) + storeBytes
+		for number := s.nextPage(positions[i].Progress); number < len(s.pages); number++ {
+			needs := base64.StdEncoding.EncodedLen(len(s.pages[number])) + storeOverheadBytes
 			if taken+needs > room {
-				answer.More = taken > 0
+				response.More = taken > 0
 				return taken
 			}
 			taken += needs
-			told := x.newTold(store, s.epoch, s.next, s.pages[number])
-			told.Page = &Page{Number: number, Of: len(s.pages)}
-			answer.Events = append(answer.Events, told)
+			update := x.newStoreUpdate(store, s.epoch, s.next, s.pages[number])
+			update.Page = &Page{Number: number, Of: len(s.pages)}
+			response.Events = append(response.Events, update)
 		}
 	}
 	return taken
 }
 
-// tellChanges adds what happened at the stores since the positions, up to so many changes, in so many
-// bytes of the message.
-func (x *Index) tellChanges(answer *told, asked []Position, most, room int) {
-	for _, position := range asked {
+// addChanges adds the changes at the stores since the positions, up to limit changes in total, in
+// up to room bytes of the message.
+func (x *Index) addChanges(response *relayResponse, positions []Position, limit, room int) {
+	for _, position := range positions {
 		store := x.store(position.Addr)
-		if store == nil || most == 0 || room < storeBytes || position.unknown() {
+		if store == nil || limit == 0 || room < storeOverheadBytes || position.isEmpty() {
 			continue
 		}
-		events, ok := store.Since(position, min(most, (room-storeBytes)/changeBytes+1))
+		events, ok := store.Since(position, min(limit, (room-storeOverheadBytes)/changeBytes+1))
 		if !ok {
 			continue
 		}
-		most -= len(events.Changes)
-		room -= storeBytes + len(events.Changes)*changeBytes
-		answer.Events = append(answer.Events, x.newTold(store, events.Epoch, events.Next, packChanges(events.Changes)))
+		limit -= len(events.Changes)
+		room -= storeOverheadBytes + len(events.Changes)*changeBytes
+		response.Events = append(response.Events, x.newStoreUpdate(store, events.Epoch, events.Next, packChanges(events.Changes)))
 	}
 }
 
-// newTold returns changes of a store up to a number, as they are told.
-func (x *Index) newTold(store *Holder, epoch, next int64, changes packed) toldStore {
-	age, savesIn := store.ages(x.Clock.Now())
-	return toldStore{
+// newStoreUpdate returns the update of a store for changes that end before event next.
+func (x *Index) newStoreUpdate(store *Holder, epoch, next int64, changes packedChanges) storeUpdate {
+	age, savesIn := store.updateAges(x.Clock.Now())
+	return storeUpdate{
 		Position: Position{Addr: store.Addr, Epoch: epoch, Next: next}, Changes: changes,
 		AgeMs: age.Milliseconds() + 1, SavesInMs: savesIn.Milliseconds(),
 	}
@@ -170,15 +175,15 @@
 	return nil
 }
 
-// Run asks another node for the stores' events until ctx is done.
+// Run requests the stores' events from another node until ctx is done.
 func (p *Peers) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause := askPause
+		pause := relayRequestInterval
 		if readers := p.Readers(); len(readers) > 0 {
-			if err := p.ask(ctx, readers[p.turn%len(readers)]); err != nil && ctx.Err() == nil {
+			if err := p.request(ctx, readers[p.nextReader%len(readers)]); err != nil && ctx.Err() == nil {
 				p.Index.Log.Info().Str("event", "events_unrelayed").AnErr("cause", err).Send()
-				p.turn++
-				pause = askAgain
+				p.nextReader++
+				pause = relayRetryDelay
 			}
 		}
 		retry.Sleep(ctx, pause)
@@ -186,11 +191,11 @@
 	return nil
 }
 
-// ask asks one node for all stores' events, at once again while it has more to tell of stores of
-// which this node knows nothing.
-func (p *Peers) ask(ctx context.Context, reader netip.AddrPort) error {
-	for range mostAnswers {
-		more, err := p.askOnce(ctx, reader)
+// request requests the events of all stores from one node, repeatedly as long as that node has more
+// snapshot pages.
+func (p *Peers) request(ctx context.Context, reader netip.AddrPort) error {
+	for range maxResponses {
+		more, err := p.requestOnce(ctx, reader)
 		if err != nil || !more {
 			return err
 		}
@@ -198,58 +203,60 @@
 	return nil
 }
 
-func (p *Peers) askOnce(ctx context.Context, reader netip.AddrPort) (more bool, err error) {
+func (p *Peers) requestOnce(ctx context.Context, reader netip.AddrPort) (more bool, err error) {
 	stores := p.Index.Stores()
-	asked := make([]Position, len(stores))
+	positions := make([]Position, len(stores))
 	for i, h := range stores {
-		asked[i] = h.Position()
+		positions[i] = h.Position()
 	}
-	if len(asked) == 0 {
+	if len(positions) == 0 {
 		return false, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, relayRequestTimeout)
 	defer cancel()
-	var answer told
-	asking := p.Index.Clock.Now()
-	if err := p.Conn.Call(ctx, reader, eventsMethod, asked, &answer); err != nil {
+	var response relayResponse
+	sentAt := p.Index.Clock.Now()
+	if err := p.Conn.Call(ctx, reader, eventsMethod, positions, &response); err != nil {
 		return false, err
 	}
-	until := p.Index.Clock.Now().Add(relayedFor)
-	for i := range answer.Events {
-		t := &answer.Events[i]
+	until := p.Index.Clock.Now().Add(relayLifetime)
+	for i := range response.Events {
+		t := &response.Events[i]
 		store := p.Index.store(t.Addr)
 		if store == nil {
 			continue
 		}
 		events, err := t.events()
 		if err != nil {
-			return false, eris.Wrapf(err, "what a node tells of store %s", t.Addr)
+			return false, eris.Wrapf(err, "apply relayed update of store %s", t.Addr)
 		}
-		// The clock is as old as the answer, so that fetches end early rather than late.
-		events.ClockMS = answer.ClockMS
-		events.ProvenAt = asking.Add(-time.Duration(t.AgeMs) * time.Millisecond)
+		// The clock reading is as old as the response. A reading that is behind makes fetches end
+		// early rather than late.
+		events.ClockMS = response.ClockMS
+		events.ProvenAt = sentAt.Add(-time.Duration(t.AgeMs) * time.Millisecond)
 		p.Index.Take(store, events)
-		store.relayed.Store(&until)
+		store.relayedUntil.Store(&until)
 	}
-	return answer.More, nil
+	return response.More, nil
 }
 
-// events returns what a node tells of a store.
-func (t *toldStore) events() (*Events, error) {
+// events decodes the update. It fails if the page number, an age or the changes are out of range.
+func (t *storeUpdate) events() (*Events, error) {
 	if t.Page != nil && (t.Page.Number < 0 || t.Page.Number >= t.Page.Of) {
-		return nil, eris.Errorf("page %d of %d", t.Page.Number, t.Page.Of)
+		return nil, eris.Errorf("decode relayed update: snapshot page %d of %d is out of range", t.Page.Number, t.Page.Of)
 	}
-	if t.AgeMs < 0 || t.SavesInMs < 0 || max(t.AgeMs, t.SavesInMs) > mostAgeMs {
-		return nil, eris.Errorf("ages of %d and %d ms", t.AgeMs, t.SavesInMs)
+	if t.AgeMs < 0 || t.SavesInMs < 0 || max(t.AgeMs, t.SavesInMs) > maxAgeMs {
+		return nil, eris.Errorf("decode relayed update: ages of %d and %d ms are out of range", t.AgeMs, t.SavesInMs)
 	}
 	changes, err := t.Changes.unpack()
-	return &Events{Epoch: t.Epoch, Next: t.Next, Whole: t.Page, Changes: changes, SavesIn: time.Duration(t.SavesInMs) * time.Millisecond}, err
+	return &Events{Epoch: t.Epoch, Next: t.Next, SnapshotPage: t.Page, Changes: changes, SavesIn: time.Duration(t.SavesInMs) * time.Millisecond}, err
 }
 
-// Told reports whether other nodes told of all stores lately, so that none is to be asked.
+// Told reports whether relayed updates of all stores are recent enough that none has to be
+// requested directly.
 func (x *Index) Told(now time.Time) bool {
 	for _, h := range x.Stores() {
-		if h.relayedFor(now) <= 0 {
+		if h.relayRemaining(now) <= 0 {
 			return false
 		}
 	}
--- a/internal/kept/peers_test.go
+++ b/internal/kept/peers_test.go
@@ -28,22 +28,23 @@
 	return list
 }
 
-// TestJournalTellsTheSame has a node learn through another what the store told that one,
-// in answers of any length, and nothing of another epoch or across a gap.
-func TestJournalTellsTheSame(t *testing.T) {
-	reader, asker := newStore(), newStore()
+// TestRelayedChangesMatchStore checks that relayed changes yield the same state as the store's own
+// events, with responses of any length, and that nothing is relayed from another epoch or across a
+// gap.
+func TestRelayedChangesMatchStore(t *testing.T) {
+	reader, requester := newStore(), newStore()
 	reader.apply(&Events{Epoch: 5, Next: 40, Changes: changes(1, 40)}, time.Now())
-	asker.apply(&Events{Epoch: 5, Next: 20, Changes: changes(1, 20)}, time.Now())
+	requester.apply(&Events{Epoch: 5, Next: 20, Changes: changes(1, 20)}, time.Now())
 	for range 10 {
-		e, ok := reader.Since(asker.Position(), 3)
+		e, ok := reader.Since(requester.Position(), 3)
 		must.True(t, ok)
-		asker.apply(&e, time.Now())
+		requester.apply(&e, time.Now())
 	}
-	test.Eq(t, reader.parts, asker.parts)
-	test.Eq(t, reader.Position(), asker.Position())
+	test.Eq(t, reader.parts, requester.parts)
+	test.Eq(t, reader.Position(), requester.Position())
 
 	reader.apply(&Events{Epoch: 5, Next: 90, Gap: true, Changes: changes(80, 90)}, time.Now())
-	_, ok := reader.Since(asker.Position(), 3)
+	_, ok := reader.Since(requester.Position(), 3)
 	test.False(t, ok, test.Sprint("events are missing"))
 	_, ok = reader.Since(Position{Epoch: 5, Next: 90}, 3)
 	test.True(t, ok)
@@ -51,13 +52,13 @@
 	test.False(t, ok, test.Sprint("another epoch"))
 	reader.apply(&Events{Epoch: 6, Next: 2}, time.Now())
 	_, ok = reader.Since(Position{Epoch: 6, Next: 1}, 3)
-	test.False(t, ok, test.Sprint("all events are to be asked for"))
-	reader.failed()
+	test.False(t, ok, test.Sprint("all events must be requested again"))
+	reader.markUnreachable()
 	_, ok = reader.Since(Position{Epoch: 6, Next: 0}, 3)
-	test.False(t, ok, test.Sprint("it can't tell what happened since"))
+	test.False(t, ok, test.Sprint("the store is unreachable, so later events are unknown"))
 }
 
-// TestJournalIsBounded forgets the oldest changes.
+// TestJournalIsBounded checks that the oldest changes are discarded.
 func TestJournalIsBounded(t *testing.T) {
 	h := newStore()
 	h.apply(&Events{Epoch: 5, Next: 3000, Changes: changes(1, 3000)}, time.Now())
@@ -69,16 +70,16 @@
 	test.Eq(t, 3000, e.Next)
 }
 
-// counted counts questions to a store that has had five events.
-type counted struct {
-	mu    sync.Mutex
-	asked int
+// countingSource is a source that counts requests. Its stores have had five events.
+type countingSource struct {
+	mu       sync.Mutex
+	requests int
 }
 
-func (c *counted) Events(_ context.Context, _ string, since int64, _ time.Duration) (Events, error) {
+func (c *countingSource) Events(_ context.Context, _ string, since int64, _ time.Duration) (Events, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
+	c.requests++
 	e := Events{Epoch: 5, Next: 6, ClockMS: 77}
 	if since < 6 {
 		e.Changes = changes(max(since, 1), 6)
@@ -86,16 +87,17 @@
 	return e, nil
 }
 
-func (*counted) Free(context.Context, string, []Part, int64) error { return nil }
+func (*countingSource) Free(context.Context, string, []Part, int64) error { return nil }
 
-func (c *counted) questions() int {
+func (c *countingSource) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.asked
+	return c.requests
 }
 
-// nodeOf returns the index of a node that follows one store, and what it tells others.
-func nodeOf(t *testing.T, source Source) (*Peers, netip.AddrPort) {
+// newTestNode starts a node that tracks one store and serves other nodes. It returns the node and
+// its address.
+func newTestNode(t *testing.T, source Source) (*Peers, netip.AddrPort) {
 	t.Helper()
 	conn, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
@@ -108,67 +110,69 @@
 	return p, netip.MustParseAddrPort(conn.Addr())
 }
 
-// TestAsksAnotherNode learns all from another node, and asks the store no more.
-func TestAsksAnotherNode(t *testing.T) {
-	reader, addr := nodeOf(t, &counted{})
-	asker, _ := nodeOf(t, &counted{})
-	for _, x := range []*Index{reader.Index, asker.Index} {
+// TestRequestFromAnotherNode checks that a node receives all events through another node and then
+// doesn't request them from the store.
+func TestRequestFromAnotherNode(t *testing.T) {
+	reader, addr := newTestNode(t, &countingSource{})
+	requester, _ := newTestNode(t, &countingSource{})
+	for _, x := range []*Index{reader.Index, requester.Index} {
 		x.Take(x.Stores()[0], &Events{Epoch: 5, Next: 1, ClockMS: 70})
 	}
 	reader.Index.Take(reader.Index.Stores()[0], &Events{Epoch: 5, Next: 6, Changes: changes(1, 6), ClockMS: 77})
-	must.NoError(t, asker.ask(t.Context(), addr))
-	store := asker.Index.Stores()[0]
+	must.NoError(t, requester.request(t.Context(), addr))
+	store := requester.Index.Stores()[0]
 	test.Eq(t, reader.Index.Stores()[0].parts, store.parts)
-	test.GreaterEq(t, 77, asker.Index.ClockMS())
-	test.Positive(t, store.relayedFor(time.Now()))
-	test.Eq(t, 0, store.relayedFor(time.Now().Add(relayedFor)))
-	reader.Index.Stores()[0].failed()
-	must.NoError(t, asker.ask(t.Context(), addr))
-	test.Error(t, asker.ask(t.Context(), netip.MustParseAddrPort("127.0.0.1:9")))
+	test.GreaterEq(t, 77, requester.Index.ClockMS())
+	test.Positive(t, store.relayRemaining(time.Now()))
+	test.Eq(t, 0, store.relayRemaining(time.Now().Add(relayLifetime)))
+	reader.Index.Stores()[0].markUnreachable()
+	must.NoError(t, requester.request(t.Context(), addr))
+	test.Error(t, requester.request(t.Context(), netip.MustParseAddrPort("127.0.0.1:9")))
 }
 
-// TestRelayedHolderIsNotAsked asks a store again once the other node falls silent.
-func TestRelayedHolderIsNotAsked(t *testing.T) {
+// TestRequestsResumeAfterRelayExpiry checks that a store is requested again once the relayed
+// updates expire.
+func TestRequestsResumeAfterRelayExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source := &counted{}
+		source := &countingSource{}
 		x := NewIndex(source, func(*Holder) (time.Duration, time.Duration) { return time.Second, 100 * time.Millisecond }, zerolog.Nop())
 		ctx, cancel := context.WithCancel(t.Context())
 		store := newStore()
 		until := time.Now().Add(5 * time.Second)
-		store.relayed.Store(&until)
+		store.relayedUntil.Store(&until)
 		x.Follow(ctx, nil, []*Holder{store})
 		time.Sleep(4900 * time.Millisecond)
-		test.Eq(t, 0, source.questions())
+		test.Eq(t, 0, source.count())
 		time.Sleep(time.Second)
-		test.Positive(t, source.questions())
+		test.Positive(t, source.count())
 		cancel()
 		x.Wait()
 	})
 }
 
-// TestFewEventsWhereTheLinkIsFull tells fewer changes at once where the connection has few bytes
-// to spare; the asker learns all of them all the same.
-func TestFewEventsWhereTheLinkIsFull(t *testing.T) {
+// TestFewChangesOnFullLink checks that responses hold fewer changes if the connection has
+// little spare bandwidth, and that the requesting node still receives all of them.
+func TestFewChangesOnFullLink(t *testing.T) {
 	const events = 950
 	conn, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
-	conn.Bound(1) // and one longest message
-	reader := &Peers{Index: NewIndex(&counted{}, nil, zerolog.Nop()), Conn: conn}
+	conn.Bound(1) // plus one message of maximum size
+	reader := &Peers{Index: NewIndex(&countingSource{}, nil, zerolog.Nop()), Conn: conn}
 	reader.Index.view.Store(&view{stores: []*Holder{newStore()}})
 	reader.Serve()
 	go func() { _ = conn.Run(t.Context()) }()
 	t.Cleanup(func() { conn.Close() })
-	asker, _ := nodeOf(t, &counted{})
-	for _, x := range []*Index{reader.Index, asker.Index} {
+	requester, _ := newTestNode(t, &countingSource{})
+	for _, x := range []*Index{reader.Index, requester.Index} {
 		x.Take(x.Stores()[0], &Events{Epoch: 5, Next: 1, ClockMS: 70})
 	}
 	reader.Index.Take(reader.Index.Stores()[0], &Events{Epoch: 5, Next: events, Changes: changes(1, events), ClockMS: 77})
-	var told []int64
-	for known := int64(1); known < events; known = asker.Index.Stores()[0].Position().Next {
-		must.NoError(t, asker.ask(t.Context(), netip.MustParseAddrPort(conn.Addr())))
-		told = append(told, asker.Index.Stores()[0].Position().Next-known)
+	var counts []int64
+	for known := int64(1); known < events; known = requester.Index.Stores()[0].Position().Next {
+		must.NoError(t, requester.request(t.Context(), netip.MustParseAddrPort(conn.Addr())))
+		counts = append(counts, requester.Index.Stores()[0].Position().Next-known)
 	}
-	test.Eq(t, datagram.MaxBytes/2/changeBytes, told[0])
-	test.Eq(t, leastChanges, told[len(told)-2])
-	test.Eq(t, reader.Index.Stores()[0].parts, asker.Index.Stores()[0].parts)
+	test.Eq(t, datagram.MaxBytes/2/changeBytes, counts[0])
+	test.Eq(t, minChanges, counts[len(counts)-2])
+	test.Eq(t, reader.Index.Stores()[0].parts, requester.Index.Stores()[0].parts)
 }
--- a/internal/kept/restart_test.go
+++ b/internal/kept/restart_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test"
 )
 
-// TestRestartedEngine believes nothing to be kept at an engine that started again under its id,
-// nor at one that another address is named for, before they tell.
+// TestRestartedEngine checks that the recorded parts of an engine are discarded when the engine
+// has restarted under the same id or has another address.
 func TestRestartedEngine(t *testing.T) {
 	engine := func(addr string, born int64) *Holder {
 		h := NewHolder("e", addr, "north")
@@ -16,8 +16,8 @@
 		return h
 	}
 	tests := map[string]struct {
-		next  *Holder
-		knows bool
+		next       *Holder
+		keepsParts bool
 	}{
 		"the same":        {engine("127.0.0.1:1", 100), true},
 		"started again":   {engine("127.0.0.1:1", 200), false},
@@ -30,6 +30,6 @@
 		x.Take(first, &Events{Epoch: 1, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}})
 		x.Replace([]*Holder{tt.next}, nil)
 		test.Eq(t, tt.next.Addr, x.Engine("e").Addr, test.Sprint(name))
-		test.Eq(t, tt.knows, x.Engine("e").Has(part) > 0, test.Sprint(name))
+		test.Eq(t, tt.keepsParts, x.Engine("e").Has(part) > 0, test.Sprint(name))
 	}
 }
--- a/internal/kept/salt.go
+++ b/internal/kept/salt.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Salt tells what a request's parts are shared with: requests for the same version
-// of a model's weights, and for an isolated client account only its own.
+// Salt identifies the requests that share kept parts: those for the same version of a model's
+// weights and, for an isolated client account, of that account only.
 type Salt struct {
 	Model   string
 	Version int64
-	Account string // of an isolated client account, else empty
+	Account string // set for an isolated client account only
 }
 
-// saltFields is the number of fields of a salt's text.
+// saltFields is the number of fields in the text form of a salt.
 const saltFields = 3
 
-// String returns the text under which engines and stores keep the parts. The names
-// are escaped, so that no model or account can look like another.
+// String returns the text form, under which engines and stores keep the parts. Names are escaped,
+// so that different salts have different texts.
 func (s Salt) String() string {
 	return strconv.FormatInt(s.Version, 10) + "/" + url.PathEscape(s.Model) + "/" + url.PathEscape(s.Account)
 }
 
-// ParseSalt reads a salt's text back, and reports false for one that this package
-// did not write.
+// ParseSalt parses the text form of a salt, and reports false for a text that String can't have
+// written.
 func ParseSalt(text string) (Salt, bool) {
 	fields := strings.SplitN(text, "/", saltFields)
 	if len(fields) != saltFields {
--- a/internal/kept/snapshot_test.go
+++ b/internal/kept/snapshot_test.go
@@ -13,7 +13,7 @@
 	"github.com/cherryward/cherryward/internal/datagram"
 )
 
-// siteStores returns as many stores as a large site has, of which nothing is known.
+// siteStores returns the stores of a large site, without any recorded state.
 func siteStores() []*Holder {
 	var stores []*Holder
 	for i := range 41 {
@@ -24,8 +24,8 @@
 	return stores
 }
 
-// siteParts returns the events of a store in which so many parts are kept now, of which a third
-// came twice.
+// siteParts returns the events of a store that keeps the given number of parts, a third of which
+// have two events.
 func siteParts(store, parts int) *Events {
 	e := &Events{Epoch: int64(store + 7)}
 	for n := range parts + parts/3 {
@@ -37,27 +37,27 @@
 	return e
 }
 
-// TestNodeThatStartsIsTold has a node learn from another all that 41 stores keep, in few answers,
-// and then what came since. The stores are not asked.
-func TestNodeThatStartsIsTold(t *testing.T) {
-	reader, addr := nodeOf(t, &counted{})
-	asker, _ := nodeOf(t, &counted{})
-	source := &counted{}
-	asker.Index.Source = source
+// TestSnapshotForStartingNode checks that a node receives the state of 41 stores from another node
+// in few responses, and then the changes since, without requests to the stores.
+func TestSnapshotForStartingNode(t *testing.T) {
+	reader, addr := newTestNode(t, &countingSource{})
+	requester, _ := newTestNode(t, &countingSource{})
+	source := &countingSource{}
+	requester.Index.Source = source
 	reader.Index.view.Store(&view{stores: siteStores()})
-	asker.Index.view.Store(&view{stores: siteStores()})
+	requester.Index.view.Store(&view{stores: siteStores()})
 	for i, h := range reader.Index.Stores() {
 		h.apply(siteParts(i, 300+50*i), time.Now())
 	}
-	answers := 0
-	for more := true; more; answers++ {
+	responses := 0
+	for more := true; more; responses++ {
 		var err error
-		more, err = asker.askOnce(t.Context(), addr)
+		more, err = requester.requestOnce(t.Context(), addr)
 		must.NoError(t, err)
 	}
-	test.LessEq(t, 120, answers, test.Sprint("of ", datagram.MaxBytes, " bytes at most"))
-	test.True(t, asker.Index.Told(time.Now()))
-	for i, h := range asker.Index.Stores() {
+	test.LessEq(t, 120, responses, test.Sprint("responses of at most ", datagram.MaxBytes, " bytes"))
+	test.True(t, requester.Index.Told(time.Now()))
+	for i, h := range requester.Index.Stores() {
 		want := reader.Index.Stores()[i]
 		test.Eq(t, want.parts, h.parts)
 		test.Eq(t, want.Position(), h.Position())
@@ -66,202 +66,204 @@
 	store := reader.Index.Stores()[5]
 	next := store.Position().Next
 	store.apply(&Events{Epoch: 12, Next: next + 1, Changes: []Change{{Number: next, Part: Part{Salt: "18/m/t", ID: "new"}, Tokens: 9}}}, time.Now())
-	must.NoError(t, asker.ask(t.Context(), addr))
-	test.Eq(t, 9, asker.Index.Stores()[5].Has(Part{Salt: "18/m/t", ID: "new"}))
-	test.Eq(t, 0, source.questions())
+	must.NoError(t, requester.request(t.Context(), addr))
+	test.Eq(t, 9, requester.Index.Stores()[5].Has(Part{Salt: "18/m/t", ID: "new"}))
+	test.Eq(t, 0, source.count())
 }
 
-// TestStartAmongEmptyStores tells a node that starts together with others of all stores at once,
-// which keep nothing yet.
-func TestStartAmongEmptyStores(t *testing.T) {
-	reader, addr := nodeOf(t, &counted{})
-	asker, _ := nodeOf(t, &counted{})
+// TestSnapshotOfEmptyStores checks that one response covers all stores while they are empty, for a
+// node that starts together with the others.
+func TestSnapshotOfEmptyStores(t *testing.T) {
+	reader, addr := newTestNode(t, &countingSource{})
+	requester, _ := newTestNode(t, &countingSource{})
 	reader.Index.view.Store(&view{stores: siteStores()})
-	asker.Index.view.Store(&view{stores: siteStores()})
-	must.NoError(t, asker.ask(t.Context(), addr))
-	test.False(t, asker.Index.Told(time.Now()), test.Sprint("the other knows nothing either"))
+	requester.Index.view.Store(&view{stores: siteStores()})
+	must.NoError(t, requester.request(t.Context(), addr))
+	test.False(t, requester.Index.Told(time.Now()), test.Sprint("the other node has no state either"))
 	for i, h := range reader.Index.Stores() {
 		h.apply(&Events{Epoch: int64(i + 7), Next: 1}, time.Now())
 	}
-	more, err := asker.askOnce(t.Context(), addr)
+	more, err := requester.requestOnce(t.Context(), addr)
 	must.NoError(t, err)
 	test.False(t, more)
-	test.True(t, asker.Index.Told(time.Now()))
+	test.True(t, requester.Index.Told(time.Now()))
 }
 
-// TestStoresComeUpOneByOne has each answer speak of all stores that are known, while others come up:
-// a store of which nothing is said for a while is asked.
-func TestStoresComeUpOneByOne(t *testing.T) {
-	reader, asker := NewIndex(nil, nil, zerolog.Nop()), NewIndex(nil, nil, zerolog.Nop())
+// TestResponsesCoverStoresAsTheyStart checks that each response covers all stores with a known
+// state while others are starting. A store that responses omit for a while would be requested
+// directly.
+func TestResponsesCoverStoresAsTheyStart(t *testing.T) {
+	reader, requester := NewIndex(nil, nil, zerolog.Nop()), NewIndex(nil, nil, zerolog.Nop())
 	reader.view.Store(&view{stores: siteStores()})
 	stores := siteStores()
-	asker.view.Store(&view{stores: stores})
+	requester.view.Store(&view{stores: stores})
 	for i, h := range reader.Stores() {
 		h.apply(siteParts(i, 300), time.Now())
-		var asked []Position
+		var positions []Position
 		for _, s := range stores {
-			asked = append(asked, s.Position())
+			positions = append(positions, s.Position())
 		}
-		answer := reader.tell(asked, datagram.MaxBytes)
-		must.Len(t, i+1, answer.Events)
-		data, err := json.Marshal(answer)
+		response := reader.relayEvents(positions, datagram.MaxBytes)
+		must.Len(t, i+1, response.Events)
+		data, err := json.Marshal(response)
 		must.NoError(t, err)
-		test.Less(t, datagram.MaxBytes-200, len(data), test.Sprint("room for the message around it"))
-		for j := range answer.Events {
-			e, err := answer.Events[j].events()
+		test.Less(t, datagram.MaxBytes-200, len(data), test.Sprint("leaves room for the message envelope"))
+		for j := range response.Events {
+			e, err := response.Events[j].events()
 			must.NoError(t, err)
-			asker.Take(asker.store(answer.Events[j].Addr), e)
+			requester.Take(requester.store(response.Events[j].Addr), e)
 		}
 	}
 }
 
-// pagesOfStore returns what a node tells of a store as a whole, a page each.
-func pagesOfStore(t *testing.T, h *Holder) []*Events {
+// snapshotPages returns the snapshot of a store as events, one page each.
+func snapshotPages(t *testing.T, h *Holder) []*Events {
 	t.Helper()
 	s, ok := h.snapshot()
 	must.True(t, ok)
 	var list []*Events
 	for i := range s.pages {
-		told := toldStore{Position: Position{Epoch: s.epoch, Next: s.next}, Changes: s.pages[i], Page: &Page{Number: i, Of: len(s.pages)}}
-		e, err := told.events()
+		update := storeUpdate{Position: Position{Epoch: s.epoch, Next: s.next}, Changes: s.pages[i], Page: &Page{Number: i, Of: len(s.pages)}}
+		e, err := update.events()
 		must.NoError(t, err)
 		list = append(list, e)
 	}
 	return list
 }
 
-// TestStoreAnswersFirst keeps what the store itself tells before or between the pages of another
-// node's snapshot, which may be older.
-func TestStoreAnswersFirst(t *testing.T) {
-	for told := range 4 {
-		reader, asker := newStore(), newStore()
-		reader.apply(siteParts(1, 3*pageParts-9), time.Now())
-		pages := pagesOfStore(t, reader)
+// TestStoreTakesPrecedenceOverSnapshot checks that the store's own response, before or between the
+// pages of another node's snapshot, takes precedence, because the snapshot may be older.
+func TestStoreTakesPrecedenceOverSnapshot(t *testing.T) {
+	for received := range 4 {
+		reader, requester := newStore(), newStore()
+		reader.apply(siteParts(1, 3*partsPerPage-9), time.Now())
+		pages := snapshotPages(t, reader)
 		must.Len(t, 3, pages)
-		for _, e := range pages[:told] {
-			asker.apply(e, time.Now())
+		for _, e := range pages[:received] {
+			requester.apply(e, time.Now())
 		}
 		later := siteParts(1, 20)
-		if told == len(pages) {
-			test.Eq(t, reader.parts, asker.parts)
-			test.Eq(t, reader.Position(), asker.Position())
+		if received == len(pages) {
+			test.Eq(t, reader.parts, requester.parts)
+			test.Eq(t, reader.Position(), requester.Position())
 			later = &Events{Epoch: 8, Next: reader.next + 1}
 		}
-		asker.apply(later, time.Now())
-		position, parts := asker.Position(), len(asker.parts)
-		if told < len(pages) {
+		requester.apply(later, time.Now())
+		position, parts := requester.Position(), len(requester.parts)
+		if received < len(pages) {
 			test.Eq(t, 20, parts)
-			test.Eq(t, 20*400+19*10, asker.used)
+			test.Eq(t, 20*400+19*10, requester.used)
 		}
 		for _, e := range pages {
-			asker.apply(e, time.Now())
+			requester.apply(e, time.Now())
 		}
-		test.Eq(t, position, asker.Position())
-		test.MapLen(t, parts, asker.parts)
+		test.Eq(t, position, requester.Position())
+		test.MapLen(t, parts, requester.parts)
 	}
 }
 
-// TestPagesThatDontFollow drops pages that aren't the next ones of the same snapshot, and begins
-// anew with the first one of another.
-func TestPagesThatDontFollow(t *testing.T) {
-	reader, asker := newStore(), newStore()
-	reader.apply(siteParts(1, 3*pageParts), time.Now())
-	old := pagesOfStore(t, reader)
-	reader.apply(&Events{Epoch: 8, Next: reader.next + toldSlack + 1}, time.Now())
+// TestPagesOutOfSequence checks that pages out of sequence are dropped, and that the first page
+// of another snapshot starts over.
+func TestPagesOutOfSequence(t *testing.T) {
+	reader, requester := newStore(), newStore()
+	reader.apply(siteParts(1, 3*partsPerPage), time.Now())
+	old := snapshotPages(t, reader)
+	reader.apply(&Events{Epoch: 8, Next: reader.next + maxSnapshotLag + 1}, time.Now())
 	s, _ := reader.snapshot()
-	pages := pagesOfStore(t, reader)
-	asker.apply(old[1], time.Now())
-	test.Nil(t, asker.Position().Copied)
-	asker.apply(old[0], time.Now())
-	test.Eq(t, 0, s.after(asker.Position().Copied), test.Sprint("of another snapshot"))
-	asker.apply(pages[1], time.Now())
-	test.MapLen(t, pageParts, asker.parts)
-	asker.apply(pages[0], time.Now())
-	asker.apply(pages[0], time.Now())
-	test.Eq(t, 1, s.after(asker.Position().Copied))
-	asker.apply(pages[1], time.Now())
-	position := asker.Position()
-	test.True(t, position.unknown())
-	asker.apply(pages[2], time.Now())
-	test.Eq(t, reader.Position(), asker.Position())
-	test.Eq(t, reader.parts, asker.parts)
-	test.Eq(t, reader.used, asker.used)
-	_, ok := asker.Since(Position{Epoch: 8, Next: 5}, 9)
-	test.False(t, ok, test.Sprint("it doesn't know what happened before"))
+	pages := snapshotPages(t, reader)
+	requester.apply(old[1], time.Now())
+	test.Nil(t, requester.Position().Progress)
+	requester.apply(old[0], time.Now())
+	test.Eq(t, 0, s.nextPage(requester.Position().Progress), test.Sprint("progress of another snapshot"))
+	requester.apply(pages[1], time.Now())
+	test.MapLen(t, partsPerPage, requester.parts)
+	requester.apply(pages[0], time.Now())
+	requester.apply(pages[0], time.Now())
+	test.Eq(t, 1, s.nextPage(requester.Position().Progress))
+	requester.apply(pages[1], time.Now())
+	position := requester.Position()
+	test.True(t, position.isEmpty())
+	requester.apply(pages[2], time.Now())
+	test.Eq(t, reader.Position(), requester.Position())
+	test.Eq(t, reader.parts, requester.parts)
+	test.Eq(t, reader.used, requester.used)
+	_, ok := requester.Since(Position{Epoch: 8, Next: 5}, 9)
+	test.False(t, ok, test.Sprint("earlier events are unknown"))
 }
 
-// TestSnapshotIsMadeOnce tells the same snapshot for some events, for it to be made once for many
-// nodes, and another one after more, after a restart of the store, and none of a lost store.
-func TestSnapshotIsMadeOnce(t *testing.T) {
+// TestSnapshotIsCached checks that a snapshot is reused for maxSnapshotLag events, rebuilt after
+// that or after a restart of the store, and not available for an unreachable store.
+func TestSnapshotIsCached(t *testing.T) {
 	h := newStore()
 	_, ok := h.snapshot()
-	test.False(t, ok, test.Sprint("nothing is known"))
-	for n := int64(1); n <= toldSlack+1; n++ {
+	test.False(t, ok, test.Sprint("no state yet"))
+	for n := int64(1); n <= maxSnapshotLag+1; n++ {
 		h.apply(&Events{Epoch: 5, Next: n + 1, Changes: changes(n, n+1)}, time.Now())
 		s, ok := h.snapshot()
 		must.True(t, ok)
 		test.Eq(t, 2, s.next)
 	}
-	h.apply(&Events{Epoch: 5, Next: toldSlack + 3, Changes: changes(toldSlack+2, toldSlack+3)}, time.Now())
+	h.apply(&Events{Epoch: 5, Next: maxSnapshotLag + 3, Changes: changes(maxSnapshotLag+2, maxSnapshotLag+3)}, time.Now())
 	s, _ := h.snapshot()
-	test.Eq(t, toldSlack+3, s.next)
+	test.Eq(t, maxSnapshotLag+3, s.next)
 	h.apply(&Events{Epoch: 6, Next: 2}, time.Now())
 	_, ok = h.snapshot()
-	test.False(t, ok, test.Sprint("all events are to be asked for anew"))
+	test.False(t, ok, test.Sprint("all events must be requested again"))
 	h.apply(&Events{Epoch: 6, Next: 2, Changes: changes(1, 2)}, time.Now())
 	s, ok = h.snapshot()
 	test.True(t, ok)
 	test.Eq(t, 6, s.epoch)
-	h.failed()
+	h.markUnreachable()
 	_, ok = h.snapshot()
 	test.False(t, ok)
 }
 
-// TestPageThatIsNone refuses what pagesOf doesn't make.
-func TestPageThatIsNone(t *testing.T) {
+// TestInvalidPages checks that invalid pages are rejected.
+func TestInvalidPages(t *testing.T) {
 	good := packChanges(siteChanges(2))
-	for _, told := range []toldStore{
+	for _, update := range []storeUpdate{
 		{Page: &Page{Of: 1}},
 		{Changes: good[:len(good)-1], Page: &Page{Of: 1}},
 		{Changes: good, Page: &Page{Number: 1, Of: 1}},
 		{Changes: good, Page: &Page{Number: -1, Of: 1}},
 	} {
-		_, err := told.events()
+		_, err := update.events()
 		test.Error(t, err)
 	}
 }
 
-// TestManyStores bounds an answer where there are far more stores than it has room for.
+// TestManyStores checks that a response stays within its size limit if there are far more stores
+// than fit.
 func TestManyStores(t *testing.T) {
 	x := NewIndex(nil, nil, zerolog.Nop())
 	var stores []*Holder
-	var asked, fresh []Position
+	var positions, fresh []Position
 	for i := range 500 {
 		h := NewHolder(fmt.Sprint("store-", i), fmt.Sprintf("10.0.%d.%d:1", i/250, i%250+1), "north")
 		h.apply(siteParts(i, 500), time.Now())
 		stores = append(stores, h)
 		p := h.Position()
 		p.Next -= 9
-		asked = append(asked, p)
+		positions = append(positions, p)
 		fresh = append(fresh, Position{Addr: h.Addr})
 	}
 	x.view.Store(&view{stores: stores})
-	for _, list := range [][]Position{asked, fresh, append(asked[:250:250], fresh[250:]...)} {
-		answer := x.tell(list, datagram.MaxBytes)
-		test.SliceNotEmpty(t, answer.Events)
-		data, err := json.Marshal(answer)
+	for _, list := range [][]Position{positions, fresh, append(positions[:250:250], fresh[250:]...)} {
+		response := x.relayEvents(list, datagram.MaxBytes)
+		test.SliceNotEmpty(t, response.Events)
+		data, err := json.Marshal(response)
 		must.NoError(t, err)
-		test.Less(t, datagram.MaxBytes-200, len(data), test.Sprint("room for the message around it"))
+		test.Less(t, datagram.MaxBytes-200, len(data), test.Sprint("leaves room for the message envelope"))
 	}
 }
 
-// FuzzPage takes any bytes for a page of what a store keeps.
+// FuzzPage decodes and applies arbitrary bytes as a page of a snapshot.
 func FuzzPage(f *testing.F) {
 	f.Add([]byte(packChanges(siteChanges(2))), 0, 1)
 	f.Add([]byte{0, 0}, 1, 2)
 	f.Fuzz(func(t *testing.T, data []byte, number, of int) {
-		told := toldStore{Position: Position{Epoch: 3, Next: 4}, Changes: data, Page: &Page{Number: number, Of: of}}
-		e, err := told.events()
+		update := storeUpdate{Position: Position{Epoch: 3, Next: 4}, Changes: data, Page: &Page{Number: number, Of: of}}
+		e, err := update.events()
 		if err != nil {
 			return
 		}
