--- /dev/null
+++ b/internal/peerload/aggregate.go
@@ -0,0 +1,286 @@
+package peerload
+
+import (
+	"encoding/binary"
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// ownDigestHistory is the number of this node's latest digests whose loads are retained, to
+	// subtract them from a collector's aggregate. An aggregate includes digests up to
+	// DigestLifetime old and is itself used for as long, which at the minimum interval spans 107
+	// digests. Usually the included digest is only a few tens of ms old; if it is older than the
+	// history, the oldest retained digest is subtracted.
+	ownDigestHistory = 32
+	// coverageRatio is the fraction of the best collector's node count from which another
+	// collector counts as equally good. The newer of two such aggregates is used.
+	coverageRatio = 0.9
+	// maxSeen bounds the reported versions in one message, of about 45 bytes each.
+	maxSeen = 120
+	// includedEntryBytes is the length of one entry in Aggregate.Included.
+	includedEntryBytes = 8
+)
+
+// Aggregate is what a collector sends to the nodes of its failure domain: the combined reports of
+// all of them. Collectors are the few nodes of a failure domain that receive the load of all
+// others there. An aggregate is sent with the collector's own digest.
+//
+// Without collectors, with each node sending to each other one, the number of received messages
+// grows with the square of the number of nodes.
+type Aggregate struct {
+	// Nodes is the number of nodes whose digests are included.
+	Nodes int `json:"nodes"`
+	// Loads are the sums by endpoint: a key of 4 bytes, little-endian, followed by unsigned
+	// varints: running requests, tokens to read, tokens held, the total of the failure rates in
+	// percent, and the number of nodes that report failures.
+	Loads []byte `json:"loads,omitempty"`
+	// DomainLoads are the sums of the loads that other failure domains report, as encoded by
+	// encodeCoarse.
+	DomainLoads []byte `json:"outer,omitempty"`
+	// Domains are the other failure domains included in DomainLoads.
+	Domains []string `json:"domains,omitempty"`
+	// Included identifies the included digest of each node: a key of 4 bytes for the node's start
+	// and the low 4 bytes of the digest's sequence number, little-endian.
+	Included []byte `json:"told,omitempty"`
+	// Late are the holders whose fetches are late at several nodes.
+	Late []Late `json:"late,omitempty"`
+	// Orders are the order states of the nodes that give orders.
+	Orders []RelayedOrders `json:"orders,omitempty"`
+	// Seen are the weight versions that nodes have seen.
+	Seen []Seen `json:"seen,omitempty"`
+	// Limits are the rate limits that endpoints of all failure domains recently reported to nodes.
+	Limits []Limit `json:"limits,omitempty"`
+}
+
+// RelayedOrders is the order state of one node, as relayed by a collector.
+type RelayedOrders struct {
+	Emptied []string `json:"emptied,omitempty"`
+	Loading []string `json:"loading,omitempty"`
+	ForMs   int64    `json:"for_ms,omitempty"` // remaining validity of Emptied and Loading
+	Leads   bool     `json:"leads,omitempty"`
+	AgeMs   int64    `json:"age_ms,omitempty"` // time since the collector received the node's digest
+}
+
+// receivedAggregate is the aggregate of one collector, as received.
+type receivedAggregate struct {
+	nodes   int
+	late    []Late
+	orders  []RelayedOrders
+	domains []string // other failure domains included
+	at      time.Time
+
+	// encoded is the aggregate itself. loads and starts are the collector's own loads, which it
+	// doesn't include, and own is this node's included digest, or nil.
+	encoded *Aggregate
+	loads   []Load
+	starts  []StartTag
+	own     *ownDigest
+	// sums is the decoded result without this node's own loads. It is computed on first use: most
+	// aggregates are never used, and decoding each of them would cause most of a node's
+	// allocations.
+	sums Sums
+}
+
+// loadSums returns the sums of the loads of the other nodes.
+func (c *receivedAggregate) loadSums() Sums {
+	if c.sums != nil {
+		return c.sums
+	}
+	sums := make(Sums, (len(c.encoded.Loads)+len(c.encoded.DomainLoads))/minSumBytes)
+	err := sums.addEncoded(c.encoded.Loads)
+	if c.own != nil {
+		sums.subtract(c.own.loads, c.own.starts)
+	}
+	sums.add(c.loads, c.starts)
+	if err = errors.Join(err, sums.addCoarse(c.encoded.DomainLoads)); err != nil {
+		return Sums{} // unreachable: check rejects such digests
+	}
+	c.sums, c.encoded, c.own = sums, nil, nil
+	return sums
+}
+
+// ownDigest is the loads of one of this node's digests.
+type ownDigest struct {
+	seq    uint32
+	loads  []Load
+	starts []StartTag
+}
+
+// nodeKey returns a key that identifies one start of a node.
+func nodeKey(node string, incarnation int64) uint32 {
+	return uint32(xxhash.Sum64String(node)) ^ uint32(incarnation) ^ uint32(incarnation>>32)
+}
+
+// RecordOwnDigest retains a digest of this node, so that its loads can be subtracted from the
+// aggregates of collectors.
+func (t *Table) RecordOwnDigest(d *Digest) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.own = nodeKey(d.Node, d.Incarnation)
+	t.isCollector = d.Aggregate != nil
+	if len(t.ownDigests) == ownDigestHistory {
+		t.ownDigests = slices.Delete(t.ownDigests, 0, 1)
+	}
+	t.ownDigests = append(t.ownDigests, &ownDigest{seq: uint32(d.Seq), loads: d.Loads, starts: d.Starts})
+}
+
+// Collect returns the aggregate of the current digests of all peers.
+func (t *Table) Collect(now time.Time) *Aggregate {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := &Aggregate{}
+	sums := make(Sums)
+	for _, p := range t.peers {
+		d := &p.digest
+		c.addOrders(d, now.Sub(p.at))
+		if now.Sub(p.at) > DigestLifetime {
+			continue
+		}
+		c.Nodes++
+		sums.add(d.Loads, d.Starts)
+		c.Included = binary.LittleEndian.AppendUint32(c.Included, nodeKey(d.Node, d.Incarnation))
+		c.Included = binary.LittleEndian.AppendUint32(c.Included, uint32(d.Seq))
+		c.addSeen(d.Seen, now.Sub(p.at))
+	}
+	c.Loads = sums.encode()
+	domainLoads, domains := t.domainLoadSums(now)
+	c.DomainLoads, c.Domains = domainLoads.encodeCoarse(), domains
+	c.Limits = t.collectLimits(now)
+	for addr, ms := range t.directLate(now) {
+		c.Late = append(c.Late, Late{Addr: addr, MS: int(ms)})
+	}
+	return c
+}
+
+// addOrders adds the order state of a digest that was received the given time ago. Digests older
+// than DigestLifetime count too, because other nodes wait longer than that for a silent claim
+// holder.
+func (c *Aggregate) addOrders(d *Digest, age time.Duration) {
+	o := RelayedOrders{Leads: d.Leads, AgeMs: age.Milliseconds()}
+	if left := d.ForMs - o.AgeMs; left > 0 {
+		o.Emptied, o.Loading, o.ForMs = d.Emptied, d.Loading, left
+	}
+	if o.Leads || o.ForMs > 0 {
+		c.Orders = append(c.Orders, o)
+	}
+}
+
+// addSeen adds the versions of a digest that was received the given time ago, once for each
+// endpoint and version.
+func (c *Aggregate) addSeen(seen []Seen, age time.Duration) {
+	for i := range seen {
+		s := &seen[i]
+		at := slices.IndexFunc(c.Seen, func(o Seen) bool { return o.Model == s.Model && o.Version == s.Version })
+		if at < 0 {
+			at = len(c.Seen)
+			c.Seen = append(c.Seen, Seen{Model: s.Model, Version: s.Version})
+		}
+		c.Seen[at].merge(s, age)
+	}
+}
+
+// merge adds the entries of another report, received the given time ago, for endpoints that s
+// lacks. For an endpoint in both, it keeps the entry of the later start, or the newer entry of the
+// same start.
+func (s *Seen) merge(o *Seen, age time.Duration) {
+	for i, id := range o.Endpoints {
+		if i >= len(o.Born) || i >= len(o.AgesMs) {
+			return // sent by a build that does not date its entries
+		}
+		ageMs := o.AgesMs[i] + age.Milliseconds()
+		at := slices.Index(s.Endpoints, id)
+		switch {
+		case at < 0 && len(s.Endpoints) < maxSeen:
+			s.Endpoints, s.Born, s.AgesMs = append(s.Endpoints, id), append(s.Born, o.Born[i]), append(s.AgesMs, ageMs)
+		case at >= 0 && (o.Born[i] > s.Born[at] || o.Born[i] == s.Born[at] && ageMs < s.AgesMs[at]):
+			s.Born[at], s.AgesMs[at] = o.Born[i], ageMs
+		}
+	}
+}
+
+// includes returns the sequence number of the node's included digest, and false if none is
+// included.
+func (c *Aggregate) includes(node uint32) (seq uint32, ok bool) {
+	for rest := c.Included; len(rest) >= includedEntryBytes; rest = rest[includedEntryBytes:] {
+		if binary.LittleEndian.Uint32(rest) == node {
+			return binary.LittleEndian.Uint32(rest[4:]), true
+		}
+	}
+	return 0, false
+}
+
+// receiveAggregate returns the aggregate in a digest, or nil if the sender is no collector.
+func (t *Table) receiveAggregate(d *Digest, now time.Time) *receivedAggregate {
+	c := d.Aggregate
+	if c == nil {
+		return nil
+	}
+	received := &receivedAggregate{nodes: c.Nodes, late: c.Late, orders: c.Orders, domains: c.Domains, at: now, encoded: c, loads: d.Loads, starts: d.Starts}
+	if seq, ok := c.includes(t.own); ok {
+		received.own = t.ownDigest(seq)
+	}
+	return received
+}
+
+// ownDigest returns the retained digest of this node with the sequence number, or the oldest
+// retained one.
+func (t *Table) ownDigest(seq uint32) *ownDigest {
+	for i := range t.ownDigests {
+		if t.ownDigests[i].seq == seq {
+			return t.ownDigests[i]
+		}
+	}
+	if len(t.ownDigests) == 0 {
+		return nil
+	}
+	return t.ownDigests[0]
+}
+
+// CollectedAge returns the age of the aggregate on which Loads is based, and false if Loads is
+// based on the peers' own digests.
+func (t *Table) CollectedAge(now time.Time) (age time.Duration, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := t.bestAggregate(now)
+	if c == nil {
+		return 0, false
+	}
+	return now.Sub(c.at), true
+}
+
+// bestAggregate returns the aggregate to use, or nil if this node receives digests from more peers
+// directly. A collector prefers its own data even if an aggregate covers slightly more nodes. The
+// newest one is used of several aggregates that cover nearly as many nodes.
+func (t *Table) bestAggregate(now time.Time) *receivedAggregate {
+	direct, maxNodes := 0, 0
+	for _, p := range t.peers {
+		if now.Sub(p.at) > DigestLifetime {
+			continue
+		}
+		direct++
+		if p.aggregate != nil {
+			maxNodes = max(maxNodes, p.aggregate.nodes)
+		}
+	}
+	if maxNodes == 0 || float64(maxNodes) < coverageRatio*float64(direct) {
+		return nil
+	}
+	if t.isCollector && coverageRatio*float64(maxNodes) <= float64(direct) {
+		return nil
+	}
+	var best *receivedAggregate
+	for _, p := range t.peers {
+		c := p.aggregate
+		if c == nil || now.Sub(p.at) > DigestLifetime || float64(c.nodes) < coverageRatio*float64(maxNodes) {
+			continue
+		}
+		if best == nil || c.at.After(best.at) {
+			best = c
+		}
+	}
+	return best
+}
--- a/internal/peerload/check.go
+++ b/internal/peerload/check.go
@@ -3,36 +3,36 @@
 import "github.com/rotisserie/eris"
 
 const (
-	// mostCounted bounds what a digest counts, so that sums over all nodes are exact: more
-	// tokens than any engine holds.
-	mostCounted = 1 << 40
-	// mostLateMS bounds the lateness of fetches, which end long before.
-	mostLateMS = 600_000
-	// mostClosedMS bounds how long one message closes engines.
-	mostClosedMS = 10_000
-	// mostSeenMS bounds the age of what engines said of their weights, which their entries in the
-	// registry outdate within seconds.
-	mostSeenMS = 600_000
+	// maxCount bounds the counts in a digest. It is more than the tokens that any engine holds,
+	// and small enough that sums over all nodes are exact.
+	maxCount = 1 << 40
+	// maxLateMS bounds the reported lateness of fetches, which time out long before.
+	maxLateMS = 600_000
+	// maxClosedMS bounds how long one message may close engines.
+	maxClosedMS = 10_000
+	// maxAgeMS bounds the ages of reported versions and limits. Registry entries supersede
+	// reported versions within seconds.
+	maxAgeMS = 600_000
 )
 
-// check returns an error where a digest holds what no node sends: its loads would make an engine
-// seem empty or full, and a long closing would take engines from all.
+// check returns an error if the digest holds values that no node sends. Invalid loads would make
+// an engine look empty or full, and a long closure would block engines for all nodes.
 func (d *Digest) check() error {
 	if d.Node == "" {
-		return eris.New("a digest of no node")
+		return eris.New("check digest: node name is missing")
 	}
-	if d.ForMs < 0 || d.ForMs > mostClosedMS {
-		return eris.Errorf("a digest closes engines for %d ms", d.ForMs)
+	if d.ForMs < 0 || d.ForMs > maxClosedMS {
+		return eris.Errorf("check digest: closure of engines for %d ms is out of range", d.ForMs)
 	}
 	for _, l := range d.Loads {
-		least := min(l.Running, l.Reading, l.Holding, l.Failures)
-		if least < 0 || max(l.Running, l.Reading, l.Holding) > mostCounted || l.Failures > percent {
-			return eris.Errorf("a digest with the load %+v", l)
+		lowest := min(l.Running, l.Reading, l.Holding, l.Failures)
+		if lowest < 0 || max(l.Running, l.Reading, l.Holding) > maxCount || l.Failures > percent {
+			return eris.Errorf("check digest: load %+v is out of range", l)
 		}
 	}
 	for _, l := range d.Late {
-		if l.MS < 0 || l.MS > mostLateMS {
-			return eris.Errorf("a digest with fetches %d ms late", l.MS)
+		if l.MS < 0 || l.MS > maxLateMS {
+			return eris.Errorf("check digest: lateness of %d ms is out of range", l.MS)
 		}
 	}
 	if err := checkSeen(d.Seen); err != nil {
@@ -41,41 +41,42 @@
 	if err := checkLimits(d.Limits); err != nil {
 		return err
 	}
-	return d.Collected.check()
+	return d.Aggregate.check()
 }
 
-// check returns an error where a collector tells what can't be, as for a digest.
-func (c *Collected) check() error {
+// check returns an error if the aggregate holds values that no collector sends. A nil aggregate is
+// valid.
+func (c *Aggregate) check() error {
 	if c == nil {
 		return nil
 	}
 	if err := checkSums(c.Loads, sumFields); err != nil {
 		return err
 	}
-	if err := checkSums(c.Outer, coarseFields); err != nil {
+	if err := checkSums(c.DomainLoads, coarseFields); err != nil {
 		return err
 	}
 	if err := checkLimits(c.Limits); err != nil {
 		return err
 	}
-	if c.Nodes < 0 || len(c.Told) != c.Nodes*toldBytes {
-		return eris.Errorf("a collector tells of %d nodes in %d bytes", c.Nodes, len(c.Told))
+	if c.Nodes < 0 || len(c.Included) != c.Nodes*includedEntryBytes {
+		return eris.Errorf("check aggregate: list of %d nodes has %d bytes", c.Nodes, len(c.Included))
 	}
 	for _, l := range c.Late {
-		if l.MS < 0 || l.MS > mostLateMS {
-			return eris.Errorf("a collector tells of fetches %d ms late", l.MS)
+		if l.MS < 0 || l.MS > maxLateMS {
+			return eris.Errorf("check aggregate: lateness of %d ms is out of range", l.MS)
 		}
 	}
 	for i := range c.Orders {
 		o := &c.Orders[i]
-		if o.ForMs < 0 || o.ForMs > mostClosedMS || o.AgeMs < 0 {
-			return eris.Errorf("a collector closes engines for %d ms, said %d ms ago", o.ForMs, o.AgeMs)
+		if o.ForMs < 0 || o.ForMs > maxClosedMS || o.AgeMs < 0 {
+			return eris.Errorf("check aggregate: closure of engines for %d ms at an age of %d ms is out of range", o.ForMs, o.AgeMs)
 		}
 	}
 	return checkSeen(c.Seen)
 }
 
-// checkSeen checks each of the statements.
+// checkSeen checks each of the reported versions.
 func checkSeen(seen []Seen) error {
 	for i := range seen {
 		if err := seen[i].check(); err != nil {
@@ -85,14 +86,14 @@
 	return nil
 }
 
-// check returns an error for a version that no engine has, or one that was named in the future.
+// check returns an error if the version is negative or an age is out of range.
 func (s *Seen) check() error {
 	if s.Version < 0 {
-		return eris.Errorf("a digest with version %d", s.Version)
+		return eris.Errorf("check digest: version %d is negative", s.Version)
 	}
 	for _, age := range s.AgesMs {
-		if age < 0 || age > mostSeenMS {
-			return eris.Errorf("a digest with a version seen %d ms ago", age)
+		if age < 0 || age > maxAgeMS {
+			return eris.Errorf("check digest: version age of %d ms is out of range", age)
 		}
 	}
 	return nil
--- a/internal/peerload/check_test.go
+++ b/internal/peerload/check_test.go
@@ -11,12 +11,12 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// taker returns an exchange that takes digests and sends none.
-func taker() *Exchange {
+// newReceiver returns an exchange that receives digests and sends none.
+func newReceiver() *Exchange {
 	return &Exchange{Table: NewTable(), config: Config{Members: func() []*fleet.Member { return nil }}, log: zerolog.Nop()}
 }
 
-// TestDigestsOutOfRange takes nothing from a digest that no node sends.
+// TestDigestsOutOfRange checks that invalid digests are rejected without any effect.
 func TestDigestsOutOfRange(t *testing.T) {
 	for _, text := range []string{
 		"null", "{}", "[]", "7", `{"node":7}`, `{"node":"n","loads":[null]}`, `{"node":"n","loads":[["e",1,2,3]]}`, `{"node":"n","loads":[["e",-1,0,0,0]]}`,
@@ -26,15 +26,15 @@
 		`{"node":"n","seen":[{"model":"m","version":-1,"endpoints":["e"]}]}`, `{"node":"n","seen":[{"model":"m","version":1,"endpoints":["e"],"ages_ms":[-1]}]}`,
 		`{"node":"n","seen":[{"model":"m","version":1,"endpoints":["e"],"ages_ms":[9223372036854775807]}]}`,
 	} {
-		e := taker()
-		_, err := e.take(json.RawMessage(text))
+		e := newReceiver()
+		_, err := e.receiveDigest(json.RawMessage(text))
 		test.Error(t, err, test.Sprint(text))
 		test.Eq(t, 1, e.Table.Nodes(), test.Sprint(text))
 		test.MapEmpty(t, e.Table.Loads(time.Now()))
 	}
 }
 
-// TestOwnDigestsAreInRange has peers take what a node tells, whatever it counted.
+// TestOwnDigestsAreInRange checks that a node's digests are valid whatever it counted.
 func TestOwnDigestsAreInRange(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	f.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:9"}, time.Now())
@@ -42,25 +42,26 @@
 	m.Load.Begin(-5, 1<<62)
 	d := &Digest{Node: "n"}
 	d.setLoads(f.All(), 1, time.Now())
-	test.Eq(t, []Load{{Endpoint: "e", Running: 1, Holding: mostCounted}}, d.Loads)
+	test.Eq(t, []Load{{Endpoint: "e", Running: 1, Holding: maxCount}}, d.Loads)
 	test.NoError(t, d.check())
 }
 
-// FuzzTake: an error, or sums that are not negative and engines that aren't closed for long.
+// FuzzTake checks that any data yields an error, or sums that are not negative and closures that
+// expire.
 func FuzzTake(f *testing.F) {
 	for _, seed := range []string{`{"node":"n","incarnation":1,"seq":1,"loads":[["e",1,2,3,20]],"late":[{"addr":"a","ms":200}],"for_ms":800,"loading":["e"]}`, "{}", "null"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		e := taker()
-		if _, err := e.take(data); err != nil {
+		e := newReceiver()
+		if _, err := e.receiveDigest(data); err != nil {
 			return
 		}
 		now := time.Now()
 		for _, sum := range e.Table.Loads(now) {
 			test.True(t, sum.Running >= 0 && sum.Reading >= 0 && sum.Holding >= 0 && sum.FailureRate() >= 0)
 		}
-		test.MapEmpty(t, e.Table.Closed(now.Add(mostClosedMS*time.Millisecond)))
+		test.MapEmpty(t, e.Table.Closed(now.Add(maxClosedMS*time.Millisecond)))
 		test.LessEq(t, 2, e.Table.Nodes())
 	})
 }
--- a/internal/peerload/domain.go
+++ b/internal/peerload/domain.go
@@ -11,27 +11,27 @@
 	"github.com/cherryward/cherryward/internal/pace"
 )
 
-// domainMethod is the name of the notification.
+// domainMethod is the name of the notification that carries a DomainDigest.
 const domainMethod = "node.domain"
 
-// DomainDigest is what a node says of its whole failure domain to nodes of others, in a large
-// system, where these don't hear each node there.
+// DomainDigest is the report of a representative on its whole failure domain. It is sent to the
+// nodes of a large system, which don't receive digests from every node.
 type DomainDigest struct {
-	Node        string `json:"node"` // the speaker
+	Node        string `json:"node"` // the representative
 	Domain      string `json:"domain"`
 	Incarnation int64  `json:"incarnation"`
 	Seq         int64  `json:"seq"`
-	// Names are the oldest weights whose parts any node of the domain names at stores, and
-	// Members are the nodes, the speaker included, that promised so.
+	// Names are the oldest versions whose parts any node of the domain still names at stores.
+	// Members identifies the nodes that confirmed this, including the representative.
 	Names   []Named `json:"names,omitempty"`
 	Members Members `json:"members"`
 }
 
-// Members stand for the names of a set of nodes: the sum of their hashes. A number of nodes
-// would not do, as one may go and another come.
+// Members identifies a set of nodes by the sum of the hashes of their names. A node count would
+// not notice that one node was replaced by another.
 type Members uint64
 
-// MembersOf returns what stands for the names, in any order.
+// MembersOf returns the identifier of a set of nodes, given their names in any order.
 func MembersOf(names ...string) Members {
 	var sum Members
 	for _, name := range names {
@@ -40,50 +40,52 @@
 	return sum
 }
 
-// Neighbours are the nodes of a failure domain but for this one, and whether this one speaks
-// for them.
+// Neighbours are the other nodes of this node's failure domain. Speaks is true if this node
+// represents them.
 type Neighbours struct {
 	Others []string
 	Speaks bool
 }
 
-// domainPromise is the oldest version that the nodes of a failure domain name, since when at
-// the latest.
-type domainPromise struct {
+// domainWatermark is the oldest version that the nodes of a failure domain still name, and the
+// time at which it was first reported by this set of members.
+type domainWatermark struct {
 	oldest  int64
 	members Members
 	since   time.Time
 }
 
-// heardDomain is the newest digest of a failure domain, with what was promised so far.
-type heardDomain struct {
-	digest   DomainDigest
-	at       time.Time
-	names    map[string]domainPromise // by model
-	speakers map[string]time.Time     // when each node that speaks for it was heard
+// domainState is the latest digest of a failure domain and the watermarks reported so far.
+type domainState struct {
+	digest          DomainDigest
+	at              time.Time
+	watermarks      map[string]domainWatermark // by model
+	representatives map[string]time.Time       // time of the last digest of each representative
 }
 
-// speakerTime is how long a node counts as one that speaks for its failure domain after its last
-// word: two or three of its messages.
-const speakerTime = 4 * time.Second
+// representativeLifetime is how long a node counts as a representative of its failure domain after
+// its last digest: two or three intervals between digests.
+const representativeLifetime = 4 * time.Second
 
-// promised returns the promises with what a digest adds. They only rise, whoever speaks, as
-// each speaker knows of promises alone. A speaker that knows of other nodes promises anew.
-func promised(before map[string]domainPromise, d *DomainDigest, now time.Time) map[string]domainPromise {
+// updateDomainWatermarks applies a digest to the watermarks. They only rise, whichever
+// representative reports, because each one reports confirmed watermarks only. A report for another
+// set of members restarts the watermark's time.
+func updateDomainWatermarks(watermarks map[string]domainWatermark, d *DomainDigest, now time.Time) map[string]domainWatermark {
 	for _, n := range d.Names {
-		if before == nil {
-			before = make(map[string]domainPromise)
+		if watermarks == nil {
+			watermarks = make(map[string]domainWatermark)
 		}
-		known := before[n.Model]
+		known := watermarks[n.Model]
 		if n.Oldest > known.oldest || n.Oldest == known.oldest && d.Members != known.members {
-			before[n.Model] = domainPromise{oldest: n.Oldest, members: d.Members, since: now}
+			watermarks[n.Model] = domainWatermark{oldest: n.Oldest, members: d.Members, since: now}
 		}
 	}
-	return before
+	return watermarks
 }
 
-// TakeDomain notes what a speaker says of its failure domain. One that came after a newer one
-// of the same speaker is dropped; of two speakers the last one heard counts.
+// TakeDomain records a representative's digest of its failure domain. A digest that is older than
+// the latest one of the same representative is dropped. With two representatives, the digest
+// received last is used.
 func (t *Table) TakeDomain(d DomainDigest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,75 +94,78 @@
 	if last.Node == d.Node && (d.Incarnation < last.Incarnation || d.Incarnation == last.Incarnation && d.Seq <= last.Seq) {
 		return
 	}
-	if known.speakers == nil {
-		known.speakers = make(map[string]time.Time)
+	if known.representatives == nil {
+		known.representatives = make(map[string]time.Time)
 	}
-	known.speakers[d.Node] = now
-	t.domains[d.Domain] = heardDomain{digest: d, at: now, names: promised(known.names, &d, now), speakers: known.speakers}
+	known.representatives[d.Node] = now
+	t.domains[d.Domain] = domainState{digest: d, at: now, watermarks: updateDomainWatermarks(known.watermarks, &d, now), representatives: known.representatives}
 }
 
-// speakers returns the nodes that spoke for a failure domain lately, and forgets others.
-func (t *Table) speakers(domain string, now time.Time) map[string]bool {
+// representatives returns the nodes that recently reported on a failure domain, and discards
+// expired ones.
+func (t *Table) representatives(domain string, now time.Time) map[string]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	lately := make(map[string]bool)
-	heard := t.domains[domain].speakers
-	for node, at := range heard {
-		if now.Sub(at) > speakerTime {
-			delete(heard, node)
+	active := make(map[string]bool)
+	lastDigests := t.domains[domain].representatives
+	for node, at := range lastDigests {
+		if now.Sub(at) > representativeLifetime {
+			delete(lastDigests, node)
 			continue
 		}
-		lately[node] = true
+		active[node] = true
 	}
-	return lately
+	return active
 }
 
-// UnnamedIn returns since when the nodes of another failure domain have named only newer
-// versions of a model at stores, and false where not all have said so, or others have.
+// UnnamedIn returns the time since which the nodes of another failure domain have named only
+// versions of a model newer than the given one. It returns false if the domain's watermark is
+// older or was confirmed by another set of members.
 func (t *Table) UnnamedIn(domain string, members Members, model string, version int64) (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.domains[domain].names[model]
+	p := t.domains[domain].watermarks[model]
 	return p.since, p.oldest > version && p.members == members
 }
 
-// oldestNamed returns the oldest version of a model that any of the nodes names, 0 where one
-// of them has not said.
+// oldestNamed returns the oldest version of a model that any of the nodes still names, or 0 if one
+// of them has not reported any.
 func (t *Table) oldestNamed(model string, nodes []string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var least int64
+	var oldest int64
 	for i, node := range nodes {
-		if p := t.peers[node].names[model]; i == 0 || p.oldest < least {
-			least = p.oldest
+		if p := t.peers[node].watermarks[model]; i == 0 || p.oldest < oldest {
+			oldest = p.oldest
 		}
 	}
-	return least
+	return oldest
 }
 
-// sendDomain tells all nodes which weights' parts those of this failure domain name, if this
-// node speaks for it: in a large system they don't hear one another, in their own domain
-// neither. It returns the bytes of all messages.
-func (e *Exchange) sendDomain(peers *audience) (bytes int) {
+// sendDomainDigest sends the watermarks of this failure domain to all nodes if this node
+// represents it. In a large system nodes don't receive each other's digests, not even within their
+// failure domain. It returns the bytes of all messages.
+func (e *Exchange) sendDomainDigest(peers *recipients) (bytes int) {
 	now := e.config.Clock.Now()
-	all := len(peers.near) + len(peers.far)
-	if len(peers.far) == 0 || !e.speaks(now) || now.Sub(e.toldDomain) < pace.DomainDigests(all) {
+	all := len(peers.local) + len(peers.remote)
+	if len(peers.remote) == 0 || !e.representsDomain(now) || now.Sub(e.domainDigestSentAt) < pace.DomainDigests(all) {
 		return 0
 	}
-	near := e.config.Neighbours()
-	if !near.Speaks {
+	neighbours := e.config.Neighbours()
+	if !neighbours.Speaks {
 		return 0
 	}
-	e.toldDomain = now
-	return e.config.Conn.Notify(slices.Concat(peers.near, peers.far), domainMethod, DomainDigest{
+	e.domainDigestSentAt = now
+	return e.config.Conn.Notify(slices.Concat(peers.local, peers.remote), domainMethod, DomainDigest{
 		Node: e.config.Node, Domain: e.config.Domain, Incarnation: e.incarnation, Seq: e.seq,
-		Names:   e.Table.DomainNames(e.config.Names(), near.Others),
-		Members: MembersOf(near.Others...) + MembersOf(e.config.Node),
+		Names:   e.Table.DomainNames(e.config.Names(), neighbours.Others),
+		Members: MembersOf(neighbours.Others...) + MembersOf(e.config.Node),
 	})
 }
 
-// DomainNames returns the oldest version of each model that this node, which names own, or any
-// of the others names at stores, where all have said.
+// DomainNames returns the oldest version of each model that this node, given in own, or any of the
+// others still names at stores. Models for which one of the nodes has not reported a version are
+// left out.
 func (t *Table) DomainNames(own []Named, others []string) []Named {
 	var names []Named
 	for _, n := range own {
@@ -174,11 +179,11 @@
 	return names
 }
 
-// takeDomain notes what a node of another failure domain tells.
-func (e *Exchange) takeDomain(params json.RawMessage) (any, error) {
+// receiveDomainDigest handles a digest of another failure domain.
+func (e *Exchange) receiveDomainDigest(params json.RawMessage) (any, error) {
 	var d DomainDigest
 	if err := json.Unmarshal(params, &d); err != nil {
-		return nil, eris.Wrap(err, "decode a failure domain's digest")
+		return nil, eris.Wrap(err, "decode domain digest")
 	}
 	e.Table.TakeDomain(d, e.config.Clock.Now())
 	return nil, nil
--- a/internal/peerload/outer_test.go
+++ b/internal/peerload/domain_load_test.go
@@ -7,12 +7,13 @@
 	"github.com/shoenig/test"
 )
 
-// TestOtherDomainsAreKnown has all nodes know within a second what the nodes of other failure
-// domains have under way at engines there and here, and so when the collectors there are lost.
-func TestOtherDomainsAreKnown(t *testing.T) {
+// TestLoadsOfOtherDomains checks that within a second the requests in progress in another failure
+// domain, at engines of either domain, reach all nodes, also after the loss of that domain's
+// collectors.
+func TestLoadsOfOtherDomains(t *testing.T) {
 	const here, there = "i-0000000000", "i-0000000001"
-	play(t, 60, 3, siteEngines, func(t *testing.T, w *network) {
-		known := func(what string, want int) {
+	runNetwork(t, 60, 3, siteEngines, func(t *testing.T, w *network) {
+		check := func(what string, want int) {
 			t.Helper()
 			for _, n := range w.domain("d0") {
 				loads := n.Table.Loads(time.Now())
@@ -20,22 +21,22 @@
 				test.Eq(t, want, loads.Of(here, 0).Running, test.Sprint(what, " ", n.config.Node))
 			}
 		}
-		begin := func() {
+		start := func() {
 			for _, n := range w.domain("d1")[5:15] {
-				n.begin(there)
-				n.begin(here)
+				n.startRequest(there)
+				n.startRequest(here)
 			}
 		}
-		begin()
+		start()
 		time.Sleep(time.Second)
-		known("first", 10)
+		check("first", 10)
 		for _, n := range w.domain("d1")[:2] {
 			n.kill()
 		}
 		time.Sleep(3 * time.Second)
-		begin()
+		start()
 		time.Sleep(time.Second)
-		known("after a loss", 20)
+		check("after a loss", 20)
 		for _, n := range w.domain("d1") {
 			for _, m := range n.fleet.All() {
 				at := *m.Endpoint()
@@ -44,18 +45,18 @@
 			}
 		}
 		time.Sleep(time.Second)
-		known("plain services", 0)
+		check("plain services", 0)
 	})
 }
 
-// TestSmallDomainsKnowTheOthers has the nodes of failure domains of four know the load of the others',
-// though each hears as many nodes of its own as the collectors do, and know of none when the
-// collectors of all others are lost.
-func TestSmallDomainsKnowTheOthers(t *testing.T) {
+// TestLoadsOfOtherSmallDomains checks that the loads of other domains reach all nodes of failure
+// domains of four nodes, although each receives digests from as many local nodes as the collectors
+// do, and that Domains is empty once the nodes of all others are lost.
+func TestLoadsOfOtherSmallDomains(t *testing.T) {
 	const there = "i-0000000001"
-	play(t, 16, 4, 8, func(t *testing.T, w *network) {
+	runNetwork(t, 16, 4, 8, func(t *testing.T, w *network) {
 		for _, n := range w.domain("d1") {
-			n.begin(there)
+			n.startRequest(there)
 		}
 		time.Sleep(2 * time.Second)
 		for _, n := range w.domain("d0") {
--- a/internal/peerload/encode.go
+++ b/internal/peerload/encode.go
@@ -7,76 +7,77 @@
 )
 
 const (
-	// loadLeast is the length of the shortest encoded sum, coarseLeast of the shortest coarse one.
-	loadLeast, coarseLeast = 9, 7
-	// coarseTokens is what tokens are counted in where they are told coarsely: a hundredth of an
-	// engine's memory.
-	coarseTokens = 1024
+	// minSumBytes is the length of the shortest encoded sum, minCoarseSumBytes that of the
+	// shortest coarse one.
+	minSumBytes, minCoarseSumBytes = 9, 7
+	// coarseTokenUnit is the number of tokens per unit in coarse sums: a hundredth of an engine's
+	// memory.
+	coarseTokenUnit = 1024
 )
 
-// encode returns the sums as Collected.Loads holds them.
+// encode returns the sums in the format of Aggregate.Loads.
 func (s Sums) encode() []byte {
-	data := make([]byte, 0, len(s)*(loadLeast+6))
+	data := make([]byte, 0, len(s)*(minSumBytes+6))
 	for key, sum := range s {
 		if sum == (Sum{}) {
 			continue
 		}
 		data = binary.LittleEndian.AppendUint32(data, uint32(key))
-		for _, n := range []int{sum.Running, sum.Reading, sum.Holding, sum.failures, sum.witnesses} {
+		for _, n := range []int{sum.Running, sum.Reading, sum.Holding, sum.failures, sum.reporters} {
 			data = binary.AppendUvarint(data, uint64(n))
 		}
 	}
 	return data
 }
 
-// sumFields and coarseFields are the numbers of an encoded sum, and of a coarse one.
 const (
+	// sumFields and coarseFields are the numbers of fields in an encoded sum and in a coarse one.
 	sumFields    = 5
 	coarseFields = 3
 )
 
-// addEncoded adds what encode returned. It fails where that holds numbers beyond what digests carry,
-// or is cut off.
+// addEncoded adds sums that encode wrote. It fails if the data is truncated or a number exceeds
+// maxCount.
 func (s Sums) addEncoded(data []byte) error {
-	return eachSum(data, sumFields, func(key loadKey, n *[sumFields]int) {
-		s[key] = s[key].plus(Sum{Running: n[0], Reading: n[1], Holding: n[2], failures: n[3], witnesses: n[4]})
+	return forEachSum(data, sumFields, func(key loadKey, n *[sumFields]int) {
+		s[key] = s[key].plus(Sum{Running: n[0], Reading: n[1], Holding: n[2], failures: n[3], reporters: n[4]})
 	})
 }
 
-// encodeCoarse returns the sums in 7 bytes for most endpoints, for nodes of other failure
-// domains: a key as encode writes it, and as unsigned varints running requests, and tokens to
-// read and held in units of coarseTokens. Failures are left out.
+// encodeCoarse returns the sums for nodes of other failure domains, in 7 bytes for most endpoints:
+// a key in the format of encode, followed by unsigned varints: running requests, and tokens to
+// read and held in units of coarseTokenUnit. Failures are left out.
 func (s Sums) encodeCoarse() []byte {
-	data := make([]byte, 0, len(s)*(coarseLeast+1))
+	data := make([]byte, 0, len(s)*(minCoarseSumBytes+1))
 	for key, sum := range s {
 		if sum.Running == 0 && sum.Reading == 0 && sum.Holding == 0 {
 			continue
 		}
 		data = binary.LittleEndian.AppendUint32(data, uint32(key))
-		for _, n := range []int{sum.Running, units(sum.Reading), units(sum.Holding)} {
+		for _, n := range []int{sum.Running, toCoarseUnits(sum.Reading), toCoarseUnits(sum.Holding)} {
 			data = binary.AppendUvarint(data, uint64(n))
 		}
 	}
 	return data
 }
 
-// units returns tokens in units of coarseTokens, rounded.
-func units(tokens int) int { return (tokens + coarseTokens/2) / coarseTokens }
+// toCoarseUnits converts tokens to units of coarseTokenUnit, rounding to the nearest.
+func toCoarseUnits(tokens int) int { return (tokens + coarseTokenUnit/2) / coarseTokenUnit }
 
-// addCoarse adds what encodeCoarse returned, as addEncoded does.
+// addCoarse adds sums that encodeCoarse wrote. It fails as addEncoded does.
 func (s Sums) addCoarse(data []byte) error {
-	return eachSum(data, coarseFields, func(key loadKey, n *[sumFields]int) {
-		s[key] = s[key].plus(Sum{Running: n[0], Reading: n[1] * coarseTokens, Holding: n[2] * coarseTokens})
+	return forEachSum(data, coarseFields, func(key loadKey, n *[sumFields]int) {
+		s[key] = s[key].plus(Sum{Running: n[0], Reading: n[1] * coarseTokenUnit, Holding: n[2] * coarseTokenUnit})
 	})
 }
 
-// checkSums returns an error where encoded sums of so many numbers each can't be added.
+// checkSums returns an error if encoded sums with the given number of fields are invalid.
 func checkSums(data []byte, numbers int) error {
-	return eachSum(data, numbers, func(loadKey, *[sumFields]int) {})
+	return forEachSum(data, numbers, func(loadKey, *[sumFields]int) {})
 }
 
-// eachSum calls f with each of the encoded sums of so many numbers.
-func eachSum(data []byte, numbers int, f func(key loadKey, fields *[sumFields]int)) error {
+// forEachSum calls f with each encoded sum, which have the given number of fields.
+func forEachSum(data []byte, numbers int, f func(key loadKey, fields *[sumFields]int)) error {
 	var fields [sumFields]int
 	for len(data) > 0 {
 		key, rest, err := decodeSum(data, fields[:numbers])
@@ -89,18 +90,19 @@
 	return nil
 }
 
-// decodeSum takes one sum of as many numbers as there are fields off the data.
+// decodeSum decodes the first sum of the data into fields and returns its key and the remaining
+// data.
 func decodeSum(data []byte, fields []int) (key loadKey, rest []byte, err error) {
 	const keyBytes = 4
 	if len(data) < keyBytes {
-		return 0, nil, eris.New("sums of loads end early")
+		return 0, nil, eris.New("decode load sums: data is truncated")
 	}
 	key = loadKey(binary.LittleEndian.Uint32(data))
 	data = data[keyBytes:]
 	for i := range fields {
 		n, length := binary.Uvarint(data)
-		if length <= 0 || n > mostCounted {
-			return 0, nil, eris.New("sums of loads hold what is no number")
+		if length <= 0 || n > maxCount {
+			return 0, nil, eris.New("decode load sums: a number is invalid or out of range")
 		}
 		fields[i], data = int(n), data[length:]
 	}
--- a/internal/peerload/exchange.go
+++ b/internal/peerload/exchange.go
@@ -18,124 +18,127 @@
 )
 
 const (
-	// method is the name of the notification.
-	method = "node.load"
-	// closedFor is how long an endpoint stays closed on one message, so that a few
-	// lost ones are bridged.
-	closedFor = 800 * time.Millisecond
-	// farSpacing is the time between two messages to other failure domains, on orders and on this
-	// domain's load. They go to the two nodes that speak for each, of 12 domains at 1,000 nodes, but
-	// to all nodes of one of which no speaker was heard.
-	farSpacing = 250 * time.Millisecond
-	// namesSpacing is the time between two messages with the same promises, of which some
-	// may be lost.
-	namesSpacing = 500 * time.Millisecond
-	// countTime is the time for the request that a message is sent for to be counted.
-	countTime = time.Millisecond
-	// settleTime is how long a node has collected before it speaks to other failure domains. At a
-	// common start all collect until they hear the others, and would all tell each other.
-	settleTime = time.Second
-	// aliveSpacing is the time between two messages to all of a node that stands by to
-	// collect: a few may be lost before it counts as gone.
-	aliveSpacing = 300 * time.Millisecond
+	// digestMethod is the name of the notification that carries a Digest.
+	digestMethod = "node.load"
+	// closureLifetime is how long an endpoint stays closed after a message, so that a few lost
+	// messages are tolerated.
+	closureLifetime = 800 * time.Millisecond
+	// remoteInterval is the minimum interval between two messages on orders, or on this domain's
+	// load, to other failure domains. They go to the two representatives of each domain (12
+	// domains at 1,000 nodes), or to all nodes of a domain without an active representative.
+	remoteInterval = 250 * time.Millisecond
+	// namesInterval is the interval between two messages with unchanged names, some of which may
+	// be lost.
+	namesInterval = 500 * time.Millisecond
+	// kickDelay is the delay after a kick that lets the request which caused it be counted.
+	kickDelay = time.Millisecond
+	// collectorWarmUp is how long a node must have been collecting before it represents its
+	// failure domain. When all nodes start together, each of them collects until it receives the
+	// others' digests, and without the delay all of them would send to all other domains.
+	collectorWarmUp = time.Second
+	// standbyInterval is the interval between two messages of a standby collector to all local
+	// nodes. A few of them may be lost before the node counts as gone.
+	standbyInterval = 300 * time.Millisecond
 )
 
-// Conn carries notifications between nodes. Nothing is repeated.
+// Conn carries notifications between nodes, without retransmission.
 type Conn interface {
-	// Addr returns the address that peers send to, IP:PORT.
+	// Addr returns this node's address for peers, IP:PORT.
 	Addr() string
-	// Handle has a method served. It is called before messages come.
+	// Handle registers the handler of a method. It must be called before messages arrive.
 	Handle(method string, h datagram.Handler)
-	// Notify sends a notification to each peer, and returns the bytes of all.
+	// Notify sends a notification to each peer and returns the bytes of all messages.
 	Notify(peers []netip.AddrPort, method string, params any) (bytes int)
 }
 
 var _ Conn = (*datagram.Conn)(nil)
 
-// Config is what an Exchange needs. Unless said otherwise all fields must be set.
+// Config configures an Exchange. All fields must be set unless their comment says otherwise.
 type Config struct {
 	Node   string
 	Domain string // failure domain of this node
 	Conn   Conn
-	// Members are the endpoints whose load is told.
+	// Members returns the endpoints whose load is reported.
 	Members func() []*fleet.Member
-	// Member returns one of them by its id, nil for none. Nil has them looked through.
+	// Member returns the endpoint with the id, or nil. If Member is nil, Members is searched.
 	Member func(id string) *fleet.Member
-	// Late are the holders from which fetches come late.
+	// Late returns the holders whose fetches are late.
 	Late func() []Late
-	// Orders are the engines that this node has loaded now, and whether it holds the
-	// claim on orders.
+	// Orders returns the engines that this node has closed to load weights, and whether it holds
+	// the claim to give orders.
 	Orders func() (closed []weights.Closed, leads bool)
-	// Names are the oldest weights whose parts this node names at stores.
+	// Names returns the oldest versions whose parts this node still names at stores.
 	Names func() []Named
-	// Neighbours are the other nodes of this node's failure domain.
+	// Neighbours returns the other nodes of this node's failure domain.
 	Neighbours func() Neighbours
-	// Role is this node's part in telling loads within the failure domain. It is asked in large
-	// systems alone. Nil means that each node tells all there itself.
+	// Role returns this node's role in distributing loads within the failure domain. It is called
+	// in large systems only. Nil means that each node sends its load to all others there.
 	Role func() Role
-	// LinkBytes is what the host's link carries, in bytes a second; 0 if not known.
+	// LinkBytes is the bandwidth of the host's link in bytes per second; 0 if unknown.
 	LinkBytes int
-	// Clock dates what peers tell. Nil is the steady clock.
+	// Clock timestamps the peers' reports. Nil is the monotonic clock.
 	Clock *clock.Clock
 	Log   zerolog.Logger
 }
 
-// Role is a node's part in telling loads within the failure domain of a large system. With its
-// zero value it tells all nodes there itself.
+// Role is a node's role in distributing loads within the failure domain of a large system. With
+// the zero value, the node sends its load to all nodes there.
 type Role struct {
-	// Collects is true at a collector, which tells all nodes there what it hears.
+	// Collects is true for a collector, which sends the aggregate of all digests to all nodes
+	// there.
 	Collects bool
-	// StandsBy is true where it is one of the next to collect. It tells all that it lives.
+	// StandsBy is true for a node that is next to become a collector. It sends to all nodes, which
+	// shows that it is alive.
 	StandsBy bool
-	// Collectors are the others that collect.
+	// Collectors are the other collectors.
 	Collectors []netip.AddrPort
 }
 
-// Exchange sends this node's digests and takes those of its peers.
+// Exchange sends this node's digests and receives those of its peers.
 type Exchange struct {
 	Table *Table
 
 	config      Config
 	incarnation int64
 	log         zerolog.Logger
-	peers       atomic.Pointer[audience]
-	collects    atomic.Bool
+	peers       atomic.Pointer[recipients]
+	collecting  atomic.Bool
 	kick        chan struct{}
 
-	// The rest is used by Run alone.
-	seq       int64
-	role      Role
-	begun     time.Time // when it began to collect
-	toldFar   time.Time // when the nodes far were told something
-	toldNear  time.Time // when all nodes near were
-	toldOuter time.Time // when they were told of this failure domain's load
-	// toldDomain is when they were told of this failure domain's promises.
-	toldDomain time.Time
-	news       bool // they were told of something that may have ended
-	// names are the weights that peers were told of, and when.
-	names     []Named
-	toldNames time.Time
+	// The remaining fields are used by Run only.
+	seq              int64
+	role             Role
+	collectingSince  time.Time // when this node became a collector
+	remoteSentAt     time.Time // last message to remote nodes
+	localSentAt      time.Time // last message to all local nodes
+	domainLoadSentAt time.Time // last message with this failure domain's load
+	// domainDigestSentAt is the time of the last digest of this failure domain.
+	domainDigestSentAt time.Time
+	remoteActive       bool // the last message to remote nodes reported orders or loads
+	// sentNames are the names last sent to peers, and namesSentAt is when.
+	sentNames   []Named
+	namesSentAt time.Time
 }
 
-// New returns an exchange that hears its peers at a connection that doesn't run yet.
+// New returns an exchange that receives digests on a connection that is not running yet.
 func New(c Config) *Exchange {
 	e := &Exchange{
 		Table: NewTable(), config: c, incarnation: time.Now().UnixNano(),
 		log: c.Log, kick: make(chan struct{}, 1),
 	}
-	c.Conn.Handle(method, e.take)
-	c.Conn.Handle(domainMethod, e.takeDomain)
-	c.Conn.Handle(outerMethod, e.takeOuter)
+	c.Conn.Handle(digestMethod, e.receiveDigest)
+	c.Conn.Handle(domainMethod, e.receiveDomainDigest)
+	c.Conn.Handle(domainLoadMethod, e.receiveDomainLoad)
 	return e
 }
 
-// Run sends until ctx is done.
+// Run sends digests until ctx is done.
 func (e *Exchange) Run(ctx context.Context) error {
 	sent := 0
 	for ctx.Err() == nil {
-		spacing, interval := pace.Digests(e.listeners())
+		spacing, interval := pace.Digests(e.localCount())
 		if e.role.Collects {
-			interval = spacing // what others tell it changes all the time
+			interval = spacing // the aggregate changes all the time
 		}
 		spacing = max(spacing, pace.Spread(sent, e.config.LinkBytes))
 		retry.Sleep(ctx, spacing)
@@ -145,11 +148,10 @@
 	return nil
 }
 
-// awaitKick returns after d, or when a message is to be sent soon; at once where d has passed.
-//
-// No timer is made then: one that fires on the goroutine which waits for it, beside another of
-// the same synctest bubble, ends the race detector's runtime, as these share one race context
-// there (a SIGSEGV, or its own check of an epoch).
+// awaitKick returns after d or shortly after a kick. It returns at once if d is not positive,
+// without creating a timer: in a synctest bubble, a timer that fires on the goroutine that waits
+// for it shares one race context with other timers of the bubble, which crashes the race
+// detector's runtime (SIGSEGV or a failed epoch check).
 func (e *Exchange) awaitKick(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -160,11 +162,11 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-e.kick:
-		retry.Sleep(ctx, countTime)
+		retry.Sleep(ctx, kickDelay)
 	}
 }
 
-// Kick has a message sent soon, since this node's load has changed. It never waits.
+// Kick schedules a message soon because this node's load has changed. It never blocks.
 func (e *Exchange) Kick() {
 	select {
 	case e.kick <- struct{}{}:
@@ -172,9 +174,10 @@
 	}
 }
 
-// send tells the peers of this node's load. A node that gives orders is heard by all, who must
-// send nothing to engines that load; those far hear less often, as one message to each of many
-// nodes would fill a small host's link. It returns the bytes of all messages.
+// send sends this node's load to its peers, and returns the bytes of all messages. All nodes
+// receive the orders of a node that gives orders, because none may send requests to engines that
+// are loading. Remote nodes receive them less often: one message to each of many nodes would
+// saturate a small host's link.
 func (e *Exchange) send() (bytes int) {
 	peers := e.peers.Load()
 	if peers == nil {
@@ -182,102 +185,106 @@
 	}
 	e.seq++
 	members := e.config.Members()
-	digest := e.orders(members)
-	if len(peers.far) > 0 && e.config.Clock.Since(e.toldFar) >= farSpacing {
-		bytes += e.sendFar(peers, digest, members)
+	digest := e.ordersDigest(members)
+	if len(peers.remote) > 0 && e.config.Clock.Since(e.remoteSentAt) >= remoteInterval {
+		bytes += e.sendRemote(peers, digest, members)
 	}
-	bytes += e.sendDomain(peers)
+	bytes += e.sendDomainDigest(peers)
 	digest.Late = e.config.Late()
-	digest.Names = e.newNames()
+	digest.Names = e.namesToSend()
 	digest.Limits = LimitsOf(members, e.config.Clock.Now())
-	digest.setLoads(members, e.longest(len(peers.near)), e.config.Clock.Now())
-	return bytes + e.sendNear(peers, digest, members)
+	digest.setLoads(members, e.maxMessageBytes(len(peers.local)), e.config.Clock.Now())
+	return bytes + e.sendLocal(peers, digest, members)
 }
 
-// sendNear tells the nodes of this failure domain. In a large system only collectors hear each
-// of them.
-func (e *Exchange) sendNear(peers *audience, digest *Digest, members []*fleet.Member) (bytes int) {
-	if len(peers.far) == 0 || e.config.Role == nil {
-		return e.config.Conn.Notify(peers.near, method, digest)
+// sendLocal sends a digest to the local nodes. In a large system only the collectors receive each
+// node's digest.
+func (e *Exchange) sendLocal(peers *recipients, digest *Digest, members []*fleet.Member) (bytes int) {
+	if len(peers.remote) == 0 || e.config.Role == nil {
+		return e.config.Conn.Notify(peers.local, digestMethod, digest)
 	}
 	now := e.config.Clock.Now()
-	before := e.role.Collects
+	wasCollecting := e.role.Collects
 	e.role = e.config.Role()
-	if e.role.Collects != before {
-		e.begun = now
-		e.collects.Store(e.role.Collects)
+	if e.role.Collects != wasCollecting {
+		e.collectingSince = now
+		e.collecting.Store(e.role.Collects)
 		e.log.Info().Str("event", "collects").Bool("collects", e.role.Collects).Int("heard", e.Table.Lately(now)).Send()
 	}
-	e.Table.NoteOwn(digest)
+	e.Table.RecordOwnDigest(digest)
 	switch {
 	case e.role.Collects:
-		bytes = e.sendOuter(peers, digest, members)
-		digest.Collected = e.Table.Collect(now)
-	case len(e.role.Collectors) > 0 && !(e.role.StandsBy && now.Sub(e.toldNear) >= aliveSpacing):
-		return e.config.Conn.Notify(e.role.Collectors, method, digest)
+		bytes = e.sendDomainLoad(peers, digest, members)
+		digest.Aggregate = e.Table.Collect(now)
+	case len(e.role.Collectors) > 0 && !(e.role.StandsBy && now.Sub(e.localSentAt) >= standbyInterval):
+		return e.config.Conn.Notify(e.role.Collectors, digestMethod, digest)
 	}
-	e.toldNear = now
-	return bytes + e.config.Conn.Notify(peers.near, method, digest)
+	e.localSentAt = now
+	return bytes + e.config.Conn.Notify(peers.local, digestMethod, digest)
 }
 
-// Collects reports whether this node tells those of its failure domain what all have under way.
-func (e *Exchange) Collects() bool { return e.collects.Load() }
+// Collects reports whether this node is a collector of its failure domain.
+func (e *Exchange) Collects() bool { return e.collecting.Load() }
 
-// speaks reports whether this node speaks for its failure domain.
-func (e *Exchange) speaks(now time.Time) bool {
-	return e.config.Role == nil || e.role.Collects && now.Sub(e.begun) >= settleTime
+// representsDomain reports whether this node may represent its failure domain: it has been a
+// collector for collectorWarmUp, or the domain has no collectors.
+func (e *Exchange) representsDomain(now time.Time) bool {
+	return e.config.Role == nil || e.role.Collects && now.Sub(e.collectingSince) >= collectorWarmUp
 }
 
-// longest returns the bytes of the longest message that so many peers can be told in time.
-func (e *Exchange) longest(peers int) int {
-	return pace.LongestMessage(peers, e.config.LinkBytes, toldWithin)
+// maxMessageBytes returns the size of the largest message that can be sent to the given number of
+// peers within sendTime.
+func (e *Exchange) maxMessageBytes(peers int) int {
+	return pace.LongestMessage(peers, e.config.LinkBytes, sendTime)
 }
 
-// newNames returns which weights' parts this node names, now and then and when that changed:
-// it is a promise, which needs no message to last.
-func (e *Exchange) newNames() []Named {
+// namesToSend returns the oldest versions that this node still names, if they changed or
+// namesInterval has passed, else nil. They hold until a newer message, so they needn't be in each
+// one.
+func (e *Exchange) namesToSend() []Named {
 	names := e.config.Names()
-	if slices.Equal(names, e.names) && e.config.Clock.Since(e.toldNames) < namesSpacing {
+	if slices.Equal(names, e.sentNames) && e.config.Clock.Since(e.namesSentAt) < namesInterval {
 		return nil
 	}
-	e.names, e.toldNames = names, e.config.Clock.Now()
+	e.sentNames, e.namesSentAt = names, e.config.Clock.Now()
 	return names
 }
 
-// sendFar tells the nodes of other failure domains, by the collectors there, of orders, and where
-// there are none, of this node's load at engines there. Once both have ended they are told so.
-func (e *Exchange) sendFar(peers *audience, digest *Digest, members []*fleet.Member) (bytes int) {
-	far := *digest
+// sendRemote sends this node's orders to the collectors of other failure domains. If this domain
+// has no collectors, it also sends this node's load at engines there. After the last order and
+// load it sends one more message, which reports that there are none.
+func (e *Exchange) sendRemote(peers *recipients, digest *Digest, members []*fleet.Member) (bytes int) {
+	remote := *digest
 	to := peers.collectors(e.Table, e.config.Clock.Now())
-	if e.config.Role == nil { // else the collectors tell of it
-		far.setLoads(outside(members, e.config.Domain), e.longest(len(to)), e.config.Clock.Now())
+	if e.config.Role == nil { // otherwise the collectors report it
+		remote.setLoads(remoteEngines(members, e.config.Domain), e.maxMessageBytes(len(to)), e.config.Clock.Now())
 	}
-	news := far.Leads || len(far.Loads) > 0
-	if news || e.news {
-		bytes = e.config.Conn.Notify(to, method, &far)
-		e.toldFar = e.config.Clock.Now()
+	active := remote.Leads || len(remote.Loads) > 0
+	if active || e.remoteActive {
+		bytes = e.config.Conn.Notify(to, digestMethod, &remote)
+		e.remoteSentAt = e.config.Clock.Now()
 	}
-	e.news = news
+	e.remoteActive = active
 	return bytes
 }
 
-// outside returns the engines of other failure domains. Plain services are left out: all
-// nodes use all endpoints of these, a few each.
-func outside(members []*fleet.Member, domain string) []*fleet.Member {
+// remoteEngines returns the engines of other failure domains. Plain services are left out: all
+// nodes use all of their endpoints, each a few at a time.
+func remoteEngines(members []*fleet.Member, domain string) []*fleet.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m *fleet.Member) bool {
 		at := m.Endpoint()
 		return at.Domain == domain || len(at.Weights) == 0
 	})
 }
 
-// orders returns a digest of the orders that this node gives, and of the weights that
-// it saw.
-func (e *Exchange) orders(members []*fleet.Member) *Digest {
+// ordersDigest returns a digest with the orders that this node gives and the weight versions
+// that it has seen.
+func (e *Exchange) ordersDigest(members []*fleet.Member) *Digest {
 	d := &Digest{Node: e.config.Node, Incarnation: e.incarnation, Seq: e.seq, Seen: SeenOf(members, e.config.Clock.Now())}
 	var closed []weights.Closed
 	closed, d.Leads = e.config.Orders()
 	for _, c := range closed {
-		d.ForMs = closedFor.Milliseconds()
+		d.ForMs = closureLifetime.Milliseconds()
 		if c.Loads {
 			d.Loading = append(d.Loading, c.Endpoint)
 		} else {
--- a/internal/peerload/limits.go
+++ b/internal/peerload/limits.go
@@ -11,45 +11,47 @@
 )
 
 const (
-	// limitsToldFor is how long a node tells of what an endpoint told it. Nodes that use the endpoint hear
-	// it anew with each answer.
-	limitsToldFor = 5 * time.Second
-	// mostLimits bounds the limits in one message, of some 90 bytes each: the newest.
-	mostLimits = 64
-	// mostPerSecond bounds a limit; one above it bounds nothing.
-	mostPerSecond = 1e6
-	// heardMargin is added to the age of a limit that another node tells: a message takes some ms, and must not
-	// outdate what the endpoint has told this node since.
-	heardMargin = 10 * time.Millisecond
+	// limitLifetime is how long a node reports a limit that it received from an endpoint. Nodes
+	// that use the endpoint receive it again with each response.
+	limitLifetime = 5 * time.Second
+	// maxLimits is the maximum number of limits in one message, of about 90 bytes each. The newest
+	// are kept.
+	maxLimits = 64
+	// maxPerSecond bounds a limit. A limit above it has no effect.
+	maxPerSecond = 1e6
+	// limitAgeMargin is added to the age of a limit that another node reports. A message takes
+	// some ms, and must not override what the endpoint has reported to this node since.
+	limitAgeMargin = 10 * time.Millisecond
 )
 
-// Limit is what an endpoint told a node of a limit, so long ago.
+// Limit is a rate limit that an endpoint reported to a node.
 type Limit struct {
 	Endpoint  string  `json:"endpoint"`
-	Born      int64   `json:"born,omitempty"` // its start in Unix milliseconds, 0 if not known
-	PerSecond float64 `json:"per_s"`          // requests that it takes from all nodes together
+	Born      int64   `json:"born,omitempty"` // the endpoint's start in Unix milliseconds, 0 if unknown
+	PerSecond float64 `json:"per_s"`          // requests per second that it accepts from all nodes together
 	Ended     bool    `json:"ended,omitempty"`
 	AgeMs     int64   `json:"age_ms"`
 }
 
-// LimitsOf returns what endpoints told this node lately of limits. What other nodes told is left out, or
-// two nodes would keep an error alive.
+// LimitsOf returns the limits that endpoints recently reported to this node directly. Limits
+// received from other nodes are left out, because two nodes could otherwise keep a wrong limit
+// alive.
 func LimitsOf(members []*fleet.Member, now time.Time) []Limit {
 	var list []Limit
 	for _, m := range members {
 		limit, known := m.Signals.RateLimit()
-		if !known || !limit.Own || now.Sub(limit.At) > limitsToldFor {
+		if !known || !limit.Own || now.Sub(limit.At) > limitLifetime {
 			continue
 		}
 		list = append(list, Limit{
-			Endpoint: m.ID, Born: m.Born, PerSecond: min(limit.PerSecond, mostPerSecond), Ended: !limit.InForce,
+			Endpoint: m.ID, Born: m.Born, PerSecond: min(limit.PerSecond, maxPerSecond), Ended: !limit.InForce,
 			AgeMs: max(now.Sub(limit.At), 0).Milliseconds(),
 		})
 	}
 	return newestLimits(list)
 }
 
-// newestLimits returns what each start of an endpoint told last, and no more than a message holds.
+// newestLimits returns the latest limit of each start of an endpoint, at most maxLimits of them.
 func newestLimits(list []Limit) []Limit {
 	slices.SortStableFunc(list, func(a, b Limit) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
 	type start struct {
@@ -58,64 +60,65 @@
 	}
 	seen := make(map[start]bool, len(list))
 	list = slices.DeleteFunc(list, func(l Limit) bool {
-		of := start{l.Endpoint, l.Born}
-		told := seen[of]
-		seen[of] = true
-		return told
+		key := start{l.Endpoint, l.Born}
+		duplicate := seen[key]
+		seen[key] = true
+		return duplicate
 	})
-	return list[:min(len(list), mostLimits)]
+	return list[:min(len(list), maxLimits)]
 }
 
-// aged returns the limits as they are some time later, without those that are told no more.
-func aged(list []Limit, by time.Duration) []Limit {
-	var later []Limit
+// ageLimits returns the limits with their ages increased, without those that exceed limitLifetime.
+func ageLimits(list []Limit, elapsed time.Duration) []Limit {
+	var aged []Limit
 	for _, l := range list {
-		l.AgeMs += by.Milliseconds()
-		if l.AgeMs <= limitsToldFor.Milliseconds() {
-			later = append(later, l)
+		l.AgeMs += elapsed.Milliseconds()
+		if l.AgeMs <= limitLifetime.Milliseconds() {
+			aged = append(aged, l)
 		}
 	}
-	return later
+	return aged
 }
 
-// nearLimits returns what the peers tell themselves of limits.
-func (t *Table) nearLimits(now time.Time) []Limit {
+// peerLimits returns the limits in the peers' own digests.
+func (t *Table) peerLimits(now time.Time) []Limit {
 	var list []Limit
 	for _, p := range t.peers {
-		list = append(list, aged(p.digest.Limits, now.Sub(p.at))...)
+		list = append(list, ageLimits(p.digest.Limits, now.Sub(p.at))...)
 	}
 	return list
 }
 
-// collectLimits returns what the peers and other failure domains tell of limits.
+// collectLimits returns the limits that peers and other failure domains report.
 func (t *Table) collectLimits(now time.Time) []Limit {
-	list := t.nearLimits(now)
-	for _, o := range t.outers {
-		list = append(list, aged(o.load.Limits, now.Sub(o.at))...)
+	list := t.peerLimits(now)
+	for _, o := range t.domainLoads {
+		list = append(list, ageLimits(o.load.Limits, now.Sub(o.at))...)
 	}
 	return newestLimits(list)
 }
 
-// domainLimits returns what the nodes of this failure domain tell of limits, with what this node itself does.
+// domainLimits returns the limits that the nodes of this failure domain report, including this
+// node's own.
 func (t *Table) domainLimits(own []Limit, now time.Time) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return newestLimits(append(t.nearLimits(now), own...))
+	return newestLimits(append(t.peerLimits(now), own...))
 }
 
-// learnLimits takes over what endpoints told other nodes.
-func (e *Exchange) learnLimits(limits []Limit, now time.Time) {
+// applyLimits applies limits that endpoints reported to other nodes.
+func (e *Exchange) applyLimits(limits []Limit, now time.Time) {
 	if len(limits) == 0 {
 		return
 	}
-	member := e.lookUp()
+	member := e.memberLookup()
 	for i := range limits {
 		l := &limits[i]
 		m := member(l.Endpoint)
 		if m == nil || l.Born != 0 && m.Born != 0 && l.Born != m.Born {
 			continue
 		}
-		at := now.Add(-time.Duration(l.AgeMs)*time.Millisecond - heardMargin)
+		at := now.Add(-time.Duration(l.AgeMs)*time.Millisecond - limitAgeMargin)
 		changed := m.Signals.HearLimit(fleet.RateLimit{PerSecond: l.PerSecond, InForce: !l.Ended, At: at})
 		if changed {
 			e.log.Info().Str("event", "endpoint_limit_heard").Str("endpoint", m.ID).Float64("per_s", l.PerSecond).
@@ -124,15 +127,15 @@
 	}
 }
 
-// checkLimits returns an error for limits that no node tells.
+// checkLimits returns an error if there are too many limits or one of them is out of range.
 func checkLimits(limits []Limit) error {
-	if len(limits) > mostLimits {
-		return eris.Errorf("a message with %d limits", len(limits))
+	if len(limits) > maxLimits {
+		return eris.Errorf("check limits: %d limits in one message are too many", len(limits))
 	}
 	for i := range limits {
 		l := &limits[i]
-		if l.Endpoint == "" || l.PerSecond < 0 || l.PerSecond > mostPerSecond || l.AgeMs < 0 || l.AgeMs > mostSeenMS {
-			return eris.Errorf("a message with the limit %+v", *l)
+		if l.Endpoint == "" || l.PerSecond < 0 || l.PerSecond > maxPerSecond || l.AgeMs < 0 || l.AgeMs > maxAgeMS {
+			return eris.Errorf("check limits: limit %+v is out of range", *l)
 		}
 	}
 	return nil
--- a/internal/peerload/limits_test.go
+++ b/internal/peerload/limits_test.go
@@ -11,75 +11,77 @@
 
 const limitedEngine = "i-0000000001"
 
-// limitAt returns what a node knows of the limit of an engine.
-func (n *networkNode) limitAt() (fleet.RateLimit, bool) {
+// knownLimit returns the node's recorded limit of limitedEngine.
+func (n *networkNode) knownLimit() (fleet.RateLimit, bool) {
 	return n.fleet.Member(limitedEngine).Signals.RateLimit()
 }
 
-// count returns at how many nodes a limit is in force.
+// countLimited returns the number of nodes at which the limit is in force.
 func (w *network) countLimited() (nodes int) {
-	w.lives(func(n *networkNode) {
-		if l, known := n.limitAt(); known && l.InForce {
+	w.forEachLive(func(n *networkNode) {
+		if l, known := n.knownLimit(); known && l.InForce {
 			nodes++
 		}
 	})
 	return nodes
 }
 
-// TestLimitsReachAll has one node hear of a limit, and later of its end, and all nodes of all failure domains
-// know it within a second each.
+// TestLimitsReachAll checks that a limit that one node receives, and later its end, reaches all
+// nodes of all failure domains within a second.
 func TestLimitsReachAll(t *testing.T) {
 	for _, size := range []struct{ nodes, domains int }{{6, 3}, {71, 3}, {295, 5}} {
-		play(t, size.nodes, size.domains, 2, func(t *testing.T, w *network) {
-			first := w.nodes[addrOf(7%size.nodes)].fleet.Member(limitedEngine).Signals
-			first.SetLimit(2.8, time.Now())
+		runNetwork(t, size.nodes, size.domains, 2, func(t *testing.T, w *network) {
+			signals := w.nodes[addrOf(7%size.nodes)].fleet.Member(limitedEngine).Signals
+			signals.SetLimit(2.8, time.Now())
 			time.Sleep(time.Second)
 			test.Eq(t, size.nodes, w.countLimited(), test.Sprint(size))
-			first.ClearLimit(time.Now(), time.Now())
+			signals.ClearLimit(time.Now(), time.Now())
 			time.Sleep(time.Second)
 			test.Zero(t, w.countLimited(), test.Sprint(size))
 		})
 	}
 }
 
-// TestLimitsAreToldForAWhile stops to tell of a limit that isn't named anew, and doesn't tell what others told.
-func TestLimitsAreToldForAWhile(t *testing.T) {
-	play(t, 6, 3, 2, func(t *testing.T, w *network) {
+// TestReportedLimitsExpire checks that a node stops reporting a limit that the endpoint doesn't
+// repeat, and that it doesn't report limits received from other nodes.
+func TestReportedLimitsExpire(t *testing.T) {
+	runNetwork(t, 6, 3, 2, func(t *testing.T, w *network) {
 		n := w.nodes[addrOf(0)]
 		n.fleet.Member(limitedEngine).Signals.SetLimit(1, time.Now())
 		time.Sleep(time.Second)
 		test.Len(t, 1, LimitsOf(n.fleet.All(), time.Now()))
 		test.Len(t, 0, LimitsOf(w.nodes[addrOf(1)].fleet.All(), time.Now()), test.Sprint("hearsay"))
-		time.Sleep(limitsToldFor)
+		time.Sleep(limitLifetime)
 		test.Len(t, 0, LimitsOf(n.fleet.All(), time.Now()))
 	})
 }
 
-// TestOlderLimitsAreDropped keeps what an endpoint told this node itself in the same moment or later.
+// TestOlderLimitsAreDropped checks that a relayed limit doesn't override one that the endpoint
+// reported to this node at the same time or later.
 func TestOlderLimitsAreDropped(t *testing.T) {
-	play(t, 6, 3, 2, func(t *testing.T, w *network) {
+	runNetwork(t, 6, 3, 2, func(t *testing.T, w *network) {
 		n := w.nodes[addrOf(0)]
 		signals := n.fleet.Member(limitedEngine).Signals
 		now := time.Now()
 		signals.SetLimit(5, now)
-		n.learnLimits([]Limit{{Endpoint: limitedEngine, PerSecond: 1}}, now)
+		n.applyLimits([]Limit{{Endpoint: limitedEngine, PerSecond: 1}}, now)
 		l, _ := signals.RateLimit()
 		test.Eq(t, 5, l.PerSecond)
-		n.learnLimits([]Limit{{Endpoint: limitedEngine, PerSecond: 1}, {Endpoint: "none"}}, now.Add(time.Second))
+		n.applyLimits([]Limit{{Endpoint: limitedEngine, PerSecond: 1}, {Endpoint: "none"}}, now.Add(time.Second))
 		l, _ = signals.RateLimit()
-		test.Eq(t, fleet.RateLimit{PerSecond: 1, InForce: true, At: now.Add(time.Second - heardMargin)}, l)
-		n.learnLimits([]Limit{{Endpoint: limitedEngine, Born: 7, PerSecond: 3, AgeMs: 0}}, now.Add(2*time.Second))
+		test.Eq(t, fleet.RateLimit{PerSecond: 1, InForce: true, At: now.Add(time.Second - limitAgeMargin)}, l)
+		n.applyLimits([]Limit{{Endpoint: limitedEngine, Born: 7, PerSecond: 3, AgeMs: 0}}, now.Add(2*time.Second))
 		l, _ = signals.RateLimit()
-		test.Eq(t, 3, l.PerSecond, test.Sprint("a start that isn't known here may be this one"))
+		test.Eq(t, 3, l.PerSecond, test.Sprint("a limit with a start applies to an endpoint without a known start"))
 	})
 }
 
-// TestLimitsOutOfRange drops messages with limits that no node tells.
+// TestLimitsOutOfRange checks that messages with invalid limits are rejected.
 func TestLimitsOutOfRange(t *testing.T) {
 	for _, l := range []Limit{{}, {Endpoint: "e", PerSecond: -1}, {Endpoint: "e", PerSecond: 1e7}, {Endpoint: "e", AgeMs: -1}, {Endpoint: "e", AgeMs: 1 << 40}} {
 		test.Error(t, (&Digest{Node: "n", Limits: []Limit{l}}).check())
-		test.Error(t, (&Digest{Node: "n", Collected: &Collected{Limits: []Limit{l}}}).check())
+		test.Error(t, (&Digest{Node: "n", Aggregate: &Aggregate{Limits: []Limit{l}}}).check())
 	}
-	test.Error(t, (&Digest{Node: "n", Limits: make([]Limit, mostLimits+1)}).check())
+	test.Error(t, (&Digest{Node: "n", Limits: make([]Limit, maxLimits+1)}).check())
 	test.NoError(t, (&Digest{Node: "n", Limits: []Limit{{Endpoint: "e", PerSecond: 2.8, AgeMs: 5}}}).check())
 }
--- a/internal/peerload/load.go
+++ b/internal/peerload/load.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// toldFailures is the failure rate from which peers are told of it.
-	toldFailures = 0.2
-	percent      = 100
-	// loadBytes is the length of an encoded load at most, with an id of 20 bytes, seven digits
-	// of tokens and the tag of its endpoint's start.
+	// minReportedFailureRate is the failure rate from which an endpoint's failures are reported to
+	// peers.
+	minReportedFailureRate = 0.2
+	percent                = 100
+	// loadBytes is the maximum length of an encoded load with an id of 20 bytes, token counts of
+	// seven digits and the tag of the endpoint's start.
 	loadBytes = 52
-	// toldWithin is the time in which all peers are told once: a message may be lost before
-	// the one before is no more used.
-	toldWithin = Fresh / 2
+	// sendTime is the time in which one message to each peer must be sent. It is half of
+	// DigestLifetime, so that one lost message doesn't let the previous digest expire.
+	sendTime = DigestLifetime / 2
 )
 
-// Load is what the node has under way at an endpoint.
+// Load is the work that this node has in progress at an endpoint.
 type Load struct {
 	Endpoint string
 	Running  int
-	Reading  int // prompt tokens that wait to be read
+	Reading  int // prompt tokens waiting to be processed
 	Holding  int // tokens in the endpoint's memory
-	// Failures is the share of attempts that failed lately, in percent, if it is high.
+	// Failures is the share of recent attempts that failed, in percent, or 0 if it is low.
 	Failures int
 }
 
@@ -38,8 +39,9 @@
 	_ json.Unmarshaler = (*Load)(nil)
 )
 
-// MarshalJSON implements json.Marshaler. A load is [endpoint, running, reading, holding,
-// failures], as messages mostly consist of loads: with names they are twice as long.
+// MarshalJSON implements json.Marshaler. A load is encoded as the array [endpoint, running,
+// reading, holding, failures]: messages consist mostly of loads, and an object with field names is
+// twice as long.
 func (l Load) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{l.Endpoint, l.Running, l.Reading, l.Holding, l.Failures})
 }
@@ -52,24 +54,24 @@
 		return err
 	}
 	if len(fields) != want {
-		return eris.Errorf("a load has %d fields", len(fields))
+		return eris.Errorf("decode load: array has %d fields", len(fields))
 	}
 	return nil
 }
 
-// setLoads has the digest, of so many bytes at most, tell what this node has under way and what
-// it saw.
+// setLoads sets the digest's loads to those of this node that fit the given number of bytes.
 func (d *Digest) setLoads(members []*fleet.Member, bytes int, now time.Time) {
-	d.Loads, d.Starts = fit(loadsOf(members, now), bytes)
+	d.Loads, d.Starts = fitLoads(loadsOf(members, now), bytes)
 }
 
-// fit returns the loads that so many bytes hold, and which start of its endpoint each is of:
-// those of the endpoints with the most requests, which matter most to where others send theirs.
-func fit(all []datedLoad, bytes int) (loads []Load, starts []Start) {
-	most := max(bytes/loadBytes, 1)
-	if len(all) > most {
-		slices.SortStableFunc(all, func(a, b datedLoad) int { return cmp.Compare(b.Running, a.Running) })
-		all = all[:most]
+// fitLoads returns the loads that fit the given number of bytes, with the start tag of each
+// endpoint. The endpoints with the most requests take precedence, because they matter most to the
+// peers' placement decisions.
+func fitLoads(all []taggedLoad, bytes int) (loads []Load, starts []StartTag) {
+	limit := max(bytes/loadBytes, 1)
+	if len(all) > limit {
+		slices.SortStableFunc(all, func(a, b taggedLoad) int { return cmp.Compare(b.Running, a.Running) })
+		all = all[:limit]
 	}
 	for _, l := range all {
 		loads = append(loads, l.Load)
@@ -78,27 +80,26 @@
 	return loads, starts
 }
 
-// datedLoad is a load with the start of its endpoint.
-type datedLoad struct {
+// taggedLoad is a load with the start tag of its endpoint.
+type taggedLoad struct {
 	Load
-	start Start
+	start StartTag
 }
 
-// loadsOf returns what this node has under way and what it saw, without endpoints that it has
-// nothing to say of.
-func loadsOf(members []*fleet.Member, now time.Time) []datedLoad {
-	var loads []datedLoad
+// loadsOf returns this node's loads and observed failures, without endpoints that have neither.
+func loadsOf(members []*fleet.Member, now time.Time) []taggedLoad {
+	var loads []taggedLoad
 	for _, m := range members {
-		l := Load{Endpoint: m.ID, Running: counted(m.Load.Running()), Reading: counted(m.Load.Reading()), Holding: counted(m.Load.Holding())}
-		if rate := m.Health.FailureRate(now); rate >= toldFailures {
+		l := Load{Endpoint: m.ID, Running: clampCount(m.Load.Running()), Reading: clampCount(m.Load.Reading()), Holding: clampCount(m.Load.Holding())}
+		if rate := m.Health.FailureRate(now); rate >= minReportedFailureRate {
 			l.Failures = int(rate * percent)
 		}
 		if l.Running > 0 || l.Reading > 0 || l.Failures > 0 {
-			loads = append(loads, datedLoad{l, startOf(m.Born)})
+			loads = append(loads, taggedLoad{l, startTagOf(m.Born)})
 		}
 	}
 	return loads
 }
 
-// counted returns a number as digests carry it: peers refuse what is out of range.
-func counted(n int) int { return max(min(n, mostCounted), 0) }
+// clampCount limits a number to the range that peers accept in digests.
+func clampCount(n int) int { return max(min(n, maxCount), 0) }
--- a/internal/peerload/network_test.go
+++ b/internal/peerload/network_test.go
@@ -18,16 +18,16 @@
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
-// hop is how long a message takes between two nodes.
+// hop is the latency of a message between two nodes.
 const hop = time.Millisecond
 
-// network carries messages between nodes in virtual time.
+// network delivers messages between nodes in virtual time.
 type network struct {
 	mu    sync.Mutex
 	nodes map[netip.AddrPort]*networkNode
 }
 
-// networkNode is a node with its exchange and engines.
+// networkNode is a simulated node with its exchange and engines.
 type networkNode struct {
 	*Exchange
 	net      *network
@@ -38,13 +38,13 @@
 	index    int
 	stop     context.CancelFunc
 
-	mu     sync.Mutex
-	down   bool
-	leads  bool
-	closed []weights.Closed
-	others []string // the nodes of the domain that it vouches for, if the test says
-	heard  int      // messages
-	sent   int      // messages
+	mu          sync.Mutex
+	down        bool
+	leads       bool
+	closed      []weights.Closed
+	represented []string // the nodes that it represents, if set by the test
+	received    int      // messages received
+	sent        int      // messages sent
 }
 
 var _ Conn = (*networkNode)(nil)
@@ -63,7 +63,7 @@
 // Notify implements Conn.
 func (n *networkNode) Notify(peers []netip.AddrPort, method string, params any) int {
 	data, err := json.Marshal(params)
-	if err != nil || n.gone() {
+	if err != nil || n.isDown() {
 		return 0
 	}
 	n.mu.Lock()
@@ -71,7 +71,7 @@
 	n.mu.Unlock()
 	time.AfterFunc(hop, func() {
 		for _, to := range peers {
-			n.net.at(to).hear(method, data)
+			n.net.at(to).receive(method, data)
 		}
 	})
 	return len(peers) * len(data)
@@ -83,23 +83,23 @@
 	return w.nodes[addr]
 }
 
-func (n *networkNode) hear(method string, data []byte) {
-	if n.gone() {
+func (n *networkNode) receive(method string, data []byte) {
+	if n.isDown() {
 		return
 	}
 	n.mu.Lock()
-	n.heard++
+	n.received++
 	n.mu.Unlock()
 	_, _ = n.handlers[method](data)
 }
 
-func (n *networkNode) gone() bool {
+func (n *networkNode) isDown() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.down
 }
 
-// kill takes the node down.
+// kill stops the node.
 func (n *networkNode) kill() {
 	n.mu.Lock()
 	n.down = true
@@ -107,24 +107,24 @@
 	n.stop()
 }
 
-// orders is what the node tells of orders that it gives.
+// orders returns the engines that the node closes and whether it holds the claim.
 func (n *networkNode) orders() ([]weights.Closed, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.closed, n.leads
 }
 
-// vouchFor has the node speak for others of its domain.
-func (n *networkNode) vouchFor(others []string) {
+// represent makes the node represent other nodes of its domain.
+func (n *networkNode) represent(others []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.others = others
+	n.represented = others
 }
 
-// neighbours are those that the node speaks for.
+// neighbours returns the nodes that the node represents.
 func (n *networkNode) neighbours() Neighbours {
 	n.mu.Lock()
-	others := n.others
+	others := n.represented
 	n.mu.Unlock()
 	if others == nil {
 		return Neighbours{Speaks: n.role().Collects}
@@ -132,19 +132,20 @@
 	return Neighbours{Others: others, Speaks: true}
 }
 
-// role is the node's part, by the order of its number in its failure domain.
+// role returns the node's role, which depends on its position among the live nodes of its failure
+// domain: the first two collect and the next two stand by.
 func (n *networkNode) role() Role {
 	var role Role
-	before, own := 0, -1
+	live, own := 0, -1
 	for _, o := range n.net.domain(n.domain) {
 		if o == n {
-			own = before
+			own = live
 			continue
 		}
 		if !n.Table.Heard(o.config.Node, time.Now(), time.Second) {
 			continue
 		}
-		if before++; own < 0 && before <= 2 || own >= 0 && own < 2 && before < 2 {
+		if live++; own < 0 && live <= 2 || own >= 0 && own < 2 && live < 2 {
 			role.Collectors = append(role.Collectors, o.addr)
 		}
 	}
@@ -152,7 +153,7 @@
 	return role
 }
 
-// domain returns the nodes of a failure domain in the order of their numbers.
+// domain returns the nodes of a failure domain in ascending order of their index.
 func (w *network) domain(name string) []*networkNode {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,7 +181,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(1 + i%250)}), 7)
 }
 
-// newNetwork starts nodes in so many failure domains, each with the same engines.
+// newNetwork starts the given number of nodes in the given number of failure domains, all with the
+// same engines.
 func newNetwork(t *testing.T, nodes, domains, engines int) *network {
 	t.Helper()
 	w := &network{nodes: make(map[netip.AddrPort]*networkNode)}
@@ -210,15 +212,15 @@
 	return w
 }
 
-// end stops all nodes. It is called before a bubble of virtual time ends.
-func (w *network) end() {
+// stop stops all nodes. It must be called before the synctest bubble ends.
+func (w *network) stop() {
 	for _, n := range w.nodes {
 		n.stop()
 	}
 }
 
-// begin has a node start a request at an engine, which others hear of.
-func (n *networkNode) begin(engine string) {
+// startRequest starts a request at an engine and kicks the exchange to report it.
+func (n *networkNode) startRequest(engine string) {
 	for _, m := range n.fleet.All() {
 		if m.ID == engine {
 			m.Load.Begin(100, 1000)
@@ -227,23 +229,23 @@
 	n.Kick()
 }
 
-// lives calls f with each node that is not down.
-func (w *network) lives(f func(*networkNode)) {
+// forEachLive calls f with each node that is not down.
+func (w *network) forEachLive(f func(*networkNode)) {
 	for i := range len(w.nodes) {
-		if n := w.nodes[addrOf(i)]; !n.gone() {
+		if n := w.nodes[addrOf(i)]; !n.isDown() {
 			f(n)
 		}
 	}
 }
 
-// play plays a test in virtual time.
-func play(t *testing.T, nodes, domains, engines int, run func(t *testing.T, w *network)) {
+// runNetwork runs a test with a network in virtual time, after 3 s for the nodes to settle.
+func runNetwork(t *testing.T, nodes, domains, engines int, run func(t *testing.T, w *network)) {
 	t.Helper()
 	must.Positive(t, domains)
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, nodes, domains, engines)
 		defer func() {
-			w.end()
+			w.stop()
 			time.Sleep(2 * time.Second)
 		}()
 		time.Sleep(3 * time.Second)
--- a/internal/peerload/heard_test.go
+++ b/internal/peerload/peer_age_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test"
 )
 
-// TestDomainsAreHeard tells of failure domains whose speakers were heard lately.
-func TestDomainsAreHeard(t *testing.T) {
+// TestDomainDigestAge checks that a failure domain counts as active until its last digest is too
+// old.
+func TestDomainDigestAge(t *testing.T) {
 	table := NewTable()
 	test.False(t, table.HearsAfar(now, time.Second))
 	table.TakeDomain(DomainDigest{Node: "a", Domain: "d1", Incarnation: 1, Seq: 1}, now)
@@ -21,13 +22,14 @@
 	test.False(t, table.HeardOf("d1", later, time.Second))
 }
 
-// TestLatelyForgets counts nodes until they were silent for long.
-func TestLatelyForgets(t *testing.T) {
+// TestLivePeersExpire checks that nodes count as live until they have sent nothing for
+// peerLifetime.
+func TestLivePeersExpire(t *testing.T) {
 	table := NewTable()
 	table.Take(digest("a", 1, 1, 0), now)
-	table.Take(digest("b", 1, 1, 0), now.Add(heardFor))
-	test.Eq(t, 3, table.Lately(now.Add(heardFor)))
-	test.Eq(t, 2, table.Lately(now.Add(2*heardFor)))
-	test.Eq(t, 1, table.Lately(now.Add(3*heardFor)))
+	table.Take(digest("b", 1, 1, 0), now.Add(peerLifetime))
+	test.Eq(t, 3, table.Lately(now.Add(peerLifetime)))
+	test.Eq(t, 2, table.Lately(now.Add(2*peerLifetime)))
+	test.Eq(t, 1, table.Lately(now.Add(3*peerLifetime)))
 	test.Eq(t, 3, table.Nodes())
 }
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -1,49 +1,49 @@
-// Package peerload tells the other gateway nodes, several times a second, what this
-// node has under way at each endpoint, and hears the same from them.
+// Package peerload exchanges load reports among the gateway nodes several times a second: what
+// each node has in progress at each endpoint.
 //
-// Messages are JSON-RPC notifications, one a datagram, so a peer that is frozen, cut
-// off or gone holds nobody up. Nothing but the quality of placement rests on them:
-// what is lost is made up by the next one, and what is older than Fresh is not used.
+// Messages are JSON-RPC notifications, one per datagram, so a peer that is frozen, unreachable or
+// gone delays nobody. Only the quality of placement depends on them: the next message makes up for
+// a lost one, and reports older than DigestLifetime are not used.
 package peerload
 
-// Digest is what a node says of itself.
+// Digest is the report of one node.
 type Digest struct {
 	Node string `json:"node"`
-	// Incarnation tells starts of the node apart; later ones are greater.
+	// Incarnation identifies a start of the node; later starts have greater values.
 	Incarnation int64  `json:"incarnation"`
 	Seq         int64  `json:"seq"`
 	Loads       []Load `json:"loads,omitempty"`
-	// Starts tell which start of its endpoint each load is of. A node of another build may
-	// leave them out.
-	Starts []Start `json:"starts,omitempty"`
-	// Late are the holders from which fetches come late.
+	// Starts are the tags of the endpoint starts that the loads belong to, in the order of Loads.
+	// Nodes of other builds may leave them out.
+	Starts []StartTag `json:"starts,omitempty"`
+	// Late are the holders whose fetches are late.
 	Late []Late `json:"late,omitempty"`
-	// Seen are weights that the node saw in answers or reports before the registry told
-	// of them.
+	// Seen are weight versions that the node saw in responses or reports before the registry
+	// listed them.
 	Seen []Seen `json:"seen,omitempty"`
-	// Limits are what endpoints told the node of limits lately.
+	// Limits are the rate limits that endpoints recently reported to the node.
 	Limits []Limit `json:"limits,omitempty"`
-	// Emptied and Loading are the engines that this node has loaded now: the former take
-	// short requests yet. Both count for ForMs.
+	// Emptied and Loading are the engines that this node has closed to load weights. Those in
+	// Emptied still accept short requests. Both lists are valid for ForMs.
 	Emptied []string `json:"emptied,omitempty"`
 	Loading []string `json:"loading,omitempty"`
 	ForMs   int64    `json:"for_ms,omitempty"`
-	// Leads is true where this node holds the claim on orders.
+	// Leads is true if this node holds the claim to give orders.
 	Leads bool `json:"leads,omitempty"`
-	// Names are the oldest weights whose parts this node names at stores. They only rise,
-	// also over a restart of the node.
+	// Names are the oldest versions whose parts this node still names at stores. They only rise,
+	// also across restarts of the node.
 	Names []Named `json:"names,omitempty"`
-	// Collected is what a collector tells of all the nodes that it hears.
-	Collected *Collected `json:"collected,omitempty"`
+	// Aggregate is set if the node is a collector.
+	Aggregate *Aggregate `json:"collected,omitempty"`
 }
 
-// Named is the oldest version of a model whose parts a node names at stores.
+// Named is the oldest version of a model whose parts a node still names at stores.
 type Named struct {
 	Model  string `json:"model"`
 	Oldest int64  `json:"oldest"`
 }
 
-// Late is how much later than expected fetches from a holder came lately.
+// Late is how much later than expected recent fetches from a holder completed.
 type Late struct {
 	Addr string `json:"addr"`
 	MS   int    `json:"ms"`
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -27,12 +27,12 @@
 func TestTableSumsFreshDigests(t *testing.T) {
 	table := NewTable()
 	table.Take(digest("a", 1, 1, 2), now)
-	table.Take(digest("b", 1, 1, 3), now.Add(Fresh/2))
-	test.Eq(t, Sum{Running: 5, Reading: 50}, table.Loads(now.Add(Fresh/2)).Of("e", 0))
-	test.Eq(t, 3, table.Loads(now.Add(Fresh+Fresh/4)).Of("e", 0).Running, test.Sprint("a's is too old"))
+	table.Take(digest("b", 1, 1, 3), now.Add(DigestLifetime/2))
+	test.Eq(t, Sum{Running: 5, Reading: 50}, table.Loads(now.Add(DigestLifetime/2)).Of("e", 0))
+	test.Eq(t, 3, table.Loads(now.Add(DigestLifetime+DigestLifetime/4)).Of("e", 0).Running, test.Sprint("the digest of a has expired"))
 }
 
-// TestTableDropsOldDigests keeps a late datagram from undoing a newer one.
+// TestTableDropsOldDigests checks that a delayed datagram doesn't replace a newer one.
 func TestTableDropsOldDigests(t *testing.T) {
 	table := NewTable()
 	table.Take(digest("a", 2, 5, 2), now)
@@ -43,7 +43,7 @@
 	test.Eq(t, 7, table.Loads(now).Of("e", 0).Running, test.Sprint("a restarted"))
 }
 
-// TestNodesNeverShrink keeps a node that hears nobody from taking the others' shares.
+// TestNodesNeverShrink checks that a node that receives nothing doesn't take the others' shares.
 func TestNodesNeverShrink(t *testing.T) {
 	table := NewTable()
 	test.Eq(t, 1, table.Nodes())
@@ -64,23 +64,23 @@
 	test.MapEmpty(t, table.Closed(now.Add(600*time.Millisecond)))
 }
 
-// TestTake takes what the exchange of another node sends, and no other text.
-func TestTake(t *testing.T) {
-	e := listenAt(t, "n0", "d0", &atomic.Bool{})
+// TestReceiveDigest checks that valid digests are recorded and malformed ones are rejected.
+func TestReceiveDigest(t *testing.T) {
+	e := newTestExchange(t, "n0", "d0", &atomic.Bool{})
 	want := digest("a", 1, 2, 3)
 	data, err := json.Marshal(want)
 	must.NoError(t, err)
-	_, err = e.take(data)
+	_, err = e.receiveDigest(data)
 	must.NoError(t, err)
 	test.Eq(t, want, e.Table.peers["a"].digest)
 	for _, text := range []string{"", "[]", `{"node":1}`} {
-		_, err := e.take([]byte(text))
+		_, err := e.receiveDigest([]byte(text))
 		test.Error(t, err, test.Sprint(text))
 	}
 }
 
-// TestHeard forgets nodes that fell silent.
-func TestHeard(t *testing.T) {
+// TestPeerDigestAge checks that a node counts as active until its last digest is too old.
+func TestPeerDigestAge(t *testing.T) {
 	table := NewTable()
 	table.Take(digest("a", 1, 1, 0), now)
 	test.True(t, table.Heard("a", now.Add(time.Second), 2*time.Second))
@@ -88,23 +88,23 @@
 	test.False(t, table.Heard("b", now, 2*time.Second))
 }
 
-// TestFailuresNeedWitnesses keeps one node that lost its way to an endpoint from
-// turning the others away from it.
-func TestFailuresNeedWitnesses(t *testing.T) {
+// TestFailuresNeedSeveralReporters checks that one node with a network problem of its own can't
+// divert the others from an endpoint.
+func TestFailuresNeedSeveralReporters(t *testing.T) {
 	table := NewTable()
-	tell := func(node string, failures int) {
+	receive := func(node string, failures int) {
 		d := digest(node, 1, 1, 1)
 		d.Loads[0].Failures = failures
 		table.Take(d, now)
 	}
-	tell("a", 60)
+	receive("a", 60)
 	test.Eq(t, 0, table.Loads(now).Of("e", 0).FailureRate())
-	tell("b", 40)
+	receive("b", 40)
 	test.Eq(t, 0.5, table.Loads(now).Of("e", 0).FailureRate())
 }
 
-// TestLoadsTravelWhole encodes loads in short and refuses others.
-func TestLoadsTravelWhole(t *testing.T) {
+// TestLoadsRoundTrip checks the array encoding of loads, and that other arrays are rejected.
+func TestLoadsRoundTrip(t *testing.T) {
 	want := []Load{{Endpoint: "e", Running: 1, Reading: 2, Holding: 3, Failures: 4}, {Endpoint: "f"}}
 	data, err := json.Marshal(want)
 	must.NoError(t, err)
@@ -125,11 +125,12 @@
 	test.True(t, table.Led(now.Add(time.Second/2), time.Second))
 	test.False(t, table.Led(now.Add(time.Second), time.Second))
 	table.Take(digest("a", 1, 2, 0), now)
-	test.False(t, table.Led(now, time.Second), test.Sprint("it says so no more"))
+	test.False(t, table.Led(now, time.Second), test.Sprint("the newer digest doesn't hold the claim"))
 }
 
-// listenAt opens an exchange of a node that gives orders while leads is true.
-func listenAt(t *testing.T, node, domain string, leads *atomic.Bool) *Exchange {
+// newTestExchange returns an exchange on a local socket, for a node that gives orders while leads
+// is true.
+func newTestExchange(t *testing.T, node, domain string, leads *atomic.Bool) *Exchange {
 	t.Helper()
 	conn, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
@@ -144,47 +145,47 @@
 	})
 }
 
-// TestAudience tells a node's load to its failure domain alone where there are many
-// nodes.
-func TestAudience(t *testing.T) {
-	for _, tc := range []struct{ nodes, near, far int }{{7, 6, 0}, {85, 42, 42}} {
-		e := listenAt(t, "n0", "d0", &atomic.Bool{})
+// TestRecipients checks that in a large system a node's load goes to its failure domain only.
+func TestRecipients(t *testing.T) {
+	for _, tc := range []struct{ nodes, local, remote int }{{7, 6, 0}, {85, 42, 42}} {
+		e := newTestExchange(t, "n0", "d0", &atomic.Bool{})
 		peers := []Peer{{Addr: e.config.Conn.Addr(), Domain: "d0"}, {Addr: "no address", Domain: "d0"}}
 		for i := 1; i < tc.nodes; i++ {
 			peers = append(peers, Peer{Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Domain: fmt.Sprint("d", i%2)})
 		}
 		e.SetPeers(peers)
-		test.Eq(t, tc.near, e.listeners())
-		test.Len(t, tc.far, e.peers.Load().far)
+		test.Eq(t, tc.local, e.localCount())
+		test.Len(t, tc.remote, e.peers.Load().remote)
 		test.Eq(t, tc.nodes == 7, e.Whole())
 	}
 }
 
-// TestOrdersAreHeardByAll has a node of another failure domain hear which engines load,
-// and that the claim was given up, but of nothing else.
-func TestOrdersAreHeardByAll(t *testing.T) {
+// TestOrdersReachOtherDomains checks that a node of another failure domain receives which engines
+// are loading and that the claim was given up, and nothing from a node without orders.
+func TestOrdersReachOtherDomains(t *testing.T) {
 	var leads atomic.Bool
-	speaker, listener := listenAt(t, "n0", "d0", &leads), listenAt(t, "n1", "d1", &atomic.Bool{})
-	speaker.peers.Store(&audience{far: []netip.AddrPort{netip.MustParseAddrPort(listener.config.Conn.Addr())}})
-	go func() { _ = listener.config.Conn.(*datagram.Conn).Run(t.Context()) }()
-	heard := func(leads bool) func() bool {
+	sender, receiver := newTestExchange(t, "n0", "d0", &leads), newTestExchange(t, "n1", "d1", &atomic.Bool{})
+	sender.peers.Store(&recipients{remote: []netip.AddrPort{netip.MustParseAddrPort(receiver.config.Conn.Addr())}})
+	go func() { _ = receiver.config.Conn.(*datagram.Conn).Run(t.Context()) }()
+	received := func(leads bool) func() bool {
 		return func() bool {
-			speaker.send()
+			sender.send()
 			now := time.Now()
-			return listener.Table.Led(now, time.Minute) == leads && (!leads || listener.Table.Closed(now)["x"])
+			return receiver.Table.Led(now, time.Minute) == leads && (!leads || receiver.Table.Closed(now)["x"])
 		}
 	}
-	speaker.send()
-	speaker.send()
-	test.Eq(t, 1, listener.Table.Nodes(), test.Sprint("it gives no orders"))
+	sender.send()
+	sender.send()
+	test.Eq(t, 1, receiver.Table.Nodes(), test.Sprint("the sender gives no orders"))
 	for _, step := range []bool{true, false} {
 		leads.Store(step)
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(heard(step)), wait.Timeout(10*time.Second), wait.Gap(5*time.Millisecond)))
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(received(step)), wait.Timeout(10*time.Second), wait.Gap(5*time.Millisecond)))
 	}
 }
 
-// TestLateNeedsWitnesses takes the mean of what several peers tell of a holder.
-func TestLateNeedsWitnesses(t *testing.T) {
+// TestLateNeedsSeveralReporters checks that a holder's lateness is the mean of the reports of
+// several peers, and that one report doesn't count.
+func TestLateNeedsSeveralReporters(t *testing.T) {
 	table := NewTable()
 	for i, ms := range []int{300, 500} {
 		d := digest(fmt.Sprint("n", i), 1, 1, 1)
@@ -195,12 +196,12 @@
 		}
 	}
 	test.Eq(t, map[string]float64{"s": 400}, table.Late(now))
-	test.MapEmpty(t, table.Late(now.Add(2*Fresh)))
+	test.MapEmpty(t, table.Late(now.Add(2*DigestLifetime)))
 }
 
-// TestFarLoadIsHeard tells the nodes of other failure domains of requests under way at
-// engines there, and once that they have ended.
-func TestFarLoadIsHeard(t *testing.T) {
+// TestLoadReachesOtherDomains checks that nodes of other failure domains receive the requests in
+// progress at engines there, and their end.
+func TestLoadReachesOtherDomains(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	for i, domain := range []string{"d0", "d1", "d1"} {
 		e := &fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Addr: "127.0.0.1:1", Domain: domain}
@@ -209,30 +210,30 @@
 		}
 		f.Update(e, now)
 	}
-	speaker, listener := listenAt(t, "n0", "d0", &atomic.Bool{}), listenAt(t, "n1", "d1", &atomic.Bool{})
-	speaker.config.Members = f.All
-	speaker.peers.Store(&audience{far: []netip.AddrPort{netip.MustParseAddrPort(listener.config.Conn.Addr())}})
-	go func() { _ = listener.config.Conn.(*datagram.Conn).Run(t.Context()) }()
+	sender, receiver := newTestExchange(t, "n0", "d0", &atomic.Bool{}), newTestExchange(t, "n1", "d1", &atomic.Bool{})
+	sender.config.Members = f.All
+	sender.peers.Store(&recipients{remote: []netip.AddrPort{netip.MustParseAddrPort(receiver.config.Conn.Addr())}})
+	go func() { _ = receiver.config.Conn.(*datagram.Conn).Run(t.Context()) }()
 	for _, m := range f.All() {
 		m.Load.Begin(10, 100)
 	}
-	heard := func(want int) func() bool {
+	received := func(want int) func() bool {
 		return func() bool {
-			speaker.send()
-			loads := listener.Table.Loads(time.Now())
-			return loads.Of("e1", 0).Holding == want && loads.Of("e0", 0).Holding == 0 && loads.Of("e2", 0).Holding == 0 && listener.Table.Nodes() == 2
+			sender.send()
+			loads := receiver.Table.Loads(time.Now())
+			return loads.Of("e1", 0).Holding == want && loads.Of("e0", 0).Holding == 0 && loads.Of("e2", 0).Holding == 0 && receiver.Table.Nodes() == 2
 		}
 	}
 	for _, want := range []int{100, 0} {
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(heard(want)), wait.Timeout(10*time.Second), wait.Gap(5*time.Millisecond)))
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(received(want)), wait.Timeout(10*time.Second), wait.Gap(5*time.Millisecond)))
 		for _, m := range f.All() {
 			m.Load.End(m.Load.Holding())
 		}
 	}
 }
 
-// TestDomainNames tells of the oldest version that any node of a failure domain names, once
-// all have said; what was promised lasts.
+// TestDomainNames checks that a domain's digest holds the oldest version that any of its nodes
+// names, once all have reported one, and that the domain's watermark lasts.
 func TestDomainNames(t *testing.T) {
 	near := NewTable()
 	own := []Named{{Model: "m", Oldest: 3}}
@@ -244,7 +245,7 @@
 	}
 	test.Eq(t, []Named{{Model: "m", Oldest: 2}}, near.DomainNames(own, []string{"a", "b"}))
 	test.SliceEmpty(t, near.DomainNames(own, []string{"a", "b", "silent"}))
-	test.Eq(t, own, near.DomainNames(own, nil), test.Sprint("it is alone"))
+	test.Eq(t, own, near.DomainNames(own, nil), test.Sprint("no other nodes"))
 
 	far := NewTable()
 	abc := MembersOf("c", "a", "b")
@@ -263,21 +264,21 @@
 	}
 }
 
-// TestReplacedNodePromisesAnew takes nothing that a failure domain promised before one of its
-// nodes was replaced for the successor's word, though there are as many.
-func TestReplacedNodePromisesAnew(t *testing.T) {
+// TestReplacedNodeResetsWatermark checks that a failure domain's watermark from before one of its
+// nodes was replaced doesn't count for the new set of nodes, although their number is the same.
+func TestReplacedNodeResetsWatermark(t *testing.T) {
 	far := NewTable()
 	names := []Named{{Model: "m", Oldest: 2}}
 	far.TakeDomain(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 1, Members: MembersOf("a", "b", "gone"), Names: names}, now)
 	successors := MembersOf("a", "b", "new")
 	_, ok := far.UnnamedIn("d0", successors, "m", 1)
 	test.False(t, ok)
-	promised := now.Add(time.Second)
+	reportedAt := now.Add(time.Second)
 	for i := range int64(3) {
-		at := promised.Add(time.Duration(i) * time.Second)
+		at := reportedAt.Add(time.Duration(i) * time.Second)
 		far.TakeDomain(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 2 + i, Members: successors, Names: names}, at)
 	}
 	since, ok := far.UnnamedIn("d0", successors, "m", 1)
 	test.True(t, ok)
-	test.Eq(t, promised, since)
+	test.Eq(t, reportedAt, since)
 }
--- a/internal/peerload/hear.go
+++ b/internal/peerload/receive.go
@@ -9,13 +9,13 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// learnVersions takes over what peers were told by engines of their weights. It counts from
-// when these said it, so that a late digest does no harm.
-func (e *Exchange) learnVersions(seen []Seen, now time.Time) {
+// applySeen applies the weight versions that engines reported to peers. Each entry counts from the
+// time of the engine's report, so that a late digest can't override a newer report.
+func (e *Exchange) applySeen(seen []Seen, now time.Time) {
 	if len(seen) == 0 {
 		return
 	}
-	member := e.lookUp()
+	member := e.memberLookup()
 	for i := range seen {
 		for at, id := range seen[i].Endpoints {
 			if m := member(id); m != nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// lookUp returns what finds an endpoint by its id.
-func (e *Exchange) lookUp() func(id string) *fleet.Member {
+// memberLookup returns a function that finds an endpoint by its id.
+func (e *Exchange) memberLookup() func(id string) *fleet.Member {
 	if e.config.Member != nil {
 		return e.config.Member
 	}
@@ -37,22 +37,22 @@
 	return func(id string) *fleet.Member { return byID[id] }
 }
 
-// take notes what a peer tells.
-func (e *Exchange) take(params json.RawMessage) (any, error) {
+// receiveDigest handles a digest of a peer.
+func (e *Exchange) receiveDigest(params json.RawMessage) (any, error) {
 	var d Digest
 	if err := json.Unmarshal(params, &d); err != nil {
-		return nil, eris.Wrap(err, "decode a digest")
+		return nil, eris.Wrap(err, "decode digest")
 	}
 	if err := d.check(); err != nil {
 		return nil, err
 	}
 	now := e.config.Clock.Now()
 	e.Table.Take(d, now)
-	e.learnVersions(d.Seen, now)
-	e.learnLimits(d.Limits, now)
-	if d.Collected != nil {
-		e.learnVersions(d.Collected.Seen, now)
-		e.learnLimits(d.Collected.Limits, now)
+	e.applySeen(d.Seen, now)
+	e.applyLimits(d.Limits, now)
+	if d.Aggregate != nil {
+		e.applySeen(d.Aggregate.Seen, now)
+		e.applyLimits(d.Aggregate.Limits, now)
 	}
 	return nil, nil
 }
--- /dev/null
+++ b/internal/peerload/recipients.go
@@ -0,0 +1,102 @@
+package peerload
+
+import (
+	"net/netip"
+	"time"
+
+	"github.com/cherryward/cherryward/internal/pace"
+)
+
+// Peer is another node of the system.
+type Peer struct {
+	Node   string // its name
+	Addr   string // IP:PORT
+	Domain string // failure domain; empty if not known
+}
+
+// recipients are the nodes that messages are sent to.
+type recipients struct {
+	// local are the nodes that receive this node's load: all nodes of a small system, else those
+	// of its failure domain.
+	local  []netip.AddrPort
+	remote []netip.AddrPort // the other nodes
+	// remoteByDomain holds the remote nodes with their names, by failure domain.
+	remoteByDomain map[string][]namedAddr
+}
+
+// namedAddr is a node's name and address.
+type namedAddr struct {
+	node string
+	addr netip.AddrPort
+}
+
+// collectors returns the nodes of other failure domains that pass messages on within their domain:
+// the representatives of each domain, or all nodes of a domain without a recently active
+// representative.
+func (a *recipients) collectors(t *Table, now time.Time) []netip.AddrPort {
+	if a.remoteByDomain == nil {
+		return a.remote
+	}
+	var addrs []netip.AddrPort
+	for domain, nodes := range a.remoteByDomain {
+		representatives := t.representatives(domain, now)
+		for _, n := range nodes {
+			if len(representatives) == 0 || representatives[n.node] {
+				addrs = append(addrs, n.addr)
+			}
+		}
+	}
+	return addrs
+}
+
+// SetPeers replaces the nodes that digests are sent to. Peers with invalid addresses are skipped.
+func (e *Exchange) SetPeers(peers []Peer) {
+	own := e.config.Conn.Addr()
+	fullMesh := pace.Whole(len(peers))
+	next := &recipients{remoteByDomain: make(map[string][]namedAddr)}
+	for _, p := range peers {
+		if p.Addr == own {
+			continue
+		}
+		addr, err := netip.ParseAddrPort(p.Addr)
+		if err != nil {
+			e.log.Warn().Str("event", "peer_rejected").Str("addr", p.Addr).Err(err).Send()
+			continue
+		}
+		if fullMesh || p.Domain == "" || p.Domain == e.config.Domain {
+			next.local = append(next.local, addr)
+		} else {
+			next.remote = append(next.remote, addr)
+			next.remoteByDomain[p.Domain] = append(next.remoteByDomain[p.Domain], namedAddr{p.Node, addr})
+		}
+	}
+	e.peers.Store(next)
+}
+
+// Whole reports whether digests are exchanged among all nodes, as in a small system, rather than
+// within each failure domain only.
+func (e *Exchange) Whole() bool {
+	peers := e.peers.Load()
+	return peers == nil || len(peers.remote) == 0
+}
+
+// localCount returns the number of nodes that receive this node's load.
+func (e *Exchange) localCount() int {
+	if peers := e.peers.Load(); peers != nil {
+		return len(peers.local)
+	}
+	return 0
+}
+
+// digestAgeIntervals is the mean age of the peers' reported loads, in units of the minimum
+// interval between two messages: each sender delays its digest by up to one interval, and in a
+// large system a collector by another.
+const digestAgeIntervals = 3
+
+// Unheard returns the number of nodes that report their load to this one, and the mean age of the
+// reported loads.
+func (e *Exchange) Unheard() (nodes int, lag time.Duration) {
+	nodes = e.localCount()
+	spacing, _ := pace.Digests(nodes)
+	return nodes, digestAgeIntervals * spacing
+}
--- a/internal/peerload/seen.go
+++ b/internal/peerload/seen.go
@@ -7,19 +7,20 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// Seen are the engines that named a version of a model to the node that tells of it.
+// Seen is a version of a model's weights with the engines that reported it to a node.
 type Seen struct {
 	Model     string   `json:"model"`
 	Version   int64    `json:"version"`
 	Endpoints []string `json:"endpoints"`
-	// Born are the engines' starts in Unix milliseconds, 0 where not known, and AgesMs how long
-	// ago they named it. A node of another build may leave out both.
+	// Born are the engines' starts in Unix milliseconds, 0 if unknown, and AgesMs the times since
+	// their reports. Nodes of other builds may leave out both.
 	Born   []int64 `json:"born,omitempty"`
 	AgesMs []int64 `json:"ages_ms,omitempty"`
 }
 
-// SeenOf returns what engines said of their weights to this node and the registry doesn't tell
-// yet. What other nodes told is left out, or two nodes would keep an error alive.
+// SeenOf returns the versions that engines reported to this node directly and that the registry
+// doesn't list yet. Versions received from other nodes are left out, because two nodes could
+// otherwise keep a wrong version alive.
 func SeenOf(members []*fleet.Member, now time.Time) []Seen {
 	var list []Seen
 	for _, m := range members {
@@ -39,7 +40,7 @@
 	return list
 }
 
-// statement returns what the i-th of the engines said, as heard now.
+// statement returns the report of the i-th engine. Without an age it counts as made now.
 func (s *Seen) statement(i int, now time.Time) fleet.Statement {
 	said := fleet.Statement{Weights: fleet.Weights{Model: s.Model, Version: s.Version}, At: now}
 	if i < len(s.Born) {
--- a/internal/peerload/seen_test.go
+++ b/internal/peerload/seen_test.go
@@ -21,43 +21,44 @@
 	return f, f.All()[0]
 }
 
-func said(version int64, at time.Time) fleet.Statement {
+func statementOf(version int64, at time.Time) fleet.Statement {
 	return fleet.Statement{Weights: fleet.Weights{Model: model, Version: version}, At: at}
 }
 
-// TestSeenIsOfOneStart tells what an engine said of its weights to nodes that know the same start
-// of it, and counts it from when it was said.
-func TestSeenIsOfOneStart(t *testing.T) {
-	teller, told := memberOf(t, 100, 1)
-	told.Saw(said(2, now))
-	data, err := json.Marshal(SeenOf(teller.All(), now.Add(time.Second)))
+// TestSeenAppliesToOneStart checks that a reported version applies only to the same start of the
+// engine, and that it counts from the time of the engine's report.
+func TestSeenAppliesToOneStart(t *testing.T) {
+	reporting, member := memberOf(t, 100, 1)
+	member.Saw(statementOf(2, now))
+	data, err := json.Marshal(SeenOf(reporting.All(), now.Add(time.Second)))
 	must.NoError(t, err)
 	var list []Seen
 	must.NoError(t, json.Unmarshal(data, &list))
 	must.Len(t, 1, list)
-	heard := list[0].statement(0, now.Add(time.Second))
-	test.Eq(t, now, heard.At)
+	report := list[0].statement(0, now.Add(time.Second))
+	test.Eq(t, now, report.At)
 
 	_, same := memberOf(t, 100, 1)
-	same.Heard(heard)
+	same.Heard(report)
 	test.Eq(t, 2, same.VersionOf(model))
 	_, newer := memberOf(t, 100, 1)
-	newer.Saw(said(3, now.Add(time.Second/2)))
-	newer.Heard(heard)
-	test.Eq(t, 3, newer.VersionOf(model), test.Sprint("it said more since"))
-	_, again := memberOf(t, 200, 1)
-	again.Heard(heard)
-	test.Eq(t, 1, again.VersionOf(model), test.Sprint("it started again"))
+	newer.Saw(statementOf(3, now.Add(time.Second/2)))
+	newer.Heard(report)
+	test.Eq(t, 3, newer.VersionOf(model), test.Sprint("a newer report takes precedence"))
+	_, restarted := memberOf(t, 200, 1)
+	restarted.Heard(report)
+	test.Eq(t, 1, restarted.VersionOf(model), test.Sprint("the report was of an earlier start"))
 }
 
-// TestHearsayIsNotTold keeps nodes from telling one another for ever what no engine says any more.
-func TestHearsayIsNotTold(t *testing.T) {
+// TestRelayedVersionsAreNotReported checks that versions received from other nodes are not
+// reported. Otherwise nodes could keep a version alive that no engine reports any more.
+func TestRelayedVersionsAreNotReported(t *testing.T) {
 	f, m := memberOf(t, 100, 1)
-	m.Heard(said(2, now))
+	m.Heard(statementOf(2, now))
 	test.SliceEmpty(t, SeenOf(f.All(), now))
 }
 
-// TestSeenOfAnotherBuild takes what a node says that names neither starts nor ages.
+// TestSeenOfAnotherBuild checks that a report without starts and ages is accepted.
 func TestSeenOfAnotherBuild(t *testing.T) {
 	_, m := memberOf(t, 100, 1)
 	s := Seen{Model: model, Version: 2, Endpoints: []string{"e"}}
--- a/internal/peerload/bytes_test.go
+++ b/internal/peerload/send_rate_test.go
@@ -17,9 +17,9 @@
 	"github.com/cherryward/cherryward/internal/pace"
 )
 
-// bytesTold returns the bytes that a node sends in a second to the other nodes, in three failure
-// domains, where its requests run at so many engines and its load changes all the time.
-func bytesTold(t *testing.T, nodes, engines int) int {
+// bytesPerSecond returns the bytes per second that a node sends to the other nodes, in three
+// failure domains, while it has requests at all of the engines and its load changes continuously.
+func bytesPerSecond(t *testing.T, nodes, engines int) int {
 	t.Helper()
 	var bytes int64
 	const lasts = 10 * time.Second
@@ -36,7 +36,7 @@
 		}
 		var leads atomic.Bool
 		leads.Store(true)
-		e := listenAt(t, "n0", "d0", &leads)
+		e := newTestExchange(t, "n0", "d0", &leads)
 		e.config.Members = func() []*fleet.Member {
 			e.Kick()
 			return f.All()
@@ -54,35 +54,35 @@
 	return int(bytes / int64(lasts/time.Second))
 }
 
-// TestBytesToldAreBounded keeps a node from filling its link, and those of the nodes that hear
-// it, whatever it has under way.
-func TestBytesToldAreBounded(t *testing.T) {
-	const slack = 1.15 // messages to all nodes that end the time, for which the pause comes after
+// TestSendRateIsBounded checks that a node can't saturate its link or those of its receivers,
+// whatever its load.
+func TestSendRateIsBounded(t *testing.T) {
+	const slack = 1.15 // the last message counts in full, but the pause after it falls outside the measured time
 	for _, tc := range []struct{ nodes, engines int }{{7, 9}, {12, 117}, {85, 8}, {85, 37}, {85, 117}, {300, 400}, {1000, 1200}} {
-		told := bytesTold(t, tc.nodes, tc.engines)
-		t.Logf("%d nodes, %d engines in use: %d bytes a second", tc.nodes, tc.engines, told)
-		test.LessEq(t, slack*pace.MessageBytes, float64(told), test.Sprint(tc))
-		test.Positive(t, told)
+		bytes := bytesPerSecond(t, tc.nodes, tc.engines)
+		t.Logf("%d nodes, %d engines in use: %d bytes/s", tc.nodes, tc.engines, bytes)
+		test.LessEq(t, slack*pace.MessageBytes, float64(bytes), test.Sprint(tc))
+		test.Positive(t, bytes)
 	}
 }
 
-// TestFitKeepsTheBusiest leaves out the endpoints with the fewest requests where a message would
-// be too long.
-func TestFitKeepsTheBusiest(t *testing.T) {
-	var loads []datedLoad
+// TestFitLoadsKeepsBusiestEndpoints checks that the endpoints with the fewest requests are left
+// out of a message that would be too long.
+func TestFitLoadsKeepsBusiestEndpoints(t *testing.T) {
+	var loads []taggedLoad
 	for i := range 400 {
-		loads = append(loads, datedLoad{Load{Endpoint: fmt.Sprint("e", i), Running: i}, Start(i)})
+		loads = append(loads, taggedLoad{Load{Endpoint: fmt.Sprint("e", i), Running: i}, StartTag(i)})
 	}
-	longest := func(peers int) int { return pace.LongestMessage(peers, 0, toldWithin) }
-	all, _ := fit(slices.Clone(loads), longest(1))
+	longest := func(peers int) int { return pace.LongestMessage(peers, 0, sendTime) }
+	all, _ := fitLoads(slices.Clone(loads), longest(1))
 	test.Len(t, 400, all)
-	most := longest(27)
-	kept, starts := fit(slices.Clone(loads), most)
-	test.Between(t, most/loadBytes-1, len(kept), most/loadBytes)
+	maxBytes := longest(27)
+	kept, starts := fitLoads(slices.Clone(loads), maxBytes)
+	test.Between(t, maxBytes/loadBytes-1, len(kept), maxBytes/loadBytes)
 	for i, l := range kept {
 		test.GreaterEq(t, 400-len(kept), l.Running)
-		test.Eq(t, Start(l.Running), starts[i])
+		test.Eq(t, StartTag(l.Running), starts[i])
 	}
-	one, _ := fit(loads, longest(100_000))
+	one, _ := fitLoads(loads, longest(100_000))
 	test.Len(t, 1, one)
 }
--- a/internal/peerload/start_test.go
+++ b/internal/peerload/start_test.go
@@ -6,11 +6,11 @@
 	"github.com/shoenig/test"
 )
 
-// TestLoadsOfAnotherStart leaves out what peers have under way at, and saw fail of, another start
-// of an endpoint.
+// TestLoadsOfAnotherStart checks that loads and failures that peers report for another start of an
+// endpoint are left out.
 func TestLoadsOfAnotherStart(t *testing.T) {
 	table := NewTable()
-	tell := func(node string, born int64) {
+	receive := func(node string, born int64) {
 		f, m := memberOf(t, born, 1)
 		m.Load.Begin(10, 20)
 		for range 5 {
@@ -21,9 +21,9 @@
 		table.Take(d, now)
 	}
 	for _, node := range []string{"a", "b"} {
-		tell(node, 100)
+		receive(node, 100)
 	}
-	tell("c", 200)
+	receive("c", 200)
 	table.Take(digest("of another build", 1, 1, 1), now)
 	sums := table.Loads(now)
 	before, after := sums.Of("e", 100), sums.Of("e", 200)
--- a/internal/peerload/sum.go
+++ b/internal/peerload/sum.go
@@ -6,134 +6,138 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// startTags is the number of starts of an endpoint that messages tell apart: up to 3 digits for
-// each load, where the time itself has 13.
-const startTags = 997
+// startTagCount is the number of different start tags. A tag takes up to 3 digits in each load,
+// whereas the start time has 13.
+const startTagCount = 997
 
-// Start tells one start of an endpoint from the ones shortly before and after; 0 if not said.
-type Start int
+// StartTag distinguishes a start of an endpoint from those shortly before and after it; 0 means
+// unknown.
+type StartTag int
 
-// startOf returns the tag of a start, in Unix milliseconds; 0 where that is not said.
-func startOf(born int64) Start {
+// startTagOf returns the tag of a start time in Unix milliseconds; 0 if the time is unknown.
+func startTagOf(born int64) StartTag {
 	if born <= 0 {
 		return 0
 	}
-	return Start(1 + born%startTags)
+	return StartTag(1 + born%startTagCount)
 }
 
-// Sum is what all peers together tell of an endpoint.
+// Sum is the combined load that all peers report for an endpoint.
 type Sum struct {
 	Running, Reading, Holding int
 
-	failures  int // percent, added up
-	witnesses int // peers that tell of failures
+	failures  int // sum of the failure rates in percent
+	reporters int // number of peers that report failures
 }
 
-// FailureRate returns the share of failed attempts that several peers tell of, else 0.
+// FailureRate returns the mean of the reported failure rates, or 0 if too few peers report
+// failures.
 func (s Sum) FailureRate() float64 {
-	if s.witnesses < failureWitnesses {
+	if s.reporters < minReporters {
 		return 0
 	}
-	return float64(s.failures) / percent / float64(s.witnesses)
+	return float64(s.failures) / percent / float64(s.reporters)
 }
 
-// sumOf returns what one peer tells.
+// sumOf returns the sum for the load of one peer.
 func sumOf(l *Load) Sum {
 	s := Sum{Running: l.Running, Reading: l.Reading, Holding: l.Holding}
 	if l.Failures > 0 {
-		s.failures, s.witnesses = l.Failures, 1
+		s.failures, s.reporters = l.Failures, 1
 	}
 	return s
 }
 
-// plus returns both together.
+// plus returns s + o.
 func (s Sum) plus(o Sum) Sum {
 	return Sum{
 		Running: s.Running + o.Running, Reading: s.Reading + o.Reading, Holding: s.Holding + o.Holding,
-		failures: s.failures + o.failures, witnesses: s.witnesses + o.witnesses,
+		failures: s.failures + o.failures, reporters: s.reporters + o.reporters,
 	}
 }
 
-// minus returns s without o, which is part of it but for lost messages.
+// minus returns s - o. Lost messages can make o exceed s, in which case the result is 0.
 func (s Sum) minus(o Sum) Sum {
 	return Sum{
 		Running: max(s.Running-o.Running, 0), Reading: max(s.Reading-o.Reading, 0), Holding: max(s.Holding-o.Holding, 0),
-		failures: max(s.failures-o.failures, 0), witnesses: max(s.witnesses-o.witnesses, 0),
+		failures: max(s.failures-o.failures, 0), reporters: max(s.reporters-o.reporters, 0),
 	}
 }
 
-// loadKey stands for one start of an endpoint. Two of the same key would be taken for one,
-// which happens to one of 8,000 fleets of 1,000 endpoints.
+// loadKey identifies one start of an endpoint. Endpoints with equal keys would be counted as one,
+// which happens in one of 8,000 fleets of 1,000 endpoints.
 type loadKey uint32
 
-func keyOf(id string, start Start) loadKey {
-	const spread = 0x9E3779B9 // of the starts' small numbers over all keys
+func keyOf(id string, start StartTag) loadKey {
+	const spread = 0x9E3779B9 // distributes the small start tags over all keys
 	return loadKey(uint32(xxhash.Sum64String(id)) + uint32(start)*spread)
 }
 
-// Sums is what all peers together tell, by start of an endpoint.
+// Sums holds the combined load that all peers report, by endpoint and start.
 type Sums map[loadKey]Sum
 
-// Of returns what they tell of one start, in Unix milliseconds, of an endpoint. What doesn't say
-// of which it is counts for each.
+// Of returns the load at one start of an endpoint, given in Unix milliseconds. Reports without a
+// start count for each start.
 func (s Sums) Of(id string, born int64) Sum {
 	sum := s[keyOf(id, 0)]
 	if born == 0 {
 		return sum
 	}
-	return sum.plus(s[keyOf(id, startOf(born))])
+	return sum.plus(s[keyOf(id, startTagOf(born))])
 }
 
-// Loads returns the sums of what the peers tell, which is not to be changed: what a collector
-// tells where that covers more nodes than are heard directly, else what these tell themselves.
+// Loads returns the load that the peers report; the result must not be modified. It is based on a
+// collector's aggregate if that covers more nodes than send digests to this node directly, else on
+// these digests.
 func (t *Table) Loads(now time.Time) Sums {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c := t.collected(now); c != nil {
-		return c.load()
+	if c := t.bestAggregate(now); c != nil {
+		return c.loadSums()
 	}
-	sums, _ := t.heardDirectly(now)
-	outer, _ := t.outer(now)
+	sums, _ := t.directLoadsLocked(now)
+	outer, _ := t.domainLoadSums(now)
 	sums.merge(outer)
 	return sums
 }
 
-// direct returns the sums of what the peers tell themselves, and how many do.
-func (t *Table) direct(now time.Time) (sums Sums, nodes int) {
+// directLoads returns the sums of the peers' own digests, and the number of these peers.
+func (t *Table) directLoads(now time.Time) (sums Sums, nodes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.heardDirectly(now)
+	return t.directLoadsLocked(now)
 }
 
-func (t *Table) heardDirectly(now time.Time) (sums Sums, nodes int) {
+// directLoadsLocked is directLoads for callers that hold the lock.
+func (t *Table) directLoadsLocked(now time.Time) (sums Sums, nodes int) {
 	sums = make(Sums)
 	for _, p := range t.peers {
-		if now.Sub(p.at) <= Fresh {
+		if now.Sub(p.at) <= DigestLifetime {
 			nodes++
-			sums.take(p.digest.Loads, p.digest.Starts)
+			sums.add(p.digest.Loads, p.digest.Starts)
 		}
 	}
 	return sums, nodes
 }
 
-// take adds a peer's loads.
-func (s Sums) take(loads []Load, starts []Start) {
+// add adds the loads of a digest.
+func (s Sums) add(loads []Load, starts []StartTag) {
 	for i := range loads {
 		key := keyAt(loads, starts, i)
 		s[key] = s[key].plus(sumOf(&loads[i]))
 	}
 }
 
-// drop takes loads off that take has added.
-func (s Sums) drop(loads []Load, starts []Start) {
+// subtract subtracts loads that add has added.
+func (s Sums) subtract(loads []Load, starts []StartTag) {
 	for i := range loads {
 		key := keyAt(loads, starts, i)
 		s[key] = s[key].minus(sumOf(&loads[i]))
 	}
 }
 
-// keyAt returns the key of a digest's i-th load, which may not say of which start it is.
-func keyAt(loads []Load, starts []Start, i int) loadKey {
+// keyAt returns the key of the i-th load of a digest, which may lack start tags.
+func keyAt(loads []Load, starts []StartTag, i int) loadKey {
 	if i < len(starts) {
 		return keyOf(loads[i].Endpoint, starts[i])
 	}
--- a/internal/peerload/table.go
+++ b/internal/peerload/table.go
@@ -6,63 +6,64 @@
 )
 
 const (
-	// Fresh is how long a message is used: a few lost ones are bridged.
-	Fresh = 800 * time.Millisecond
-	// heardFor is how long a node counts as one of those that share a budget after
-	// its last message.
-	heardFor = 10 * time.Second
-	// failureWitnesses is the number of peers that must tell of an endpoint's failures
-	// before they count: one alone may have lost its own way there.
-	failureWitnesses = 2
+	// DigestLifetime is how long a digest is used. It tolerates the loss of a few messages.
+	DigestLifetime = 800 * time.Millisecond
+	// peerLifetime is how long a node counts as live, as one of those that share a budget, after
+	// its last digest.
+	peerLifetime = 10 * time.Second
+	// minReporters is the number of peers that must report an endpoint's failures or a holder's
+	// lateness before it counts: a single peer may have a network problem of its own.
+	minReporters = 2
 )
 
-// Table holds the newest digest of each peer. It is safe for concurrent use.
+// Table holds the latest digest of each peer. It is safe for concurrent use.
 type Table struct {
 	mu    sync.Mutex
-	peers map[string]heard
-	// domains holds the newest digest of each other failure domain, by its name.
-	domains map[string]heardDomain
-	// outers holds the newest load of each other failure domain, by its name.
-	outers map[string]heardOuter
-	most   int // the largest number of nodes seen at once
-	// own stands for this node's start, and ownDigests are its newest digests.
-	own        uint32
-	collects   bool // this node is a collector
-	ownDigests []*ownDigest
+	peers map[string]peerState
+	// domains holds the latest digest of each other failure domain, by its name.
+	domains map[string]domainState
+	// domainLoads holds the latest load of each other failure domain, by its name.
+	domainLoads map[string]domainLoad
+	maxPeers    int // the largest number of peers seen at once
+	// own identifies this node's start. ownDigests are its latest digests.
+	own         uint32
+	isCollector bool // this node is a collector
+	ownDigests  []*ownDigest
 }
 
-type heard struct {
-	digest    Digest
-	at        time.Time
-	names     map[string]promise // by model
-	collected *heardCollected    // nil where the peer is no collector
+type peerState struct {
+	digest     Digest
+	at         time.Time
+	watermarks map[string]versionWatermark // by model
+	aggregate  *receivedAggregate          // nil if the peer is no collector
 }
 
-// promise is the oldest version that a node names, since when at the latest.
-type promise struct {
+// versionWatermark is the oldest version that a node still names, and the time at which it was
+// first reported.
+type versionWatermark struct {
 	oldest int64
 	since  time.Time
 }
 
-// promises returns what a node promised before, with what its newest digest adds.
-func promises(before map[string]promise, named []Named, now time.Time) map[string]promise {
+// updateWatermarks applies the names in a node's latest digest to its watermarks, which only rise.
+func updateWatermarks(watermarks map[string]versionWatermark, named []Named, now time.Time) map[string]versionWatermark {
 	for _, n := range named {
-		if before == nil {
-			before = make(map[string]promise)
+		if watermarks == nil {
+			watermarks = make(map[string]versionWatermark)
 		}
-		if n.Oldest > before[n.Model].oldest {
-			before[n.Model] = promise{oldest: n.Oldest, since: now}
+		if n.Oldest > watermarks[n.Model].oldest {
+			watermarks[n.Model] = versionWatermark{oldest: n.Oldest, since: now}
 		}
 	}
-	return before
+	return watermarks
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{peers: make(map[string]heard), domains: make(map[string]heardDomain), outers: make(map[string]heardOuter)}
+	return &Table{peers: make(map[string]peerState), domains: make(map[string]domainState), domainLoads: make(map[string]domainLoad)}
 }
 
-// Take notes a digest. One that is older than what is known of the node is dropped.
+// Take records a digest. A digest older than the latest one of the node is dropped.
 func (t *Table) Take(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,21 +71,22 @@
 	if d.Incarnation < known.digest.Incarnation || d.Incarnation == known.digest.Incarnation && d.Seq <= known.digest.Seq {
 		return
 	}
-	collected := t.takeCollected(&d, now)
-	d.Collected = nil // what it says is kept there
-	t.peers[d.Node] = heard{digest: d, at: now, names: promises(known.names, d.Names, now), collected: collected}
-	// Only a new node can make them more. Messages come too often to count the nodes at each.
+	aggregate := t.receiveAggregate(&d, now)
+	d.Aggregate = nil // held in peerState.aggregate
+	t.peers[d.Node] = peerState{digest: d, at: now, watermarks: updateWatermarks(known.watermarks, d.Names, now), aggregate: aggregate}
+	// Only a digest of a new node can increase the count. Messages are too frequent to count the
+	// nodes at each one.
 	if !listed {
-		t.most = max(t.most, t.count(now))
+		t.maxPeers = max(t.maxPeers, t.countPeers(now))
 	}
 }
 
-// Late returns how much later than expected fetches from holders come, in ms, by their
-// addresses, where several peers tell so.
+// Late returns how much later than expected fetches complete, in ms, by the holder's address, for
+// holders that several peers report.
 func (t *Table) Late(now time.Time) map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.collected(now)
+	c := t.bestAggregate(now)
 	if c == nil {
 		return t.directLate(now)
 	}
@@ -95,21 +97,21 @@
 	return late
 }
 
-// directLate returns what Late does, by what the peers tell themselves.
+// directLate computes Late from the peers' own digests.
 func (t *Table) directLate(now time.Time) map[string]float64 {
 	sums := make(map[string]float64)
-	witnesses := make(map[string]int)
+	reporters := make(map[string]int)
 	for _, p := range t.peers {
-		if now.Sub(p.at) > Fresh {
+		if now.Sub(p.at) > DigestLifetime {
 			continue
 		}
 		for _, l := range p.digest.Late {
 			sums[l.Addr] += float64(l.MS)
-			witnesses[l.Addr]++
+			reporters[l.Addr]++
 		}
 	}
-	for addr, n := range witnesses {
-		if n < failureWitnesses {
+	for addr, n := range reporters {
+		if n < minReporters {
 			delete(sums, addr)
 			continue
 		}
@@ -118,35 +120,35 @@
 	return sums
 }
 
-// Closed returns the engines that peers have loaded now, and whether each refuses
-// all requests.
+// Closed returns the engines that peers currently keep closed to load weights. The value is true
+// for engines that accept no requests, false for those that accept short ones.
 func (t *Table) Closed(now time.Time) map[string]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	closed := make(closings)
+	closed := make(closedEngines)
 	for _, p := range t.peers {
-		closed.take(p.digest.Emptied, p.digest.Loading, p.digest.ForMs, now.Sub(p.at))
-		if p.collected == nil {
+		closed.add(p.digest.Emptied, p.digest.Loading, p.digest.ForMs, now.Sub(p.at))
+		if p.aggregate == nil {
 			continue
 		}
-		for i := range p.collected.orders {
-			o := &p.collected.orders[i]
-			closed.take(o.Emptied, o.Loading, o.ForMs, now.Sub(p.at))
+		for i := range p.aggregate.orders {
+			o := &p.aggregate.orders[i]
+			closed.add(o.Emptied, o.Loading, o.ForMs, now.Sub(p.at))
 		}
 	}
 	return closed
 }
 
-// closings are the engines that are closed, and whether each refuses all requests.
-type closings map[string]bool
+// closedEngines is the result of Closed.
+type closedEngines map[string]bool
 
-// take adds engines that a peer closed for some ms, so long ago.
-func (c closings) take(emptied, loading []string, forMs int64, ago time.Duration) {
-	if ago >= time.Duration(forMs)*time.Millisecond {
+// add adds the engines of a digest of the given age, unless it is older than forMs.
+func (c closedEngines) add(emptied, loading []string, forMs int64, age time.Duration) {
+	if age >= time.Duration(forMs)*time.Millisecond {
 		return
 	}
 	for _, id := range emptied {
-		loads := c[id] // false, unless another peer has it load
+		loads := c[id] // keeps true if another peer reports the engine as loading
 		c[id] = loads
 	}
 	for _, id := range loading {
@@ -154,13 +156,13 @@
 	}
 }
 
-// Unnamed returns since when all of the nodes have named only newer versions of a model at
-// stores, and false where one of them has not said so.
+// Unnamed returns the time since which all of the nodes have named only versions of a model newer
+// than the given one at stores, and false if one of them has not reported that.
 func (t *Table) Unnamed(model string, version int64, nodes []string) (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, node := range nodes {
-		p := t.peers[node].names[model]
+		p := t.peers[node].watermarks[model]
 		if p.oldest <= version {
 			return time.Time{}, false
 		}
@@ -171,21 +173,22 @@
 	return since, true
 }
 
-// Led reports whether a peer that holds the claim on orders was heard within a time, by this
-// node or by a collector.
+// Led reports whether this node or a collector received a digest from a holder of the claim to
+// give orders within the given time.
 func (t *Table) Led(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.digest.Leads && now.Sub(p.at) < within || p.collected.led(now, within) {
+		if p.digest.Leads && now.Sub(p.at) < within || p.aggregate.led(now, within) {
 			return true
 		}
 	}
 	return false
 }
 
-// led reports whether the collector heard the holder of the claim on orders within a time.
-func (c *heardCollected) led(now time.Time, within time.Duration) bool {
+// led reports whether the collector received a digest from a holder of the claim to give orders
+// within the given time.
+func (c *receivedAggregate) led(now time.Time, within time.Duration) bool {
 	if c == nil {
 		return false
 	}
@@ -198,7 +201,7 @@
 	return false
 }
 
-// Heard reports whether a node was heard within a time.
+// Heard reports whether a digest of the node arrived within the given time.
 func (t *Table) Heard(node string, now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,7 +209,7 @@
 	return known && now.Sub(p.at) < within
 }
 
-// HeardOf reports whether a speaker of another failure domain was heard within a time.
+// HeardOf reports whether a digest of the other failure domain arrived within the given time.
 func (t *Table) HeardOf(domain string, now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,7 +217,7 @@
 	return known && now.Sub(d.at) < within
 }
 
-// HearsAfar reports whether a speaker of any other failure domain was heard within a time.
+// HearsAfar reports whether a digest of any other failure domain arrived within the given time.
 func (t *Table) HearsAfar(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,14 +229,14 @@
 	return false
 }
 
-// Lately returns the number of nodes, this one included, that were heard lately.
+// Lately returns the number of live nodes, including this one.
 func (t *Table) Lately(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.count(now) + 1
+	return t.countPeers(now) + 1
 }
 
-// Hears reports whether any node was heard within a time.
+// Hears reports whether a digest of any node arrived within the given time.
 func (t *Table) Hears(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,19 +248,19 @@
 	return false
 }
 
-// Nodes returns the number of nodes, this one included, that are known to share
-// what is given out among nodes. It is the largest number ever seen: a node that is
-// cut off must not take the others' shares.
+// Nodes returns the number of nodes, including this one, among which shared budgets are divided.
+// It is the largest number ever seen, so that a node that is cut off doesn't take the others'
+// shares.
 func (t *Table) Nodes() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.most + 1
+	return t.maxPeers + 1
 }
 
-// count returns the number of peers heard of lately, and forgets others.
-func (t *Table) count(now time.Time) int {
+// countPeers returns the number of live peers, and discards the others.
+func (t *Table) countPeers(now time.Time) int {
 	for name, p := range t.peers {
-		if now.Sub(p.at) > heardFor {
+		if now.Sub(p.at) > peerLifetime {
 			delete(t.peers, name)
 		}
 	}
