--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,12 +1,10 @@
-// Package follow keeps a copy of a compacted topic current: it reads the newest
-// record of each key once and then what changes, and proves how current the copy
-// is.
+// Package follow maintains a local copy of a compacted topic: it reads the newest record of each
+// key once, then the changes, and determines how current the copy is.
 //
-// Guarantees: records reach the sink in the order of their offsets, each at least
-// once. ProvenAt is a time at which the copy was certainly current: it is taken
-// before a read is sent, never when its answer arrives, so that a delayed answer
-// or a frozen process can't make the copy seem fresher than it is. A record that can't
-// be read is passed over, and stops nothing.
+// Guarantees: records reach the sink in the order of their offsets, each at least once. ProvenAt
+// is a time at which the copy was certainly current. It is taken before a read is sent, never when
+// the response arrives, so that a delayed response or a frozen process can't make the copy seem
+// fresher than it is. A record that can't be decoded is skipped and doesn't stop the copy.
 package follow
 
 import (
@@ -20,177 +18,180 @@
 	"github.com/cherryward/cherryward/internal/clock"
 )
 
-// ErrCompacted is returned by Topic.Read where the records from the offset on are
-// no longer retained.
+// ErrCompacted is returned by Topic.Read if the records from the offset on are no longer retained.
 var ErrCompacted = errors.New("follow: the records were compacted")
 
-// ErrChanged is returned by a write that was to follow the newest record that its writer
-// knows, where the topic has newer ones. Nothing was written.
+// ErrChanged is returned by a conditional write if the topic has newer records than the newest one
+// known to the writer. Nothing was written.
 var ErrChanged = errors.New("follow: the topic has newer records")
 
-// Record is one record of a topic. A nil Value means that the key was removed.
+// Record is one record of a topic. A nil Value means that the key was deleted.
 type Record struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value,omitempty"`
 	Offset int64  `json:"offset"`
 }
 
-// Rejected is a record that can't be read. Of its Record the offset is set, and the key where
-// that can be read.
+// Rejected is a record that can't be decoded. Its offset is set, and its key if that could be
+// decoded.
 type Rejected struct {
 	Record
 	Err error
 }
 
-// Page is the answer to one read.
+// Page is the response to one read.
 type Page struct {
 	Records []Record
-	// Rejected are the records that were passed over, as they can't be read.
+	// Rejected are the records that were skipped because they can't be decoded.
 	Rejected []Rejected
-	Next     int64 // offset to read from next
-	// Age is how long before the read was sent the answer was current, at most: 0 where
-	// the topic itself was asked, more where another's copy was.
+	Next     int64 // offset of the next read
+	// Age is the maximum time between when the page was current and when the read was sent: 0 if
+	// the topic itself responded, more if another node's copy did.
 	Age time.Duration
 }
 
-// Topic is a compacted topic. Its calls may be repeated.
+// Topic is a compacted topic. Its calls are idempotent.
 type Topic interface {
 	// Newest returns the newest record of each key.
 	Newest(ctx context.Context) (Page, error)
-	// Read returns the records from an offset on, waiting up to wait for the
-	// first. It fails with ErrCompacted where they are no longer retained.
+	// Read returns the records from an offset on, waiting up to wait for the first one. It fails
+	// with ErrCompacted if they are no longer retained.
 	Read(ctx context.Context, from int64, wait time.Duration) (Page, error)
 }
 
-// Batch is what one read brought.
+// Batch is the result of one read.
 type Batch struct {
 	Records []Record
-	// Snapshot is true where Records are all keys that there are.
+	// Snapshot is true if Records holds all existing keys.
 	Snapshot bool
-	// ProvenAt is the time at which the copy was current.
+	// ProvenAt is a time at which the copy was certainly current.
 	ProvenAt time.Time
-	// Next is the offset after the newest record that the copy holds.
+	// Next is the offset after the newest record in the copy.
 	Next int64
-	// Gap is the time from the proof before, or from the start, to ProvenAt. Within it
-	// the topic may have been out of reach.
+	// Gap is the time from the previous ProvenAt, or from the start, to ProvenAt. The topic may
+	// have been unreachable during it.
 	Gap time.Duration
-	// Failed is true where a read failed since the proof before. Without it a long Gap is this
-	// process's own lateness.
+	// Failed is true if a read failed since the previous batch. If it is false, a long Gap is a
+	// delay of this process.
 	Failed bool
 }
 
-// Sink takes what was read. Its methods are called by one goroutine.
+// Sink receives the batches. Its methods are called by one goroutine.
 type Sink interface {
 	Apply(Batch)
 }
 
-// Follower follows one topic.
+// Follower maintains a copy of one topic.
 type Follower struct {
 	Name  string // in logs
 	Topic Topic
 	Sink  Sink
 	// Wait returns how long a read waits for a change. Nil means that reads don't wait.
 	Wait func() time.Duration
-	// Pause returns the time between the start of two reads, at least. Nil means none.
+	// Pause returns the minimum time between the starts of two reads. Nil means 0.
 	Pause func() time.Duration
-	// Retry is the time after a failed read. It doubles with each further one up to
-	// RetryMost, as reads of a store that is away cost as much as others.
+	// Retry is the pause after a failed read. It doubles with each consecutive failure up to the
+	// maximum, because a failed read costs as much as a successful one.
 	Retry, RetryMost time.Duration
-	// Reject takes the records that can't be read, each once. Nil means that nobody does.
+	// Reject receives the records that can't be decoded, each once. Nil means that they are
+	// discarded.
 	Reject func(r *Record, cause error)
-	// Clock dates what was read. Nil is the steady clock.
+	// Clock timestamps the reads. Nil is the monotonic clock.
 	Clock *clock.Clock
 	Log   zerolog.Logger
 
-	next    int64 // offset to read from, or unknown
-	proven  time.Time
-	failing bool
-	pause   time.Duration // after the newest failed read
-	// rejected is the offset up to which Reject took the records.
-	rejected int64
+	nextOffset int64 // offset of the next read, or unknownOffset
+	provenAt   time.Time
+	failing    bool
+	backoff    time.Duration // pause after the latest failed read
+	// rejectedUpTo is the offset after the newest record passed to Reject.
+	rejectedUpTo int64
 }
 
-// now returns what a setting is at present, which may change with the number of nodes.
-func now(setting func() time.Duration) time.Duration {
+// settingValue returns the current value of a setting, which may change with the number of nodes,
+// or 0 if it is nil.
+func settingValue(setting func() time.Duration) time.Duration {
 	if setting == nil {
 		return 0
 	}
 	return setting()
 }
 
-// unknown is the offset of a follower that has read nothing yet.
-const unknown = -1
+// unknownOffset is the offset of a follower that has not read a snapshot.
+const unknownOffset = -1
 
 // Run follows the topic until ctx is done.
 func (f *Follower) Run(ctx context.Context) error {
-	f.next = unknown
-	f.proven = f.Clock.Now()
+	f.nextOffset = unknownOffset
+	f.provenAt = f.Clock.Now()
 	for ctx.Err() == nil {
-		begun := f.Clock.Now()
-		pause := now(f.Pause)
-		if err := f.step(ctx, begun); err != nil && ctx.Err() == nil {
-			f.failed(err)
-			f.pause = min(max(2*f.pause, f.Retry), max(f.Retry, f.RetryMost))
-			pause = f.pause
+		started := f.Clock.Now()
+		pause := settingValue(f.Pause)
+		if err := f.readOnce(ctx, started); err != nil && ctx.Err() == nil {
+			f.recordFailure(err)
+			f.backoff = min(max(2*f.backoff, f.Retry), max(f.Retry, f.RetryMost))
+			pause = f.backoff
 		}
-		retry.Sleep(ctx, pause-f.Clock.Since(begun))
+		retry.Sleep(ctx, pause-f.Clock.Since(started))
 	}
 	return nil
 }
 
-// step reads once. begun is a time before the read is sent.
-func (f *Follower) step(ctx context.Context, begun time.Time) error {
-	snapshot := f.next == unknown
+// readOnce performs one read. started must be a time before the read is sent.
+func (f *Follower) readOnce(ctx context.Context, started time.Time) error {
+	snapshot := f.nextOffset == unknownOffset
 	var page Page
 	var err error
 	if snapshot {
 		page, err = f.Topic.Newest(ctx)
 	} else {
-		page, err = f.Topic.Read(ctx, f.next, now(f.Wait))
+		page, err = f.Topic.Read(ctx, f.nextOffset, settingValue(f.Wait))
 	}
 	if errors.Is(err, ErrCompacted) {
-		f.Log.Info().Str("event", "history_gone").Str("topic", f.Name).Int64("offset", f.next).Send()
-		f.next = unknown
-		return f.step(ctx, f.Clock.Now())
+		f.Log.Info().Str("event", "history_gone").Str("topic", f.Name).Int64("offset", f.nextOffset).Send()
+		f.nextOffset = unknownOffset
+		return f.readOnce(ctx, f.Clock.Now())
 	}
 	if err != nil {
 		return err
 	}
-	f.next = max(f.next, page.Next)
-	batch := Batch{Records: page.Records, Snapshot: snapshot, ProvenAt: begun.Add(-page.Age), Next: f.next}
-	batch.Gap = max(batch.ProvenAt.Sub(f.proven), 0)
+	f.nextOffset = max(f.nextOffset, page.Next)
+	batch := Batch{Records: page.Records, Snapshot: snapshot, ProvenAt: started.Add(-page.Age), Next: f.nextOffset}
+	batch.Gap = max(batch.ProvenAt.Sub(f.provenAt), 0)
 	batch.Failed = f.failing
-	f.succeeded(&batch)
-	f.reject(page.Rejected)
+	f.recordSuccess(&batch)
+	f.reportRejected(page.Rejected)
 	f.Sink.Apply(batch)
 	return nil
 }
 
-// reject tells of the records that were not told of yet: those that are not compacted are read
-// again with a snapshot.
-func (f *Follower) reject(list []Rejected) {
-	told := f.rejected
+// reportRejected passes the records to Reject that were not passed before. Records that are still
+// retained are read again with each snapshot.
+func (f *Follower) reportRejected(list []Rejected) {
+	limit := f.rejectedUpTo
 	for i := range list {
 		r := &list[i]
-		if r.Offset < told || f.Reject == nil {
+		if r.Offset < limit || f.Reject == nil {
 			continue
 		}
 		f.Reject(&r.Record, r.Err)
-		f.rejected = max(f.rejected, r.Offset+1)
+		f.rejectedUpTo = max(f.rejectedUpTo, r.Offset+1)
 	}
 }
 
-func (f *Follower) succeeded(b *Batch) {
-	f.pause = 0
+// recordSuccess ends the backoff and any outage, and keeps the batch's ProvenAt from decreasing.
+func (f *Follower) recordSuccess(b *Batch) {
+	f.backoff = 0
 	if f.failing {
 		f.failing = false
 		f.Log.Info().Str("event", "store_regained").Str("topic", f.Name).Dur("outage_ms", b.Gap).Send()
 	}
-	// A node that is asked after another may have an older copy.
-	b.ProvenAt = later(b.ProvenAt, f.proven)
-	f.proven = b.ProvenAt
+	// A read served by another node than the previous one may be based on an older copy.
+	b.ProvenAt = later(b.ProvenAt, f.provenAt)
+	f.provenAt = b.ProvenAt
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return b
@@ -198,7 +199,8 @@
 	return a
 }
 
-func (f *Follower) failed(err error) {
+// recordFailure logs the start of an outage.
+func (f *Follower) recordFailure(err error) {
 	if f.failing {
 		return
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -16,8 +16,8 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// topic answers after a delay from a script.
-type topic struct {
+// scriptedTopic is a topic that follows a script and responds after a delay.
+type scriptedTopic struct {
 	delay time.Duration
 
 	mu        sync.Mutex
@@ -27,15 +27,15 @@
 	failures  int // calls of Read that failed
 }
 
-// change changes the script.
-func (t *topic) change(fail, compacted bool) {
+// set sets whether reads fail and whether the history has been compacted.
+func (t *scriptedTopic) set(fail, compacted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fail, t.compacted = fail, compacted
 }
 
-// reads returns the number of calls of Newest.
-func (t *topic) reads() int {
+// snapshotReads returns the number of calls of Newest.
+func (t *scriptedTopic) snapshotReads() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.newest
@@ -43,7 +43,7 @@
 
 var errDown = errors.New("down")
 
-func (t *topic) Newest(context.Context) (follow.Page, error) {
+func (t *scriptedTopic) Newest(context.Context) (follow.Page, error) {
 	time.Sleep(t.delay)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +55,7 @@
 	return follow.Page{Records: []follow.Record{{Key: "k", Value: []byte("v")}}, Next: 7}, nil
 }
 
-func (t *topic) Read(_ context.Context, from int64, wait time.Duration) (follow.Page, error) {
+func (t *scriptedTopic) Read(_ context.Context, from int64, wait time.Duration) (follow.Page, error) {
 	t.mu.Lock()
 	fail, compacted := t.fail, t.compacted
 	if fail {
@@ -72,94 +72,95 @@
 	return follow.Page{Next: from}, nil
 }
 
-type sink struct {
-	mu    sync.Mutex
-	taken []follow.Batch
+type recordingSink struct {
+	mu       sync.Mutex
+	recorded []follow.Batch
 }
 
-func (s *sink) Apply(b follow.Batch) {
+func (s *recordingSink) Apply(b follow.Batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taken = append(s.taken, b)
+	s.recorded = append(s.recorded, b)
 }
 
-func (s *sink) batches() []follow.Batch {
+func (s *recordingSink) batches() []follow.Batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.taken)
+	return slices.Clone(s.recorded)
 }
 
 func last(batches []follow.Batch) follow.Batch { return batches[len(batches)-1] }
 
 const wait = time.Second
 
-func run(t *testing.T, topic *topic, play func(s *sink)) {
+func runFollower(t *testing.T, topic *scriptedTopic, script func(s *recordingSink)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &sink{}
+		s := &recordingSink{}
 		f := &follow.Follower{Name: "t", Topic: topic, Sink: s, Wait: func() time.Duration { return wait }, Retry: 100 * time.Millisecond, RetryMost: 800 * time.Millisecond, Log: zerolog.Nop()}
 		done := make(chan error, 1)
 		go func() { done <- f.Run(ctx) }()
-		play(s)
+		script(s)
 		cancel()
 		must.NoError(t, <-done)
 	})
 }
 
-// TestProofIsFromBeforeTheRead keeps a slow answer from making the copy fresher
-// than it is.
-func TestProofIsFromBeforeTheRead(t *testing.T) {
-	run(t, &topic{delay: 3 * time.Second}, func(s *sink) {
-		begun := time.Now()
+// TestProvenAtPrecedesRead checks that a slow response doesn't make the copy seem fresher than
+// it is.
+func TestProvenAtPrecedesRead(t *testing.T) {
+	runFollower(t, &scriptedTopic{delay: 3 * time.Second}, func(s *recordingSink) {
+		started := time.Now()
 		time.Sleep(10 * time.Second)
 		must.SliceNotEmpty(t, s.batches())
-		test.Eq(t, begun, s.batches()[0].ProvenAt)
+		test.Eq(t, started, s.batches()[0].ProvenAt)
 		must.Len(t, 2, s.batches())
-		test.Eq(t, begun.Add(3*time.Second), s.batches()[1].ProvenAt)
+		test.Eq(t, started.Add(3*time.Second), s.batches()[1].ProvenAt)
 	})
 }
 
-func TestCompactionReadsTheNewestAgain(t *testing.T) {
-	topic := &topic{}
-	run(t, topic, func(s *sink) {
+func TestCompactionTriggersSnapshot(t *testing.T) {
+	topic := &scriptedTopic{}
+	runFollower(t, topic, func(s *recordingSink) {
 		time.Sleep(1500 * time.Millisecond)
-		topic.change(false, true)
+		topic.set(false, true)
 		time.Sleep(2 * time.Second)
-		test.Eq(t, 2, topic.reads())
+		test.Eq(t, 2, topic.snapshotReads())
 		test.True(t, last(s.batches()).ProvenAt.After(s.batches()[0].ProvenAt))
 	})
 }
 
-// TestReadsSeldomWhileTheTopicIsAway doubles the pause after each failed read up to a bound,
-// within which a topic that is back is noticed, and begins anew after a good one.
-func TestReadsSeldomWhileTheTopicIsAway(t *testing.T) {
-	// offGrid keeps the outage from ending at the very instant of a retry, whose outcome
-	// would then depend on which goroutine runs first.
+// TestBackoffWhileTopicFails checks that the pause doubles after each failed read up to the
+// maximum, so that a recovered topic is noticed within that time, and that a successful read
+// resets it.
+func TestBackoffWhileTopicFails(t *testing.T) {
+	// offGrid keeps the outage from ending at the same instant as a retry, whose outcome would
+	// then depend on which goroutine runs first.
 	const offGrid = 50 * time.Millisecond
-	topic := &topic{}
-	run(t, topic, func(s *sink) {
+	topic := &scriptedTopic{}
+	runFollower(t, topic, func(s *recordingSink) {
 		time.Sleep(wait / 2)
 		for range 2 {
-			topic.change(true, false)
+			topic.set(true, false)
 			time.Sleep(10*time.Second + offGrid)
 			before := len(s.batches())
-			topic.change(false, false)
+			topic.set(false, false)
 			time.Sleep(wait + 800*time.Millisecond)
 			test.Greater(t, before, len(s.batches()))
 		}
 		test.GreaterEq(t, 2*12, topic.failures)
-		test.LessEq(t, 2*15, topic.failures, test.Sprint("some 100 with the shortest pause"))
+		test.LessEq(t, 2*15, topic.failures, test.Sprint("about 100 without backoff"))
 	})
 }
 
-func TestOutageIsToldOnce(t *testing.T) {
-	topic := &topic{}
-	run(t, topic, func(s *sink) {
+func TestOutageIsReportedOnce(t *testing.T) {
+	topic := &scriptedTopic{}
+	runFollower(t, topic, func(s *recordingSink) {
 		time.Sleep(500 * time.Millisecond)
-		topic.change(true, false)
+		topic.set(true, false)
 		time.Sleep(4 * time.Second)
-		topic.change(false, false)
+		topic.set(false, false)
 		time.Sleep(3 * time.Second)
 		var outages []time.Duration
 		for _, b := range s.batches() {
@@ -172,20 +173,20 @@
 	})
 }
 
-// rejecting brings a record that can't be read with each answer.
-type rejecting struct{ reads int64 }
+// rejectingTopic is a topic whose pages hold records that can't be decoded.
+type rejectingTopic struct{ reads int64 }
 
 var errUnreadable = errors.New("unreadable")
 
-func (r *rejecting) page() follow.Page {
+func (r *rejectingTopic) page() follow.Page {
 	old := follow.Rejected{Record: follow.Record{Key: "old", Offset: 3}, Err: errUnreadable}
 	newer := follow.Rejected{Record: follow.Record{Offset: 5 + r.reads}, Err: errUnreadable}
 	return follow.Page{Rejected: []follow.Rejected{newer, old}, Next: 6 + r.reads}
 }
 
-func (r *rejecting) Newest(context.Context) (follow.Page, error) { return r.page(), nil }
+func (r *rejectingTopic) Newest(context.Context) (follow.Page, error) { return r.page(), nil }
 
-func (r *rejecting) Read(context.Context, int64, time.Duration) (follow.Page, error) {
+func (r *rejectingTopic) Read(context.Context, int64, time.Duration) (follow.Page, error) {
 	r.reads++
 	if r.reads%2 == 0 {
 		return follow.Page{}, follow.ErrCompacted
@@ -193,15 +194,16 @@
 	return r.page(), nil
 }
 
-// TestRejectedRecords tells of each record that can't be read once, and goes on.
+// TestRejectedRecords checks that each record that can't be decoded is passed to Reject once, and
+// that the follower continues.
 func TestRejectedRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		told := make(map[int64]int)
+		calls := make(map[int64]int)
 		f := &follow.Follower{
-			Topic: &rejecting{}, Sink: &sink{}, Pause: func() time.Duration { return time.Second }, Log: zerolog.Nop(),
+			Topic: &rejectingTopic{}, Sink: &recordingSink{}, Pause: func() time.Duration { return time.Second }, Log: zerolog.Nop(),
 			Reject: func(r *follow.Record, cause error) {
-				told[r.Offset]++
+				calls[r.Offset]++
 				test.ErrorIs(t, cause, errUnreadable)
 			},
 		}
@@ -209,6 +211,6 @@
 		time.Sleep(4*time.Second + time.Millisecond)
 		cancel()
 		synctest.Wait()
-		test.Eq(t, map[int64]int{3: 1, 5: 1, 6: 1, 7: 1, 8: 1, 9: 1}, told)
+		test.Eq(t, map[int64]int{3: 1, 5: 1, 6: 1, 7: 1, 8: 1, 9: 1}, calls)
 	})
 }
--- a/internal/follow/suspended_test.go
+++ b/internal/follow/suspended_test.go
@@ -14,39 +14,39 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// sleepyTopic has the host suspended while the first read waits for its answer.
-type sleepyTopic struct {
+// suspendingTopic suspends the host while the first read is pending.
+type suspendingTopic struct {
 	host *clocktest.Host
 	once sync.Once
 	d    time.Duration
 }
 
-func (s *sleepyTopic) Newest(context.Context) (follow.Page, error) {
+func (s *suspendingTopic) Newest(context.Context) (follow.Page, error) {
 	return follow.Page{Next: 1}, nil
 }
 
-func (s *sleepyTopic) Read(_ context.Context, from int64, _ time.Duration) (follow.Page, error) {
+func (s *suspendingTopic) Read(_ context.Context, from int64, _ time.Duration) (follow.Page, error) {
 	time.Sleep(time.Second)
 	s.once.Do(func() { s.host.Suspend(s.d) })
 	return follow.Page{Next: from}, nil
 }
 
-// ages notes how old each batch's proof was when it came.
-type ages struct {
+// ageSink is a sink that records the age of each batch's ProvenAt on arrival.
+type ageSink struct {
 	host *clocktest.Host
 	list []time.Duration
 }
 
-func (a *ages) Apply(b follow.Batch) { a.list = append(a.list, a.host.Since(b.ProvenAt)) }
+func (a *ageSink) Apply(b follow.Batch) { a.list = append(a.list, a.host.Since(b.ProvenAt)) }
 
-// TestReadDuringASuspension: an answer that waited in the host's buffers proves what was current when
-// the read was sent, before the suspension.
-func TestReadDuringASuspension(t *testing.T) {
+// TestReadDuringSuspension checks that a response that was buffered while the host was suspended
+// counts as current when the read was sent, before the suspension.
+func TestReadDuringSuspension(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			host := clocktest.New()
-			got := &ages{host: host}
-			f := &follow.Follower{Topic: &sleepyTopic{host: host, d: d}, Sink: got, Clock: host.Clock, Log: zerolog.Nop()}
+			got := &ageSink{host: host}
+			f := &follow.Follower{Topic: &suspendingTopic{host: host, d: d}, Sink: got, Clock: host.Clock, Log: zerolog.Nop()}
 			ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 			defer cancel()
 			_ = f.Run(ctx) // it returns nil
