--- a/internal/forward/alloc_test.go
+++ b/internal/forward/alloc_test.go
@@ -8,26 +8,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// discard is a response that keeps nothing.
-type discard struct{ header http.Header }
+// discardResponse is an http.ResponseWriter that drops the body.
+type discardResponse struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      {}
+func (d *discardResponse) Header() http.Header         { return d.header }
+func (d *discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardResponse) WriteHeader(int)             {}
+func (d *discardResponse) Flush()                      {}
 
-// Bounds on allocations, counted over a request with its share of the stand-in
-// server's, which runs in the same process.
+// Bounds on the allocations of one request. They include those of the stub model server, which runs
+// in the same process.
 const (
 	maxPlainAllocs  = 150
 	maxStreamAllocs = 170
 )
 
-// TestAllocations bounds what a forwarded request allocates.
+// TestAllocations bounds the number of allocations per forwarded request.
 func TestAllocations(t *testing.T) {
 	tests := []struct {
 		path, model string
-		most        float64
+		maxAllocs   float64
 	}{
 		{recordPath, "", maxPlainAllocs},
 		{streamPath, model, maxStreamAllocs},
@@ -40,9 +40,9 @@
 			r.Header.Set("Authorization", "Bearer "+key)
 			r.Header.Set("X-Attempt-Id", "r1")
 			r.Header.Set("X-Deadline-Ms", "4000")
-			w.front.Config.Handler.ServeHTTP(&discard{header: make(http.Header)}, r)
+			w.front.Config.Handler.ServeHTTP(&discardResponse{header: make(http.Header)}, r)
 		})
-		t.Logf("%s: %.0f allocations a request", tc.path, got)
-		must.LessEq(t, tc.most, got)
+		t.Logf("%s: %.0f allocations per request", tc.path, got)
+		must.LessEq(t, tc.maxAllocs, got)
 	}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -13,72 +13,75 @@
 )
 
 const (
-	// maxSends bounds the sends of one request that reach an endpoint, refused ones included: beyond
-	// a few refusals the whole service is full, and the caller should know.
+	// maxSends bounds the sends of one request that reach an endpoint, including refused ones.
+	// After a few refusals the service is taken to be at capacity, and the caller is told so.
 	maxSends = 3
-	// maxUnreached bounds those that find no connection. Each has its endpoint avoided, and where
-	// many end at once the next one may be among them, too.
-	maxUnreached = 4
-	// refusedPause keeps other requests from an endpoint that refused one: about
-	// the time in which one of its requests ends.
-	refusedPause = 50 * time.Millisecond
+	// maxUnreachableSends bounds the sends of one request that fail to connect. Each failure makes
+	// its endpoint avoided, but when many endpoints end at the same time, the next one selected may
+	// have ended, too.
+	maxUnreachableSends = 4
+	// refusalBackoff is the time for which an endpoint that refused a request receives no others:
+	// about the time until one of its running requests ends.
+	refusalBackoff = 50 * time.Millisecond
 )
 
-// errWithdrawn is the cause of attempts that had not begun when their endpoint's weights got too old.
-var errWithdrawn = errors.New("withdrawn: not begun before the endpoint's weights got too old")
+// errWithdrawn is the cause of attempts that were canceled because the endpoint had not begun them
+// before its weights became too old.
+var errWithdrawn = errors.New("attempt withdrawn: endpoint had not begun before its weights became too old")
 
-// verdict is what one attempt came to.
+// verdict is the result of one attempt.
 type verdict int
 
 const (
-	delivered verdict = iota // the caller has the answer
-	notRun                   // the endpoint did not run it, and never will
-	failed                   // it may have run
-	answered                 // the caller has the endpoint's own error
-	cut                      // a stream broke off after its first event
+	delivered      verdict = iota // the answer was delivered to the caller
+	notRun                        // the endpoint did not run the request and will not run it
+	mayHaveRun                    // the endpoint may have run the request; nothing was delivered
+	errorDelivered                // the endpoint's own error was delivered to the caller
+	streamBroken                  // the answer broke off after part of it was delivered
 )
 
 // String implements fmt.Stringer.
 func (v verdict) String() string {
-	return [...]string{delivered: "delivered", notRun: "not_run", failed: "may_have_run", answered: "answered", cut: "cut"}[v]
+	return [...]string{delivered: "delivered", notRun: "not_run", mayHaveRun: "may_have_run", errorDelivered: "answered", streamBroken: "cut"}[v]
 }
 
-// forward sends the request until it is answered, or may not be sent again.
+// forward sends the request until it is answered or may not be sent again. It returns nil if an
+// endpoint's answer was delivered.
 func (x *exchange) forward() *result.Error {
-	ctx, cancel := x.contextOf()
+	ctx, cancel := x.deadlineContext()
 	defer cancel()
-	budget := x.Budgets.Of(x.service.Name)
-	budget.Request(x.Clock.Now())
+	budget := x.Budgets.ForService(x.service.Name)
+	budget.RecordRequest(x.Clock.Now())
 	query := &Query{Route: x.route, Service: x.service, Account: x.account, Attributes: &x.attrs, Age: x.age}
 	runs := 0
 	for {
-		if held := x.held(); held != nil {
-			return x.giveUp(ctx, runs, held)
+		if refusal := x.quarantineRefusal(); refusal != nil {
+			return x.refusalOrFailure(ctx, runs, refusal)
 		}
 		placement, ok := x.place(ctx, query)
-		x.placed = &placement
+		x.placement = &placement
 		if !ok {
-			return x.giveUp(ctx, runs, declined(&placement))
+			return x.refusalOrFailure(ctx, runs, placementRefusal(&placement))
 		}
-		if x.timeOver(ctx) {
-			return x.giveUp(ctx, runs, result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryElsewhere)))
+		if x.expired(ctx) {
+			return x.refusalOrFailure(ctx, runs, result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryAfterOtherNode)))
 		}
 		x.outcome.Attempts++
 		v := x.attempt(ctx, query, &placement)
-		x.judge(&placement, v)
-		x.assess(ctx, &placement, v)
+		x.updateHealth(&placement, v)
+		x.updateQuarantine(ctx, &placement, v)
 		if v == delivered {
 			return nil
 		}
-		if (v == notRun || v == failed) && placement.Failed != nil {
+		if (v == notRun || v == mayHaveRun) && placement.Failed != nil {
 			placement.Failed()
 		}
 		query.Tried = append(query.Tried, placement.Member.ID)
 		if v != notRun {
 			runs++
 		}
-		x.sends.note(v == notRun && x.unreachable())
-		if x.timeOver(ctx) || !x.mayRepeat(v, runs) || !x.sends.pay(budget, x.Clock.Now()) {
+		x.sends.record(v == notRun && x.unreachable())
+		if x.expired(ctx) || !x.mayRetry(v, runs) || !x.sends.takeFromBudget(budget, x.Clock.Now()) {
 			return x.conclude(ctx, v, runs)
 		}
 		x.Log.Info().Str("event", "sent_again").Str("id", x.attrs.ID).Str("endpoint", placement.Member.ID).
@@ -87,116 +90,118 @@
 	}
 }
 
-// mayRepeat reports whether the request may be sent to another endpoint. A caller that has an
-// endpoint's whole answer gets nothing more: a second one behind it would read as its end.
-func (x *exchange) mayRepeat(v verdict, runs int) bool {
-	if x.unread || x.sends.over() || runs >= x.route.MaxAttempts {
+// mayRetry reports whether the request may be sent to another endpoint. It may not once a complete
+// answer was delivered: the caller would read a second answer as part of the first.
+func (x *exchange) mayRetry(v verdict, runs int) bool {
+	if x.callerGone || x.sends.exhausted() || runs >= x.route.MaxAttempts {
 		return false
 	}
 	switch v {
-	case delivered, answered:
+	case delivered, errorDelivered:
 		return false
 	case notRun:
 		return true
-	case cut:
-		return x.route.Resumable && !x.at.unnamed
+	case streamBroken:
+		return x.route.Resumable && !x.position.endsWithoutID
 	default:
-		return x.repeatable()
+		return x.retryable()
 	}
 }
 
-// repeatable reports whether a request that may have run, and of whose answer the caller has
-// nothing, may be sent again.
-func (x *exchange) repeatable() bool {
+// retryable reports whether the request may be sent again when an endpoint may have run it and
+// nothing of its answer was delivered.
+func (x *exchange) retryable() bool {
 	return x.route.Repeatable() || x.route.Kind == routing.Stream && x.route.Resumable
 }
 
-// judge tells the endpoint's health what happened.
-func (x *exchange) judge(p *Placement, v verdict) {
-	if x.unread || x.r.Context().Err() != nil || errors.Is(x.cause, errWithdrawn) {
-		return // the caller left, or this node withdrew it, which says nothing of the endpoint
+// updateHealth updates the endpoint's health with the verdict on an attempt.
+func (x *exchange) updateHealth(p *Placement, v verdict) {
+	if x.callerGone || x.r.Context().Err() != nil || errors.Is(x.cause, errWithdrawn) {
+		return // the caller left or this node withdrew the attempt: neither depends on the endpoint's health
 	}
 	now := x.Clock.Now()
 	health := &p.Member.Health
-	ended := v == notRun && (x.replaced || x.refused())
+	endpointEnded := v == notRun && (x.endpointReplaced || x.refused())
 	unreachable := v == notRun && x.unreachable()
-	if ended {
+	if endpointEnded {
 		p.Member.Ends(now)
 	}
 	switch {
 	case v == delivered:
 		health.Succeeded(now)
-	case v == notRun && !unreachable && !ended:
-		health.Refused(now, refusedPause)
+	case v == notRun && !unreachable && !endpointEnded:
+		health.Refused(now, refusalBackoff)
 	case health.Failed(now, unreachable):
 		x.Log.Warn().Str("event", "endpoint_avoided").Str("endpoint", p.Member.ID).Str("id", x.attrs.ID).
 			Float64("failure_rate", health.FailureRate(now)).AnErr("cause", x.cause).Send()
 	}
 }
 
-// unreachable reports whether the newest attempt found no connection.
+// unreachable reports whether the latest attempt failed to connect.
 func (x *exchange) unreachable() bool {
 	var failure *upstream.Error
 	return errors.As(x.cause, &failure) && failure.NotRun()
 }
 
-// refused reports whether nothing listened where the newest attempt was sent.
+// refused reports whether the latest attempt's connection was refused, so that nothing listens at
+// the address.
 func (x *exchange) refused() bool {
 	var failure *upstream.Error
 	return errors.As(x.cause, &failure) && failure.Refused()
 }
 
-// conclude returns the error for a request that is not sent again. An endpoint's
-// own error has been delivered already.
+// conclude returns the error for a request that is not sent again, or nil if an endpoint's own
+// error was delivered already.
 func (x *exchange) conclude(ctx context.Context, v verdict, runs int) *result.Error {
-	if v == answered {
+	if v == errorDelivered {
 		return nil
 	}
-	return x.giveUp(ctx, runs, result.New(result.Overloaded, result.WithRetryAfter(retryNoEndpoint)))
+	return x.refusalOrFailure(ctx, runs, result.New(result.Overloaded, result.WithRetryAfter(retryAfterNoEndpoint)))
 }
 
-// giveUp returns unrun where the request has not run, and else an error that
-// promises nothing.
-func (x *exchange) giveUp(ctx context.Context, runs int, unrun *result.Error) *result.Error {
+// refusalOrFailure returns notRunErr if no endpoint ran the request, and otherwise an error that
+// does not promise that it has not run. A departed caller or an expired deadline takes precedence.
+func (x *exchange) refusalOrFailure(ctx context.Context, runs int, notRunErr *result.Error) *result.Error {
 	switch {
-	case x.unread, x.r.Context().Err() != nil:
+	case x.callerGone, x.r.Context().Err() != nil:
 		return result.New(result.CallerGone)
-	case runs == 0 && x.timeOver(ctx):
-		return result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryElsewhere))
+	case runs == 0 && x.expired(ctx):
+		return result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryAfterOtherNode))
 	case runs == 0:
-		return unrun
-	case x.timeOver(ctx):
+		return notRunErr
+	case x.expired(ctx):
 		return result.New(result.DeadlinePassed)
 	}
 	return result.New(result.EndpointBrokeOff, result.WithRunState(result.MayHaveRun))
 }
 
-// attempt sends the request once. The cause is this attempt's afterwards, nil where it delivered.
+// attempt sends the request once and returns the verdict. Afterwards x.cause is the reason this
+// attempt failed, or nil if its answer was delivered.
 func (x *exchange) attempt(ctx context.Context, q *Query, p *Placement) verdict {
-	x.cause, x.lost, x.replaced = nil, false, false
+	x.cause, x.connectionLost, x.endpointReplaced = nil, false, false
 	p.Attempt.Remaining = x.Clock.Until(x.deadline())
 	p.Attempt.ResumeAfter = x.attrs.ResumeAfter
 	load := p.Member.Load
 	load.Begin(p.Reading, p.Holding)
 	defer load.End(p.Holding)
-	reading := true
-	// How long an endpoint takes is measured by the steady clock, as this host's suspension is no
+	prefilling := true
+	// The duration is measured by the monotonic clock: a suspension of this host must not count as
 	// slowness of the endpoint.
-	begun, sent := time.Now(), x.Clock.Now()
-	ctx, began := withdrawUnbegun(ctx, x.steady(p.BeginBy))
-	read := func() {
-		if reading {
-			reading = false
+	started, sent := time.Now(), x.Clock.Now()
+	ctx, markBegun := withdrawUnlessBegun(ctx, x.monotonicTime(p.BeginBy))
+	prefillDone := func() {
+		if prefilling {
+			prefilling = false
 			load.FirstEvent(p.Reading)
-			began()
+			markBegun()
 		}
 	}
-	defer read()
+	defer prefillDone()
 	first := func() {
-		if reading && p.Began != nil {
-			p.Began(time.Since(begun))
+		if prefilling && p.Began != nil {
+			p.Began(time.Since(started))
 		}
-		read()
+		prefillDone()
 	}
 	answer, err := p.Member.Pool.Do(ctx, x.request(&p.Attempt), x.isOwn)
 	if err != nil {
@@ -204,29 +209,30 @@
 	}
 	info := x.Dialect.ReadAnswer(answer.Header)
 	if !info.Events {
-		began() // only its end, which may be far, is told to first
+		markBegun() // the first event of a plain answer is its end, which may be far away
 	}
-	x.noteVersion(answer.StatusCode, &info, p, sent)
-	x.noteSignals(answer.StatusCode, &info, p.Member, sent)
+	x.recordVersion(answer.StatusCode, &info, p, sent)
+	x.recordSignals(answer.StatusCode, &info, p.Member, sent)
 	misdirected := answer.StatusCode == http.StatusMisdirectedRequest
-	x.replaced = misdirected && info.Instance != "" && info.Instance != p.Member.ID
-	if !misdirected { // another endpoint may have said it
+	x.endpointReplaced = misdirected && info.Instance != "" && info.Instance != p.Member.ID
+	if !misdirected { // a misdirected answer may come from another endpoint
 		p.Member.Answered(x.Clock.Now(), x.service.ColdStart)
 	}
 	v := x.deliver(answer, &info, first)
-	if v == failed && errors.Is(context.Cause(ctx), errWithdrawn) {
+	if v == mayHaveRun && errors.Is(context.Cause(ctx), errWithdrawn) {
 		x.cause = errWithdrawn
 	}
 	if v == delivered && p.Ended != nil {
-		p.Ended(time.Since(begun))
+		p.Ended(time.Since(started))
 	}
 	return v
 }
 
-// withdrawUnbegun returns a context that ends at a time, unless began is called before. Zero
-// means that it doesn't. It guards against engines that turned slow and begin with prompts on
-// replaced weights seconds after the placement, past the operators' bound.
-func withdrawUnbegun(ctx context.Context, at time.Time) (_ context.Context, began func()) {
+// withdrawUnlessBegun returns a context that is canceled with errWithdrawn at the given time unless
+// markBegun is called first. A zero time sets no limit. It guards against engines that have become
+// slow and begin a prompt on replaced weights seconds after the placement, past the operators'
+// limit.
+func withdrawUnlessBegun(ctx context.Context, at time.Time) (_ context.Context, markBegun func()) {
 	if at.IsZero() {
 		return ctx, func() {}
 	}
@@ -235,15 +241,15 @@
 	return ctx, func() { timer.Stop() }
 }
 
-// noteVersion learns the weights of the endpoint from its answer to a request that was sent at
-// a time.
-func (x *exchange) noteVersion(status int, info *AnswerInfo, p *Placement, sent time.Time) {
+// recordVersion records the weight version that the endpoint stated in its answer. sent is the time
+// at which the request was sent.
+func (x *exchange) recordVersion(status int, info *AnswerInfo, p *Placement, sent time.Time) {
 	model := x.attrs.Model
 	switch {
 	case info.Version > 0:
 		p.Member.Saw(fleet.Statement{Weights: fleet.Weights{Model: model, Version: info.Version}, At: sent})
 	case status == http.StatusMisdirectedRequest && p.Attempt.Version > 0 && (info.Instance == "" || info.Instance == p.Member.ID):
-		// It is the right endpoint, so its weights are other than believed.
+		// The right endpoint answered, so its weights differ from those recorded for it.
 		p.Member.Refuted(model, p.Attempt.Version, x.Clock.Now())
 	}
 }
@@ -256,25 +262,25 @@
 	case errors.Is(context.Cause(ctx), errWithdrawn):
 		x.cause = errWithdrawn
 	default:
-		x.lose(err)
+		x.recordLoss(err)
 	}
-	return failed
+	return mayHaveRun
 }
 
-// isOwn reports whether an answer belongs to this request. Refusals may name none.
+// isOwn reports whether an answer belongs to this request. Refusals may state no request id.
 func (x *exchange) isOwn(h http.Header) bool {
 	info := x.Dialect.ReadAnswer(h)
 	return info.ID == x.attrs.ID || info.ID == "" && !info.Sealed
 }
 
-// request returns the request as it goes to an endpoint.
+// request returns the request to send to an endpoint for one attempt.
 func (x *exchange) request(a *Attempt) *upstream.Request {
 	header := x.r.Header.Clone()
 	removeHopByHop(header)
 	header.Del("Content-Length")
 	header.Del("Expect")
 	if x.route.Kind == routing.Stream {
-		header.Del("Accept-Encoding") // events of an encoded stream can't be told apart
+		header.Del("Accept-Encoding") // event boundaries can't be found in an encoded stream
 	}
 	x.Dialect.StripRequest(header)
 	x.Dialect.SetAttempt(header, a)
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// budgetShare is the part of the operators' retry budget that nodes use; the
-	// rest is for what is counted otherwise at the edges of a window.
+	// budgetShare is the part of the operators' retry budget that nodes use. The rest covers
+	// requests and retries that are counted in different windows at a window boundary.
 	budgetShare = 0.8
-	// fewestNodes divides the fixed part of the budget among at least so many
-	// nodes, since some may not have been heard of.
-	fewestNodes = 8
-	// firstRepeats is what a new budget begins with, so that a node's first requests
-	// survive a refusal. It is small, as a node may start again within a window.
-	firstRepeats = 2
-	// unheldReserve is what a node saves up that the others may not count: one repeat, so
-	// that what its own requests earn can be used.
-	unheldReserve = 1
+	// minNodes is the smallest number of nodes among which the fixed part of the budget is divided,
+	// as some nodes may not be known yet.
+	minNodes = 8
+	// initialRetries is the initial balance of a new budget, so that a node's first requests can be
+	// retried after a refusal. It is small because a node may restart within a window.
+	initialRetries = 2
+	// uncountedReserve is the maximum balance of a node that the others may not count: one retry,
+	// so that what its own requests earn can be used.
+	uncountedReserve = 1
 )
 
-// Budgets bounds how often this node sends requests again, service by service.
+// Budgets limits the retries of this node, for each service.
 //
-// Guarantee: in any window, the repeats of all nodes together are at most the
-// operators' ratio of the requests plus their slack, as long as there are no more
-// nodes than each has heard of, or fewestNodes. Nodes whose share others may have taken
-// add one repeat each, for which the part beyond budgetShare has room.
+// Guarantee: in any window, the retries of all nodes together are at most the operators' ratio of
+// the requests plus their slack, provided that there are no more nodes than each node knows of, or
+// than minNodes. Nodes whose share may also be used by others add one retry each, which the part
+// beyond budgetShare covers.
 type Budgets struct {
-	// Held reports whether the other nodes count this one; nil means always. A node that
-	// they may not count has no share of the fixed part, as others have it.
+	// Held reports whether the other nodes count this node; nil means always. A node that they may
+	// not count has no share of the fixed part, since the others divide all of it.
 	Held func() bool
-	// Clock dates what a budget earns. Nil is the steady clock.
+	// Clock times the deposits of the budgets. Nil means the monotonic clock.
 	Clock *clock.Clock
 
 	bounds bootstrap.Bounds
 	nodes  func() int
 
 	mu       sync.Mutex
-	reserve  float64 // that the present budgets have
+	reserve  float64 // of the existing budgets
 	services map[string]*Budget
 }
 
-// NewBudgets returns budgets within the operators' bounds, of which this node has
-// its share. nodes returns the number of nodes.
+// NewBudgets returns budgets with this node's share of the operators' bounds. nodes returns the
+// current number of nodes.
 func NewBudgets(b bootstrap.Bounds, nodes func() int) *Budgets {
 	return &Budgets{bounds: b, nodes: nodes, services: make(map[string]*Budget)}
 }
 
-// Of returns the budget of a service. When the number of nodes changes, all budgets get
-// another share; what they saved beyond a smaller one is lost.
-func (b *Budgets) Of(service string) *Budget {
+// ForService returns the budget of a service. When the number of nodes changes, the share of all
+// budgets is adjusted; a balance above a smaller share is lost.
+func (b *Budgets) ForService(service string) *Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if reserve := b.share(); reserve != b.reserve {
+	if reserve := b.reserveShare(); reserve != b.reserve {
 		b.reserve = reserve
 		for _, budget := range b.services {
 			budget.tokens.SetReserve(reserve)
@@ -70,11 +70,11 @@
 	return budget
 }
 
-// share returns the repeats that this node may save up for a service.
-func (b *Budgets) share() float64 {
-	share := b.bounds.RetrySlack * budgetShare / float64(max(b.nodes(), fewestNodes))
+// reserveShare returns the maximum balance of this node's budget for a service, in retries.
+func (b *Budgets) reserveShare() float64 {
+	share := b.bounds.RetrySlack * budgetShare / float64(max(b.nodes(), minNodes))
 	if b.Held != nil && !b.Held() {
-		return min(share, unheldReserve)
+		return min(share, uncountedReserve)
 	}
 	return share
 }
@@ -85,17 +85,17 @@
 	if config.Ratio <= 0 {
 		return budget
 	}
-	for range int(firstRepeats / config.Ratio) {
-		budget.Request(b.Clock.Now())
+	for range int(initialRetries / config.Ratio) {
+		budget.RecordRequest(b.Clock.Now())
 	}
 	return budget
 }
 
-// Budget is a node's share of one service's repeats.
+// Budget is this node's retry budget for one service.
 type Budget struct{ tokens *retry.Budget }
 
-// Request counts a request of a caller, which earns a part of a repeat.
-func (b *Budget) Request(now time.Time) { b.tokens.Deposit(now) }
+// RecordRequest records a request of a caller, which earns a fraction of a retry.
+func (b *Budget) RecordRequest(now time.Time) { b.tokens.Deposit(now) }
 
-// Repeat takes one repeat, and reports false where there is none left.
-func (b *Budget) Repeat(now time.Time) bool { return b.tokens.Withdraw(now) }
+// WithdrawRetry withdraws one retry. It reports false if the balance is too low.
+func (b *Budget) WithdrawRetry(now time.Time) bool { return b.tokens.Withdraw(now) }
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -10,8 +10,8 @@
 	"github.com/cherryward/cherryward/internal/forward"
 )
 
-// TestBudgetsOfAllNodes stay within the operators' bound together, whatever a window
-// begins with.
+// TestBudgetsOfAllNodes checks that the retries of all nodes together stay within the operators'
+// bound, also when every budget is full at the start of the window.
 func TestBudgetsOfAllNodes(t *testing.T) {
 	const (
 		nodes    = 20
@@ -21,13 +21,13 @@
 	now := time.Now()
 	repeats := 0
 	for range nodes {
-		budget := forward.NewBudgets(bounds, func() int { return nodes }).Of("s")
-		for range 10 * requests { // before the window: the reserve fills
-			budget.Request(now)
+		budget := forward.NewBudgets(bounds, func() int { return nodes }).ForService("s")
+		for range 10 * requests { // before the window: fill the reserve
+			budget.RecordRequest(now)
 		}
 		for range requests {
-			budget.Request(now)
-			for budget.Repeat(now) {
+			budget.RecordRequest(now)
+			for budget.WithdrawRetry(now) {
 				repeats++
 			}
 		}
@@ -36,43 +36,44 @@
 	test.Greater(t, 0, repeats)
 }
 
-// repeatsOf returns how many repeats a budget gives for one request.
-func repeatsOf(budget *forward.Budget, now time.Time) int {
+// retriesAfterRequest records one request and returns the number of retries that the budget then
+// allows.
+func retriesAfterRequest(budget *forward.Budget, now time.Time) int {
 	repeats := 0
-	budget.Request(now)
-	for budget.Repeat(now) {
+	budget.RecordRequest(now)
+	for budget.WithdrawRetry(now) {
 		repeats++
 	}
 	return repeats
 }
 
-// fill has requests earn as many repeats as a budget can save up.
+// fill records enough requests to reach the maximum balance.
 func fill(budget *forward.Budget, now time.Time) {
 	for range 1000 {
-		budget.Request(now)
+		budget.RecordRequest(now)
 	}
 }
 
-// TestShareFollowsNodes gives a node a larger share once there are fewer, without repeats
-// that it has not earned, and a smaller one at once when there are more.
+// TestShareFollowsNodes checks that a node's share grows when there are fewer nodes, without
+// granting retries that it has not earned, and shrinks at once when there are more.
 func TestShareFollowsNodes(t *testing.T) {
 	nodes := 40
 	now := time.Now()
 	budgets := forward.NewBudgets(bootstrap.Bounds{RetryRatio: 0.2, RetrySlack: 100}, func() int { return nodes })
-	fill(budgets.Of("s"), now)
-	test.Eq(t, 2, repeatsOf(budgets.Of("s"), now))
+	fill(budgets.ForService("s"), now)
+	test.Eq(t, 2, retriesAfterRequest(budgets.ForService("s"), now))
 	nodes = 20
-	test.Eq(t, 0, repeatsOf(budgets.Of("s"), now), test.Sprint("nothing is given"))
-	fill(budgets.Of("s"), now)
-	test.Eq(t, 4, repeatsOf(budgets.Of("s"), now))
-	fill(budgets.Of("s"), now)
+	test.Eq(t, 0, retriesAfterRequest(budgets.ForService("s"), now), test.Sprint("a larger share grants no retries by itself"))
+	fill(budgets.ForService("s"), now)
+	test.Eq(t, 4, retriesAfterRequest(budgets.ForService("s"), now))
+	fill(budgets.ForService("s"), now)
 	nodes = 40
-	test.Eq(t, 2, repeatsOf(budgets.Of("s"), now))
+	test.Eq(t, 2, retriesAfterRequest(budgets.ForService("s"), now))
 }
 
-// TestBudgetsOfReplacedNodes keeps all nodes within the operators' bound together while ten
-// are replaced one after the other in a window, each counted until some time after its
-// successor came.
+// TestBudgetsOfReplacedNodes checks that all nodes together stay within the operators' bound while
+// ten are replaced one after the other in a window. Each replaced node is still counted for some
+// time after its successor has joined.
 func TestBudgetsOfReplacedNodes(t *testing.T) {
 	const (
 		nodes, replaced = 82, 10
@@ -87,7 +88,7 @@
 	}
 	for range nodes {
 		join()
-		fill(all[len(all)-1].Of("s"), now)
+		fill(all[len(all)-1].ForService("s"), now)
 	}
 	repeats, sent := 0, 0
 	for range replaced {
@@ -96,7 +97,7 @@
 		join()
 		for _, budgets := range all {
 			for range requests {
-				repeats += repeatsOf(budgets.Of("s"), now)
+				repeats += retriesAfterRequest(budgets.ForService("s"), now)
 				sent++
 			}
 		}
@@ -104,22 +105,22 @@
 	test.LessEq(t, bounds.RetryRatio*float64(sent)+bounds.RetrySlack, float64(repeats))
 }
 
-// TestUncountedNodeKeepsNoShare leaves a node that others may not count one repeat, and what
-// its requests earn.
+// TestUncountedNodeKeepsNoShare checks that a node that the others may not count can save up only
+// one retry, earned by its own requests.
 func TestUncountedNodeKeepsNoShare(t *testing.T) {
 	held := true
 	now := time.Now()
 	budgets := forward.NewBudgets(bootstrap.Bounds{RetryRatio: 0.2, RetrySlack: 100}, func() int { return 8 })
 	budgets.Held = func() bool { return held }
-	fill(budgets.Of("s"), now)
+	fill(budgets.ForService("s"), now)
 	held = false
-	test.Eq(t, 1, repeatsOf(budgets.Of("s"), now))
+	test.Eq(t, 1, retriesAfterRequest(budgets.ForService("s"), now))
 	repeats := 0
 	for range 50 {
-		repeats += repeatsOf(budgets.Of("s"), now)
+		repeats += retriesAfterRequest(budgets.ForService("s"), now)
 	}
-	test.Eq(t, 7, repeats, test.Sprint("one in seven: what is beyond one repeat is lost"))
+	test.Eq(t, 7, repeats, test.Sprint("one in seven: the balance beyond one retry is lost"))
 	held = true
-	fill(budgets.Of("s"), now)
-	test.Eq(t, 10, repeatsOf(budgets.Of("s"), now))
+	fill(budgets.ForService("s"), now)
+	test.Eq(t, 10, retriesAfterRequest(budgets.ForService("s"), now))
 }
--- a/internal/forward/deadline.go
+++ b/internal/forward/deadline.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// deadline returns when the caller's or the route's time is over, whichever is
-// first.
+// deadline returns the earlier of the caller's deadline and the route's timeout.
 func (x *exchange) deadline() time.Time {
 	limit := x.route.Timeout
 	if x.attrs.HasDeadline {
@@ -15,21 +14,23 @@
 	return x.arrived.Add(limit)
 }
 
-// timeOver reports whether the request's time is over. A context's timer is late by as much as the
-// host was suspended.
-func (x *exchange) timeOver(ctx context.Context) bool {
+// expired reports whether the request's deadline has passed. It also reads the clock, since a
+// context's timer fires late by the time for which the host was suspended.
+func (x *exchange) expired(ctx context.Context) bool {
 	return ctx.Err() != nil || x.Clock.Until(x.deadline()) <= 0
 }
 
-// steady returns a time by the steady clock, which timers follow; zero stays zero.
-func (x *exchange) steady(at time.Time) time.Time {
+// monotonicTime converts a time of x.Clock to one on the monotonic clock, which timers use. Zero
+// stays zero.
+func (x *exchange) monotonicTime(at time.Time) time.Time {
 	if at.IsZero() {
 		return at
 	}
 	return time.Now().Add(x.Clock.Until(at))
 }
 
-// contextOf returns a context that ends with the request's time and with the caller.
-func (x *exchange) contextOf() (context.Context, context.CancelFunc) {
-	return context.WithDeadline(x.r.Context(), x.steady(x.deadline()))
+// deadlineContext returns a context that is canceled at the request's deadline or when the caller
+// leaves.
+func (x *exchange) deadlineContext() (context.Context, context.CancelFunc) {
+	return context.WithDeadline(x.r.Context(), x.monotonicTime(x.deadline()))
 }
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -12,10 +12,10 @@
 	"github.com/cherryward/cherryward/internal/upstream"
 )
 
-// maxAnswerBytes bounds a plain answer that is read whole before it is delivered.
+// maxAnswerBytes bounds a plain answer that is buffered in full before it is delivered.
 const maxAnswerBytes = 16 << 20
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
+// hopByHop are the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -32,41 +32,43 @@
 	}
 }
 
-// deliver takes an answer to the caller. first is called with the first byte of
-// the answer itself.
+// deliver passes an endpoint's answer on to the caller and returns the verdict. first is called
+// once the first events of a stream, or a plain answer up to maxAnswerBytes, have been read; it may
+// be called more than once.
 func (x *exchange) deliver(answer *upstream.Answer, info *AnswerInfo, first func()) verdict {
 	if info.NotRun {
-		x.cause = eris.Errorf("refused with status %d", answer.StatusCode)
-		x.drain(answer)
+		x.cause = eris.Errorf("endpoint refused the request with status %d", answer.StatusCode)
+		x.discardBody(answer)
 		return notRun
 	}
 	success := answer.StatusCode < http.StatusMultipleChoices
 	if success && !info.Sealed {
 		answer.Abort()
-		x.cause = eris.New("a success without a seal")
-		return failed
+		x.cause = eris.New("success answer without an endpoint signature")
+		return mayHaveRun
 	}
-	if success && info.Events && plainBytes(answer) {
+	if success && info.Events && unencoded(answer) {
 		return x.deliverEvents(answer, first)
 	}
 	if x.written {
-		// The caller has events of another endpoint, which only events may follow.
+		// Events of another endpoint were delivered already: only events may follow.
 		answer.Abort()
-		x.cause = eris.Errorf("a stream under way was answered with status %d", answer.StatusCode)
-		return cut
+		x.cause = eris.Errorf("resumed stream was answered with status %d", answer.StatusCode)
+		return streamBroken
 	}
 	return x.deliverWhole(answer, first)
 }
 
-// plainBytes reports whether events can be told apart in an answer's body.
-func plainBytes(answer *upstream.Answer) bool {
+// unencoded reports whether an answer's body has no content encoding, so that event boundaries can
+// be found in it.
+func unencoded(answer *upstream.Answer) bool {
 	encoding := answer.Header.Get("Content-Encoding")
 	return encoding == "" || encoding == "identity"
 }
 
-// drain reads a short answer that is not delivered, so that its connection can be
-// kept.
-func (x *exchange) drain(answer *upstream.Answer) {
+// discardBody reads an answer that is not delivered, up to maxAnswerBytes, so that its connection
+// can be reused.
+func (x *exchange) discardBody(answer *upstream.Answer) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes)); err != nil {
 		answer.Abort()
 		return
@@ -74,21 +76,22 @@
 	answer.Done()
 }
 
-// deliverWhole reads an answer to its end before the caller sees any of it, but for a long one.
+// deliverWhole buffers an answer up to its end before delivering any of it. Answers longer than
+// maxAnswerBytes go to deliverLong.
 func (x *exchange) deliverWhole(answer *upstream.Answer, first func()) verdict {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	first()
 	if err == nil && len(body) == 0 && answer.Unframed() {
-		err = eris.New("the connection ended behind the head")
+		err = eris.New("connection closed after the response header")
 	}
 	if err != nil {
 		answer.Abort()
-		x.lose(eris.Wrap(err, "read the answer"))
-		return failed
+		x.recordLoss(eris.Wrap(err, "read the answer"))
+		return mayHaveRun
 	}
-	if x.rejects(answer.StatusCode) {
+	if x.withholds(answer.StatusCode) {
 		answer.Done()
-		return failed
+		return mayHaveRun
 	}
 	if len(body) > maxAnswerBytes {
 		return x.deliverLong(answer, body)
@@ -98,51 +101,51 @@
 	if _, err := x.w.Write(body); err != nil {
 		x.Log.Debug().Str("event", "answer_unread").Str("id", x.attrs.ID).Err(err).Send()
 	}
-	return whole(answer.StatusCode)
+	return deliveredVerdict(answer.StatusCode)
 }
 
-// deliverLong passes on an answer that is too long to be held. One that breaks off is never
-// followed by another.
-func (x *exchange) deliverLong(answer *upstream.Answer, begun []byte) verdict {
+// deliverLong streams an answer that is too long to buffer; prefix is the part already read. If the
+// answer breaks off, the request is not sent again.
+func (x *exchange) deliverLong(answer *upstream.Answer, prefix []byte) verdict {
 	x.writeHead(answer.Response, answer.ContentLength)
-	x.at.unnamed = true
-	if _, err := io.Copy(x.w, io.MultiReader(bytes.NewReader(begun), answer.Body)); err != nil {
+	x.position.endsWithoutID = true
+	if _, err := io.Copy(x.w, io.MultiReader(bytes.NewReader(prefix), answer.Body)); err != nil {
 		answer.Abort()
-		x.cause = eris.Wrap(err, "pass on a long answer")
-		return cut
+		x.cause = eris.Wrap(err, "stream a long answer to the caller")
+		return streamBroken
 	}
 	answer.Done()
-	return whole(answer.StatusCode)
+	return deliveredVerdict(answer.StatusCode)
 }
 
-// whole is the verdict on an answer that was delivered to its end.
-func whole(status int) verdict {
+// deliveredVerdict returns the verdict on an answer that was delivered in full.
+func deliveredVerdict(status int) verdict {
 	if status >= http.StatusInternalServerError {
-		return answered
+		return errorDelivered
 	}
 	return delivered
 }
 
-// rejects reports whether an answer of this status is not delivered.
-func (x *exchange) rejects(status int) bool {
-	if status >= http.StatusInternalServerError && x.wantsAnother() {
-		x.cause = eris.Errorf("answered with status %d", status)
+// withholds reports whether an answer of this status must not be delivered, and sets x.cause if so.
+func (x *exchange) withholds(status int) bool {
+	if status >= http.StatusInternalServerError && x.retriesErrors() {
+		x.cause = eris.Errorf("endpoint answered with status %d", status)
 		return true
 	}
 	if promisesNotRun(status) {
-		x.cause = eris.Errorf("status %d without proof that it did not run", status)
+		x.cause = eris.Errorf("status %d without proof that the request did not run", status)
 		return true
 	}
 	return false
 }
 
-// wantsAnother reports whether an endpoint's error is worth another attempt.
-func (x *exchange) wantsAnother() bool {
-	return x.repeatable() && x.outcome.Attempts < min(x.route.MaxAttempts, maxSends)
+// retriesErrors reports whether the request may be sent again after an endpoint's own error.
+func (x *exchange) retriesErrors() bool {
+	return x.retryable() && x.outcome.Attempts < min(x.route.MaxAttempts, maxSends)
 }
 
-// promisesNotRun reports whether callers read a status as proof that the request
-// did not run, which only an endpoint's own statement is.
+// promisesNotRun reports whether callers take a status as proof that the request did not run. Only
+// an explicit statement of the endpoint is such a proof.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -151,15 +154,16 @@
 	return false
 }
 
-// writeHead writes the endpoint's status and headers. length is -1 for a stream.
+// writeHead writes the endpoint's status and headers. length is -1 if the length of the body is
+// unknown.
 func (x *exchange) writeHead(resp *http.Response, length int64) {
 	header := x.w.Header()
 	for name, values := range resp.Header {
 		header[name] = values
 	}
 	removeHopByHop(header)
-	if x.r.Method != http.MethodHead { // there it is the length of what GET would bring
-		setLength(header, resp.StatusCode, length)
+	if x.r.Method != http.MethodHead { // for HEAD, Content-Length is the length that GET would return
+		setContentLength(header, resp.StatusCode, length)
 	}
 	x.outcome.Status = resp.StatusCode
 	x.outcome.First = x.Clock.Since(x.arrived)
@@ -167,7 +171,7 @@
 	x.w.WriteHeader(resp.StatusCode)
 }
 
-func setLength(header http.Header, status int, length int64) {
+func setContentLength(header http.Header, status int, length int64) {
 	header.Del("Content-Length")
 	if length >= 0 && status != http.StatusNoContent && status != http.StatusNotModified {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/internal/forward/ended_test.go
+++ b/internal/forward/ended_test.go
@@ -12,42 +12,44 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// gone returns the address of an endpoint that has ended.
-func gone(t *testing.T) string {
+// endedEndpoint returns the address of an endpoint that no longer listens.
+func endedEndpoint(t *testing.T) string {
 	t.Helper()
 	back := httptest.NewServer(http.NotFoundHandler())
 	back.Close()
 	return strings.TrimPrefix(back.URL, "http://")
 }
 
-// live returns the address of a new endpoint, which believes to be of that id.
-func live(t *testing.T, id string) string {
+// liveEndpoint starts an endpoint that identifies itself by the given id, and returns its address.
+func liveEndpoint(t *testing.T, id string) string {
 	t.Helper()
 	back := httptest.NewServer(modelserver.New(modelserver.Config{ID: id, Service: "servers", Pieces: streamSize}).Handler())
 	t.Cleanup(back.Close)
 	return strings.TrimPrefix(back.URL, "http://")
 }
 
-// Requests went on to endpoints that had started anew under another id: all were refused there, until
-// the registry had dropped the old id 3.6 s later, since the refusal of another start was taken for one
-// of an endpoint that is full.
+// The next two tests guard against a failure in which requests were still sent to endpoints that
+// had restarted under another id. All were refused, until the registry dropped the old id 3.6 s
+// later: the refusal by the new process was treated like that of an endpoint at capacity.
 
-// TestReplacedEndpointIsAvoided sends nothing more to an endpoint at whose address another one answers.
+// TestReplacedEndpointIsAvoided checks that an endpoint is avoided once another one answers at its
+// address.
 func TestReplacedEndpointIsAvoided(t *testing.T) {
 	w := &world{}
-	w.open(t, []string{live(t, "another"), live(t, "s1")})
+	w.open(t, []string{liveEndpoint(t, "another"), liveEndpoint(t, "s1")})
 	a := w.do(t, http.MethodPost, uploadPath, "x", nil)
 	test.Eq(t, http.StatusOK, a.status)
 	m := w.order.members[0]
 	test.False(t, m.Health.Usable(time.Now().Add(2*time.Second)))
 	test.True(t, m.Cold(time.Now()))
-	test.True(t, w.order.members[1].Health.Usable(time.Now()), test.Sprint("the other one"))
+	test.True(t, w.order.members[1].Health.Usable(time.Now()), test.Sprint("the endpoint that answered"))
 }
 
-// TestEndedEndpointIsAvoided does so where nothing listens any more.
+// TestEndedEndpointIsAvoided checks that an endpoint is avoided once nothing listens at its
+// address.
 func TestEndedEndpointIsAvoided(t *testing.T) {
 	w := &world{}
-	w.open(t, []string{gone(t), live(t, "s1")})
+	w.open(t, []string{endedEndpoint(t), liveEndpoint(t, "s1")})
 	a := w.do(t, http.MethodPost, uploadPath, "x", nil)
 	test.Eq(t, http.StatusOK, a.status)
 	test.False(t, w.order.members[0].Health.Usable(time.Now().Add(2*time.Second)))
--- a/internal/forward/signals_test.go
+++ b/internal/forward/endpoint_signals_test.go
@@ -12,28 +12,30 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// TestWhatEndsALimit takes only a success without a limit for its end, no error, refusal or limit that can't be read.
-func TestWhatEndsALimit(t *testing.T) {
+// TestOnlySuccessRemovesLimit checks that only a success without a limit header removes a recorded limit; an
+// error, a refusal or an unreadable limit does not.
+func TestOnlySuccessRemovesLimit(t *testing.T) {
 	w := newWorld(t, "")
 	signals := w.order.members[0].Signals
-	asked := func(f modelserver.Faults) (limited bool) {
+	limitAfter := func(f modelserver.Faults) (limited bool) {
 		w.servers[0].SetFaults(f)
 		w.do(t, http.MethodGet, recordPath, "", nil)
 		limit, known := signals.RateLimit()
 		return known && limit.InForce
 	}
-	test.False(t, asked(modelserver.Faults{}))
-	test.True(t, asked(modelserver.Faults{Limit: "2.5"}))
-	test.True(t, asked(modelserver.Faults{Status: http.StatusInternalServerError}))
-	test.True(t, asked(modelserver.Faults{Shed: true}))
-	test.True(t, asked(modelserver.Faults{Unproven: true}))
-	test.True(t, asked(modelserver.Faults{Limit: "many"}))
-	test.False(t, asked(modelserver.Faults{}))
-	test.True(t, asked(modelserver.Faults{Shed: true, Limit: "1"}), test.Sprint("named in a refusal"))
+	test.False(t, limitAfter(modelserver.Faults{}))
+	test.True(t, limitAfter(modelserver.Faults{Limit: "2.5"}))
+	test.True(t, limitAfter(modelserver.Faults{Status: http.StatusInternalServerError}))
+	test.True(t, limitAfter(modelserver.Faults{Shed: true}))
+	test.True(t, limitAfter(modelserver.Faults{Unproven: true}))
+	test.True(t, limitAfter(modelserver.Faults{Limit: "many"}))
+	test.False(t, limitAfter(modelserver.Faults{}))
+	test.True(t, limitAfter(modelserver.Faults{Shed: true, Limit: "1"}), test.Sprint("limit stated in a refusal"))
 }
 
-// TestWhoseSignalsCount learns nothing of an endpoint from the refusal of another one at its address.
-func TestWhoseSignalsCount(t *testing.T) {
+// TestSignalsOfOtherEndpointIgnored checks that a refusal by another endpoint at the same address does not
+// change the signals recorded for the expected one.
+func TestSignalsOfOtherEndpointIgnored(t *testing.T) {
 	w := newWorld(t, "", "")
 	w.servers[0].SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
 	m := w.order.members[0]
@@ -46,17 +48,18 @@
 	server.SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
 	back := httptest.NewServer(server.Handler())
 	defer back.Close()
-	misled := &world{}
-	misled.open(t, []string{strings.TrimPrefix(back.URL, "http://")})
-	a := misled.do(t, http.MethodGet, recordPath, "", nil)
+	misdirected := &world{}
+	misdirected.open(t, []string{strings.TrimPrefix(back.URL, "http://")})
+	a := misdirected.do(t, http.MethodGet, recordPath, "", nil)
 	test.NotEq(t, http.StatusOK, a.status)
-	signals := misled.order.members[0].Signals
+	signals := misdirected.order.members[0].Signals
 	_, limited := signals.RateLimit()
 	_, draining = signals.Draining()
 	test.False(t, limited || draining)
 }
 
-// TestRefusalsAskForBackoff learns how long an endpoint wants nothing from its refusals alone.
+// TestRefusalsAskForBackoff checks that a readable Retry-After in a refusal sets a backoff, and
+// that the backoff is capped.
 func TestRefusalsAskForBackoff(t *testing.T) {
 	w := newWorld(t, "")
 	signals := w.order.members[0].Signals
@@ -71,5 +74,5 @@
 	_, backsOff := signals.Backoff(time.Now().Add(9 * time.Minute))
 	test.True(t, backsOff)
 	_, backsOff = signals.Backoff(time.Now().Add(11 * time.Minute))
-	test.False(t, backsOff, test.Sprint("not for ever"))
+	test.False(t, backsOff, test.Sprint("the backoff is capped"))
 }
--- a/internal/forward/refuse.go
+++ b/internal/forward/error_response.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// retryElsewhere is when a caller may come back whose next connection should
-	// reach another node: at once, but for a spread of simultaneous refusals.
-	retryElsewhere = 20 * time.Millisecond
-	// retryNoEndpoint is when a caller may come back that found no room at any
-	// endpoint: after about half of a usual run.
-	retryNoEndpoint = 800 * time.Millisecond
+	// retryAfterOtherNode is the Retry-After time for a caller whose next connection should reach
+	// another node: almost at once, with a small delay to spread simultaneous refusals.
+	retryAfterOtherNode = 20 * time.Millisecond
+	// retryAfterNoEndpoint is the Retry-After time for a caller for which no endpoint had capacity:
+	// about half of a typical run.
+	retryAfterNoEndpoint = 800 * time.Millisecond
 )
 
-// writeError answers with an error of this node. Only errors whose run state is
-// not_run may have a status that promises it.
+// writeError answers with an error of this node.
 func (h *Handler) writeError(w http.ResponseWriter, id string, e *result.Error) {
 	body := result.Body{Error: result.BodyError{
 		Message:      e.Message,
@@ -47,8 +46,8 @@
 	}
 }
 
-// statusOf returns the status of an error. The statuses that promise "not run"
-// are replaced where the request may have run.
+// statusOf returns the HTTP status of an error. A status that promises that the request has not run
+// is replaced by 502 if it may have run.
 func statusOf(e *result.Error) int {
 	status := e.Status()
 	if e.RunState == result.NotRun {
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -10,103 +10,104 @@
 	"github.com/cherryward/cherryward/internal/upstream"
 )
 
-// delivery is one endpoint's share of a stream.
-type delivery struct {
+// streamDelivery is the delivery of one endpoint's part of a stream.
+type streamDelivery struct {
 	*eventReader
-	// unchecked is set until an event shows that the stream goes on behind what the caller has.
-	unchecked bool
-	empty     bool // nothing was passed on
+	// unverified is set until an event has shown that the stream continues after the last event
+	// that the caller has.
+	unverified bool
+	empty      bool // nothing was forwarded
 }
 
-// deliverEvents passes on each whole event as it arrives. An event that breaks off
-// is not passed on, so that a resumed stream can begin with it.
+// deliverEvents forwards each complete event as it arrives. An incomplete event is not forwarded,
+// so that a resumed stream can start with it.
 func (x *exchange) deliverEvents(answer *upstream.Answer, first func()) verdict {
-	d := &delivery{
+	d := &streamDelivery{
 		eventReader: &eventReader{body: answer.Body, unframed: answer.Unframed()},
-		unchecked:   x.written || x.route.Resumable && x.at.last != "",
+		unverified:  x.written || x.route.Resumable && x.position.lastID != "",
 		empty:       true,
 	}
 	for {
 		events, err := d.next()
 		if len(events) > 0 {
 			first()
-			if !x.passOn(answer, d, events) {
-				return x.brokenStream(answer)
+			if !x.forwardEvents(answer, d, events) {
+				return x.abortStream(answer)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return x.endEvents(answer, d)
+			return x.finishEvents(answer, d)
 		}
 		if err != nil {
-			x.lose(eris.Wrap(err, "read the stream"))
-			return x.brokenStream(answer)
+			x.recordLoss(eris.Wrap(err, "read the stream"))
+			return x.abortStream(answer)
 		}
 	}
 }
 
-// passOn writes events that follow what the caller has. It reports false where they don't,
-// or the caller can't be reached.
-func (x *exchange) passOn(answer *upstream.Answer, d *delivery, events []byte) bool {
-	if d.unchecked {
-		ok, decided := x.at.goesOn(events)
+// forwardEvents forwards events after checking that they continue the caller's stream. It reports
+// false if they don't, or if writing to the caller fails.
+func (x *exchange) forwardEvents(answer *upstream.Answer, d *streamDelivery, events []byte) bool {
+	if d.unverified {
+		ok, decided := x.position.continuedBy(events)
 		if !ok {
-			x.cause = eris.New("a resumed stream does not go on where it broke off")
+			x.cause = eris.New("resumed stream does not continue where it broke off")
 			return false
 		}
-		d.unchecked = !decided
+		d.unverified = !decided
 	}
 	d.empty = false
 	return x.writeEvents(answer, events)
 }
 
-// brokenStream ends an answer that broke off, and returns the verdict on it.
-func (x *exchange) brokenStream(answer *upstream.Answer) verdict {
+// abortStream aborts an answer that broke off and returns the verdict on it.
+func (x *exchange) abortStream(answer *upstream.Answer) verdict {
 	answer.Abort()
 	if x.written {
-		return cut
+		return streamBroken
 	}
-	return failed
+	return mayHaveRun
 }
 
-// endEvents delivers what follows the last event, and ends the answer. Where only the end of
-// the connection ends it, one that comes within an event, or before any, is a break: an engine
-// that fails closes its connections in the same way. Nothing but events follows those of
-// another endpoint.
-func (x *exchange) endEvents(answer *upstream.Answer, d *delivery) verdict {
-	rest := d.rest()
+// finishEvents delivers what follows the last event and ends the answer. If only the closing of the
+// connection marks the end, a close within an event or before any event counts as a break, since a
+// failing engine closes its connections in the same way. After another endpoint's events only
+// further events may be delivered.
+func (x *exchange) finishEvents(answer *upstream.Answer, d *streamDelivery) verdict {
+	rest := d.incomplete()
 	if d.unframed && (len(rest) > 0 || d.empty) {
-		x.lose(eris.New("the connection ended within an event"))
-		return x.brokenStream(answer)
+		x.recordLoss(eris.New("connection closed within an event"))
+		return x.abortStream(answer)
 	}
-	if d.unchecked && len(rest) > 0 {
-		x.cause = eris.New("a resumed stream ended within its first event")
-		return x.brokenStream(answer)
+	if d.unverified && len(rest) > 0 {
+		x.cause = eris.New("resumed stream ended within its first event")
+		return x.abortStream(answer)
 	}
 	if len(rest) > 0 || !x.written {
 		if !x.writeEvents(answer, rest) {
 			answer.Abort()
-			return cut
+			return streamBroken
 		}
 	}
 	answer.Done()
 	return delivered
 }
 
-// writeEvents passes events on at once, and notes the last one's id. It reports
-// false where the caller can't be reached.
+// writeEvents writes events, flushes them and records the last one's id. It reports false if
+// writing to the caller fails.
 func (x *exchange) writeEvents(answer *upstream.Answer, events []byte) bool {
 	if !x.written {
 		x.writeHead(answer.Response, -1)
 	}
-	x.at.pass(events)
-	x.attrs.ResumeAfter = x.at.last
+	x.position.advance(events)
+	x.attrs.ResumeAfter = x.position.lastID
 	_, err := x.w.Write(events)
 	if err == nil {
 		err = http.NewResponseController(x.w).Flush()
 	}
 	if err != nil {
 		x.cause = eris.Wrap(err, "write to the caller")
-		x.unread = true
+		x.callerGone = true
 	}
 	return err == nil
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestStaleKeys serves the keys that are known through an outage of the store where the
-// operators accept that, and promises nothing of the others.
+// TestStaleKeys checks that known keys are still accepted during an outage of the store if the
+// operators allow it, and that a request with an unknown key is answered 503, not 401.
 func TestStaleKeys(t *testing.T) {
 	w := newWorld(t, "")
 	w.bounds.AcceptStaleKeys = true
@@ -102,8 +102,8 @@
 	test.Eq(t, http.StatusServiceUnavailable, w.do(t, http.MethodGet, recordPath, "", nil).status)
 }
 
-// TestSentAgain tells which failures of the first server are made up for by the
-// second, and which must not be.
+// TestSentAgain checks after which failures of the first server a request is sent to the second
+// one.
 func TestSentAgain(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -129,7 +129,8 @@
 	}
 }
 
-// TestAllRefuse leaves the promise that the request has not run.
+// TestAllRefuse checks that a request refused by all endpoints is answered with a status that
+// promises that it has not run.
 func TestAllRefuse(t *testing.T) {
 	w := newWorld(t, "", "")
 	for _, s := range w.servers {
@@ -154,16 +155,16 @@
 
 func TestStreams(t *testing.T) {
 	tests := []struct {
-		name   string
-		path   string
-		faults modelserver.Faults
-		want   string
-		whole  bool
-		second int
+		name     string
+		path     string
+		faults   modelserver.Faults
+		want     string
+		complete bool
+		second   int
 	}{
-		{name: "whole", path: streamPath, want: events(1, streamSize), whole: true},
+		{name: "whole", path: streamPath, want: events(1, streamSize), complete: true},
 		{name: "cut, not resumable", path: streamPath, faults: modelserver.Faults{CutAfter: 2}, want: events(1, 2)},
-		{name: "cut, resumed", path: resumePath, faults: modelserver.Faults{CutAfter: 2}, want: events(1, streamSize), whole: true, second: 1},
+		{name: "cut, resumed", path: resumePath, faults: modelserver.Faults{CutAfter: 2}, want: events(1, streamSize), complete: true, second: 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -173,7 +174,7 @@
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, "seal-s0", got.header.Get("X-Server-Seal"))
 			test.Eq(t, tc.want, got.body)
-			test.Eq(t, tc.whole, got.err == nil)
+			test.Eq(t, tc.complete, got.err == nil)
 			runs := w.servers[1].Runs()
 			must.Len(t, tc.second, runs)
 			if tc.second > 0 {
@@ -195,25 +196,25 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].Left() == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 }
 
-// TestWithdrawsUnbegun takes a request back from an endpoint that has not begun by the time at
-// which its weights are too old.
-func TestWithdrawsUnbegun(t *testing.T) {
+// TestUnbegunAttemptWithdrawn checks that a request is withdrawn from an endpoint that has not begun it by
+// the time at which its weights become too old.
+func TestUnbegunAttemptWithdrawn(t *testing.T) {
 	tests := []struct {
-		name   string
-		path   string
-		faults modelserver.Faults
-		within time.Duration
-		status int
-		second int // runs at the second server
+		name       string
+		path       string
+		faults     modelserver.Faults
+		beginLimit time.Duration
+		status     int
+		second     int // runs at the second server
 	}{
-		{name: "not begun, resumable", path: resumePath, faults: modelserver.Faults{Hang: true}, within: 20 * time.Millisecond, status: http.StatusOK, second: 1},
-		{name: "not begun, not resumable", path: streamPath, faults: modelserver.Faults{Hang: true}, within: 20 * time.Millisecond, status: http.StatusBadGateway},
-		{name: "begun in time", path: streamPath, within: longTimeout, status: http.StatusOK},
+		{name: "not begun, resumable", path: resumePath, faults: modelserver.Faults{Hang: true}, beginLimit: 20 * time.Millisecond, status: http.StatusOK, second: 1},
+		{name: "not begun, not resumable", path: streamPath, faults: modelserver.Faults{Hang: true}, beginLimit: 20 * time.Millisecond, status: http.StatusBadGateway},
+		{name: "begun in time", path: streamPath, beginLimit: longTimeout, status: http.StatusOK},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWorld(t, model, model)
-			w.order.beginWithin = tc.within
+			w.order.beginWithin = tc.beginLimit
 			w.servers[0].SetFaults(tc.faults)
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, tc.status, got.status)
@@ -224,7 +225,8 @@
 	}
 }
 
-// TestTimeout answers at the caller's deadline, not later, and promises nothing.
+// TestTimeout checks that a request is answered at the caller's deadline, with a status that does
+// not promise that it has not run.
 func TestTimeout(t *testing.T) {
 	w := newWorld(t, model)
 	w.servers[0].SetFaults(modelserver.Faults{Hang: true})
--- a/internal/forward/framing_test.go
+++ b/internal/forward/framing_test.go
@@ -8,8 +8,9 @@
 	"github.com/shoenig/test"
 )
 
-// TestCallerResumes: an endpoint that does not go on behind the event that the caller names is no
-// answer to its request; whether it leaves some out is not known of ids that may count anything.
+// TestCallerResumes checks that a stream which does not continue after the event named by the
+// caller is not taken as the answer. Gaps are accepted here: the node has not seen the earlier ids,
+// so it can't know whether they count events one by one.
 func TestCallerResumes(t *testing.T) {
 	tests := []struct {
 		name, last    string
@@ -25,7 +26,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawWorld(t, says(streamOf(tc.first, -1)), says(streamOf(tc.second, -1)))
+			w := newRawWorld(t, fixedAnswer(streamOf(tc.first, -1)), fixedAnswer(streamOf(tc.second, -1)))
 			got := w.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", tc.last) })
 			test.Eq(t, http.StatusOK, got.status)
 			test.NoError(t, got.err)
@@ -34,44 +35,45 @@
 	}
 }
 
-// TestEventsThatBreakOff: what a caller has is the beginning of the true stream, and an orderly
-// end comes with the whole alone, however lines end and whatever the second endpoint answers.
+// TestEventsThatBreakOff checks that a caller always has a prefix of the true stream, and a regular
+// end of stream only with all of it, for every kind of line end and every answer of the second
+// endpoint.
 func TestEventsThatBreakOff(t *testing.T) {
 	lf := events(1, streamSize)
 	crlf, cr := numbered(1, streamSize, "\r\n"), numbered(1, streamSize, "\r")
 	unnamed := "id: 1\ndata: a\n\ndata: b\n\n"
-	behind := func(n int) int { return len(events(1, n)) }
+	lengthUpTo := func(n int) int { return len(events(1, n)) }
 	tests := []struct {
 		name          string
 		path          string
 		first, second string
 		body          string
-		whole         bool
+		complete      bool
 	}{
-		{name: "goes on", path: resumePath, first: streamOf(lf, behind(2)+3), second: streamOf(events(3, streamSize), -1), body: lf, whole: true},
-		{name: "lines end with CR and LF", path: resumePath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))+3), second: streamOf(numbered(3, streamSize, "\r\n"), -1), body: crlf, whole: true},
-		{name: "lines end with CR and LF, cut between them", path: resumePath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))-1), second: streamOf(numbered(2, streamSize, "\r\n"), -1), body: crlf, whole: true},
-		{name: "lines end with CR", path: resumePath, first: streamOf(cr, len(numbered(1, 2, "\r"))+3), second: streamOf(numbered(3, streamSize, "\r"), -1), body: cr, whole: true},
+		{name: "goes on", path: resumePath, first: streamOf(lf, lengthUpTo(2)+3), second: streamOf(events(3, streamSize), -1), body: lf, complete: true},
+		{name: "lines end with CR and LF", path: resumePath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))+3), second: streamOf(numbered(3, streamSize, "\r\n"), -1), body: crlf, complete: true},
+		{name: "lines end with CR and LF, cut between them", path: resumePath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))-1), second: streamOf(numbered(2, streamSize, "\r\n"), -1), body: crlf, complete: true},
+		{name: "lines end with CR", path: resumePath, first: streamOf(cr, len(numbered(1, 2, "\r"))+3), second: streamOf(numbered(3, streamSize, "\r"), -1), body: cr, complete: true},
 		{name: "CR and LF, not resumable", path: streamPath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))+3), body: numbered(1, 2, "\r\n")},
-		{name: "leaves one out", path: resumePath, first: streamOf(lf, behind(2)), second: streamOf(events(4, streamSize), -1), body: events(1, 2)},
-		{name: "repeats the last", path: resumePath, first: streamOf(lf, behind(2)), second: streamOf(events(2, streamSize), -1), body: events(1, 2)},
-		{name: "begins anew", path: resumePath, first: streamOf(lf, behind(2)), second: streamOf(lf, -1), body: events(1, 2)},
-		{name: "goes on without an id", path: resumePath, first: streamOf(lf, behind(2)), second: streamOf("data: a\n\n"+events(3, streamSize), -1), body: events(1, 2)},
+		{name: "leaves one out", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(events(4, streamSize), -1), body: events(1, 2)},
+		{name: "repeats the last", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(events(2, streamSize), -1), body: events(1, 2)},
+		{name: "begins anew", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(lf, -1), body: events(1, 2)},
+		{name: "goes on without an id", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf("data: a\n\n"+events(3, streamSize), -1), body: events(1, 2)},
 		{name: "an event without an id before the cut", path: resumePath, first: streamOf(unnamed+events(2, 3), len(unnamed)), second: streamOf("data: b\n\n"+events(2, 3), -1), body: unnamed},
 		{name: "no ids at all", path: resumePath, first: streamOf("data: a\n\ndata: b\n\n", 9), second: streamOf("data: a\n\ndata: b\n\n", -1), body: "data: a\n\n"},
-		{name: "a comment before the cut", path: resumePath, first: streamOf(": ping\n\n"+lf, 8), second: streamOf(lf, -1), body: ": ping\n\n" + lf, whole: true},
-		{name: "no event, but text", path: resumePath, first: streamOf(lf, behind(2)), second: streamOf("internal error", -1), body: events(1, 2)},
-		{name: "no event and no length", path: resumePath, first: streamOf(lf, behind(2)), second: head(http.StatusOK, eventStream), body: events(1, 2)},
-		{name: "all delivered, only the end is lost", path: resumePath, first: streamOf(lf, len(lf)), second: streamOf("", -1), body: lf, whole: true},
-		{name: "encoded", path: resumePath, first: streamOf(lf, behind(2)), second: strings.Replace(streamOf(events(3, streamSize), -1), eventStream, eventStream+"Content-Encoding: br\r\n", 1), body: events(1, 2)},
+		{name: "a comment before the cut", path: resumePath, first: streamOf(": ping\n\n"+lf, 8), second: streamOf(lf, -1), body: ": ping\n\n" + lf, complete: true},
+		{name: "no event, but text", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf("internal error", -1), body: events(1, 2)},
+		{name: "no event and no length", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: head(http.StatusOK, eventStream), body: events(1, 2)},
+		{name: "all delivered, only the end is lost", path: resumePath, first: streamOf(lf, len(lf)), second: streamOf("", -1), body: lf, complete: true},
+		{name: "encoded", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: strings.Replace(streamOf(events(3, streamSize), -1), eventStream, eventStream+"Content-Encoding: br\r\n", 1), body: events(1, 2)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawWorld(t, says(tc.first), says(tc.second))
+			w := newRawWorld(t, fixedAnswer(tc.first), fixedAnswer(tc.second))
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, tc.body, got.body)
-			test.Eq(t, tc.whole, got.err == nil, test.Sprint(got.err))
+			test.Eq(t, tc.complete, got.err == nil, test.Sprint(got.err))
 		})
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -17,9 +17,9 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// revokeMargin is subtracted from the revocation bound, for clock rates and the
-// time between the check and the send.
-const revokeMargin = 300 * time.Millisecond
+// revocationMargin is subtracted from the revocation bound. It covers differences of clock rates
+// and the time between the check and the send.
+const revocationMargin = 300 * time.Millisecond
 
 // Handler forwards requests. All fields must be set.
 type Handler struct {
@@ -27,38 +27,39 @@
 	State   State
 	Placer  Placer
 	Budgets *Budgets
-	// Patience tells callers' first tries from later ones.
+	// Patience estimates how long ago a caller first tried.
 	Patience   *Patience
 	Quarantine Quarantine
-	// Fleet is told which endpoints drain.
+	// Fleet receives the endpoints that report that they are draining.
 	Fleet Fleet
-	// Clock dates requests, and what is learned from them of endpoints. Nil is the steady clock.
+	// Clock times requests and what their answers state about endpoints. Nil means the monotonic
+	// clock.
 	Clock  *clock.Clock
 	Bounds func() bootstrap.Bounds
 	Recorder
 	Log zerolog.Logger
 }
 
-// Recorder counts what became of requests.
+// Recorder records the outcomes of requests.
 type Recorder interface {
-	// Forwarded counts a finished request.
+	// Forwarded records the outcome of a finished request.
 	Forwarded(o *Outcome)
 }
 
-// Outcome is what became of a request.
+// Outcome is the result of a request.
 type Outcome struct {
 	Route    *routing.Route
 	Account  string
-	Code     result.Code // 0 where an endpoint's answer was delivered
+	Code     result.Code // 0 if an endpoint's answer was delivered
 	Status   int
 	Attempts int
-	First    time.Duration // until the first byte of the answer; 0 without one
+	First    time.Duration // until the header of the answer was written; 0 without an answer
 	Total    time.Duration
 }
 
 var _ http.Handler = (*Handler)(nil)
 
-// exchange is one request while it is handled.
+// exchange is the state of one request while it is handled.
 type exchange struct {
 	*Handler
 	w       http.ResponseWriter
@@ -71,27 +72,27 @@
 	service   *routing.Service
 	account   *routing.Account
 	attrs     Attributes
-	age       time.Duration // since the caller's first try
+	age       time.Duration // since the caller's first try, as estimated from its deadline
 	body      []byte
 
-	outcome Outcome
-	sends   sends
-	placed  *Placement              // the newest one
-	cause   error                   // of the newest failed attempt
-	print   *quarantine.Fingerprint // nil until it is needed
-	lost    bool                    // the newest attempt ended with its connection, before the answer's end
-	// replaced is true where another endpoint answered the newest attempt.
-	replaced bool
-	written  bool     // the head of the answer was written
-	at       position // of the caller's stream
-	unread   bool     // the caller could not be written to
+	outcome           Outcome
+	sends             sendCounts
+	placement         *Placement              // the latest one
+	cause             error                   // reason for which the latest attempt failed
+	cachedFingerprint *quarantine.Fingerprint // computed on first use
+	connectionLost    bool                    // the latest attempt's connection broke before the end of the answer
+	// endpointReplaced is true if another endpoint answered the latest attempt.
+	endpointReplaced bool
+	written          bool     // the header of the answer was written
+	position         position // in the caller's stream
+	callerGone       bool     // writing to the caller failed
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{Handler: h, w: w, r: r, arrived: h.Clock.Now()}
 	x.attrs = h.Dialect.ReadRequest(r.Header)
-	x.at = positionAt(x.attrs.ResumeAfter)
+	x.position = positionAt(x.attrs.ResumeAfter)
 	err := x.admit()
 	if err == nil {
 		err = x.forward()
@@ -99,22 +100,22 @@
 	x.finish(err)
 }
 
-// admit finds out what the request may do. Its errors are refusals of requests
-// that have not run.
+// admit matches the request to a route, client account and service, and reads its body. All its
+// errors are refusals of requests that have not run.
 func (x *exchange) admit() *result.Error {
 	x.config, x.configAge = x.State.Config()
 	bounds := x.Bounds()
 	if x.config == nil {
-		return result.New(result.NodeStale, result.WithRetryAfter(retryElsewhere))
+		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
 	}
 	if x.tooLarge() {
 		return result.New(result.HeaderTooLarge)
 	}
-	// An older configuration may lack what a newer one allows.
+	// A stale configuration may lack routes and keys that a newer one has.
 	stale := x.configAge > bounds.ConfigApply
 	x.route = x.config.Match(x.r.Host, rawPath(x.r))
 	if x.route == nil {
-		return unlessStale(stale, result.UnknownPath)
+		return codeUnlessStale(stale, result.UnknownPath)
 	}
 	if !x.route.Public {
 		if err := x.authenticate(stale, &bounds); err != nil {
@@ -124,36 +125,36 @@
 	x.age = x.Patience.Age(x.route.Name, x.attrs.Deadline, x.arrived)
 	x.service = x.config.Service(x.route.Choose(rand.Float64()))
 	if x.service == nil {
-		return result.New(result.NoEndpoint, result.WithRetryAfter(retryNoEndpoint))
+		return result.New(result.NoEndpoint, result.WithRetryAfter(retryAfterNoEndpoint))
 	}
 	return x.readBody()
 }
 
-func unlessStale(stale bool, code result.Code) *result.Error {
+func codeUnlessStale(stale bool, code result.Code) *result.Error {
 	if stale {
-		return result.New(result.NodeStale, result.WithRetryAfter(retryElsewhere))
+		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
 	}
 	return result.New(code)
 }
 
-// authenticate finds the client account of the key. Where the operators' bound on revoked
-// keys holds during an outage of the store, a node without a recent proof of its
-// configuration accepts none; else it goes on with the keys that it knows.
+// authenticate finds the client account of the request's key. If the operators' revocation bound
+// also holds during an outage of the store, a node whose configuration has not been confirmed
+// recently accepts no key; otherwise it accepts the keys that it knows.
 func (x *exchange) authenticate(stale bool, bounds *bootstrap.Bounds) *result.Error {
-	if !bounds.AcceptStaleKeys && x.configAge > bounds.Revoke-revokeMargin {
-		return result.New(result.NodeStale, result.WithRetryAfter(retryElsewhere))
+	if !bounds.AcceptStaleKeys && x.configAge > bounds.Revoke-revocationMargin {
+		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
 	}
 	if x.attrs.Key == "" {
 		return result.New(result.MissingKey)
 	}
 	x.account = x.config.AccountOf(x.attrs.Key)
 	if x.account == nil {
-		return unlessStale(stale, result.UnknownKey)
+		return codeUnlessStale(stale, result.UnknownKey)
 	}
 	return nil
 }
 
-// tooLarge reports whether the header is longer than the configuration allows.
+// tooLarge reports whether the request header exceeds the configured limit.
 func (x *exchange) tooLarge() bool {
 	limit := x.config.Limits.HeaderBytes
 	if limit <= 0 {
@@ -168,7 +169,8 @@
 	return size > limit
 }
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the complete body, so that it can be sent more than once. It fails if the body
+// exceeds the limit or the route's timeout.
 func (x *exchange) readBody() *result.Error {
 	if x.r.Body == nil || x.r.Body == http.NoBody {
 		return nil
@@ -182,8 +184,8 @@
 		body = http.MaxBytesReader(x.w, x.r.Body, limit)
 	}
 	control := http.NewResponseController(x.w)
-	// Without support for deadlines, as in tests, a body may take as long as it likes.
-	_ = control.SetReadDeadline(x.steady(x.arrived.Add(x.route.Timeout)))
+	// Without support for deadlines, as in tests, reading a body has no time limit.
+	_ = control.SetReadDeadline(x.monotonicTime(x.arrived.Add(x.route.Timeout)))
 	data, err := readAll(body, x.r.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLong *http.MaxBytesError
@@ -197,7 +199,7 @@
 	return nil
 }
 
-// readAll reads a body into a buffer of its stated size, if one is stated.
+// readAll reads a body into a buffer of its declared size, if one is declared.
 func readAll(r io.Reader, size int64) ([]byte, error) {
 	if size <= 0 {
 		return io.ReadAll(r)
@@ -207,7 +209,8 @@
 	return data, err
 }
 
-// finish answers where nothing was delivered, and leaves one line in the log.
+// finish records the outcome, logs the request, and answers with an error if no endpoint's answer
+// was delivered.
 func (x *exchange) finish(err *result.Error) {
 	x.outcome.Total = x.Clock.Since(x.arrived)
 	x.outcome.Route = x.route
@@ -218,19 +221,19 @@
 		x.outcome.Code = err.Code
 		x.outcome.Status = statusOf(err)
 	}
-	x.log(err)
+	x.logRequest(err)
 	x.Recorder.Forwarded(&x.outcome)
 	switch {
 	case err == nil:
 	case x.written, err.Code == result.CallerGone:
-		// Only a connection that breaks off shows that the answer isn't whole.
+		// Aborting the connection is the only way to show that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	default:
 		x.writeError(x.w, x.attrs.ID, err)
 	}
 }
 
-func (x *exchange) log(err *result.Error) {
+func (x *exchange) logRequest(err *result.Error) {
 	event := x.Log.Info().Str("event", "request").Str("id", x.attrs.ID).
 		Int("status", x.outcome.Status).Int("code", int(x.outcome.Code)).
 		Int("attempts", x.outcome.Attempts).
@@ -241,8 +244,8 @@
 	if x.route != nil {
 		event = event.Str("route", x.route.Name).Str("account", x.outcome.Account)
 	}
-	if x.placed != nil {
-		event = x.placed.log(event, x.Clock)
+	if x.placement != nil {
+		event = x.placement.log(event, x.Clock)
 	}
 	if x.age > 0 {
 		event = event.Int64("age_ms", x.age.Milliseconds())
@@ -250,8 +253,8 @@
 	if parts := x.attrs.Parts; len(parts) > 1 {
 		event = event.Str("session", parts[len(parts)-2].ID).Int("session_tokens", parts[len(parts)-2].Tokens)
 	}
-	if x.print != nil {
-		event = event.Stringer("fingerprint", x.print)
+	if x.cachedFingerprint != nil {
+		event = event.Stringer("fingerprint", x.cachedFingerprint)
 	}
 	if x.cause != nil {
 		event = event.Str("cause", x.cause.Error())
@@ -262,13 +265,13 @@
 	event.Int64("first_ms", x.outcome.First.Milliseconds()).Int64("total_ms", x.outcome.Total.Milliseconds()).Send()
 }
 
-// rawPath returns the path as the caller wrote it.
+// rawPath returns the path as the caller sent it, without decoding.
 func rawPath(r *http.Request) string {
 	path, _, _ := strings.Cut(target(r), "?")
 	return path
 }
 
-// target returns the path and query as the caller wrote them.
+// target returns the path and query as the caller sent them, without decoding.
 func target(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
--- a/internal/forward/help_test.go
+++ b/internal/forward/helpers_test.go
@@ -57,7 +57,7 @@
 	return c.Index()
 }
 
-// state is a configuration of a given age.
+// state is a forward.State with a fixed configuration and age.
 type state struct {
 	config *routing.Config
 	age    time.Duration
@@ -65,10 +65,10 @@
 
 func (s *state) Config() (*routing.Config, time.Duration) { return s.config, s.age }
 
-// inOrder places requests on the first endpoint that was not tried.
+// inOrder is a placer that selects the first endpoint not yet tried.
 type inOrder struct {
 	members []*fleet.Member
-	// beginWithin is how soon the first endpoint must have begun; 0 means at any time.
+	// beginWithin is the time within which the first endpoint must begin; 0 means no limit.
 	beginWithin time.Duration
 }
 
@@ -89,7 +89,7 @@
 
 func (o *outcomes) Forwarded(outcome *forward.Outcome) { o.list = append(o.list, *outcome) }
 
-// world is a handler before stand-ins of servers.
+// world is a handler in front of stub model servers.
 type world struct {
 	state   *state
 	bounds  bootstrap.Bounds
@@ -99,7 +99,8 @@
 	front   *httptest.Server
 }
 
-// newWorld starts one server for each config; they get the ids s0, s1 and so on.
+// newWorld starts one server for each model, with the ids s0, s1 and so on, and a handler in front
+// of them.
 func newWorld(t *testing.T, models ...string) *world {
 	t.Helper()
 	w := &world{}
@@ -117,7 +118,8 @@
 
 func serverID(i int) string { return "s" + string(rune('0'+i)) }
 
-// open starts the handler before endpoints at the addresses, which it tries in their order.
+// open starts the handler in front of endpoints at the given addresses, which it tries in that
+// order.
 func (w *world) open(t testing.TB, addrs []string) {
 	t.Helper()
 	w.state = &state{config: config()}
@@ -138,12 +140,12 @@
 	t.Cleanup(w.front.Close)
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of the body
+	err    error // from reading the body
 }
 
 func (w *world) request(t *testing.T, method, path, body string, change func(*http.Request)) *http.Request {
@@ -173,7 +175,7 @@
 	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// doUntil sends a request and leaves when left is closed.
+// doUntil sends a request and cancels it when left is closed.
 func (w *world) doUntil(t *testing.T, left <-chan struct{}, path string) {
 	t.Helper()
 	req := w.request(t, http.MethodGet, path, "", nil)
--- a/internal/forward/patience.go
+++ b/internal/forward/patience.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// patienceFade is the time after which the longest time that a route's callers give counts
-	// no more: callers may have changed.
-	patienceFade = 30 * time.Second
-	// patienceSamples is how many callers of a route are looked back on.
-	patienceSamples = 41
+	// maxLongestAge is the time after which a route's longest deadline is discarded, since its
+	// callers may have changed.
+	maxLongestAge = 30 * time.Second
+	// maxRecentSamples is the number of recent deadlines kept for each route.
+	maxRecentSamples = 41
 )
 
-// Patience knows how much time the callers of each route give. A caller that comes back after a
-// refusal gives what is left of it, which tells how long ago it first tried. Callers may also differ in
-// the time that they give at first: as long as most of them are there for the first time, the middle
-// one tells by how much. Its zero value is ready for use, by several goroutines at once.
+// Patience estimates from a caller's deadline how long ago it first tried. A caller that retries
+// after a refusal states the time that it has left, so the difference from the usual initial
+// deadline of the route is its age. Initial deadlines may differ between callers; as long as most
+// callers are on their first try, the median tells by how much. The zero value is ready for use and
+// safe for concurrent use.
 type Patience struct {
 	mu      sync.Mutex
-	byRoute map[string]*given
+	byRoute map[string]*routeDeadlines
 }
 
-// given is the time that a route's callers gave lately.
-type given struct {
-	longest time.Duration
-	at      time.Time // of the longest
-	recent  [patienceSamples]time.Duration
-	n       int // times ever noted
+// routeDeadlines holds the recent deadlines of one route's callers.
+type routeDeadlines struct {
+	longest   time.Duration
+	longestAt time.Time // when longest was recorded
+	recent    [maxRecentSamples]time.Duration
+	count     int // deadlines recorded so far
 }
 
-// Age returns how long ago a caller that gives so much time first tried, at least; 0 where it states
-// no time, or gives no less than callers that are there for the first time do.
+// Age returns a lower bound for the time since a caller first tried, given the time left until its
+// deadline. It returns 0 if the caller states no deadline, or one no shorter than those of first
+// tries.
 func (p *Patience) Age(route string, left time.Duration, now time.Time) time.Duration {
 	if left <= 0 {
 		return 0
@@ -40,39 +42,39 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.byRoute == nil {
-		p.byRoute = make(map[string]*given)
+		p.byRoute = make(map[string]*routeDeadlines)
 	}
 	known := p.byRoute[route]
 	if known == nil {
-		known = &given{}
+		known = &routeDeadlines{}
 		p.byRoute[route] = known
 	}
-	return known.note(left, now)
+	return known.record(left, now)
 }
 
-// note takes the time that a caller gives, and returns its age.
-func (g *given) note(left time.Duration, now time.Time) time.Duration {
+// record records the time left until a caller's deadline and returns the caller's age.
+func (g *routeDeadlines) record(left time.Duration, now time.Time) time.Duration {
 	switch {
-	case now.Sub(g.at) > patienceFade:
-		*g = given{longest: left, at: now}
+	case now.Sub(g.longestAt) > maxLongestAge:
+		*g = routeDeadlines{longest: left, longestAt: now}
 	case left >= g.longest:
-		g.longest, g.at = left, now
+		g.longest, g.longestAt = left, now
 	}
-	least := g.least()
-	g.recent[g.n%patienceSamples] = left
-	g.n++
-	return max(least-left, 0)
+	minInitial := g.minInitial()
+	g.recent[g.count%maxRecentSamples] = left
+	g.count++
+	return max(minInitial-left, 0)
 }
 
-// least returns the shortest time that callers give at first. Where they give times spread evenly
-// between two, the middle one is half way between them; where all give the same, it is the longest.
-func (g *given) least() time.Duration {
-	if g.n == 0 {
+// minInitial estimates the shortest initial deadline. If initial deadlines are spread evenly
+// between two bounds, the median is half way between them; if all are equal, it is the longest.
+func (g *routeDeadlines) minInitial() time.Duration {
+	if g.count == 0 {
 		return g.longest
 	}
-	var buf [patienceSamples]time.Duration
-	sorted := buf[:copy(buf[:], g.recent[:min(g.n, patienceSamples)])]
+	var buf [maxRecentSamples]time.Duration
+	sorted := buf[:copy(buf[:], g.recent[:min(g.count, maxRecentSamples)])]
 	slices.Sort(sorted)
-	middle := sorted[len(sorted)/2]
-	return g.longest - 2*(g.longest-middle)
+	median := sorted[len(sorted)/2]
+	return g.longest - 2*(g.longest-median)
 }
--- a/internal/forward/place.go
+++ b/internal/forward/placement.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// WaitShare is the part of the objective for which a request waits here for an endpoint:
-	// a caller that is refused later than that has lost time that it could have used.
-	// Callers that were refused before wait no longer: they would take room from prompts that
-	// can still be in time.
+	// WaitShare is the part of the route's objective for which a request waits at this node for an
+	// endpoint. A caller refused later than that has lost time that it could have used. Callers
+	// that were refused before wait no longer than others: they would take capacity from prompts
+	// that can still meet the objective.
 	WaitShare = 0.125
-	// lookAgain is the time between two looks while a request waits. Places come free, and
-	// peers tell so, some dozens of times a second.
-	lookAgain = 10 * time.Millisecond
+	// placeInterval is the time between two placement tries while a request waits. Capacity becomes
+	// free, and peers report it, some dozens of times a second.
+	placeInterval = 10 * time.Millisecond
 )
 
-// place chooses an endpoint. Where none takes the request now and one is predicted to soon,
-// it waits for that; it reports false as soon as that is known to come too late.
+// place selects an endpoint. If none accepts the request now but one is predicted to soon, it waits
+// and tries again. It reports false as soon as the prediction exceeds the maximum wait.
 func (x *exchange) place(ctx context.Context, q *Query) (Placement, bool) {
 	for {
 		placement, ok := x.Placer.Place(q)
@@ -36,33 +36,33 @@
 	}
 }
 
-// Pause returns how long a request that has no place waits here until the next look; 0 where
+// Pause returns the time for which a request without a placement waits until the next try, or 0 if
 // it is to be refused now.
 func (p *Placement) Pause(objective time.Duration) time.Duration {
 	return p.PauseWithin(time.Duration(WaitShare * float64(objective)))
 }
 
-// PauseWithin is Pause where a request waits for so long at most.
-func (p *Placement) PauseWithin(most time.Duration) time.Duration {
-	left := most - p.Waited
+// PauseWithin is like Pause with a maximum total wait of maxWait.
+func (p *Placement) PauseWithin(maxWait time.Duration) time.Duration {
+	left := maxWait - p.Waited
 	if p.Wait <= 0 || p.Wait > left {
 		return 0
 	}
-	return min(lookAgain, left)
+	return min(placeInterval, left)
 }
 
-// declined returns the refusal of a request that no endpoint takes now.
-func declined(p *Placement) *result.Error {
+// placementRefusal returns the refusal of a request that no endpoint accepts now.
+func placementRefusal(p *Placement) *result.Error {
 	if p.Refuse != nil {
 		p.RetryAfter = p.Refuse()
 	}
 	if p.RetryAfter <= 0 {
-		p.RetryAfter = retryNoEndpoint
+		p.RetryAfter = retryAfterNoEndpoint
 	}
 	return result.New(result.NoEndpoint, result.WithRetryAfter(p.RetryAfter))
 }
 
-// log adds what decided, and what was predicted, to the request's line.
+// log adds the reason for the placement and its predictions to the request's log event.
 func (p *Placement) log(event *zerolog.Event, c *clock.Clock) *zerolog.Event {
 	event = event.Str("why", p.Reason).Int64("wait_ms", p.Wait.Milliseconds()).Int64("waited_ms", p.Waited.Milliseconds())
 	if p.Member == nil {
--- a/internal/forward/place_test.go
+++ b/internal/forward/placement_test.go
@@ -14,25 +14,25 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// placesAt takes requests from a time on, and predicts that until then.
-type placesAt struct{ at time.Time }
+// freeAt is a placer that accepts requests from a given time on and predicts the wait until then.
+type freeAt struct{ at time.Time }
 
-func (p placesAt) Place(*Query) (Placement, bool) {
+func (p freeAt) Place(*Query) (Placement, bool) {
 	wait := time.Until(p.at)
 	return Placement{Wait: wait, Refuse: func() time.Duration { return 2 * wait }}, wait <= 0
 }
 
-// exchangeAt returns an exchange of a caller that first tried some time ago, before engines
-// that take it after a time.
+// exchangeAt returns an exchange of a caller that first tried age ago, with a placer that accepts
+// it after the duration free.
 func exchangeAt(free, age time.Duration) (*exchange, *Query) {
 	route := &routing.Route{Objective: time.Second, Timeout: 9 * time.Second}
-	x := &exchange{Handler: &Handler{Placer: placesAt{time.Now().Add(free)}}, arrived: time.Now(), route: route, age: age}
+	x := &exchange{Handler: &Handler{Placer: freeAt{time.Now().Add(free)}}, arrived: time.Now(), route: route, age: age}
 	return x, &Query{Route: route, Age: age}
 }
 
-// TestWaitsForAPlaceThatComesSoon waits within an eighth of the objective, and refuses at once
-// what is predicted to take longer.
-func TestWaitsForAPlaceThatComesSoon(t *testing.T) {
+// TestWaitsForCapacityPredictedSoon checks that a request waits for capacity for up to an eighth of
+// the objective, and is refused at once if the predicted wait is longer.
+func TestWaitsForCapacityPredictedSoon(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		free, age time.Duration
@@ -52,7 +52,7 @@
 				test.Eq(t, tc.placed, ok)
 				test.Eq(t, tc.waited, placement.Waited)
 				if !ok {
-					refusal := declined(&placement)
+					refusal := placementRefusal(&placement)
 					test.Eq(t, 2*tc.free, refusal.RetryAfter)
 					test.Eq(t, result.NotRun, refusal.RunState)
 				}
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestWaitEndsWithTheCaller doesn't wait for a caller that left.
+// TestWaitEndsWithTheCaller checks that waiting ends when the caller leaves.
 func TestWaitEndsWithTheCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x, q := exchangeAt(100*time.Millisecond, 0)
@@ -73,48 +73,50 @@
 	})
 }
 
-// TestPatienceTellsLaterTries takes the time that a caller has left for its age.
-func TestPatienceTellsLaterTries(t *testing.T) {
+// TestAgeOfRetries checks that the age is the difference between a caller's deadline and
+// the route's longest one.
+func TestAgeOfRetries(t *testing.T) {
 	var p Patience
 	now := time.Now()
 	test.Eq(t, 0, p.Age("r", 12*time.Second, now))
 	test.Eq(t, 3*time.Millisecond, p.Age("r", 11997*time.Millisecond, now))
 	test.Eq(t, 2*time.Second, p.Age("r", 10*time.Second, now))
 	test.Eq(t, 0, p.Age("other", 10*time.Second, now))
-	test.Eq(t, 0, p.Age("r", 0, now), test.Sprint("no time is stated"))
-	test.Eq(t, 0, p.Age("r", 10*time.Second, now.Add(patienceFade+time.Second)), test.Sprint("callers have changed"))
+	test.Eq(t, 0, p.Age("r", 0, now), test.Sprint("no deadline is stated"))
+	test.Eq(t, 0, p.Age("r", 10*time.Second, now.Add(maxLongestAge+time.Second)), test.Sprint("the longest deadline is too old"))
 }
 
-// Callers of a deployment gave between 85 and 100% of their class's time at their first try, and nearly
-// all were taken for ones that were refused before: small prompts then took the room that large ones
-// waited for, and prompts that came too late were not refused.
+// The next test guards against a failure with callers that set between 85 and 100% of their class's
+// time as the deadline of their first try. Nearly all were taken for callers that had been refused
+// before: small prompts then took the capacity that large ones waited for, and prompts that came
+// too late were not refused.
 
-// TestPatienceOfUnequalCallers takes no caller for a returned one that gives as much as others do at
-// first, and finds most of those that have lost more than that.
-func TestPatienceOfUnequalCallers(t *testing.T) {
+// TestAgeWithUnequalDeadlines checks that few first tries with unequal deadlines are taken for
+// retries, and that most retries that have lost more time than the spread are found.
+func TestAgeWithUnequalDeadlines(t *testing.T) {
 	const full, lost = 10 * time.Second, 2500 * time.Millisecond
 	for _, spread := range []float64{0, 0.05, 0.15} {
 		var p Patience
 		random := rand.New(rand.NewPCG(1, 1))
 		now := time.Now()
-		falsely, found, returned := 0, 0, 0
+		falseRetries, found, retries := 0, 0, 0
 		for i := range 2000 {
 			left := time.Duration(float64(full) * (1 - spread*random.Float64()))
-			again := i%5 == 4
-			if again {
+			retried := i%5 == 4
+			if retried {
 				left -= lost
-				returned++
+				retries++
 			}
 			age := p.Age("a", left, now.Add(time.Duration(i)*10*time.Millisecond))
 			switch {
-			case i < 100: // it learns
-			case again && age > 0:
+			case i < 100: // warm-up
+			case retried && age > 0:
 				found++
-			case !again && age > 100*time.Millisecond:
-				falsely++
+			case !retried && age > 100*time.Millisecond:
+				falseRetries++
 			}
 		}
-		test.LessEq(t, 80, falsely, test.Sprint("of 1,520, spread ", spread))
-		test.Greater(t, 9*(returned-20)/10, found, test.Sprint("spread ", spread))
+		test.LessEq(t, 80, falseRetries, test.Sprint("of 1,520, spread ", spread))
+		test.Greater(t, 9*(retries-20)/10, found, test.Sprint("spread ", spread))
 	}
 }
--- a/internal/forward/plain_test.go
+++ b/internal/forward/plain_answer_test.go
@@ -9,8 +9,9 @@
 	"github.com/shoenig/test"
 )
 
-// TestEncodedStreams: a caller that takes encodings gets events as they come, and an encoded
-// stream, whose events can't be told apart, whole or not at all.
+// TestEncodedStreams checks that a caller that accepts content encodings still receives events one
+// by one, and that an encoded stream, in which event boundaries can't be found, is delivered in
+// full or not at all.
 func TestEncodedStreams(t *testing.T) {
 	w := newRawWorld(t, script{answer: func(r *http.Request) string {
 		if r.Header.Get("Accept-Encoding") != "" {
@@ -23,23 +24,23 @@
 	test.Eq(t, events(1, streamSize), got.body)
 
 	encoded := head(http.StatusOK, eventStream+isChunked+"Content-Encoding: br\r\n") + chunk("\n\nid: ")
-	w = newRawWorld(t, says(encoded), says(encoded+chunk("x")+lastChunk))
+	w = newRawWorld(t, fixedAnswer(encoded), fixedAnswer(encoded+chunk("x")+lastChunk))
 	got = w.do(t, http.MethodPost, resumePath, "prompt", nil)
 	test.Eq(t, http.StatusOK, got.status)
 	test.Eq(t, "\n\nid: x", got.body)
 }
 
-// tooMuch is the length of an answer that is too long to be held.
-const tooMuch = 16<<20 + 1
+// tooLong is the length of an answer that is too long to buffer.
+const tooLong = 16<<20 + 1
 
-// TestPlainAnswers: a plain answer reaches the caller as the endpoint gave it, or not at all.
+// TestPlainAnswers checks that a plain answer is delivered as the endpoint sent it, or not at all.
 func TestPlainAnswers(t *testing.T) {
 	tests := []struct {
 		name   string
 		method string
 		answer string
 		status int
-		length string // of the answer, as its header tells
+		length string // expected Content-Length header
 	}{
 		{name: "whole", method: http.MethodGet, answer: head(http.StatusOK, ofLength(2)) + "ok", status: http.StatusOK, length: "2"},
 		{name: "without a length", method: http.MethodGet, answer: head(http.StatusOK, "") + "ok", status: http.StatusOK, length: "2"},
@@ -47,7 +48,7 @@
 		{name: "shorter than its length", method: http.MethodGet, answer: head(http.StatusOK, ofLength(3)) + "ok", status: http.StatusBadGateway},
 		{name: "without its last chunk", method: http.MethodGet, answer: head(http.StatusOK, isChunked) + chunk("ok"), status: http.StatusBadGateway},
 		{name: "with a trailer", method: http.MethodGet, answer: head(http.StatusOK, isChunked) + chunk("ok") + "0\r\nX-Sum: 1\r\n\r\n", status: http.StatusOK, length: "2"},
-		{name: "longer than is held", method: http.MethodGet, answer: head(http.StatusOK, ofLength(tooMuch)) + strings.Repeat("x", tooMuch), status: http.StatusOK, length: strconv.Itoa(tooMuch)},
+		{name: "longer than is held", method: http.MethodGet, answer: head(http.StatusOK, ofLength(tooLong)) + strings.Repeat("x", tooLong), status: http.StatusOK, length: strconv.Itoa(tooLong)},
 		{name: "no content", method: http.MethodGet, answer: head(http.StatusNoContent, ""), status: http.StatusNoContent},
 		{name: "not modified", method: http.MethodGet, answer: head(http.StatusNotModified, ofLength(7)), status: http.StatusNotModified},
 		{name: "head", method: http.MethodHead, answer: head(http.StatusOK, ofLength(7)), status: http.StatusOK, length: "7"},
@@ -57,7 +58,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawWorld(t, says(tc.answer))
+			w := newRawWorld(t, fixedAnswer(tc.answer))
 			got := w.do(t, tc.method, uploadPath, "", nil)
 			test.Eq(t, tc.status, got.status)
 			test.NoError(t, got.err)
@@ -71,10 +72,11 @@
 	}
 }
 
-// TestLongAnswerThatBreaksOff: nothing follows the part that the caller has, and it shows as one.
+// TestLongAnswerThatBreaksOff checks that nothing is sent after a long answer that breaks off, and
+// that the caller can see that it is incomplete.
 func TestLongAnswerThatBreaksOff(t *testing.T) {
-	part := strings.Repeat("x", tooMuch)
-	w := newRawWorld(t, says(head(http.StatusOK, isChunked)+chunk(part)), says(streamOf(events(1, streamSize), -1)))
+	part := strings.Repeat("x", tooLong)
+	w := newRawWorld(t, fixedAnswer(head(http.StatusOK, isChunked)+chunk(part)), fixedAnswer(streamOf(events(1, streamSize), -1)))
 	got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
 	test.Eq(t, http.StatusOK, got.status)
 	test.Error(t, got.err)
--- a/internal/forward/property_test.go
+++ b/internal/forward/property_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the properties unless a flag asks for another.
+// TestMain sets a fixed seed for the property tests unless a flag sets another one.
 func TestMain(m *testing.M) {
 	if err := errors.Join(flag.Set("rapid.seed", "21"), flag.Set("rapid.nofailfile", "true")); err != nil {
 		panic(err)
@@ -22,10 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// drawnStream is a true stream, and how it is written.
+// drawnStream is a generated complete stream of events.
 type drawnStream struct {
 	events []string // with their ids from 1
-	end    string   // of each line
+	end    string   // line terminator
 }
 
 func drawStream(t *rapid.T) drawnStream {
@@ -42,7 +42,8 @@
 
 func (s drawnStream) text() string { return strings.Join(s.events, "") }
 
-// after is the rest of the stream behind the event of an id, "" for all of it.
+// after returns the part of the stream after the event with the given id, or all of it if id is
+// empty.
 func (s drawnStream) after(t *rapid.T, id string) string {
 	if id == "" {
 		return s.text()
@@ -52,8 +53,8 @@
 	return strings.Join(s.events[n:], "")
 }
 
-// drawSecond draws what the second endpoint answers to a request to go on. From the beginning
-// any answer is one endpoint's own, so there it gives the true one.
+// drawSecond generates the second endpoint's answer to the resumed request. A request that starts
+// at the beginning gets the true stream, since any other answer would also be valid there.
 func (s drawnStream) drawSecond(t *rapid.T) script {
 	kind := rapid.SampledFrom([]string{"right", "broken", "anew", "gap", "error", "plain", "refused", "text", "unnamed"}).Draw(t, "second")
 	cut := rapid.IntRange(0, len(s.text())).Draw(t, "second cut")
@@ -69,7 +70,7 @@
 		case "anew":
 			return streamOf(s.text(), -1)
 		case "gap":
-			n, _ := strconv.Atoi(id) // it is one of this stream's
+			n, _ := strconv.Atoi(id) // a valid id: it comes from this stream
 			return streamOf("id: "+strconv.Itoa(n+2)+s.end+"data: z"+s.end+s.end, -1)
 		case "error":
 			return head(http.StatusInternalServerError, ofLength(3)) + "no\n"
@@ -85,13 +86,14 @@
 	}}
 }
 
-// TestCallerGetsAPrefix: for any stream that breaks off at any byte, and any second endpoint's
-// answer, a caller gets the beginning of the true stream, and a proper end only with all of it.
+// TestCallerGetsAPrefix checks, for streams that break off at any byte and any answer of the second
+// endpoint, that the caller receives a prefix of the true stream, and a regular end only with all
+// of it.
 func TestCallerGetsAPrefix(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawStream(rt)
 		want := s.text()
-		first := says(streamOf(want, rapid.IntRange(-1, len(want)).Draw(rt, "cut")))
+		first := fixedAnswer(streamOf(want, rapid.IntRange(-1, len(want)).Draw(rt, "cut")))
 		w := newRawWorld(t, first, s.drawSecond(rt))
 		got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
 		must.Eq(rt, http.StatusOK, got.status)
--- a/internal/forward/loss_test.go
+++ b/internal/forward/quarantine_test.go
@@ -15,10 +15,10 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// endsOn is the end of the path of the request that ends endpoints.
+// endsOn is the path suffix of requests that make a server exit.
 const endsOn = "/ends"
 
-// newEndingWorld starts servers that end with a request of that path.
+// newEndingWorld starts servers that exit on requests whose path ends with endsOn.
 func newEndingWorld(t *testing.T, servers int) *world {
 	t.Helper()
 	w := &world{}
@@ -38,7 +38,7 @@
 	return w
 }
 
-// ran returns how many servers ran requests whose id has a prefix.
+// ran returns the number of servers that ran requests whose id has the given prefix.
 func (w *world) ran(prefix string) (servers int) {
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
@@ -51,18 +51,20 @@
 	return servers
 }
 
-// forgetEnded leaves out the endpoints that ended, as a registry does.
-func (w *world) forgetEnded() {
+// removeEnded removes the endpoints that have ended, as a registry does.
+func (w *world) removeEnded() {
 	w.order.members = slices.DeleteFunc(slices.Clone(w.order.members), func(m *fleet.Member) bool { return m.Ended() })
 }
 
-// TestRequestThatEndsEndpoints: callers of all kinds of requests found no engine for seconds, again
-// and again. One prompt ended each engine that began to run it, and its caller came back at once
-// with another id: the node tried it elsewhere, forgot it with its answer, and sent it on to the
-// next engines and to those that had just started again.
+// TestRequestThatEndsEndpoints checks that a request that makes engines exit reaches only a few of
+// them.
 //
-// Evidence: the same fingerprint among the runs lost with each engine, at all nodes, under many ids;
-// a connection opened behind each loss was refused (event=run_lost, ended=true).
+// It guards against a failure in which one prompt made each engine exit that began to run it, and
+// its caller retried at once under another id. The node sent it to another engine, kept no record
+// of it after answering, and sent it on to further engines and to those just restarted, so that
+// callers of all requests repeatedly found no engine for seconds. The log then shows the same
+// fingerprint for the runs lost with each engine, on all nodes and under many ids (event=run_lost,
+// ended=true: a new connection to the engine was refused).
 func TestRequestThatEndsEndpoints(t *testing.T) {
 	const (
 		servers = 8
@@ -77,7 +79,7 @@
 		if w.ran(id) == 0 {
 			test.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 		}
-		w.forgetEnded()
+		w.removeEnded()
 	}
 	test.Eq(t, 3, w.ran("guilty-"))
 	must.SliceNotEmpty(t, w.order.members)
--- a/internal/forward/raw_test.go
+++ b/internal/forward/raw_test.go
@@ -12,19 +12,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// script answers one request of a connection in the endpoint's own bytes. The connection
-// is closed behind an answer that is not kept.
+// script answers the requests on a connection with raw bytes. Unless keepAlive is set, the
+// connection is closed after the first answer.
 type script struct {
-	answer func(r *http.Request) string
-	kept   bool
+	answer    func(r *http.Request) string
+	keepAlive bool
 }
 
-// says is a script of a fixed answer.
-func says(answer string) script {
+// fixedAnswer returns a script that always gives the same answer.
+func fixedAnswer(answer string) script {
 	return script{answer: func(*http.Request) string { return answer }}
 }
 
-// head begins the answer to request r1 with a seal; fields end with "\r\n" each.
+// head returns the response header for request r1, with an endpoint signature. Each of the fields
+// must end with "\r\n".
 func head(status int, fields string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Attempt-Id: r1\r\nX-Server-Seal: seal\r\n%s\r\n", status, http.StatusText(status), fields)
 }
@@ -37,7 +38,7 @@
 
 func ofLength(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
 
-// chunk frames a piece of a body; an empty one is nothing.
+// chunk encodes a piece of a body as an HTTP chunk; an empty piece yields nothing.
 func chunk(piece string) string {
 	if piece == "" {
 		return ""
@@ -45,7 +46,8 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
 }
 
-// streamOf is a whole answer of events; cutAt leaves it broken off behind so many bytes.
+// streamOf returns an event stream answer. If cutAt is not negative, the body breaks off after that
+// many bytes.
 func streamOf(body string, cutAt int) string {
 	if cutAt < 0 {
 		return head(http.StatusOK, eventStream+isChunked) + chunk(body) + lastChunk
@@ -53,7 +55,7 @@
 	return head(http.StatusOK, eventStream+isChunked) + chunk(body[:cutAt])
 }
 
-// newRawWorld starts a handler before endpoints that answer by one script each.
+// newRawWorld starts a handler in front of one endpoint for each script.
 func newRawWorld(t testing.TB, scripts ...script) *world {
 	t.Helper()
 	var addrs []string
@@ -65,7 +67,7 @@
 	return w
 }
 
-// listen serves a script on each connection, and returns the address.
+// listen serves a script on a local port and returns the address.
 func listen(t testing.TB, s script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,13 +96,13 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if _, err := io.WriteString(conn, s.answer(r)); err != nil || !s.kept {
+		if _, err := io.WriteString(conn, s.answer(r)); err != nil || !s.keepAlive {
 			return
 		}
 	}
 }
 
-// numbered returns events with the ids from, from+1 ... to, their lines ended by end.
+// numbered returns the events with ids from through to, with end as the line terminator.
 func numbered(from, to int, end string) string {
 	return strings.ReplaceAll(events(from, to), "\n", end)
 }
--- a/internal/forward/sse.go
+++ b/internal/forward/sse.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// readBytes is how much of a stream is read at once.
+	// readBytes is the buffer size for reads from a stream.
 	readBytes = 4 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
-	// lineEnds are the bytes that end a line; "\r\n" is one end.
+	// lineEnds are the bytes that end a line; "\r\n" counts as one line end.
 	lineEnds = "\r\n"
 
 	fieldID   = "id"
@@ -23,44 +23,45 @@
 )
 
 var (
-	errEventTooLong = eris.New("an event is too long")
+	errEventTooLong = eris.New("event exceeds the maximum size")
 	fieldSeparator  = []byte(":")
 )
 
-// eventReader cuts a stream of server-sent events into whole events.
+// eventReader splits a stream of server-sent events into complete events.
 type eventReader struct {
 	body io.Reader
-	// unframed is set where only the end of the connection ends the stream.
+	// unframed is set if only the closing of the connection marks the end of the stream.
 	unframed bool
 	buffer   [readBytes]byte
 	pending  []byte
-	taken    int // bytes of pending that were returned
+	consumed int // bytes of pending that were returned already
 }
 
-// next returns the whole events that have come, and the error that follows them. They are
-// valid until the next call.
+// next returns the complete events read next, and the error that ended reading, if any. The events
+// are valid until the next call.
 func (r *eventReader) next() ([]byte, error) {
-	r.pending = append(r.pending[:0], r.pending[r.taken:]...)
-	r.taken = 0
+	r.pending = append(r.pending[:0], r.pending[r.consumed:]...)
+	r.consumed = 0
 	for {
 		n, err := r.body.Read(r.buffer[:])
 		r.pending = append(r.pending, r.buffer[:n]...)
-		r.taken = eventsEnd(r.pending, r.unframed || !errors.Is(err, io.EOF))
+		r.consumed = completeLength(r.pending, r.unframed || !errors.Is(err, io.EOF))
 		switch {
-		case err != nil, r.taken > 0:
-			return r.pending[:r.taken], err
+		case err != nil, r.consumed > 0:
+			return r.pending[:r.consumed], err
 		case len(r.pending) > maxEventBytes:
 			return nil, errEventTooLong
 		}
 	}
 }
 
-// rest returns what has come of an event that is not whole.
-func (r *eventReader) rest() []byte { return r.pending[r.taken:] }
+// incomplete returns the bytes read of an event that is not complete.
+func (r *eventReader) incomplete() []byte { return r.pending[r.consumed:] }
 
-// eventsEnd returns the length of the whole events that b begins with: it ends with an empty
-// line. Where more may come, a "\r" at the end of b may be half of a line's end.
-func eventsEnd(b []byte, more bool) int {
+// completeLength returns the length of the complete events at the start of b. An event ends with an
+// empty line. If more input may follow, a "\r" at the end of b may be the first half of "\r\n" and
+// does not end a line yet.
+func completeLength(b []byte, more bool) int {
 	end, start := 0, 0
 	for {
 		i := bytes.IndexAny(b[start:], lineEnds)
@@ -83,21 +84,22 @@
 	}
 }
 
-// event is what an event says of itself.
+// event holds the fields of one event that matter for resuming.
 type event struct {
-	id          string
-	named, data bool // it has the field
+	id             string
+	hasID, hasData bool // the field is present
 }
 
-// eventsOf returns the events of whole ones. Comments and the like are none.
-func eventsOf(b []byte) iter.Seq[event] {
+// parseEvents iterates over the events in b, which must be complete. Blocks without an id or data
+// field, such as comments, are skipped.
+func parseEvents(b []byte) iter.Seq[event] {
 	return func(yield func(event) bool) {
 		var e event
 		for len(b) > 0 {
 			var line []byte
 			line, b = cutLine(b)
 			if len(line) > 0 {
-				e.read(line)
+				e.parseLine(line)
 				continue
 			}
 			if e != (event{}) && !yield(e) {
@@ -108,17 +110,17 @@
 	}
 }
 
-func (e *event) read(line []byte) {
+func (e *event) parseLine(line []byte) {
 	name, value, _ := bytes.Cut(line, fieldSeparator)
 	switch string(name) {
 	case fieldID:
-		e.id, e.named = string(bytes.TrimSpace(value)), true
+		e.id, e.hasID = string(bytes.TrimSpace(value)), true
 	case fieldData:
-		e.data = true
+		e.hasData = true
 	}
 }
 
-// cutLine cuts the first line off b, without its end.
+// cutLine splits b after its first line, and returns the line without its end.
 func cutLine(b []byte) (line, rest []byte) {
 	i := bytes.IndexAny(b, lineEnds)
 	if i < 0 {
@@ -131,67 +133,67 @@
 	return line, rest
 }
 
-// position is how far the caller's stream has come.
+// position is the position in the caller's stream.
 type position struct {
-	last string // id of the last event that had one
-	// unnamed is set where an event without an id follows that one: a stream that goes on
-	// behind last would bring it again.
-	unnamed bool
-	// uncounted is set where the ids do not count the events one by one.
-	uncounted bool
+	lastID string // id of the last event that had one
+	// endsWithoutID is set if an event without an id came after lastID: a stream resumed after
+	// lastID would repeat it.
+	endsWithoutID bool
+	// nonSequential is set if the ids do not number the events one by one.
+	nonSequential bool
 }
 
-// positionAt returns the position of a caller that has the event of an id, "" for none. What its
-// ids count is not known.
-func positionAt(id string) position { return position{last: id, uncounted: id != ""} }
+// positionAt returns the position of a caller that has received the event with the given id, or
+// none if it is empty. Whether ids number the events one by one is not known then.
+func positionAt(id string) position { return position{lastID: id, nonSequential: id != ""} }
 
-// pass notes events that the caller was sent.
-func (p *position) pass(events []byte) {
-	for e := range eventsOf(events) {
+// advance records events that were sent to the caller.
+func (p *position) advance(events []byte) {
+	for e := range parseEvents(events) {
 		if e.id == "" {
-			p.unnamed = true
+			p.endsWithoutID = true
 			continue
 		}
-		p.uncounted = p.uncounted || !p.precedes(e.id)
-		p.last, p.unnamed = e.id, false
+		p.nonSequential = p.nonSequential || !p.isNext(e.id)
+		p.lastID, p.endsWithoutID = e.id, false
 	}
 }
 
-// precedes reports whether id is the next number.
-func (p *position) precedes(id string) bool {
-	last, next, numeric := p.numbers(id)
+// isNext reports whether id is the number after the last id.
+func (p *position) isNext(id string) bool {
+	last, next, numeric := p.parseIDs(id)
 	return numeric && next == last+1
 }
 
-// numbers returns the last id and another one as numbers. Before the first event it is at 0.
-func (p *position) numbers(id string) (last, next int64, numeric bool) {
+// parseIDs parses the last id and id as numbers. Before the first event, the last id is 0.
+func (p *position) parseIDs(id string) (last, next int64, numeric bool) {
 	next, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return 0, 0, false
 	}
-	if p.last == "" {
+	if p.lastID == "" {
 		return 0, next, true
 	}
-	last, err = strconv.ParseInt(p.last, 10, 64)
+	last, err = strconv.ParseInt(p.lastID, 10, 64)
 	return last, next, err == nil
 }
 
-// goesOn reports whether a resumed stream that begins with these events goes on where the
-// caller's broke off, and whether there is an event among them to tell.
-func (p *position) goesOn(events []byte) (ok, decided bool) {
-	for e := range eventsOf(events) {
-		return p.last == "" || e.id != "" && p.follows(e.id), true
+// continuedBy reports whether a resumed stream that begins with these events continues the caller's
+// stream. decided is false if they contain no event to decide by.
+func (p *position) continuedBy(events []byte) (ok, decided bool) {
+	for e := range parseEvents(events) {
+		return p.lastID == "" || e.id != "" && p.isLater(e.id), true
 	}
 	return true, false
 }
 
-func (p *position) follows(id string) bool {
-	if !p.uncounted {
-		return p.precedes(id)
+func (p *position) isLater(id string) bool {
+	if !p.nonSequential {
+		return p.isNext(id)
 	}
-	last, next, numeric := p.numbers(id)
+	last, next, numeric := p.parseIDs(id)
 	if !numeric {
-		return id != p.last // ids of another form can't be compared
+		return id != p.lastID // ids that are not numbers can't be ordered
 	}
 	return next > last
 }
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -13,27 +13,28 @@
 	"github.com/cherryward/cherryward/internal/forward"
 )
 
-// sleepyPlacer has the host suspended while it places a request.
-type sleepyPlacer struct {
+// suspendingPlacer suspends the host while it places a request.
+type suspendingPlacer struct {
 	*inOrder
 	host *clocktest.Host
 	d    time.Duration
 }
 
-func (s *sleepyPlacer) Place(q *forward.Query) (forward.Placement, bool) {
+func (s *suspendingPlacer) Place(q *forward.Query) (forward.Placement, bool) {
 	s.host.Suspend(s.d)
 	return s.inOrder.Place(q)
 }
 
-// TestDeadlineAfterASuspension: a caller gave 4 s when its request came, and the host is suspended
-// before it is sent. The endpoint is told what is left by the caller's clock; a caller whose time is
-// over is told so at once, and nothing is sent.
+// TestDeadlineAfterASuspension checks that the time for which the host is suspended between a
+// request's arrival and its send counts against the caller's deadline of 4 s: the endpoint receives
+// the time that is left by the caller's clock, and a request whose deadline has passed is refused
+// at once and not sent.
 func TestDeadlineAfterASuspension(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		w := newWorld(t, model)
 		host := clocktest.New()
 		w.handler.Clock = host.Clock
-		w.handler.Placer = &sleepyPlacer{inOrder: w.order, host: host, d: d}
+		w.handler.Placer = &suspendingPlacer{inOrder: w.order, host: host, d: d}
 		got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
 		runs := w.servers[0].Runs()
 		if d >= 4*time.Second {
@@ -43,8 +44,8 @@
 		}
 		test.Eq(t, http.StatusOK, got.status)
 		must.SliceLen(t, 1, runs)
-		told, err := strconv.Atoi(runs[0].Header.Get("X-Deadline-Ms"))
+		remaining, err := strconv.Atoi(runs[0].Header.Get("X-Deadline-Ms"))
 		must.NoError(t, err)
-		test.LessEq(t, 4000-int(d.Milliseconds()), told)
+		test.LessEq(t, 4000-int(d.Milliseconds()), remaining)
 	}
 }
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -1,17 +1,16 @@
-// Package forward takes callers' requests to endpoints and their answers back.
+// Package forward forwards callers' requests to endpoints and returns their answers.
 //
 // Guarantees:
 //
-//   - A request that is not repeatable is sent again only after proof that it did
-//     not run.
-//   - A refusal that promises "not run" (429, 503, 408, 421) is only made where no
-//     endpoint can have run the request and none will.
-//   - A caller gets an endpoint's whole answer to its own request, or an error, or
-//     a connection that visibly breaks off.
-//   - A key is accepted only if the configuration that holds it was current less
-//     than the revocation bound ago, unless the operators accept stale keys.
-//   - A request that is given up on is answered at once.
-//   - A request under which endpoints end again and again is sent to no more of them.
+//   - A request that is not repeatable is sent again only after proof that it did not run.
+//   - A refusal with a status that promises that the request has not run (429, 503, 408, 421) is
+//     only sent if no endpoint can have run the request and none will.
+//   - A caller gets one endpoint's complete answer to its own request, an error, or a connection
+//     that visibly breaks off.
+//   - A key is accepted only if the configuration that contains it was current less than the
+//     revocation bound ago, unless the operators accept stale keys.
+//   - A request that will not be sent again is answered at once.
+//   - A request in quarantine, because endpoints repeatedly ended while running it, is not sent.
 package forward
 
 import (
@@ -23,171 +22,174 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// Part is a part of a prompt, shared by all requests that name it in the same
-// place.
+// Part is a segment of a prompt. Requests that state the same id at the same place in their prompts
+// share it.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Attributes are what a caller says of its request in headers.
+// Attributes are the request attributes that a caller states in headers.
 type Attributes struct {
-	ID          string // of this send of the request
-	Key         string // of the client account; empty without one
+	ID          string // of this try of the caller
+	Key         string // of the client account; empty if none is given
 	Deadline    time.Duration
 	HasDeadline bool
-	// ResumeAfter is the id of the last event of a stream that the caller has.
+	// ResumeAfter is the id of the last event that the caller has received of a stream; empty if
+	// none.
 	ResumeAfter string
 
 	Model        string
 	PromptTokens int
-	OutputTokens int // at most
+	OutputTokens int // maximum
 	Parts        []Part
 }
 
-// Attempt is what one send to an endpoint says in headers.
+// Attempt holds what this node states in headers on one send to an endpoint.
 type Attempt struct {
-	Instance    string        // the only endpoint that may take it
+	Instance    string        // the only endpoint that may accept the request
 	Remaining   time.Duration // until the caller's deadline
 	Account     string
 	ResumeAfter string
 	Version     int64 // of the weights; 0 for any
 	Salt        string
 	Priority    *int
-	// Sources and Targets hold an address for each part, empty for none: where
-	// its KV cache is fetched from, and where it is stored.
+	// Sources and Targets hold an address for each part, or an empty string: where its KV cache is
+	// fetched from, and where it is stored.
 	Sources, Targets []string
-	// FetchUntil is the time, on the engines' clock in ms, after which a fetch is
-	// thrown away; 0 for no bound.
+	// FetchUntil is the time, in ms on the engines' clock, after which a fetched KV cache is
+	// discarded; 0 for no limit.
 	FetchUntil int64
 }
 
-// AnswerInfo is what an endpoint says of its answer in headers.
+// AnswerInfo holds what an endpoint states about its answer in headers.
 type AnswerInfo struct {
-	ID      string // of the request that it belongs to; empty if not said
+	ID      string // id of the request that is answered; empty if not stated
 	NotRun  bool   // the endpoint did not run the request
-	Sealed  bool   // signed by an endpoint
-	Events  bool   // a stream of events follows
-	Version int64  // of the weights; 0 if not said
-	// Instance is the endpoint that answered; empty if not said.
+	Sealed  bool   // the answer is signed by an endpoint
+	Events  bool   // the body is a stream of events
+	Version int64  // of the weights; 0 if not stated
+	// Instance is the id of the endpoint that answered; empty if not stated.
 	Instance string
-	// Limited is true where the endpoint names the number of requests in a second that it takes from all
-	// nodes together, Limit.
+	// Limited is true if the endpoint states a rate limit: the requests per second that it accepts
+	// from all nodes together, in Limit.
 	Limited bool
 	Limit   float64
-	// LimitUnread is true where it names one that could not be read.
+	// LimitUnread is true if the endpoint states a rate limit that could not be decoded.
 	LimitUnread bool
-	// Draining is true where the endpoint says that it drains.
+	// Draining is true if the endpoint states that it is draining.
 	Draining bool
-	// RetryAfter is the time for which the endpoint, where it refuses the request, wants none of this node;
-	// 0 if not said.
+	// RetryAfter is the time for which an endpoint that refuses the request wants no requests from
+	// this node; 0 if not stated.
 	RetryAfter time.Duration
-	// Unreadable are headers on the endpoint itself that could not be read, as NAME: VALUE. They count
-	// as missing.
+	// Unreadable lists the headers about the endpoint that could not be decoded, as NAME: VALUE.
+	// They are treated as missing.
 	Unreadable []string
 }
 
-// Dialect speaks the headers of the platform.
+// Dialect encodes and decodes the platform's headers.
 type Dialect interface {
 	// ReadRequest decodes a caller's headers.
 	ReadRequest(h http.Header) Attributes
-	// StripRequest removes the headers that only this system may set.
+	// StripRequest removes the headers that callers must not set.
 	StripRequest(h http.Header)
-	// SetAttempt adds the headers of one send.
+	// SetAttempt adds the headers of one attempt.
 	SetAttempt(h http.Header, a *Attempt)
 	// ReadAnswer decodes an answer's headers.
 	ReadAnswer(h http.Header) AnswerInfo
-	// SetRetryAfter tells a caller when to come back.
+	// SetRetryAfter sets the header that states when a caller may retry.
 	SetRetryAfter(h http.Header, d time.Duration)
 }
 
-// State is the configuration in force.
+// State provides the configuration in force.
 type State interface {
-	// Config returns the configuration, or nil, and how long ago it was certainly
-	// current.
+	// Config returns the configuration, or nil if there is none, and the time since it was last
+	// known to be current.
 	Config() (config *routing.Config, age time.Duration)
 }
 
-// Query is what a placement is chosen for.
+// Query is the input to a placement.
 type Query struct {
 	Route      *routing.Route
 	Service    *routing.Service
 	Account    *routing.Account // nil on public routes
 	Attributes *Attributes
-	Tried      []string // ids of endpoints that had the request already
-	// Age is how long ago the caller first tried, as far as its deadline tells.
+	Tried      []string // ids of endpoints to which the request was sent already
+	// Age is the time since the caller first tried, estimated from its deadline.
 	Age time.Duration
 }
 
-// returnedShare is the part of the objective after which a caller's try is taken for a later
-// one. Callers give some ms less than their whole time, which connecting took.
+// returnedShare is the part of the objective that a caller's age must exceed for its try to count
+// as a retry. Callers state a deadline some ms short of their full time, because connecting took
+// that long.
 const returnedShare = 0.05
 
-// Returned reports whether the caller was refused before, as far as its deadline tells.
+// Returned reports whether the caller was refused before, as estimated from its deadline.
 func (q *Query) Returned() bool {
 	return q.Age > time.Duration(returnedShare*float64(q.Route.Objective))
 }
 
-// Placement is a chosen endpoint and how the request is to be sent to it.
+// Placement is the selected endpoint and how to send the request to it.
 type Placement struct {
 	Member *fleet.Member
-	// Attempt is filled in but for Remaining and ResumeAfter.
+	// Attempt is complete except for Remaining and ResumeAfter.
 	Attempt Attempt
-	// Reading is the number of prompt tokens that the endpoint is expected to read;
-	// Cached and Fetched those that it has or gets from elsewhere.
+	// Reading is the number of prompt tokens that the endpoint is expected to prefill. Cached and
+	// Fetched are those that it has in its cache or fetches from elsewhere.
 	Reading, Cached, Fetched int
-	// Holding is the number of tokens that the request is expected to hold in the
-	// endpoint's memory.
+	// Holding is the number of tokens that the request is expected to occupy in the endpoint's
+	// memory.
 	Holding int
-	// BeginBy is when the endpoint must have begun, as its weights were replaced: an attempt
-	// without a first event by then is withdrawn. Zero means no such limit.
+	// BeginBy is the time by which the endpoint must have begun, because its weights are being
+	// replaced: an attempt without a first event by then is withdrawn. Zero means no limit.
 	BeginBy time.Time
-	// Wait, First and Held are what decided, as far as the node knew: the predicted time
-	// until the endpoint has time and room, that until the first event, and the tokens that
-	// running requests held there.
+	// Wait, First and Held are the node's estimates behind the decision: the predicted time until
+	// the endpoint has capacity and memory, the predicted time until the first event, and the
+	// tokens occupied by requests running there.
 	Wait, First time.Duration
 	Held        int
-	// Waited is how long the request was here when it was placed.
+	// Waited is the time between the request's arrival and its placement.
 	Waited time.Duration
-	// Refuse is called once where no endpoint takes the request now and it is refused. It
-	// returns when the caller may come back; 0 where that can't be predicted.
+	// Refuse is called once if the request is refused because no endpoint accepts it. It returns
+	// the time after which the caller may retry, or 0 if that can't be predicted.
 	Refuse func() time.Duration
 	// RetryAfter is what Refuse returned.
 	RetryAfter time.Duration
-	// Reason says in a few words what decided.
+	// Reason is a short name of the reason for the decision.
 	Reason string
-	// Began, if not nil, is told how long after the send the first event came.
+	// Began, if not nil, is called with the time from the send to the first event.
 	Began func(after time.Duration)
-	// Failed, if not nil, is called where the attempt ended before its first event, without
-	// an answer of the endpoint's own: what it was to save is hardly on its way.
+	// Failed, if not nil, is called if the attempt ended before its first event without an answer
+	// from the endpoint: the KV cache that it was to store will probably not be stored.
 	Failed func()
-	// Ended, if not nil, is told how long the endpoint took for the whole answer.
+	// Ended, if not nil, is called with the time that the endpoint took for the complete answer.
 	Ended func(took time.Duration)
 }
 
-// Quarantine knows the requests under which endpoints end.
+// Quarantine records requests during which endpoints ended.
 type Quarantine interface {
-	// Empty reports whether nothing is known of any request.
+	// Empty reports whether no request is recorded.
 	Empty() bool
-	// HeldUntil returns until when a request must not be sent; zero if it may be.
+	// HeldUntil returns the time until which a request must not be sent, or zero if it may be sent.
 	HeldUntil(f quarantine.Fingerprint) time.Time
-	// Note notes that an endpoint ended under a request, and reports whether it is held from now on.
+	// Note records that an endpoint ended while running a request, and reports whether the request
+	// is quarantined from now on.
 	Note(e quarantine.Ending) (held bool)
-	// Clear notes that an endpoint ran a request to a good end, and reports whether anything was
-	// known of it.
+	// Clear records that an endpoint completed a request, and reports whether the request was
+	// recorded before.
 	Clear(f quarantine.Fingerprint) (known bool)
 }
 
 // Fleet holds the endpoints.
 type Fleet interface {
-	// Drain notes that an endpoint told that it drains, and reports whether that is news. It gets nothing
-	// more.
+	// Drain records that an endpoint reported that it is draining, and reports whether that is new.
+	// The endpoint receives no further requests.
 	Drain(m *fleet.Member, now time.Time) (news bool)
 }
 
-// Placer chooses endpoints.
+// Placer selects endpoints.
 type Placer interface {
-	// Place returns a placement, or false where no endpoint takes the request now. Then
-	// only Reason, Wait and Refuse are set, where anything is known.
+	// Place returns a placement, or false if no endpoint accepts the request now. In that case only
+	// Reason, Wait and Refuse are set, as far as they are known.
 	Place(q *Query) (Placement, bool)
 }
--- a/internal/forward/withdraw_plain_test.go
+++ b/internal/forward/withdraw_plain_test.go
@@ -14,10 +14,10 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// TestWithdrawsNoAnswerThatComes leaves an endpoint alone whose plain answer is on its way by the
-// time at which its weights are too old: it has begun, and a request that can't be repeated would
-// be lost.
-func TestWithdrawsNoAnswerThatComes(t *testing.T) {
+// TestPlainAnswerInProgressNotWithdrawn checks that a plain answer in progress is not withdrawn when the
+// endpoint's weights become too old: the endpoint has begun the request, and one that can't be
+// repeated would be lost.
+func TestPlainAnswerInProgressNotWithdrawn(t *testing.T) {
 	const within = 200 * time.Millisecond
 	for _, path := range []string{recordPath, uploadPath} {
 		t.Run(path, func(t *testing.T) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestSuccessAfterAWithdrawal counts the success of an endpoint for its health, though the request was
-// withdrawn from another one before.
+// TestSuccessAfterAWithdrawal checks that a success counts for the endpoint's health even if the
+// request was withdrawn from another endpoint before.
 func TestSuccessAfterAWithdrawal(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer silent.Close()
@@ -63,5 +63,5 @@
 	got := w.do(t, http.MethodGet, recordPath, "", nil)
 	must.Eq(t, http.StatusOK, got.status)
 	test.Less(t, before, health.FailureRate(now))
-	test.Eq(t, 0, w.order.members[0].Health.FailureRate(now), test.Sprint("this node withdrew it"))
+	test.Eq(t, 0, w.order.members[0].Health.FailureRate(now), test.Sprint("a withdrawal is no failure of the endpoint"))
 }
--- a/internal/forward/withdraw_test.go
+++ b/internal/forward/withdraw_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test"
 )
 
-// TestWithdrawal ends an attempt that has not begun in time, and none that has.
+// TestWithdrawal checks that an attempt is canceled only if it has not begun by the given time.
 func TestWithdrawal(t *testing.T) {
 	const within = time.Second
 	for name, tc := range map[string]struct {
@@ -25,11 +25,11 @@
 				if tc.limited {
 					at = time.Now().Add(within)
 				}
-				ctx, began := withdrawUnbegun(t.Context(), at)
+				ctx, markBegun := withdrawUnlessBegun(t.Context(), at)
 				time.Sleep(within - time.Millisecond)
 				test.NoError(t, ctx.Err())
 				if tc.begun {
-					began()
+					markBegun()
 				}
 				time.Sleep(time.Minute)
 				test.Eq(t, tc.ended, ctx.Err() != nil)
