--- a/internal/calls/outlive_test.go
+++ b/internal/calls/caller_deadline_test.go
@@ -20,58 +20,59 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// ledger is a plain service, and the configuration that names it.
-type ledger struct {
-	takes      time.Duration
+// fakeService is a plain service, an engine, and the configuration that contains the service.
+type fakeService struct {
+	duration   time.Duration
 	executions int
 }
 
-func (l *ledger) View() *config.View {
+func (l *fakeService) View() *config.View {
 	e := &pb.Endpoint{Name: "ledger-1", Url: "http://ledger-1", Service: "ledger"}
 	return config.NewView().With(config.Entry{Kind: config.KindEndpoint, Name: e.Name, Value: e, Revision: 1})
 }
 
-func (l *ledger) HostLeaving(*pb.Endpoint) bool { return false }
-func (l *ledger) Succeeded()                    {}
-func (l *ledger) Retry() bool                   { return true }
+func (l *fakeService) HostLeaving(*pb.Endpoint) bool { return false }
+func (l *fakeService) Succeeded()                    {}
+func (l *fakeService) Retry() bool                   { return true }
 
-// RoundTrip implements http.RoundTripper: the call runs whether or not its caller waits.
-func (l *ledger) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip implements http.RoundTripper. It counts the call as executed even if the caller's
+// context ends first.
+func (l *fakeService) RoundTrip(r *http.Request) (*http.Response, error) {
 	l.executions++
 	select {
-	case <-time.After(l.takes):
+	case <-time.After(l.duration):
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("filed"))}, nil
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	}
 }
 
-// Run implements Prompts: an engine that needs as long as the service.
-func (l *ledger) Run(ctx context.Context, req *runs.Request, _ runs.Sink) (runs.Summary, error) {
+// Run implements Prompts. It takes as long as the service.
+func (l *fakeService) Run(ctx context.Context, req *runs.Request, _ runs.Sink) (runs.Summary, error) {
 	l.executions++
 	select {
-	case <-time.After(l.takes):
+	case <-time.After(l.duration):
 		return runs.Summary{Finish: "length"}, nil
 	case <-ctx.Done():
 		return runs.Summary{}, ctx.Err()
 	}
 }
 
-// newExecutor returns a service that executes tickets, before a ledger.
-func newExecutor(t *testing.T, l *ledger) *Service {
+// newExecutor returns a Service that executes tickets on l.
+func newExecutor(t *testing.T, l *fakeService) *Service {
 	s, err := New(sharedKey, l, zerolog.Nop())
 	must.NoError(t, err)
 	s.plain = newPlainClient(l, l, l)
 	s.plain.http.Transport = l
 	s.SetPrompts(l)
-	s.executor, err = ticket.New(s.tickets(ticket.Incarnation{Node: "n1", Run: 1}))
+	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: "n1", Run: 1}))
 	must.NoError(t, err)
 	return s
 }
 
-// TestCallOutlivesItsCaller: a caller whose time ended before the service answered gets the
-// answer when it repeats the call, wherever the first one came in: with the process paused
-// meanwhile, no more is needed than that the service takes longer than the caller waits.
+// TestCallOutlivesItsCaller checks that a call continues after its caller's deadline, and that the
+// caller gets the answer by repeating the call with the same ticket, without a second execution. A
+// service that takes longer than the caller waits is enough for this case to arise.
 func TestCallOutlivesItsCaller(t *testing.T) {
 	calls := map[string]Ticketed{
 		"service": {Service: &ServiceCall{Service: "ledger", Method: http.MethodPost, Path: "/charges"}},
@@ -80,7 +81,7 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := &ledger{takes: 3 * time.Second}
+				l := &fakeService{duration: 3 * time.Second}
 				s := newExecutor(t, l)
 				batch, err := s.Issue("mill", 1)
 				must.NoError(t, err)
@@ -89,7 +90,7 @@
 					if call.Service != nil {
 						call.Service.TimeLeft = timeLeft
 					}
-					resp, err := s.serveRedeem(t.Context(), peers.Identity{ID: "n2"}, &ticket.Call{Ticket: batch[0], Account: "mill", Request: encode(call)})
+					resp, err := s.handleRedeem(t.Context(), peers.Identity{ID: "n2"}, &ticket.Call{Ticket: batch[0], Account: "mill", Request: encode(call)})
 					must.NoError(t, err)
 					return resp
 				}
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -1,10 +1,8 @@
-// Package calls makes calls of plain services, and runs ticketed calls at most
-// once.
+// Package calls calls plain services and executes ticketed calls at most once.
 //
-// Guarantee: a call that is not declared idempotent is sent to at most one
-// endpoint, once. With a ticket that also holds over repeats by the caller at any
-// node. An error that says not_run is only given where no byte of the call
-// reached an endpoint.
+// Guarantee: a call that is not declared idempotent is sent to at most one endpoint, once. With a
+// ticket this also holds if the caller repeats the call at any node. An error states not_run only
+// if no byte of the call reached an endpoint.
 package calls
 
 import (
@@ -21,56 +19,57 @@
 	Account   string            `json:"account"`
 	Service   string            `json:"service"`
 	Method    string            `json:"method"`
-	Path      string            `json:"path"` // with its query
+	Path      string            `json:"path"` // path with query
 	Header    map[string]string `json:"header,omitempty"`
 	Body      []byte            `json:"body,omitempty"`
 	RequestID string            `json:"request_id"`
 	TimeLeft  time.Duration     `json:"time_left"`
 }
 
-// ServiceAnswer is a service's whole answer, whatever its status.
+// ServiceAnswer is a service's complete answer, of any status.
 type ServiceAnswer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 }
 
-// PromptAnswer is the whole answer to a ticketed prompt.
+// PromptAnswer is the complete answer to a ticketed prompt.
 type PromptAnswer struct {
 	Summary runs.Summary `json:"summary"`
 	Text    string       `json:"text"`
 }
 
-// Ticketed is a call as its ticket's executor runs it; one of the two is set.
+// Ticketed is a call as sent to the executor of its ticket. Exactly one of Service and Prompt is
+// set.
 type Ticketed struct {
 	Service *ServiceCall  `json:"service,omitempty"`
 	Prompt  *runs.Request `json:"prompt,omitempty"`
-	// TimeLeft is the time to the caller's deadline.
+	// TimeLeft is the time until the caller's deadline.
 	TimeLeft time.Duration `json:"time_left"`
 }
 
-// Prompts answers prompts.
+// Prompts runs prompts.
 type Prompts interface {
 	Run(ctx context.Context, req *runs.Request, sink runs.Sink) (runs.Summary, error)
 }
 
-// collector keeps a prompt's answer.
-type collector struct {
+// textCollector is a runs.Sink that collects the text of an answer.
+type textCollector struct {
 	text []byte
 }
 
-var _ runs.Sink = (*collector)(nil)
+var _ runs.Sink = (*textCollector)(nil)
 
 // Started implements runs.Sink.
-func (c *collector) Started(runs.Start) error { return nil }
+func (c *textCollector) Started(runs.Start) error { return nil }
 
 // Tokens implements runs.Sink.
-func (c *collector) Tokens(_ string, _ int, text string) error {
+func (c *textCollector) Tokens(_ string, _ int, text string) error {
 	c.text = append(c.text, text...)
 	return nil
 }
 
-// encode is json.Marshal for this package's own types, which always encode.
+// encode returns v as JSON. It panics on an error, as the types of this package always encode.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -15,7 +15,8 @@
 
 var sharedKey = []byte("0123456789abcdef")
 
-// A call is repeatable only if the service can't take its path for another one.
+// TestIdempotent checks that a call counts as idempotent only if the service can't resolve its path
+// to one outside of the declared prefix.
 func TestIdempotent(t *testing.T) {
 	e := &pb.Endpoint{Idempotent: []string{"GET /melts", "POST /search/"}}
 	cases := []struct {
@@ -40,26 +41,28 @@
 	}
 }
 
-// A node that has seen many handovers still learns of new ones.
-func TestNewestHandoversAreRemembered(t *testing.T) {
+// TestOldestHandoversEvicted checks that a node that has reached the limit of recorded handovers
+// evicts the oldest one for a new one.
+func TestOldestHandoversEvicted(t *testing.T) {
 	s, err := New(sharedKey, nil, zerolog.Nop())
 	must.NoError(t, err)
-	move := func(run uint64) {
+	announce := func(run uint64) {
 		from := ticket.Incarnation{Node: "n1", Run: run}
-		s.noteMoved(&movedNotice{From: []ticket.Incarnation{from}, To: ticket.Incarnation{Node: "n2", Run: run}}, true)
+		s.recordHandover(&handoverNotice{From: []ticket.Incarnation{from}, To: ticket.Incarnation{Node: "n2", Run: run}}, true)
 	}
-	for run := range uint64(maxMoved + 1) {
-		move(run)
+	for run := range uint64(maxHandovers + 1) {
+		announce(run)
 	}
-	must.Eq(t, []movedNotice{{
-		From: []ticket.Incarnation{{Node: "n1", Run: maxMoved}},
-		To:   ticket.Incarnation{Node: "n2", Run: maxMoved},
-	}}, s.movesOf(&ticket.Incarnation{Node: "n1", Run: maxMoved}))
-	must.Eq(t, maxMoved, s.moved.Len())
+	must.Eq(t, []handoverNotice{{
+		From: []ticket.Incarnation{{Node: "n1", Run: maxHandovers}},
+		To:   ticket.Incarnation{Node: "n2", Run: maxHandovers},
+	}}, s.handoversOf(&ticket.Incarnation{Node: "n1", Run: maxHandovers}))
+	must.Eq(t, maxHandovers, s.handovers.Len())
 }
 
-// A forwarded call of a kind that this release does not know is refused.
-func TestUnknownCallIsRefused(t *testing.T) {
+// TestUnknownCallKindRefused checks that a forwarded call of a kind unknown to this release is
+// refused.
+func TestUnknownCallKindRefused(t *testing.T) {
 	s, err := New(sharedKey, nil, zerolog.Nop())
 	must.NoError(t, err)
 	_, err = s.runFunc(&Ticketed{TimeLeft: time.Second})(t.Context())
@@ -67,14 +70,15 @@
 	must.True(t, result.Is(err, result.MalformedBody))
 }
 
-// Endpoints that are avoided no longer hold no memory.
-func TestAvoidedEndpointsAreForgotten(t *testing.T) {
+// TestExpiredAvoidEntriesRemoved checks that expired entries for unreachable endpoints are removed,
+// so that they hold no memory.
+func TestExpiredAvoidEntriesRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlainClient(nil, nil, nil)
 		for _, name := range []string{"a", "b"} {
-			p.note(&pb.Endpoint{Name: name}, result.New(result.EndpointUnreachable))
-			time.Sleep(avoidFor + 1)
+			p.recordFailure(&pb.Endpoint{Name: name}, result.New(result.EndpointUnreachable))
+			time.Sleep(avoidDuration + 1)
 		}
-		must.MapLen(t, 1, p.avoid)
+		must.MapLen(t, 1, p.avoidUntil)
 	})
 }
--- a/internal/calls/plain.go
+++ b/internal/calls/plain.go
@@ -24,21 +24,21 @@
 	dialTimeout    = time.Second
 	maxIdlePerHost = 64
 	idleTimeout    = time.Minute
-	maxAnswer      = 64 << 20
+	maxAnswerBytes = 64 << 20
 	maxAttempts    = 3
-	// avoidFor is how long an endpoint that could not be reached comes last.
-	avoidFor = 2 * time.Second
+	// avoidDuration is the time for which an unreachable endpoint is tried last.
+	avoidDuration = 2 * time.Second
 
 	headerRequestID   = "X-Request-Id"
 	headerContentType = "Content-Type"
 )
 
-// Directory gives the newest configuration.
+// Directory provides the latest configuration.
 type Directory interface {
 	View() *config.View
 }
 
-// Leaving tells endpoints whose hosts get no new work.
+// Leaving reports endpoints on hosts that are leaving and get no new work.
 type Leaving interface {
 	HostLeaving(endpoint *pb.Endpoint) bool
 }
@@ -50,11 +50,11 @@
 	budget    runs.Budget
 	http      *http.Client
 
-	mu    sync.Mutex
-	avoid map[string]time.Time // by endpoint, until when it comes last
+	mu         sync.Mutex
+	avoidUntil map[string]time.Time // by endpoint name: the time until which it is tried last
 }
 
-// newPlainClient returns a caller without connections.
+// newPlainClient returns a client without open connections.
 func newPlainClient(directory Directory, leaving Leaving, budget runs.Budget) *plainClient {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -65,30 +65,30 @@
 	}
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &plainClient{
-		directory: directory,
-		leaving:   leaving,
-		budget:    budget,
-		http:      &http.Client{Transport: transport, CheckRedirect: noRedirects},
-		avoid:     make(map[string]time.Time),
+		directory:  directory,
+		leaving:    leaving,
+		budget:     budget,
+		http:       &http.Client{Transport: transport, CheckRedirect: noRedirects},
+		avoidUntil: make(map[string]time.Time),
 	}
 }
 
-// Call makes a call within its caller's time.
+// Call calls a service within call.TimeLeft.
 func (p *plainClient) Call(ctx context.Context, call *ServiceCall) (*ServiceAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.TimeLeft)
 	defer cancel()
 	return p.callUntil(ctx, call)
 }
 
-// callUntil makes a call until ctx ends. One that did not reach an endpoint goes to another; one that
-// may have run is repeated only where it is declared idempotent.
+// callUntil calls a service until ctx ends. A call that did not reach an endpoint is sent to
+// another one; a call that may have run is repeated only if it is declared idempotent.
 func (p *plainClient) callUntil(ctx context.Context, call *ServiceCall) (*ServiceAnswer, error) {
 	endpoints := p.endpoints(call.Service)
 	if len(endpoints) == 0 {
-		return nil, p.noEndpoint(call.Service)
+		return nil, p.noEndpointError(call.Service)
 	}
 	var err error
-	mayRun := false // an earlier attempt may have run
+	mayRun := false // whether any attempt may have run
 	for attempt, e := range endpoints[:min(len(endpoints), maxAttempts)] {
 		if attempt > 0 && !p.budget.Retry() {
 			break
@@ -101,9 +101,9 @@
 			}
 			return answer, nil
 		}
-		p.note(e, err)
+		p.recordFailure(e, err)
 		mayRun = mayRun || result.From(err).RunState != result.NotRun
-		if !mayRepeat(ctx, e, call, err) {
+		if !mayRetry(ctx, e, call, err) {
 			break
 		}
 	}
@@ -113,7 +113,7 @@
 	return nil, err
 }
 
-func (p *plainClient) noEndpoint(service string) error {
+func (p *plainClient) noEndpointError(service string) error {
 	for _, item := range p.directory.View().Items(config.KindEndpoint) {
 		if e, ok := item.Value.(*pb.Endpoint); ok && e.GetService() == service {
 			return result.New(result.NoEndpoint, result.WithField("service"))
@@ -122,7 +122,7 @@
 	return result.New(result.UnknownService, result.WithField("service"))
 }
 
-// endpoints returns those that may take the call, in the order to try them.
+// endpoints returns the endpoints that accept the call, in the order in which to try them.
 func (p *plainClient) endpoints(service string) []*pb.Endpoint {
 	var live []*pb.Endpoint
 	for _, e := range p.directory.View().Services(service) {
@@ -140,7 +140,7 @@
 	now := time.Now()
 	var first, last []*pb.Endpoint
 	for _, e := range endpoints {
-		if now.Before(p.avoid[e.GetName()]) {
+		if now.Before(p.avoidUntil[e.GetName()]) {
 			last = append(last, e)
 		} else {
 			first = append(first, e)
@@ -149,29 +149,28 @@
 	return append(first, last...)
 }
 
-func (p *plainClient) note(e *pb.Endpoint, err error) {
+func (p *plainClient) recordFailure(e *pb.Endpoint, err error) {
 	if !result.Is(err, result.EndpointUnreachable) {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(p.avoid, func(_ string, until time.Time) bool { return now.After(until) })
-	p.avoid[e.GetName()] = now.Add(avoidFor)
+	maps.DeleteFunc(p.avoidUntil, func(_ string, until time.Time) bool { return now.After(until) })
+	p.avoidUntil[e.GetName()] = now.Add(avoidDuration)
 }
 
-func mayRepeat(ctx context.Context, e *pb.Endpoint, call *ServiceCall, err error) bool {
+func mayRetry(ctx context.Context, e *pb.Endpoint, call *ServiceCall, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	return result.From(err).RunState == result.NotRun || idempotent(e, call)
 }
 
-// idempotent tells whether the operators declared the call repeatable, as
-// "METHOD /path-prefix". A path that a service may resolve to one without the
-// prefix is not covered.
+// idempotent reports whether the operators declared the call idempotent, as "METHOD /path-prefix".
+// A path that a service may resolve to one without the prefix is not covered.
 func idempotent(e *pb.Endpoint, call *ServiceCall) bool {
-	if !resolved(call.Path) {
+	if !hasNoDotSegments(call.Path) {
 		return false
 	}
 	for _, declared := range e.GetIdempotent() {
@@ -183,9 +182,10 @@
 	return false
 }
 
-// resolved tells whether an escaped path has no segments that lead elsewhere, as
-// ".." does, also behind what some servers strip or take for a slash.
-func resolved(escaped string) bool {
+// hasNoDotSegments reports whether an escaped path contains no "." or ".." segments, also after
+// unescaping, with a backslash as separator, or followed by ";" parameters, which some servers
+// strip.
+func hasNoDotSegments(escaped string) bool {
 	escaped, _, _ = strings.Cut(escaped, "?")
 	path, err := url.PathUnescape(escaped)
 	if err != nil {
@@ -200,8 +200,8 @@
 	return true
 }
 
-// send makes one attempt. The body is given without a way to read it again, so
-// that the HTTP library can't repeat the request by itself.
+// send makes one attempt. The body has no GetBody function, so that net/http can't repeat the
+// request by itself.
 func (p *plainClient) send(ctx context.Context, e *pb.Endpoint, call *ServiceCall) (*ServiceAnswer, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, e.GetUrl()+call.Path, io.NopCloser(bytes.NewReader(call.Body)))
 	if err != nil {
@@ -217,14 +217,15 @@
 		return nil, sendError(ctx, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(http.MaxBytesReader(nil, resp.Body, maxAnswer))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, resp.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, result.Wrap(err, result.ServiceCallFailed, result.WithRunState(result.MayHaveRun))
 	}
 	return &ServiceAnswer{Status: resp.StatusCode, ContentType: resp.Header.Get(headerContentType), Body: body}, nil
 }
 
-// sendError tells a connection that was never made from one that broke.
+// sendError converts a transport error. Only a failed dial is known not to have reached the
+// endpoint.
 func sendError(ctx context.Context, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/calls/redeem.go
+++ b/internal/calls/redeem.go
@@ -11,23 +11,23 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-const announceAtOnce = 32
+const maxParallelAnnouncements = 32
 
-type none struct{}
+type emptyResponse struct{}
 
-// redeemResponse carries the executor's word, also when that is a refusal.
+// redeemResponse carries the executor's answer or its refusal.
 type redeemResponse struct {
 	Answer []byte        `json:"answer,omitempty"`
 	Error  *ticket.Error `json:"error,omitempty"`
 }
 
-// Redeem has a ticketed call run by the ticket's executor, wherever that is.
-// First is the caller's word that it never sent the ticket before.
+// Redeem executes a ticketed call at the ticket's executor, which may be another node. first states
+// that the caller has never sent the ticket before.
 func (s *Service) Redeem(ctx context.Context, account, text string, first bool, call *Ticketed, fp ticket.Fingerprint) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.TimeLeft)
 	defer cancel()
 	c := ticket.Call{Ticket: text, Account: account, Fingerprint: fp, Request: encode(call), First: first}
-	s.learn(ctx, text)
+	s.queryHandover(ctx, text)
 	answer, err := s.redeemer.Redeem(ctx, c, s.runFunc(call))
 	if err != nil {
 		return nil, ticketError(err)
@@ -35,7 +35,7 @@
 	return answer, nil
 }
 
-// runFunc makes the call here, for a ticket of this process.
+// runFunc returns a function that executes the call on this node, for a ticket of this process.
 func (s *Service) runFunc(call *Ticketed) ticket.RunFunc {
 	return func(ctx context.Context) (ticket.Answer, error) {
 		answer, err := s.run(ctx, call)
@@ -49,7 +49,7 @@
 	}
 }
 
-// run makes the call until ctx ends, which is later than the first caller's time.
+// run executes the call until ctx ends, which may be after the first caller's deadline.
 func (s *Service) run(ctx context.Context, call *Ticketed) ([]byte, error) {
 	if call.Service != nil {
 		answer, err := s.plain.callUntil(ctx, call.Service)
@@ -59,13 +59,13 @@
 		return encode(answer), nil
 	}
 	if call.Prompt == nil {
-		return nil, result.New(result.MalformedBody, result.WithMessage("the node does not know this kind of call"))
+		return nil, result.New(result.MalformedBody, result.WithMessage("unknown kind of ticketed call"))
 	}
 	req := *call.Prompt
 	req.Once = true
 	req.RunsOn = true
 	req.Deadline = time.Now().Add(call.TimeLeft)
-	sink := &collector{}
+	sink := &textCollector{}
 	sum, err := s.prompts.Run(ctx, &req, sink)
 	if err != nil {
 		return nil, err
@@ -87,11 +87,11 @@
 	return resp.Answer, nil
 }
 
-// serveRedeem runs a call that another node forwarded here.
-func (s *Service) serveRedeem(ctx context.Context, _ peers.Identity, call *ticket.Call) (*redeemResponse, error) {
+// handleRedeem executes a call that another node forwarded to this one.
+func (s *Service) handleRedeem(ctx context.Context, _ peers.Identity, call *ticket.Call) (*redeemResponse, error) {
 	t, err := ticket.Parse(s.key, call.Ticket)
 	if err != nil {
-		return refusedBy(err)
+		return refusalResponse(err)
 	}
 	req, err := decode[Ticketed](call.Request)
 	if err != nil {
@@ -101,12 +101,12 @@
 	defer cancel()
 	answer, err := s.executor.Do(ctx, t, call.Account, call.Fingerprint, s.runFunc(req))
 	if err != nil {
-		return refusedBy(err)
+		return refusalResponse(err)
 	}
 	return &redeemResponse{Answer: answer}, nil
 }
 
-func refusedBy(err error) (*redeemResponse, error) {
+func refusalResponse(err error) (*redeemResponse, error) {
 	var refused *ticket.Error
 	if errors.As(err, &refused) {
 		if refused.Cause != nil {
@@ -117,19 +117,19 @@
 	return nil, err
 }
 
-func (s *Service) serveAdopt(_ context.Context, from peers.Identity, h *ticket.Handover) (*none, error) {
+func (s *Service) handleAdopt(_ context.Context, from peers.Identity, h *ticket.Handover) (*emptyResponse, error) {
 	if err := s.executor.Adopt(h); err != nil {
 		return nil, err
 	}
 	s.log.Info().Str("event", "tickets_adopted").Str("from", from.ID).Send()
-	return &none{}, nil
+	return &emptyResponse{}, nil
 }
 
-// lookup tells where an incarnation's tickets are redeemed: at itself, or where
-// it handed them to.
+// lookup returns where an incarnation's tickets are redeemed: at the incarnation itself, or at the
+// one to which it handed them over.
 func (s *Service) lookup(in ticket.Incarnation) ticket.Presence {
 	s.mu.Lock()
-	to, moved := s.moved.Get(in)
+	to, moved := s.handovers.Get(in)
 	s.mu.Unlock()
 	if moved {
 		in = to
@@ -137,7 +137,7 @@
 	return s.presence(in)
 }
 
-// presence tells what the member view says of an incarnation.
+// presence returns the state of an incarnation according to the member view.
 func (s *Service) presence(in ticket.Incarnation) ticket.Presence {
 	m, ok := s.cluster.Members().Lookup(in.Node)
 	switch {
@@ -146,12 +146,12 @@
 	case m.Incarnation != in.Run:
 		return ticket.Presence{Status: ticket.Gone}
 	case m.State == member.Dead:
-		return ticket.Presence{Addr: m.Addr} // it may be cut off and still run
+		return ticket.Presence{Addr: m.Addr} // it may be partitioned and still running
 	}
 	return ticket.Presence{Status: ticket.Alive, Addr: m.Addr}
 }
 
-// ticketCodes are the result codes of the library's reasons.
+// ticketCodes maps the ticket library's reasons to result codes.
 var ticketCodes = map[ticket.Reason]result.Code{
 	ticket.ReasonMalformed:        result.UnknownTicket,
 	ticket.ReasonForged:           result.UnknownTicket,
@@ -167,17 +167,17 @@
 	ticket.ReasonMoved:            result.ExecutorGone,
 }
 
-// ticketError gives a redemption's failure its code. A call's own failure keeps
-// the code that it had.
+// ticketError converts a redemption's error to a result error. A failure of the call itself keeps
+// its code.
 func ticketError(err error) error {
 	var e *ticket.Error
 	if !errors.As(err, &e) {
 		return err
 	}
 	state := runState(e.State)
-	var own *result.Error
-	if errors.As(e.Cause, &own) {
-		return result.Wrap(err, own.Code, result.WithRunState(state), result.WithField(own.Field), result.WithRetryAfter(own.RetryAfter))
+	var callErr *result.Error
+	if errors.As(e.Cause, &callErr) {
+		return result.Wrap(err, callErr.Code, result.WithRunState(state), result.WithField(callErr.Field), result.WithRetryAfter(callErr.RetryAfter))
 	}
 	code, ok := ticketCodes[e.Reason]
 	if !ok {
--- a/internal/calls/service.go
+++ b/internal/calls/service.go
@@ -28,32 +28,33 @@
 const Name = "calls"
 
 const (
-	methodRedeem = "calls.redeem" // at most once by the ticket
-	methodAdopt  = "calls.adopt"  // safe to repeat
-	methodMoved  = "calls.moved"  // safe to repeat
-
-	ticketWindow = 1 << 16
-	keepAnswers  = 4096
-	keepBytes    = 32 << 20
-	keepFor      = 15 * time.Minute
-	adoptFor     = time.Hour
-	// runOn leaves a caller time to repeat a call that took longer than it waited,
-	// and bounds what a service that never answers can hold.
-	runOn         = time.Minute
+	methodRedeem         = "calls.redeem" // at most once per ticket
+	methodAdopt          = "calls.adopt"  // safe to repeat
+	methodHandoverNotice = "calls.moved"  // safe to repeat
+
+	ticketWindow         = 1 << 16
+	maxStoredAnswers     = 4096
+	maxStoredAnswerBytes = 32 << 20
+	answerRetention      = 15 * time.Minute
+	adoptedRetention     = time.Hour
+	// runExtension is the time for which a call continues after its caller's deadline. It lets a
+	// caller repeat a call that took longer than it waited, and bounds the resources held for a
+	// service that never answers.
+	runExtension  = time.Minute
 	ticketKeyInfo = "cherryward/ticket/v1"
 
-	handoverRetry = 200 * time.Millisecond
-	// handoverLimit bounds the tries to reach the successor, which may be
-	// stopping itself. Without one the tickets end with this process.
-	handoverLimit = 3 * time.Second
-	handoverCall  = 2 * time.Second
-	// maxSuccessors bounds the nodes that are asked to take over.
+	handoverRetryInterval = 200 * time.Millisecond
+	// handoverTimeout bounds the attempts to reach the successor, which may be stopping itself. If
+	// none succeeds, the tickets end with this process.
+	handoverTimeout     = 3 * time.Second
+	handoverCallTimeout = 2 * time.Second
+	// maxSuccessors bounds the nodes that are queried as possible successors.
 	maxSuccessors = 5
-	// MaxTickets bounds one request for tickets.
+	// MaxTickets is the maximum number of tickets per request.
 	MaxTickets = 1000
 )
 
-// Service runs ticketed calls and calls plain services.
+// Service executes ticketed calls and calls plain services.
 type Service struct {
 	key    ticket.Key
 	budget runs.Budget
@@ -65,8 +66,8 @@
 	executor *ticket.Executor
 	redeemer *ticket.Redeemer
 
-	mu    sync.Mutex
-	moved *simplelru.LRU[ticket.Incarnation, ticket.Incarnation] // by announcements of leaving nodes
+	mu        sync.Mutex
+	handovers *simplelru.LRU[ticket.Incarnation, ticket.Incarnation] // incarnation to successor, as announced by leaving nodes
 }
 
 var (
@@ -75,22 +76,22 @@
 	_ ticket.Forwarder = (*Service)(nil)
 )
 
-// New returns the service. Tickets are authenticated under a key derived from
-// the nodes' shared key.
+// New returns the service. The key that authenticates tickets is derived from the nodes' shared
+// key.
 func New(sharedKey []byte, budget runs.Budget, log zerolog.Logger) (*Service, error) {
 	key, err := hkdf.Key(sha256.New, sharedKey, nil, ticketKeyInfo, sha256.Size)
 	if err != nil {
 		return nil, err
 	}
-	moved, err := simplelru.NewLRU[ticket.Incarnation, ticket.Incarnation](maxMoved, nil)
+	handovers, err := simplelru.NewLRU[ticket.Incarnation, ticket.Incarnation](maxHandovers, nil)
 	if err != nil {
 		return nil, err
 	}
 	return &Service{
-		key:    key,
-		budget: budget,
-		log:    log.With().Str("service", Name).Logger(),
-		moved:  moved,
+		key:       key,
+		budget:    budget,
+		log:       log.With().Str("service", Name).Logger(),
+		handovers: handovers,
 	}, nil
 }
 
@@ -112,36 +113,37 @@
 	}
 	s.plain = newPlainClient(directory, s.cluster, s.budget)
 	self := s.cluster.Self()
-	s.executor, err = ticket.New(s.tickets(ticket.Incarnation{Node: self.ID, Run: self.Incarnation}))
+	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: self.ID, Run: self.Incarnation}))
 	if err != nil {
 		return err
 	}
 	s.redeemer = &ticket.Redeemer{Executor: s.executor, Lookup: s.lookup, Forwarder: s}
-	peers.Handle(s.cluster.Server, methodRedeem, s.serveRedeem)
-	peers.Handle(s.cluster.Server, methodAdopt, s.serveAdopt)
-	peers.Handle(s.cluster.Server, methodMoved, s.serveMoved)
-	peers.Handle(s.cluster.Server, methodMoves, s.serveMoves)
+	peers.Handle(s.cluster.Server, methodRedeem, s.handleRedeem)
+	peers.Handle(s.cluster.Server, methodAdopt, s.handleAdopt)
+	peers.Handle(s.cluster.Server, methodHandoverNotice, s.handleHandoverNotice)
+	peers.Handle(s.cluster.Server, methodHandovers, s.handleHandovers)
 	return nil
 }
 
-// tickets sets up the executor of this process's tickets.
-func (s *Service) tickets(self ticket.Incarnation) ticket.Config {
+// ticketConfig returns the configuration of the executor of this process's tickets.
+func (s *Service) ticketConfig(self ticket.Incarnation) ticket.Config {
 	return ticket.Config{
 		Self:        self,
 		Key:         s.key,
 		Window:      ticketWindow,
-		KeepAnswers: keepAnswers,
-		KeepBytes:   keepBytes,
-		KeepFor:     keepFor,
-		AdoptFor:    adoptFor,
-		RunOn:       runOn,
+		KeepAnswers: maxStoredAnswers,
+		KeepBytes:   maxStoredAnswerBytes,
+		KeepFor:     answerRetention,
+		AdoptFor:    adoptedRetention,
+		RunOn:       runExtension,
 	}
 }
 
-// SetPrompts says who answers ticketed prompts. It is called before requests come.
+// SetPrompts sets the runner of ticketed prompts. It must be called before requests arrive.
 func (s *Service) SetPrompts(p Prompts) { s.prompts = p }
 
-// Issue returns new tickets of an account.
+// Issue returns n new tickets for an account. It fails with result.Draining once the node is
+// draining.
 func (s *Service) Issue(account string, n int) ([]string, error) {
 	tickets, err := s.executor.Issue(account, n)
 	if errors.Is(err, ticket.ErrDraining) {
@@ -155,18 +157,18 @@
 	return s.plain.Call(ctx, call)
 }
 
-// Stop implements kernel.Stopper: it hands the tickets of this process to
-// another node, so that they stay redeemable.
+// Stop implements kernel.Stopper. It hands the tickets of this process over to another node, so
+// that they stay redeemable.
 func (s *Service) Stop(ctx context.Context) error {
 	to, ok := s.successor(ctx)
 	if !ok {
-		return nil // the last node: its tickets end with it
+		return nil // no other node is left, so the tickets end with this one
 	}
 	h, err := s.executor.Drain(ctx, ticket.Incarnation{Node: to.ID, Run: to.Incarnation})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverLimit)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if s.sendHandover(ctx, to, h) {
@@ -174,17 +176,17 @@
 			s.log.Info().Str("event", "tickets_handed_over").Str("to", to.ID).Send()
 			return nil
 		}
-		pause(ctx, handoverRetry)
+		sleepJittered(ctx, handoverRetryInterval)
 	}
 	s.log.Warn().Str("event", "tickets_lost").Str("to", to.ID).Send()
 	return nil
 }
 
-// pause waits for d on average, so that nodes do not act in step.
-func pause(ctx context.Context, d time.Duration) { retry.Sleep(ctx, d/2+rand.N(d)) }
+// sleepJittered sleeps for d on average. The jitter keeps nodes from acting in step.
+func sleepJittered(ctx context.Context, d time.Duration) { retry.Sleep(ctx, d/2+rand.N(d)) }
 
-// successor picks the node that takes the tickets over. A drain is bound to one
-// successor, so it must answer now: the view may still have a dead node as alive.
+// successor selects the node that takes over the tickets. A drain is bound to one successor, so the
+// node must answer a query first: the member view may still list a dead node as alive.
 func (s *Service) successor(ctx context.Context) (member.Member, bool) {
 	self := s.cluster.Self()
 	var nodes []rendezvous.Node
@@ -196,39 +198,40 @@
 	}
 	for _, id := range rendezvous.Top(maxSuccessors, self.ID, nodes) {
 		m, ok := view.Lookup(id)
-		if ok && s.answers(ctx, m) {
+		if ok && s.acceptsHandover(ctx, m) {
 			return m, true
 		}
 	}
 	return member.Member{}, false
 }
 
-// answers tells whether a node answers a call that changes nothing, and stays.
-func (s *Service) answers(ctx context.Context, m member.Member) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// acceptsHandover reports whether a node answers a query without side effects and is not leaving
+// itself.
+func (s *Service) acceptsHandover(ctx context.Context, m member.Member) bool {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	self := ticket.Incarnation{Node: s.cluster.Self().ID, Run: s.cluster.Self().Incarnation}
-	resp, err := peers.Call[movesRequest, movesResponse](ctx, s.cluster.Pool, m.Addr, methodMoves, &movesRequest{Of: &self})
+	resp, err := peers.Call[handoversRequest, handoversResponse](ctx, s.cluster.Pool, m.Addr, methodHandovers, &handoversRequest{Of: &self})
 	return err == nil && !resp.Leaving
 }
 
 func (s *Service) sendHandover(ctx context.Context, to member.Member, h *ticket.Handover) bool {
-	ctx, cancel := context.WithTimeout(ctx, handoverCall)
+	ctx, cancel := context.WithTimeout(ctx, handoverCallTimeout)
 	defer cancel()
-	_, err := peers.Call[ticket.Handover, none](ctx, s.cluster.Pool, to.Addr, methodAdopt, h)
+	_, err := peers.Call[ticket.Handover, emptyResponse](ctx, s.cluster.Pool, to.Addr, methodAdopt, h)
 	return err == nil
 }
 
-// announce tells the other nodes where the tickets went. A node that misses it
-// answers may_have_run for them once this process is gone.
+// announce notifies the other nodes of the handover. A node that misses the notice answers
+// may_have_run for these tickets once this process has exited.
 func (s *Service) announce(ctx context.Context, h *ticket.Handover) {
-	req := &movedNotice{To: h.To}
+	req := &handoverNotice{To: h.To}
 	for _, l := range h.Ledgers {
 		req.From = append(req.From, l.Executor)
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	slots := make(chan struct{}, announceAtOnce)
+	slots := make(chan struct{}, maxParallelAnnouncements)
 	for _, m := range s.cluster.Members().Members {
 		if m.ID == s.cluster.Self().ID || m.State == member.Dead {
 			continue
@@ -236,9 +239,9 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(ctx, handoverCall)
+			ctx, cancel := context.WithTimeout(ctx, handoverCallTimeout)
 			defer cancel()
-			_, _ = peers.Call[movedNotice, none](ctx, s.cluster.Pool, m.Addr, methodMoved, req)
+			_, _ = peers.Call[handoverNotice, emptyResponse](ctx, s.cluster.Pool, m.Addr, methodHandoverNotice, req)
 		})
 	}
 }
