--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,11 +1,10 @@
-// Package answer checks the frames of a run, so that a caller gets the whole
-// answer to its own request or an error, never part of one as if complete.
+// Package answer validates the frames of a run, so that a caller gets the complete answer to its
+// own request or an error, never a partial answer that looks complete.
 //
-// Guarantee: the tokens that Check delivers are those of one run on one weight
-// version for one client account, each once and in order. Frames of other runs
-// and other engine incarnations are dropped; a gap, another version or another
-// account's salt fails the answer, and so does text that no token accounts for.
-// Only an end frame whose token count agrees makes it complete.
+// Guarantee: the tokens that Check lets through are those of one run on one weight version for one
+// client account, each once and in order. Frames of other runs or other engine incarnations are
+// dropped. A gap, another version, another account's cache salt, or text without tokens fails the
+// answer. Only an end frame with the matching token count completes it.
 package answer
 
 import (
@@ -13,41 +12,43 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// Expected is what the frames of a run must state.
+// Expected holds the values that the frames of a run must state.
 type Expected struct {
 	Run       string
-	Version   string // empty for a resumed run, whose start was checked before
+	Version   string // empty for a resumed run, whose start frame was checked before
 	CacheSalt string
 }
 
-// Checker checks the frames of one run on one engine, over one or more streams.
-// It is not safe for concurrent use.
+// Checker validates the frames of one run on one engine, over one or more streams. It is not safe
+// for concurrent use.
 type Checker struct {
-	want        Expected
+	expected    Expected
 	incarnation string
 	tokens      int // output tokens delivered
 	complete    bool
 }
 
 // NewChecker returns a checker for a run that has delivered no token yet.
-func NewChecker(want Expected) *Checker {
-	return &Checker{want: want}
+func NewChecker(expected Expected) *Checker {
+	return &Checker{expected: expected}
 }
 
-// ResumeAt returns a checker for a run of which tokens were delivered before.
-func ResumeAt(want Expected, tokens int) *Checker {
-	return &Checker{want: want, tokens: tokens}
+// NewResumedChecker returns a checker for a run of which the given number of tokens has been
+// delivered already.
+func NewResumedChecker(expected Expected, tokens int) *Checker {
+	return &Checker{expected: expected, tokens: tokens}
 }
 
 // Tokens returns the number of output tokens delivered.
 func (c *Checker) Tokens() int { return c.tokens }
 
-// Complete tells whether the end frame has come and agreed.
+// Complete reports whether an end frame with the matching token count has arrived.
 func (c *Checker) Complete() bool { return c.complete }
 
-// Check takes the next frame and tells whether it is to be delivered.
+// Check validates the next frame and reports whether it is to be delivered. It returns an error if
+// the frame makes the answer invalid.
 func (c *Checker) Check(f *enginewire.Frame) (deliver bool, err error) {
-	if c.foreign(f) {
+	if c.fromOtherRun(f) {
 		return false, nil
 	}
 	switch f.Kind {
@@ -63,9 +64,9 @@
 	return false, result.New(result.AnswerMalformed, result.WithField("kind"))
 }
 
-// foreign tells frames of other runs and of other incarnations of the engine.
-func (c *Checker) foreign(f *enginewire.Frame) bool {
-	if f.Run != c.want.Run {
+// fromOtherRun reports whether a frame belongs to another run or another incarnation of the engine.
+func (c *Checker) fromOtherRun(f *enginewire.Frame) bool {
+	if f.Run != c.expected.Run {
 		return true
 	}
 	return c.incarnation != "" && f.Incarnation != c.incarnation
@@ -75,10 +76,10 @@
 	if c.incarnation != "" {
 		return false, nil
 	}
-	if c.want.Version != "" && f.Version != c.want.Version {
+	if c.expected.Version != "" && f.Version != c.expected.Version {
 		return false, result.New(result.VersionMismatch)
 	}
-	if f.CacheSalt != c.want.CacheSalt {
+	if f.CacheSalt != c.expected.CacheSalt {
 		return false, result.New(result.AnswerOfOtherRun, result.WithField("cache_salt"))
 	}
 	c.incarnation = f.Incarnation
@@ -121,5 +122,5 @@
 	if f.Error.NotRun {
 		return result.New(result.EndpointRefused, result.WithRunState(result.NotRun))
 	}
-	return result.New(result.EndpointBrokeOff, result.WithMessage("the engine failed the run: %s", f.Error.Code))
+	return result.New(result.EndpointBrokeOff, result.WithMessage("engine failed the run: %s", f.Error.Code))
 }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -11,8 +11,9 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-var want = Expected{Run: "r", Version: "v1", CacheSalt: "s"}
+var expected = Expected{Run: "r", Version: "v1", CacheSalt: "s"}
 
+// frames returns the frames of a complete run of n tokens.
 func frames(n int) []enginewire.Frame {
 	out := []enginewire.Frame{{Run: "r", Incarnation: "i", Kind: enginewire.FrameStart, Version: "v1", CacheSalt: "s"}}
 	for i := range n {
@@ -21,7 +22,8 @@
 	return append(out, enginewire.Frame{Run: "r", Incarnation: "i", Seq: n + 1, Kind: enginewire.FrameEnd, OutputTokens: n})
 }
 
-func play(c *Checker, in []enginewire.Frame) (string, error) {
+// checkAll checks frames in order and returns the delivered text.
+func checkAll(c *Checker, in []enginewire.Frame) (string, error) {
 	text := ""
 	for _, f := range in {
 		deliver, err := c.Check(&f)
@@ -35,7 +37,7 @@
 	return text, nil
 }
 
-func TestCheckFailsWhatIsNotTheAnswer(t *testing.T) {
+func TestCheckRejectsInvalidFrames(t *testing.T) {
 	cases := []struct {
 		name string
 		edit func([]enginewire.Frame) []enginewire.Frame
@@ -56,21 +58,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			checker := NewChecker(want)
-			_, err := play(checker, c.edit(frames(3)))
+			checker := NewChecker(expected)
+			_, err := checkAll(checker, c.edit(frames(3)))
 			must.True(t, result.Is(err, c.code), must.Sprint(err))
 			must.False(t, checker.Complete())
 		})
 	}
-	checker := NewChecker(want)
-	_, err := play(checker, frames(3)[:4])
+	checker := NewChecker(expected)
+	_, err := checkAll(checker, frames(3)[:4])
 	must.NoError(t, err)
 	must.False(t, checker.Complete())
 }
 
-// Whatever is doubled or mixed in from elsewhere, the answer is the run's own or
-// is not complete; when nothing of its own is lost, it is complete.
-func TestCheckDeliversOnlyTheRunsOwnTokensOnce(t *testing.T) {
+// TestCheckDeliversEachTokenOfTheRunOnce checks with duplicated, foreign and lost frames that the
+// delivered text is always a prefix of the run's own text, that the answer is complete only with
+// all of it, and that it is complete if none of its own frames is lost.
+func TestCheckDeliversEachTokenOfTheRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := frames(6)
 		var in []enginewire.Frame
@@ -80,16 +83,16 @@
 			case "double":
 				in = append(in, f, f)
 			case "crossed":
-				other := f
-				other.Run, other.Text = "other", "X"
-				in = append(in, other, f)
+				otherRun := f
+				otherRun.Run, otherRun.Text = "other", "X"
+				in = append(in, otherRun, f)
 			case "late":
-				earlier := f
-				earlier.Incarnation, earlier.Text = "before", "Y"
+				otherIncarnation := f
+				otherIncarnation.Incarnation, otherIncarnation.Text = "before", "Y"
 				if f.Kind == enginewire.FrameStart {
 					in = append(in, f)
 				} else {
-					in = append(in, earlier, f)
+					in = append(in, otherIncarnation, f)
 				}
 			case "lose":
 				lost = true
@@ -97,23 +100,23 @@
 				in = append(in, f)
 			}
 		}
-		checker := NewChecker(want)
-		text, err := play(checker, in)
+		checker := NewChecker(expected)
+		text, err := checkAll(checker, in)
 		if !lost && (err != nil || !checker.Complete()) {
-			t.Fatalf("nothing lost, but err %v, complete %v", err, checker.Complete())
+			t.Fatalf("no frame lost, but err is %v and complete is %v", err, checker.Complete())
 		}
 		if checker.Complete() && text != "abcdef" {
-			t.Fatalf("complete with %q", text)
+			t.Fatalf("answer is complete with text %q", text)
 		}
 		if len(text) > 6 || text != "abcdef"[:len(text)] {
-			t.Fatalf("delivered %q", text)
+			t.Fatalf("delivered text %q is no prefix of the answer", text)
 		}
 	})
 }
 
-func TestResumeAtGoesOnWithoutLossOrDoubling(t *testing.T) {
-	checker := ResumeAt(want, 2)
-	text, err := play(checker, frames(5))
+func TestResumedCheckerDeliversTheRemainingTokens(t *testing.T) {
+	checker := NewResumedChecker(expected, 2)
+	text, err := checkAll(checker, frames(5))
 	must.NoError(t, err)
 	must.Eq(t, "cde", text)
 	must.True(t, checker.Complete())
--- a/internal/runs/resume.go
+++ b/internal/runs/resume.go
@@ -43,7 +43,7 @@
 		first: id.Base,
 	}
 	want := answer.Expected{Run: req.Run, CacheSalt: d.Salter.CacheSalt(req.Account)}
-	r.checker = answer.ResumeAt(want, req.Offset-id.Base)
+	r.checker = answer.NewResumedChecker(want, req.Offset-id.Base)
 	w := newWatchdog(ctx, resumeTimeout)
 	defer w.stop()
 	stream, err := d.Engines.Resume(w.ctx, r.base, r.id, r.checker.Tokens())
