--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -147,7 +147,7 @@
 // the address.
 func (x *exchange) refused() bool {
 	var failure *upstream.Error
-	return errors.As(x.cause, &failure) && failure.Refused()
+	return errors.As(x.cause, &failure) && failure.ConnectionRefused()
 }
 
 // conclude returns the error for a request that is not sent again, or nil if an endpoint's own
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -6,49 +6,50 @@
 	"net/http"
 )
 
-// body notes whether it was read to its end: what is left of one would be read as the
-// head of the next answer.
-type body struct {
+// trackedBody records whether a body was read to its end: any unread rest would be read as the
+// header of the next answer on the connection.
+type trackedBody struct {
 	io.ReadCloser
-	ended bool
+	reachedEOF bool
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.ended = b.ended || errors.Is(err, io.EOF)
+	b.reachedEOF = b.reachedEOF || errors.Is(err, io.EOF)
 	return n, err
 }
 
-// Unframed reports whether only the end of the connection ends the answer's body.
+// Unframed reports whether only the closing of the connection marks the end of the answer's body.
 func (a *Answer) Unframed() bool { return a.unframed }
 
-// unframed does not hold for an answer that has no body, as to HEAD.
-func unframed(resp *http.Response) bool {
+// endsWithConnection reports whether only the closing of the connection marks the end of resp's
+// body. It is false for an answer without a body, as to HEAD.
+func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 }
 
-// unlimited is the limit of a connection whose answer's head was read.
+// unlimited is the value of limitedReader.remaining after the header of the answer was read.
 const unlimited = -1
 
-// limitedReader reads from source until left bytes have passed.
+// limitedReader reads from source until the remaining bytes are used up, then fails.
 type limitedReader struct {
-	source io.Reader
-	left   int
+	source    io.Reader
+	remaining int
 }
 
 // Read implements io.Reader.
 func (l *limitedReader) Read(b []byte) (int, error) {
-	if l.left == unlimited {
+	if l.remaining == unlimited {
 		return l.source.Read(b)
 	}
-	if l.left <= 0 {
-		return 0, errors.New("the head of the answer is too long")
+	if l.remaining <= 0 {
+		return 0, errors.New("answer header is too long")
 	}
-	if len(b) > l.left {
-		b = b[:l.left]
+	if len(b) > l.remaining {
+		b = b[:l.remaining]
 	}
 	n, err := l.source.Read(b)
-	l.left = max(l.left-n, 0)
+	l.remaining = max(l.remaining-n, 0)
 	return n, err
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,28 +15,27 @@
 )
 
 const (
-	// maxHeadBytes bounds the head of an answer.
-	maxHeadBytes = 64 << 10
-	// maxForeign bounds the answers to other requests that are skipped before the
-	// own one.
-	maxForeign = 2
+	// maxHeaderBytes bounds the header of an answer.
+	maxHeaderBytes = 64 << 10
+	// maxForeignAnswers bounds the answers to other requests that are skipped before this request's
+	// answer.
+	maxForeignAnswers = 2
 	// maxForeignBytes bounds the body of a skipped answer.
 	maxForeignBytes = 1 << 20
-	// inlineBody is the longest body that is written before the answer is awaited.
-	// A longer one is written beside the reading, as an endpoint may answer early
-	// and read on later.
-	inlineBody = 8 << 10
+	// maxInlineBody is the largest body that is written before reading the answer. A larger one is
+	// written concurrently, since an endpoint may answer early and read the rest later.
+	maxInlineBody = 8 << 10
 )
 
-// Stage says how far an exchange came.
+// Stage is the stage that an exchange had reached when it failed.
 type Stage int
 
 const (
-	// StageConnect: no byte of the request was sent.
+	// StageConnect means that no byte of the request was sent.
 	StageConnect Stage = iota
-	// StageSend: the request was sent in part or whole.
+	// StageSend means that at least a part of the request was sent.
 	StageSend
-	// StageAnswer: the head of an answer had begun to arrive.
+	// StageAnswer means that the header of an answer had begun to arrive.
 	StageAnswer
 )
 
@@ -52,7 +51,7 @@
 	}
 }
 
-// Error is a failed exchange.
+// Error is the error of a failed exchange.
 type Error struct {
 	Stage Stage
 	Err   error
@@ -67,55 +66,56 @@
 // NotRun reports whether the request certainly did not reach the endpoint.
 func (e *Error) NotRun() bool { return e.Stage == StageConnect }
 
-// Refused reports whether nothing listened at the endpoint's address.
-func (e *Error) Refused() bool { return e.NotRun() && errors.Is(e.Err, syscall.ECONNREFUSED) }
+// ConnectionRefused reports whether the connection was refused, so that nothing listened at the
+// endpoint's address.
+func (e *Error) ConnectionRefused() bool { return e.NotRun() && errors.Is(e.Err, syscall.ECONNREFUSED) }
 
-// Request is a request as it is sent. Target is the path and query as the caller
-// wrote them.
+// Request is a request to send. Target is the path and query as the caller sent them, without
+// decoding.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
 }
 
-// Answer is the head of an answer, and its body while it arrives. One of Done and
-// Abort must be called.
+// Answer is the header of an answer, with its body as it arrives. Either Done or Abort must be
+// called.
 type Answer struct {
 	*http.Response
-	pool  *Pool
-	conn  *conn
-	write <-chan error // the end of a write that was not awaited
-	stop  func() bool  // detaches the connection from the context
-	body  *body
-	// unframed is set where only the end of the connection ends the body.
+	pool        *Pool
+	conn        *conn
+	writeResult <-chan error // result of a concurrent write of the body; nil if there is none
+	detach      func() bool  // detaches the connection from the context; false if the context ended first
+	body        *trackedBody
+	// unframed is set if only the closing of the connection marks the end of the body.
 	unframed bool
 }
 
-// Do sends the request once and returns the head of its answer. own tells from an
-// answer's header whether it belongs to this request. When ctx ends the connection
-// is closed, which tells the endpoint to stop. The error is an *Error.
-func (p *Pool) Do(ctx context.Context, req *Request, own func(http.Header) bool) (*Answer, error) {
+// Do sends the request once and returns the header of its answer. isOwn reports from an answer's
+// header whether the answer belongs to this request. When ctx ends, the connection is closed, which
+// signals the endpoint to stop. Every error is an *Error.
+func (p *Pool) Do(ctx context.Context, req *Request, isOwn func(http.Header) bool) (*Answer, error) {
 	c, err := p.get(ctx)
 	if err != nil {
 		return nil, &Error{Stage: StageConnect, Err: err}
 	}
-	stop := context.AfterFunc(ctx, func() { c.Close() })
-	a := &Answer{pool: p, conn: c, stop: stop}
+	detach := context.AfterFunc(ctx, func() { c.Close() })
+	a := &Answer{pool: p, conn: c, detach: detach}
 	if err := a.send(req); err != nil {
 		a.Abort()
 		return nil, err
 	}
-	if err := a.receive(req, own); err != nil {
+	if err := a.receive(req, isOwn); err != nil {
 		a.Abort()
 		return nil, err
 	}
 	return a, nil
 }
 
-// send writes the request, or begins to where its body is long.
+// send writes the request. A body larger than maxInlineBody is written in the background.
 func (a *Answer) send(req *Request) error {
-	head := encodeHead(req)
-	if len(req.Body) <= inlineBody {
+	head := encodeHeader(req)
+	if len(req.Body) <= maxInlineBody {
 		head = append(head, req.Body...)
 		n, err := a.conn.Write(head)
 		return sendError(n, err)
@@ -128,7 +128,7 @@
 		_, err := a.conn.Write(req.Body)
 		done <- err
 	}()
-	a.write = done
+	a.writeResult = done
 	return nil
 }
 
@@ -143,9 +143,9 @@
 	}
 }
 
-func encodeHead(req *Request) []byte {
+func encodeHeader(req *Request) []byte {
 	var b bytes.Buffer
-	b.Grow(1024 + min(len(req.Body), inlineBody))
+	b.Grow(1024 + min(len(req.Body), maxInlineBody))
 	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 	// Header.Write replaces line breaks in values, and bytes.Buffer never fails.
 	_ = req.Header.Write(&b)
@@ -156,51 +156,52 @@
 	return b.Bytes()
 }
 
-// receive reads heads until the one that belongs to this request.
-func (a *Answer) receive(req *Request, own func(http.Header) bool) error {
+// receive reads answers until the one that belongs to this request.
+func (a *Answer) receive(req *Request, isOwn func(http.Header) bool) error {
 	for foreign := 0; ; {
-		resp, err := a.readHead(req.Method)
+		resp, err := a.readHeader(req.Method)
 		if err != nil {
 			return err
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue // 100 Continue and the like
 		}
-		if own(resp.Header) {
-			a.take(resp)
+		if isOwn(resp.Header) {
+			a.accept(resp)
 			return nil
 		}
 		foreign++
-		if foreign > maxForeign {
-			return &Error{Stage: StageAnswer, Err: errors.New("only answers to other requests arrived")}
+		if foreign > maxForeignAnswers {
+			return &Error{Stage: StageAnswer, Err: errors.New("received only answers to other requests")}
 		}
-		if err := skip(resp); err != nil {
+		if err := discardForeign(resp); err != nil {
 			return &Error{Stage: StageAnswer, Err: err}
 		}
 	}
 }
 
-func (a *Answer) take(resp *http.Response) {
-	a.body = &body{ReadCloser: resp.Body}
-	a.unframed = unframed(resp)
+func (a *Answer) accept(resp *http.Response) {
+	a.body = &trackedBody{ReadCloser: resp.Body}
+	a.unframed = endsWithConnection(resp)
 	resp.Body = a.body
 	a.Response = resp
 }
 
-// skip reads the body of an answer that belongs to another request.
-func skip(resp *http.Response) error {
-	if unframed(resp) {
-		return errors.New("an answer to another request has no length")
+// discardForeign reads and discards the body of an answer to another request. It fails if the
+// length is unknown or exceeds maxForeignBytes.
+func discardForeign(resp *http.Response) error {
+	if endsWithConnection(resp) {
+		return errors.New("answer to another request has no length")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBytes))
 	if err == nil && n == maxForeignBytes {
-		err = errors.New("an answer to another request is too long")
+		err = errors.New("answer to another request is too long")
 	}
 	return err
 }
 
-func (a *Answer) readHead(method string) (*http.Response, error) {
-	a.conn.limit.left = maxHeadBytes
+func (a *Answer) readHeader(method string) (*http.Response, error) {
+	a.conn.limit.remaining = maxHeaderBytes
 	if _, err := a.conn.reader.Peek(1); err != nil {
 		return nil, &Error{Stage: StageSend, Err: err}
 	}
@@ -208,50 +209,51 @@
 	if err != nil {
 		return nil, &Error{Stage: StageAnswer, Err: err}
 	}
-	a.conn.limit.left = unlimited
+	a.conn.limit.remaining = unlimited
 	return resp, nil
 }
 
-// Done ends an answer, and keeps the connection if that is sound: where the body
-// was read to its end, and nothing more has come.
+// Done ends an answer. It keeps the connection for reuse only if the body was read to its end and
+// no further bytes have arrived; otherwise it closes it.
 func (a *Answer) Done() {
 	if !a.reusable() {
 		a.Abort()
 		return
 	}
-	if !a.stop() {
-		return // the context ended and closed it
+	if !a.detach() {
+		return // the context ended and closed the connection
 	}
-	a.pool.put(a.conn, keepFor(a.Header))
+	a.pool.put(a.conn, reuseTimeout(a.Header))
 }
 
 func (a *Answer) reusable() bool {
-	if a.Close || !a.body.ended || a.conn.reader.Buffered() > 0 {
+	if a.Close || !a.body.reachedEOF || a.conn.reader.Buffered() > 0 {
 		return false
 	}
-	if a.write == nil {
+	if a.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-a.write:
+	case err := <-a.writeResult:
 		return err == nil
 	default:
-		return false // answered before the body was read
+		return false // the endpoint answered before the request body was written
 	}
 }
 
-// Abort closes the connection, which tells the endpoint to stop.
+// Abort closes the connection, which signals the endpoint to stop.
 func (a *Answer) Abort() {
-	a.stop()
+	a.detach()
 	a.conn.Close()
 }
 
-// keepFor returns how long the endpoint keeps an idle connection, less a margin
-// for a request that is sent just before.
-func keepFor(h http.Header) time.Duration {
+// reuseTimeout returns the time for which an idle connection may be reused: the endpoint's
+// Keep-Alive timeout less a margin for a request that is sent just before it ends, or
+// defaultIdleTimeout if it states none.
+func reuseTimeout(h http.Header) time.Duration {
 	const (
-		margin   = 0.7  // share of the stated time that is used
-		mostKept = 3600 // seconds; a longer time would overflow
+		margin       = 0.7  // fraction of the stated time that is used
+		maxKeepAlive = 3600 // in seconds; a longer time would overflow
 	)
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
@@ -259,8 +261,8 @@
 			continue
 		}
 		if s, err := strconv.ParseFloat(value, 64); err == nil && !math.IsNaN(s) {
-			return time.Duration(max(min(s, mostKept), 0) * margin * float64(time.Second))
+			return time.Duration(max(min(s, maxKeepAlive), 0) * margin * float64(time.Second))
 		}
 	}
-	return idleLimit
+	return defaultIdleTimeout
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -14,8 +14,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// endpoint serves each connection by a function, until the test ends.
-func endpoint(t *testing.T, serve func(conn *net.TCPConn, r *bufio.Reader)) *Pool {
+// startEndpoint starts an endpoint that serves each connection with the given function until the
+// test ends.
+func startEndpoint(t *testing.T, serve func(conn *net.TCPConn, r *bufio.Reader)) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -39,11 +40,11 @@
 	return p
 }
 
-// write sends a text; a client that has gone needs none.
+// write sends a text and ignores errors, as the client may have closed the connection.
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// answers reads requests and answers each with the same text.
-func answers(text string) func(*net.TCPConn, *bufio.Reader) {
+// fixedAnswers reads requests and answers each with the same text.
+func fixedAnswers(text string) func(*net.TCPConn, *bufio.Reader) {
 	return func(conn *net.TCPConn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -54,16 +55,16 @@
 	}
 }
 
-func anyAnswer(http.Header) bool { return true }
+func acceptAny(http.Header) bool { return true }
 
 func get(t *testing.T, p *Pool) *Answer {
 	t.Helper()
-	a, err := p.Do(t.Context(), &Request{Method: http.MethodGet, Target: "/", Host: "h"}, anyAnswer)
+	a, err := p.Do(t.Context(), &Request{Method: http.MethodGet, Target: "/", Host: "h"}, acceptAny)
 	must.NoError(t, err)
 	return a
 }
 
-func TestWhichConnectionsAreKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	const withLength = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 	tests := []struct {
 		name   string
@@ -81,7 +82,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			p := endpoint(t, answers(tc.answer))
+			p := startEndpoint(t, fixedAnswers(tc.answer))
 			for range 2 {
 				a := get(t, p)
 				_, err := io.Copy(io.Discard, io.LimitReader(a.Body, tc.read))
@@ -93,10 +94,11 @@
 	}
 }
 
-// TestHeadInPieces reads heads that come byte by byte, behind others that are not the answer's.
-func TestHeadInPieces(t *testing.T) {
+// TestHeaderReadByteByByte checks that a header that arrives byte by byte is read correctly, after
+// a 100 Continue and the answer to another request.
+func TestHeaderReadByteByByte(t *testing.T) {
 	text := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Other: 1\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew"
-	p := endpoint(t, func(conn *net.TCPConn, r *bufio.Reader) {
+	p := startEndpoint(t, func(conn *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
@@ -113,19 +115,19 @@
 	a.Done()
 }
 
-// TestEndAndReset: a connection that ends an answer without a length ends it in order, one that
-// is reset does not.
-func TestEndAndReset(t *testing.T) {
+// TestCloseAndReset checks that an answer without a length ends normally when the connection is
+// closed, and with an error when it is reset.
+func TestCloseAndReset(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		read := make(chan struct{})
-		p := endpoint(t, func(conn *net.TCPConn, r *bufio.Reader) {
+		p := startEndpoint(t, func(conn *net.TCPConn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
 			write(conn, "HTTP/1.1 200 OK\r\n\r\npart")
 			<-read
 			if reset {
-				_ = conn.SetLinger(0) // an open connection takes it
+				_ = conn.SetLinger(0) // can't fail on an open connection
 			}
 		})
 		a := get(t, p)
@@ -141,11 +143,12 @@
 	}
 }
 
-// TestEarlyAnswer gives the answer of an endpoint that does not read the whole body, and does not
-// keep the connection, on which the rest of the body would be taken for a request.
+// TestEarlyAnswer checks that the answer of an endpoint that does not read the whole request body
+// is returned, and that the connection is not kept: the endpoint would read the rest of the body as
+// a request.
 func TestEarlyAnswer(t *testing.T) {
 	release := make(chan struct{})
-	p := endpoint(t, func(conn *net.TCPConn, r *bufio.Reader) {
+	p := startEndpoint(t, func(conn *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
@@ -153,8 +156,8 @@
 		<-release
 	})
 	defer close(release)
-	body := []byte(strings.Repeat("x", 16<<20)) // more than the system buffers
-	a, err := p.Do(t.Context(), &Request{Method: http.MethodPost, Target: "/", Host: "h", Body: body}, anyAnswer)
+	body := []byte(strings.Repeat("x", 16<<20)) // more than the socket buffers hold
+	a, err := p.Do(t.Context(), &Request{Method: http.MethodPost, Target: "/", Host: "h", Body: body}, acceptAny)
 	must.NoError(t, err)
 	text, err := io.ReadAll(a.Body)
 	must.NoError(t, err)
@@ -163,7 +166,7 @@
 	test.SliceEmpty(t, p.idle)
 }
 
-// TestUnframed tells answers that only the end of the connection ends.
+// TestUnframed checks which answers end only with the connection.
 func TestUnframed(t *testing.T) {
 	tests := []struct {
 		method, answer string
@@ -178,19 +181,20 @@
 		{http.MethodHead, "HTTP/1.1 200 OK\r\n\r\n", false},
 	}
 	for _, tc := range tests {
-		p := endpoint(t, answers(tc.answer))
-		a, err := p.Do(t.Context(), &Request{Method: tc.method, Target: "/", Host: "h"}, anyAnswer)
+		p := startEndpoint(t, fixedAnswers(tc.answer))
+		a, err := p.Do(t.Context(), &Request{Method: tc.method, Target: "/", Host: "h"}, acceptAny)
 		must.NoError(t, err)
 		test.Eq(t, tc.want, a.Unframed(), test.Sprintf("%s %q", tc.method, tc.answer))
 		a.Abort()
 	}
 }
 
-// TestContextEndsTheExchange: a caller that leaves ends it, and the connection is not kept.
-func TestContextEndsTheExchange(t *testing.T) {
+// TestContextCancelsExchange checks that an exchange ends with its context, and that the connection
+// is not kept.
+func TestContextCancelsExchange(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	p := endpoint(t, answers("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo"))
-	a, err := p.Do(ctx, &Request{Method: http.MethodGet, Target: "/", Host: "h"}, anyAnswer)
+	p := startEndpoint(t, fixedAnswers("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo"))
+	a, err := p.Do(ctx, &Request{Method: http.MethodGet, Target: "/", Host: "h"}, acceptAny)
 	must.NoError(t, err)
 	cancel()
 	_, err = io.ReadAll(a.Body)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,8 @@
-// Package upstream exchanges single requests with endpoints over HTTP/1.1, on
-// connections that it keeps between requests.
+// Package upstream sends single requests to endpoints over HTTP/1.1 and reuses its connections.
 //
-// It is no general client: nothing is ever sent twice, every failure says whether
-// the request can have reached the endpoint, and a connection that brought bytes
-// which belong to no request is not used again.
+// It is not a general HTTP client: nothing is ever sent twice, every failure states whether the
+// request can have reached the endpoint, and a connection that received bytes which belong to no
+// request is not reused.
 package upstream
 
 import (
@@ -20,15 +19,15 @@
 )
 
 const (
-	// dialTimeout bounds a connection to an endpoint, which is 1 or 2 ms away.
+	// dialTimeout bounds the dialing of an endpoint. The network latency to endpoints is 1 to 2 ms.
 	dialTimeout = 300 * time.Millisecond
 	// bufferBytes is the size of a connection's read buffer.
 	bufferBytes = 4 << 10
-	// maxIdle bounds the connections that are kept to one endpoint.
+	// maxIdle bounds the idle connections kept per endpoint.
 	maxIdle = 32
-	// idleLimit is how long a connection is kept where the endpoint states no
-	// limit of its own.
-	idleLimit = 30 * time.Second
+	// defaultIdleTimeout is the time for which an idle connection is kept if the endpoint states no
+	// timeout.
+	defaultIdleTimeout = 30 * time.Second
 )
 
 // Pool holds the connections to one endpoint. It is safe for concurrent use.
@@ -37,14 +36,13 @@
 	dialer net.Dialer
 
 	mu     sync.Mutex
-	idle   []*conn // the one used last is at the end
+	idle   []*conn // most recently used last
 	closed bool
 
 	dials atomic.Int64
 }
 
-// NewPool returns a pool of connections to IP:PORT. None is opened before a
-// request needs it.
+// NewPool returns a pool of connections to addr, as IP:PORT. Connections are opened on demand.
 func NewPool(addr string) *Pool {
 	return &Pool{addr: addr, dialer: tcp.Dialer(dialTimeout)}
 }
@@ -52,30 +50,31 @@
 // Dials returns the number of connections opened so far.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// Kept reports whether a connection is kept that may be used now. It may have broken since.
+// Kept reports whether an idle connection that may be reused at time now is kept. The endpoint may
+// have closed it since.
 func (p *Pool) Kept(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
-	return n > 0 && now.Before(p.idle[n-1].usable)
+	return n > 0 && now.Before(p.idle[n-1].reusableUntil)
 }
 
 // conn is one connection with its read buffer.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	limit  limitedReader
-	usable time.Time // until when it may be reused
+	reader        *bufio.Reader
+	limit         limitedReader
+	reusableUntil time.Time // end of the time in which it may be reused
 }
 
-// get returns a kept connection that is still sound, or opens one.
+// get returns an idle connection that is still open, or dials a new one.
 func (p *Pool) get(ctx context.Context) (*conn, error) {
 	for {
 		c := p.takeIdle()
 		if c == nil {
 			return p.dial(ctx)
 		}
-		if time.Now().Before(c.usable) && c.quiet() {
+		if time.Now().Before(c.reusableUntil) && c.isIdle() {
 			return c, nil
 		}
 		c.Close()
@@ -107,20 +106,22 @@
 	return c, nil
 }
 
-// Refuses reports whether nothing listens at the endpoint's address any more, as after it ended. It
-// opens a connection, which is kept where one comes about. An endpoint that doesn't answer may live.
+// Refuses reports whether the endpoint's address refuses connections, as after the endpoint has
+// ended. It dials a connection, which is kept if dialing succeeds. An endpoint that does not answer
+// may still be running, so a timeout counts as false.
 func (p *Pool) Refuses(ctx context.Context) bool {
 	c, err := p.dial(ctx)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	p.put(c, idleLimit)
+	p.put(c, defaultIdleTimeout)
 	return false
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(c *conn, limit time.Duration) {
-	c.usable = time.Now().Add(limit)
+// put keeps a connection for reuse until timeout has passed, or closes it if the pool is closed or
+// full.
+func (p *Pool) put(c *conn, timeout time.Duration) {
+	c.reusableUntil = time.Now().Add(timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle) >= maxIdle {
@@ -130,7 +131,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// CloseIdle closes the kept connections, and those under way once they are done.
+// CloseIdle closes the idle connections, and lets those in use be closed once their answers are
+// done.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,9 +143,9 @@
 	p.idle = nil
 }
 
-// quiet reports whether the peer has neither closed the connection nor sent
-// anything since the last answer.
-func (c *conn) quiet() bool {
+// isIdle reports whether the peer has neither closed the connection nor sent anything since the
+// last answer.
+func (c *conn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -151,12 +153,12 @@
 	if err != nil {
 		return false
 	}
-	sound := false
+	wouldBlock := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		sound = errors.Is(err, syscall.EAGAIN)
+		wouldBlock = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && sound
+	return err == nil && wouldBlock
 }
