--- a/internal/endpoint/engine/decode.go
+++ b/internal/endpoint/engine/decode.go
@@ -10,36 +10,36 @@
 )
 
 var (
-	errTrailing  = errors.New("frame has more than one JSON value")
-	errEmpty     = errors.New("frame has no JSON value")
-	errNotString = errors.New("want a JSON string")
+	errTrailing      = errors.New("decode frame: more than one JSON value")
+	errEmpty         = errors.New("decode frame: no JSON value")
+	errNotJSONString = errors.New("decode frame: value is not a JSON string")
 )
 
-// frameDecoder decodes one frame after the other. It keeps the JSON decoder and
-// the strings that all frames of a run repeat, so that a token costs one
-// allocation: its text. The zero value is ready for use.
+// frameDecoder decodes frames one after the other. It reuses the JSON decoder and the strings that
+// are the same in all frames of a run, so that decoding a token allocates only its text. The zero
+// value is ready for use.
 type frameDecoder struct {
 	reader bytes.Reader
 	json   *json.Decoder
 	wire   wireFrame
 
-	run, incarnation, kind repeated
+	run, incarnation, kind cachedString
 }
 
-// wireFrame takes the fields that repeat as they are written; they hide those
-// of the same names in Frame.
+// wireFrame decodes the repeated fields as raw JSON strings; its fields hide those of the same JSON
+// name in Frame.
 type wireFrame struct {
 	enginewire.Frame
-	Run         quoted `json:"run"`
-	Incarnation quoted `json:"incarnation"`
-	Kind        quoted `json:"kind"`
+	Run         rawString `json:"run"`
+	Incarnation rawString `json:"incarnation"`
+	Kind        rawString `json:"kind"`
 }
 
-// decode reads data, which must be one JSON value, into frame. After an error
+// decode decodes data, which must be one JSON value, into frame. After an error the content of
 // frame is undefined.
 func (d *frameDecoder) decode(data []byte, frame *enginewire.Frame) error {
 	if err := d.read(bytes.TrimSpace(data)); err != nil {
-		d.json = nil // its error stays, and its rest must not reach the next frame
+		d.json = nil // the decoder keeps its error, and its buffered input must not reach the next frame
 		return err
 	}
 	*frame = d.wire.Frame
@@ -56,25 +56,25 @@
 	w := &d.wire
 	*w = wireFrame{Run: w.Run[:0], Incarnation: w.Incarnation[:0], Kind: w.Kind[:0]}
 	d.reader.Reset(data)
-	begun := d.json.InputOffset()
+	start := d.json.InputOffset()
 	err := d.json.Decode(w)
 	if errors.Is(err, io.EOF) {
-		return errEmpty // io.EOF is the end of the stream
+		return errEmpty // to callers, io.EOF means the end of the stream
 	}
 	if err != nil {
 		return err
 	}
-	if d.json.InputOffset() != begun+int64(len(data)) {
+	if d.json.InputOffset() != start+int64(len(data)) {
 		return errTrailing
 	}
 	return nil
 }
 
-// quoted is a JSON string with its quotes, or nothing.
-type quoted []byte
+// rawString is a JSON string including its quotes, or empty.
+type rawString []byte
 
-// UnmarshalJSON implements json.Unmarshaler. As for a string, null is nothing.
-func (q *quoted) UnmarshalJSON(data []byte) error {
+// UnmarshalJSON implements json.Unmarshaler. As for a Go string, null leaves the value unchanged.
+func (q *rawString) UnmarshalJSON(data []byte) error {
 	if data[0] == '"' {
 		*q = append((*q)[:0], data...)
 		return nil
@@ -82,23 +82,23 @@
 	if string(data) == "null" {
 		return nil
 	}
-	return errNotString
+	return errNotJSONString
 }
 
-// repeated is a string that is mostly the same as the last time.
-type repeated struct {
-	raw  quoted
+// cachedString caches the last decoded value of a field that rarely changes.
+type cachedString struct {
+	raw  rawString
 	text string
 }
 
-// decode returns the string in raw, which the JSON decoder has checked.
-func (r *repeated) decode(raw quoted) string {
+// decode returns the string in raw, which must be valid JSON or empty.
+func (r *cachedString) decode(raw rawString) string {
 	if bytes.Equal(raw, r.raw) {
 		return r.text
 	}
 	r.raw, r.text = append(r.raw[:0], raw...), ""
 	if len(raw) > 0 {
-		_ = json.Unmarshal(raw, &r.text) // valid, as said
+		_ = json.Unmarshal(raw, &r.text) // can't fail: the JSON decoder has checked it
 	}
 	return r.text
 }
--- a/internal/endpoint/engine/engine.go
+++ b/internal/endpoint/engine/engine.go
@@ -1,9 +1,8 @@
-// Package engine speaks the model engines' protocol. Client is the only place
-// that knows the wire format; everything else uses its typed calls.
+// Package engine is the client of the model engines' HTTP protocol. Only this package depends on
+// the wire format; other packages use its typed calls.
 //
-// Guarantee: an error of Start tells by its run state whether the engine may
-// have begun the run. Only a connection that could not be made, or the engine's
-// own word, gives not_run.
+// Guarantee: the run state of an error of Start states whether the engine may have begun the run.
+// It is not_run only if no connection could be made or the engine itself said so.
 package engine
 
 import (
@@ -24,15 +23,16 @@
 )
 
 const (
-	dialTimeout    = 1 * time.Second
-	maxIdlePerHost = 256
-	maxResponse    = 64 << 20
-	// transportBuffer is held for each open run in each direction: frames are
-	// short, and a long prompt passes it by.
-	transportBuffer = 1 << 10
-	headerJSON      = "application/json"
-	headerStream    = "text/event-stream"
-	controlDeadline = 10 * time.Second
+	dialTimeout      = 1 * time.Second
+	maxIdlePerHost   = 256
+	maxResponseBytes = 64 << 20
+	// transportBufferBytes is the size of the read and write buffers of each connection, one of
+	// which is used by each open run. Frames are short, and a long prompt is written without
+	// buffering.
+	transportBufferBytes = 1 << 10
+	headerJSON           = "application/json"
+	headerStream         = "text/event-stream"
+	controlDeadline      = 10 * time.Second
 )
 
 // Client calls engines over HTTP. It is safe for concurrent use.
@@ -40,7 +40,7 @@
 	http *http.Client
 }
 
-// NewClient returns a client that keeps connections to many engines.
+// NewClient returns a client that keeps idle connections to many engines.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -48,8 +48,8 @@
 		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
-		ReadBufferSize:      transportBuffer,
-		WriteBufferSize:     transportBuffer,
+		ReadBufferSize:      transportBufferBytes,
+		WriteBufferSize:     transportBufferBytes,
 	}
 	return &Client{http: &http.Client{Transport: transport}}
 }
@@ -63,13 +63,13 @@
 	return c.stream(ctx, http.MethodPost, base+enginewire.PathRuns, body)
 }
 
-// Resume streams a run that the engine holds from an output token offset on.
+// Resume streams a run that the engine holds, starting at an output token offset.
 func (c *Client) Resume(ctx context.Context, base, run string, offset int) (*Stream, error) {
 	target := base + enginewire.PathRun + url.PathEscape(run) + "?from=" + strconv.Itoa(offset)
 	return c.stream(ctx, http.MethodGet, target, nil)
 }
 
-// Cancel ends a run. Cancelling a run that is over is not an error.
+// Cancel ends a run. Canceling a run that has ended is not an error.
 func (c *Client) Cancel(ctx context.Context, base, run string) error {
 	err := c.call(ctx, http.MethodDelete, base+enginewire.PathRun+url.PathEscape(run), nil, nil)
 	if CodeOf(err) == enginewire.ErrRunUnknown {
@@ -78,44 +78,45 @@
 	return err
 }
 
-// State reads the engine's full state.
+// State returns the engine's full state, including its block ids.
 func (c *Client) State(ctx context.Context, base string) (*enginewire.State, error) {
 	return get[enginewire.State](ctx, c, base+enginewire.PathState)
 }
 
-// Weights is a client whose State leaves the block ids out, for readers that need
-// only what the engine has loaded: the ids are most of a state.
+// Weights is a client whose State omits the block ids, for callers that need only the loaded
+// weights: the block ids are most of the size of a state.
 type Weights struct{ *Client }
 
-// State reads the engine's state without its blocks.
+// State returns the engine's state without block ids.
 func (w Weights) State(ctx context.Context, base string) (*enginewire.State, error) {
 	return get[enginewire.State](ctx, w.Client, base+enginewire.PathState+"?blocks=false")
 }
 
-// Load reads the engine's own, lagging load report.
+// Load returns the engine's own load report, which lags behind its actual load.
 func (c *Client) Load(ctx context.Context, base string) (*enginewire.Load, error) {
 	return get[enginewire.Load](ctx, c, base+enginewire.PathLoad)
 }
 
-// Events reads cache events after a sequence number, waiting for at most wait.
+// Events returns the cache events after the sequence number since. If there are none, it waits for
+// at most wait.
 func (c *Client) Events(ctx context.Context, base string, since uint64, wait time.Duration) (*enginewire.Events, error) {
 	query := "?since=" + strconv.FormatUint(since, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	return get[enginewire.Events](ctx, c, base+enginewire.PathEvents+query)
 }
 
-// Export has the engine write blocks to a store host. Safe to repeat only with
-// new block names.
+// Export makes the engine write blocks to a store host. It is safe to repeat only with new block
+// names.
 func (c *Client) Export(ctx context.Context, base string, req *enginewire.TransferRequest) (*enginewire.TransferResponse, error) {
 	return post[enginewire.TransferResponse](ctx, c, base+enginewire.PathExport, req)
 }
 
-// Import has the engine read blocks from a store host. Safe to repeat.
+// Import makes the engine read blocks from a store host. It is safe to repeat.
 func (c *Client) Import(ctx context.Context, base string, req *enginewire.TransferRequest) (*enginewire.TransferResponse, error) {
 	return post[enginewire.TransferResponse](ctx, c, base+enginewire.PathImport, req)
 }
 
-// Order gives an order. Safe to repeat with the same fencing token; after an
-// error its effect is open until State has been read.
+// Order sends an order to the engine. It is safe to repeat with the same fencing token. After an
+// error it is unknown whether the order took effect until State has been read.
 func (c *Client) Order(ctx context.Context, base string, order *enginewire.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -138,7 +139,7 @@
 	return out, c.call(ctx, http.MethodPost, target, body, out)
 }
 
-// call makes one exchange whose answer is JSON; out may be nil.
+// call sends one request and decodes the JSON answer into out, which may be nil.
 func (c *Client) call(ctx context.Context, method, target string, body []byte, out any) error {
 	resp, err := c.do(ctx, method, target, headerJSON, body)
 	if err != nil {
@@ -148,8 +149,8 @@
 	if out == nil {
 		return nil
 	}
-	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxResponse))
-	return eris.Wrap(dec.Decode(out), "decode engine's answer")
+	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxResponseBytes))
+	return eris.Wrap(dec.Decode(out), "decode engine response")
 }
 
 func (c *Client) stream(ctx context.Context, method, target string, body []byte) (*Stream, error) {
@@ -171,18 +172,18 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, doError(err)
+		return nil, transportError(err)
 	}
 	if resp.StatusCode/100 != 2 {
 		defer resp.Body.Close()
-		return nil, refusal(resp)
+		return nil, refusalError(resp)
 	}
 	return resp, nil
 }
 
-// doError tells a connection that was never made from one that broke: after the
-// dial the request's first byte may have reached the engine.
-func doError(err error) error {
+// transportError converts a transport error. Only a failed dial is known not to have reached the
+// engine: after it, the first byte of the request may have arrived.
+func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return result.Wrap(err, result.EndpointUnreachable)
@@ -190,7 +191,7 @@
 	return result.Wrap(err, result.EndpointBrokeOff)
 }
 
-// RefusedError is the engine's own refusal.
+// RefusedError is an error response of the engine.
 type RefusedError struct {
 	Status int
 	Reason enginewire.Error
@@ -198,10 +199,10 @@
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	return "engine refused: " + string(e.Reason.Code) + ": " + e.Reason.Message
+	return "engine refused request: " + string(e.Reason.Code) + ": " + e.Reason.Message
 }
 
-// CodeOf returns the engine's error code in err's chain, or "".
+// CodeOf returns the engine's error code from err's chain, or "" if there is none.
 func CodeOf(err error) enginewire.ErrorCode {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
@@ -210,9 +211,9 @@
 	return ""
 }
 
-func refusal(resp *http.Response) error {
+func refusalError(resp *http.Response) error {
 	refused := &RefusedError{Status: resp.StatusCode}
-	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxResponse))
+	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxResponseBytes))
 	if err := dec.Decode(&refused.Reason); err != nil {
 		refused.Reason = enginewire.Error{Code: enginewire.ErrInternal, Message: resp.Status}
 	}
--- a/internal/endpoint/engine/stream.go
+++ b/internal/endpoint/engine/stream.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	streamBuffer = 1 << 10
-	maxFrame     = 1 << 20
+	streamBufferBytes = 1 << 10
+	maxFrameBytes     = 1 << 20
 )
 
 var dataPrefix = []byte("data:")
@@ -24,15 +24,15 @@
 	decoder frameDecoder
 }
 
-// NewStream returns a stream of the frames in body, which Close closes.
+// NewStream returns a stream of the frames in body. Close closes body.
 func NewStream(body io.ReadCloser) *Stream {
 	s := &Stream{body: body, scanner: bufio.NewScanner(body)}
-	s.scanner.Buffer(make([]byte, 0, streamBuffer), maxFrame)
+	s.scanner.Buffer(make([]byte, 0, streamBufferBytes), maxFrameBytes)
 	return s
 }
 
-// Next reads the next frame into frame. It returns io.EOF when the stream has
-// ended, which is no sign that the answer was complete: that is the end frame.
+// Next decodes the next frame into frame. It returns io.EOF when the stream has ended; the answer
+// is complete only if an end frame came before.
 func (s *Stream) Next(frame *enginewire.Frame) error {
 	for s.scanner.Scan() {
 		data, ok := bytes.CutPrefix(s.scanner.Bytes(), dataPrefix)
@@ -54,5 +54,5 @@
 	return result.Wrap(err, result.EndpointBrokeOff)
 }
 
-// Close ends the stream. The engine holds the run for a resume.
+// Close ends the stream. The engine keeps the run, so that it can be resumed.
 func (s *Stream) Close() error { return s.body.Close() }
--- a/internal/endpoint/engine/stream_test.go
+++ b/internal/endpoint/engine/stream_test.go
@@ -16,7 +16,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// seeds are streams with something to get wrong.
+// seeds are streams that cover malformed, duplicated and unusual input.
 var seeds = []string{
 	"data: {\"run\":\"a\",\"incarnation\":\"i\",\"seq\":1,\"kind\":\"tokens\",\"offset\":3,\"tokens\":1,\"text\":\"\\n\\u00e9\"}\n\ndata:{\"run\":\"a\"}\r\n",
 	"data: {\"kind\":\"end\",\"blocks\":[{\"id\":\"b\",\"end_token\":2000}],\"output_tokens\":4}\n",
@@ -34,8 +34,8 @@
 	"data: " + strings.Repeat("[", 20000),
 }
 
-// checkStream reads data as a stream: each frame is what the JSON package makes
-// of its line by itself, and the first line that it refuses ends the stream.
+// checkStream reads data as a stream and checks that each frame equals what encoding/json decodes
+// from its line, and that the first invalid line ends the stream with an error.
 func checkStream(t *testing.T, data []byte) {
 	s := NewStream(io.NopCloser(bytes.NewReader(data)))
 	lines := bytes.Split(data, []byte("\n"))
@@ -49,7 +49,7 @@
 			must.ErrorIs(t, err, io.EOF)
 			return
 		}
-		if len(lines[0]) < maxFrame && json.Unmarshal(lines[0][len(dataPrefix):], &want) == nil {
+		if len(lines[0]) < maxFrameBytes && json.Unmarshal(lines[0][len(dataPrefix):], &want) == nil {
 			must.NoError(t, err)
 			must.Eq(t, want, got)
 			lines = lines[1:]
@@ -61,7 +61,7 @@
 	}
 }
 
-// FuzzStream also bounds the memory that the bytes of an engine can take.
+// FuzzStream checks the decoded frames and bounds the memory allocated for the bytes of an engine.
 func FuzzStream(f *testing.F) {
 	for _, seed := range seeds {
 		f.Add([]byte(seed))
@@ -79,7 +79,8 @@
 	})
 }
 
-// TestStreamAfterAnError reads on: nothing of the refused frame reaches the next.
+// TestStreamAfterAnError checks that reading can continue after an invalid frame, and that nothing
+// of it appears in the next frame.
 func TestStreamAfterAnError(t *testing.T) {
 	for _, bad := range []string{`{"run":"x","text":"x"`, `{"run":"x"}{"text":"x"}`, `{"run":1}`, ``} {
 		s := NewStream(io.NopCloser(strings.NewReader(fmt.Sprintf("data: {\"run\":\"a\"}\ndata: %s\ndata: {\"seq\":2}\n", bad))))
@@ -92,5 +93,5 @@
 }
 
 func TestFrameTooLong(t *testing.T) {
-	checkStream(t, []byte("data: \""+strings.Repeat("x", 2*maxFrame)+"\"\n"))
+	checkStream(t, []byte("data: \""+strings.Repeat("x", 2*maxFrameBytes)+"\"\n"))
 }
