--- a/internal/runs/breaks_test.go
+++ b/internal/runs/broken_streams_test.go
@@ -21,7 +21,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// TestMain fixes the seed of the properties unless a flag asks for another.
+// TestMain sets a fixed seed for the property tests unless a flag sets another one.
 func TestMain(m *testing.M) {
 	if err := errors.Join(flag.Set("rapid.seed", "21"), flag.Set("rapid.nofailfile", "true")); err != nil {
 		panic(err)
@@ -30,20 +30,20 @@
 	os.Exit(m.Run())
 }
 
-const wholeText = "abcdef"
+const completeText = "abcdef"
 
-// broken is what becomes of one stream of an engine.
-type broken struct {
-	refused error // in place of a stream
-	whole   bool
-	frames  int // whole frames that come of it
-	bytes   int // that come of the next frame
-	tail    string
+// streamFault describes how one stream of an engine breaks off.
+type streamFault struct {
+	refused  error // returned instead of a stream
+	complete bool
+	frames   int // complete frames delivered
+	bytes    int // bytes delivered of the next frame
+	tail     string
 }
 
-// of returns what comes of a stream.
-func (b broken) of(stream, run string) string {
-	if b.whole {
+// apply returns the part of a stream that is delivered.
+func (b streamFault) apply(stream, run string) string {
+	if b.complete {
 		return stream
 	}
 	lines := strings.SplitAfter(stream, "\n\n")
@@ -51,48 +51,49 @@
 	return strings.Join(lines[:n], "") + lines[n][:min(b.bytes, len(lines[n]))] + strings.ReplaceAll(b.tail, "RUN", run)
 }
 
-// breaking is an engine whose answer is wholeText, a letter a token, and whose streams break as
-// they are told; those behind are whole.
-type breaking struct {
-	fake
-	streams []broken
-	bases   map[string]int // tokens before a run
+// faultyEngine is an engine that answers completeText, one letter per token. Its first streams
+// break off as described by streams; the following ones are complete.
+type faultyEngine struct {
+	scriptedEngine
+	streams []streamFault
+	bases   map[string]int // by run id: tokens of the answer before the run
 	salts   map[string]string
 	starts  int
 }
 
-func (b *breaking) Place(context.Context, *Request, []string) (Grant, error) { return b, nil }
+func (b *faultyEngine) Place(context.Context, *Request, []string) (Grant, error) { return b, nil }
 
-func (b *breaking) Start(_ context.Context, _ string, req *enginewire.RunRequest) (*engine.Stream, error) {
+func (b *faultyEngine) Start(_ context.Context, _ string, req *enginewire.RunRequest) (*engine.Stream, error) {
 	b.starts++
 	b.bases[req.Run], b.salts[req.Run] = len(req.Continue), req.CacheSalt
 	return b.stream(req.Run, 0)
 }
 
-func (b *breaking) Resume(_ context.Context, _, run string, offset int) (*engine.Stream, error) {
+func (b *faultyEngine) Resume(_ context.Context, _, run string, offset int) (*engine.Stream, error) {
 	return b.stream(run, offset)
 }
 
-func (b *breaking) stream(run string, from int) (*engine.Stream, error) {
-	now := broken{whole: true}
+func (b *faultyEngine) stream(run string, from int) (*engine.Stream, error) {
+	fault := streamFault{complete: true}
 	if len(b.streams) > 0 {
-		now, b.streams = b.streams[0], b.streams[1:]
+		fault, b.streams = b.streams[0], b.streams[1:]
 	}
-	if now.refused != nil {
-		return nil, now.refused
+	if fault.refused != nil {
+		return nil, fault.refused
 	}
-	text := now.of(b.frames(run, from), run)
+	text := fault.apply(b.frames(run, from), run)
 	return engine.NewStream(io.NopCloser(iotest.OneByteReader(strings.NewReader(text)))), nil
 }
 
-func (b *breaking) frames(run string, from int) string {
+// frames returns the complete stream of a run from a token offset on.
+func (b *faultyEngine) frames(run string, from int) string {
 	var text strings.Builder
 	add := func(f enginewire.Frame) {
 		f.Run, f.Incarnation = run, "i"
 		data, _ := json.Marshal(f) // frames always encode
 		text.WriteString("data: " + string(data) + "\n\n")
 	}
-	own := wholeText[b.bases[run]:]
+	own := completeText[b.bases[run]:]
 	add(enginewire.Frame{Kind: enginewire.FrameStart, CacheSalt: b.salts[run]})
 	for i := from; i < len(own); i++ {
 		add(enginewire.Frame{Kind: enginewire.FrameTokens, Offset: i, Tokens: 1, Text: own[i : i+1]})
@@ -101,19 +102,20 @@
 	return text.String()
 }
 
-// run answers a request of so many tokens at most, and returns what the caller got.
-func (b *breaking) run(t must.T, maxTokens int, once bool) (string, error) {
+// run runs a request with the given token limit and returns the text that the caller received.
+func (b *faultyEngine) run(t must.T, maxTokens int, once bool) (string, error) {
 	b.bases, b.salts = make(map[string]int), make(map[string]string)
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
 	d := &Dispatcher{Key: key, Salter: salter, Engines: b, Placer: b, Budget: b}
-	sink := &text{}
+	sink := &textSink{}
 	_, err = d.Run(context.Background(), &Request{Account: "a", Prompt: "p", MaxTokens: maxTokens, Deadline: time.Now().Add(time.Minute), Once: once}, sink)
 	return sink.got, err
 }
 
-// The tails of broken streams, with RUN in place of the run's id. None is what the run itself could
-// say next, which nothing could tell from its answer.
+// tails are texts that follow the break of a stream, with RUN in place of the run's id. None of
+// them is a frame that the run itself could send next, which would be indistinguishable from the
+// true answer.
 var tails = []string{
 	"",
 	"\n<html>502 Bad Gateway</html>\n",
@@ -126,36 +128,37 @@
 	"\ndata: {\"run\":\"RUN\",\"incarnation\":\"j\",\"kind\":\"end\",\"output_tokens\":6}\n",
 }
 
-func drawBroken(t *rapid.T) broken {
+func drawStreamFault(t *rapid.T) streamFault {
 	refusals := []error{nil, nil, nil, result.New(result.EndpointRefused), result.New(result.EndpointBrokeOff), result.New(result.EndpointUnreachable)}
-	return broken{
-		refused: rapid.SampledFrom(refusals).Draw(t, "refused"),
-		whole:   rapid.IntRange(0, 9).Draw(t, "whole") == 0,
-		frames:  rapid.IntRange(0, 8).Draw(t, "frames"),
-		bytes:   rapid.SampledFrom([]int{0, 0, 1, 40, 80, 1000}).Draw(t, "bytes"),
-		tail:    rapid.SampledFrom(tails).Draw(t, "tail"),
+	return streamFault{
+		refused:  rapid.SampledFrom(refusals).Draw(t, "refused"),
+		complete: rapid.IntRange(0, 9).Draw(t, "whole") == 0,
+		frames:   rapid.IntRange(0, 8).Draw(t, "frames"),
+		bytes:    rapid.SampledFrom([]int{0, 0, 1, 40, 80, 1000}).Draw(t, "bytes"),
+		tail:     rapid.SampledFrom(tails).Draw(t, "tail"),
 	}
 }
 
-// TestCallerGetsAPrefix: wherever the streams of an answer break, and whatever comes in their
-// place, a caller gets the beginning of the true answer, and a success only with all of it.
+// TestCallerGetsAPrefix checks that wherever the streams of an answer break off, and whatever
+// follows the break, a caller receives a prefix of the true answer, and success only with all of
+// it.
 func TestCallerGetsAPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &breaking{streams: rapid.SliceOfN(rapid.Custom(drawBroken), 0, 12).Draw(t, "streams")}
-		got, err := b.run(t, rapid.IntRange(len(wholeText), 9).Draw(t, "max"), false)
-		must.StrHasPrefix(t, got, wholeText)
+		b := &faultyEngine{streams: rapid.SliceOfN(rapid.Custom(drawStreamFault), 0, 12).Draw(t, "streams")}
+		got, err := b.run(t, rapid.IntRange(len(completeText), 9).Draw(t, "max"), false)
+		must.StrHasPrefix(t, got, completeText)
 		if err == nil {
-			must.Eq(t, wholeText, got)
+			must.Eq(t, completeText, got)
 		}
 	})
 }
 
-// TestOnceIsNotBegunAgainBehindTokens: an engine that has sent tokens has run the request,
-// whatever it says then.
-func TestOnceIsNotBegunAgainBehindTokens(t *testing.T) {
+// TestOnceNotRetriedAfterTokens checks that a request with Once is not started again after tokens
+// were delivered, even if the engine then claims that it has not run.
+func TestOnceNotRetriedAfterTokens(t *testing.T) {
 	const notRun = "\ndata: {\"run\":\"RUN\",\"incarnation\":\"i\",\"kind\":\"error\",\"error\":{\"code\":\"leaving\",\"not_run\":true}}\n"
-	b := &breaking{streams: []broken{{frames: 3, tail: notRun}}}
-	got, err := b.run(t, len(wholeText), true)
+	b := &faultyEngine{streams: []streamFault{{frames: 3, tail: notRun}}}
+	got, err := b.run(t, len(completeText), true)
 	must.Eq(t, "ab", got)
 	must.Eq(t, result.MayHaveRun, result.From(err).RunState)
 	must.Eq(t, 1, b.starts)
--- a/internal/runs/dispatcher.go
+++ b/internal/runs/dispatcher.go
@@ -16,99 +16,102 @@
 const (
 	maxAttempts   = 4
 	cancelTimeout = 2 * time.Second
-	// freeMoves is how often an answer may go on elsewhere outside of the budget.
-	freeMoves = 2
+	// maxUnbudgetedMoves is the number of times an answer may be moved to another engine without
+	// using the retry budget.
+	maxUnbudgetedMoves = 2
 )
 
-// Dispatcher runs requests. It is safe for concurrent use.
+// Dispatcher runs requests on engines. It is safe for concurrent use.
 type Dispatcher struct {
 	Key     []byte // the nodes' shared key
 	Salter  *kvcache.Salter
 	Engines Engines
 	Placer  Placer
 	Budget  Budget
-	// Versions finds another version for a request that no engine took on its own;
-	// nil keeps the version.
+	// Versions selects another version for a request that no engine accepted on its own; if nil,
+	// the version is never changed.
 	Versions Versions
-	// Directory finds the engine of a run to resume.
+	// Directory provides the engine of a run to resume.
 	Directory Directory
 }
 
-// progress is how far an answer has come, over all engine runs.
+// progress is the state of an answer over all engine runs.
 type progress struct {
-	req    *Request
-	sink   Sink
-	begun  time.Time
-	text   strings.Builder // output delivered, to continue elsewhere
-	tokens int
-	tried  []string
-	moves  int  // went on elsewhere after tokens were delivered
-	mayRun bool // an engine may have begun the request
-	// refused are the versions on which no engine took the request.
-	refused []string
-	sum     Summary
+	req        *Request
+	sink       Sink
+	startedAt  time.Time
+	text       strings.Builder // output delivered so far, sent to the next engine to continue from
+	tokens     int
+	tried      []string
+	moves      int  // times moved to another engine after tokens were delivered
+	mayHaveRun bool // whether an engine may have begun the request
+	// refusedVersions are the versions on which no engine accepted the request.
+	refusedVersions []string
+	summary         Summary
 }
 
-// Run answers a request. It waits for as long as the request's deadline allows.
+// Run runs a request and passes the answer to sink. It returns when the answer is complete, when
+// the request fails, or at the request's deadline unless req.RunsOn is set.
 func (d *Dispatcher) Run(ctx context.Context, req *Request, sink Sink) (Summary, error) {
 	if !req.RunsOn {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, req.Deadline)
 		defer cancel()
 	}
-	p := &progress{req: req, sink: sink, begun: time.Now()}
+	p := &progress{req: req, sink: sink, startedAt: time.Now()}
 	for attempt := 1; ; attempt++ {
 		err := d.attempt(ctx, p)
 		if err == nil {
 			if attempt == 1 {
 				d.Budget.Succeeded()
 			}
-			return p.sum, nil
+			return p.summary, nil
 		}
-		if d.repin(ctx, p, err) {
+		if d.switchVersion(ctx, p, err) {
 			attempt--
 			continue
 		}
-		if attempt == maxAttempts || !d.mayRepeat(ctx, p, err) {
-			return p.sum, p.final(ctx, err)
+		if attempt == maxAttempts || !d.mayRetry(ctx, p, err) {
+			return p.summary, p.finalError(ctx, err)
 		}
 	}
 }
 
-// mayRepeat tells whether another engine may be tried after err.
-func (d *Dispatcher) mayRepeat(ctx context.Context, p *progress, err error) bool {
+// mayRetry reports whether another engine may be tried after err.
+func (d *Dispatcher) mayRetry(ctx context.Context, p *progress, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	e := result.From(err)
-	if !endpointFault(e.Code) {
+	if !isEndpointFault(e.Code) {
 		return false
 	}
-	// Tokens show that the request ran, whatever an engine says behind them.
+	// Delivered tokens prove that the request ran, whatever the engine states afterwards.
 	if p.req.Once && (e.RunState != result.NotRun || p.tokens > 0) {
 		return false
 	}
-	// A leaving engine is alone with its refusal, and is not asked twice.
+	// A refusal by a leaving engine needs no retry budget: it says nothing about the load of other
+	// engines, and this engine is not tried again.
 	if engine.CodeOf(err) == enginewire.ErrLeaving {
 		return true
 	}
-	return p.mayMove() || d.Budget.Retry()
+	return p.useUnbudgetedMove() || d.Budget.Retry()
 }
 
-// mayMove allows an answer that has begun to go on elsewhere outside of the
-// budget, as often as two engines may fail at once: the engine that broke off no
-// longer does this work, so that moving it adds none but the prefill. The budget
-// bounds all that follows.
-func (p *progress) mayMove() bool {
-	if p.tokens == 0 || p.moves == freeMoves {
+// useUnbudgetedMove reports whether an answer that has begun may continue on another engine without
+// using the retry budget, and counts the move. Two such moves are allowed, as two engines may fail
+// at once: the failed engine no longer does this work, so that moving it adds only the prefill.
+// Further moves use the budget.
+func (p *progress) useUnbudgetedMove() bool {
+	if p.tokens == 0 || p.moves == maxUnbudgetedMoves {
 		return false
 	}
 	p.moves++
 	return true
 }
 
-// endpointFault tells failures that another endpoint may not have.
-func endpointFault(code result.Code) bool {
+// isEndpointFault reports whether a failure may not occur on another endpoint.
+func isEndpointFault(code result.Code) bool {
 	switch code {
 	case result.EndpointUnreachable, result.EndpointBrokeOff, result.EndpointRefused,
 		result.AnswerOfOtherRun, result.VersionMismatch, result.AnswerTruncated, result.AnswerMalformed:
@@ -117,81 +120,81 @@
 	return false
 }
 
-// final is the error for the caller. An attempt that was not run does not undo
-// an earlier one that may have run.
-func (p *progress) final(ctx context.Context, err error) error {
+// finalError returns the error for the caller. If any attempt may have run, the error does not
+// state not_run, even if the last attempt was not run.
+func (p *progress) finalError(ctx context.Context, err error) error {
 	if ctx.Err() != nil && !result.Is(err, result.DeadlineUnmeetable) {
 		err = context.Cause(ctx)
 	}
 	e := result.From(err)
-	if p.mayRun && e.RunState == result.NotRun {
+	if p.mayHaveRun && e.RunState == result.NotRun {
 		return result.Wrap(e, e.Code, result.WithRunState(result.MayHaveRun), result.WithField(e.Field), result.WithRetryAfter(e.RetryAfter))
 	}
-	if !p.mayRun && (e.Code == result.DeadlinePassed || e.Code == result.CallerGone) {
+	if !p.mayHaveRun && (e.Code == result.DeadlinePassed || e.Code == result.CallerGone) {
 		return result.Wrap(e, e.Code, result.WithRunState(result.NotRun))
 	}
 	return e
 }
 
-// attempt places the request on one engine and streams from it.
+// attempt places the request on one engine and streams the answer from it.
 func (d *Dispatcher) attempt(ctx context.Context, p *progress) error {
 	grant, err := d.place(ctx, p)
 	if err != nil {
 		return err
 	}
-	if p.sum.Queued == 0 {
-		p.sum.Queued = time.Since(p.begun)
+	if p.summary.Queued == 0 {
+		p.summary.Queued = time.Since(p.startedAt)
 	}
 	name := grant.Endpoint().GetName()
 	r := &engineRun{
-		d:     d,
-		p:     p,
-		grant: grant,
-		base:  grant.Endpoint().GetUrl(),
-		id:    runid.New(d.Key, p.req.Account, runid.ID{Endpoint: name, Base: p.tokens}),
-		name:  name,
+		d:       d,
+		p:       p,
+		grant:   grant,
+		baseURL: grant.Endpoint().GetUrl(),
+		id:      runid.New(d.Key, p.req.Account, runid.ID{Endpoint: name, Base: p.tokens}),
+		name:    name,
 	}
 	tokens, bytes := grant.Imported()
-	p.sum.ImportedTokens += tokens
-	p.sum.ImportedBytes += bytes
+	p.summary.ImportedTokens += tokens
+	p.summary.ImportedBytes += bytes
 	err = r.run(ctx, grant.Patience())
-	if err != nil && p.exhausted() {
-		r.complete()
+	if err != nil && p.hasAllTokens() {
+		r.markComplete()
 		err = nil
 	}
-	r.seen.Err = err
-	grant.Done(r.seen)
+	r.observed.Err = err
+	grant.Done(r.observed)
 	if err != nil {
-		p.mayRun = p.mayRun || r.seen.Started || result.From(err).RunState != result.NotRun
+		p.mayHaveRun = p.mayHaveRun || r.observed.Started || result.From(err).RunState != result.NotRun
 		p.tried = append(p.tried, name)
-		r.abandon(ctx)
+		r.cancelInBackground(ctx)
 	}
 	return err
 }
 
-// place finds an engine before the request's deadline.
+// place selects an engine, waiting until the request's deadline at most.
 func (d *Dispatcher) place(ctx context.Context, p *progress) (Grant, error) {
 	ctx, cancel := context.WithDeadline(ctx, p.req.Deadline)
 	defer cancel()
 	return d.Placer.Place(ctx, p.req, p.tried)
 }
 
-// exhausted tells an answer that has all the tokens that were asked for, and
-// lacks only the frame that says so.
-func (p *progress) exhausted() bool { return p.tokens > 0 && p.tokens >= p.req.MaxTokens }
+// hasAllTokens reports whether the answer has all the tokens requested, so that only the end frame
+// can be missing.
+func (p *progress) hasAllTokens() bool { return p.tokens > 0 && p.tokens >= p.req.MaxTokens }
 
 // engineRun is one run on one engine.
 type engineRun struct {
-	d       *Dispatcher
-	p       *progress
-	grant   Grant // nil for a resumed run
-	base    string
-	name    string
-	id      string
-	checker *answer.Checker
-	begun   time.Time
-	first   int // answer tokens before this run
-	seen    Observed
+	d          *Dispatcher
+	p          *progress
+	grant      Grant // nil for a resumed run
+	baseURL    string
+	name       string
+	id         string
+	checker    *answer.Checker
+	startedAt  time.Time
+	baseTokens int // tokens of the answer before this run
+	observed   Observed
 }
 
 func (r *engineRun) request(now time.Time) *enginewire.RunRequest {
@@ -216,20 +219,20 @@
 	return out
 }
 
-// run makes the engine's run. An engine from which nothing comes for longer than
-// patience, or than stallTimeout once it has begun, counts as broken off.
+// run starts the run on the engine and reads its answer. An engine that sends no first frame within
+// patience, or no further frame within stallTimeout, counts as broken off.
 func (r *engineRun) run(ctx context.Context, patience time.Duration) error {
-	r.begun = time.Now()
-	r.first = r.p.tokens
-	req := r.request(r.begun)
+	r.startedAt = time.Now()
+	r.baseTokens = r.p.tokens
+	req := r.request(r.startedAt)
 	r.checker = answer.NewChecker(answer.Expected{Run: r.id, Version: req.Version, CacheSalt: req.CacheSalt})
 	w := newWatchdog(ctx, patience)
 	defer w.stop()
-	stream, err := r.d.Engines.Start(w.ctx, r.base, req)
+	stream, err := r.d.Engines.Start(w.ctx, r.baseURL, req)
 	if err == nil {
-		err = r.read(ctx, stream, w)
+		err = r.readStream(ctx, stream, w)
 	}
-	err = r.readOn(ctx, w.explain(ctx, err))
-	r.seen.Total = time.Since(r.begun)
+	err = r.resumeWhileBroken(ctx, w.wrapError(ctx, err))
+	r.observed.Total = time.Since(r.startedAt)
 	return err
 }
--- a/internal/runs/dispatcher_test.go
+++ b/internal/runs/dispatcher_test.go
@@ -16,107 +16,110 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// step is what becomes of one attempt: an error of the placement, of the start,
-// or a wait until the deadline in one of them.
-type step struct {
+// attemptScript is the outcome of one attempt: an error of the placement or the start, or a wait
+// until the deadline in one of them.
+type attemptScript struct {
 	place, start       error
 	placeWaits, silent bool
 }
 
-// fake places and starts by steps, and allows every retry.
-type fake struct {
-	steps  []step
-	now    step
-	earned int
+// scriptedEngine is a placer, engine and budget that plays attemptScripts in order and allows every
+// retry.
+type scriptedEngine struct {
+	steps     []attemptScript
+	current   attemptScript
+	succeeded int
 }
 
-func (f *fake) Place(ctx context.Context, _ *Request, _ []string) (Grant, error) {
-	f.now, f.steps = f.steps[0], f.steps[1:]
-	if f.now.placeWaits {
+func (f *scriptedEngine) Place(ctx context.Context, _ *Request, _ []string) (Grant, error) {
+	f.current, f.steps = f.steps[0], f.steps[1:]
+	if f.current.placeWaits {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return f, f.now.place
+	return f, f.current.place
 }
 
-func (f *fake) Start(ctx context.Context, _ string, _ *enginewire.RunRequest) (*engine.Stream, error) {
-	if f.now.silent {
+func (f *scriptedEngine) Start(ctx context.Context, _ string, _ *enginewire.RunRequest) (*engine.Stream, error) {
+	if f.current.silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return nil, f.now.start
+	return nil, f.current.start
 }
 
-func (f *fake) Resume(context.Context, string, string, int) (*engine.Stream, error) {
-	return nil, errors.New("nothing to resume")
+func (f *scriptedEngine) Resume(context.Context, string, string, int) (*engine.Stream, error) {
+	return nil, errors.New("no run to resume")
 }
 
-func (f *fake) Cancel(context.Context, string, string) error { return nil }
-func (f *fake) Endpoint() *pb.Endpoint                       { return &pb.Endpoint{Name: "engine-1"} }
-func (f *fake) Imported() (int, int64)                       { return 0, 0 }
-func (f *fake) FirstToken(Observed)                          {}
-func (f *fake) Patience() time.Duration                      { return time.Minute }
-func (f *fake) Done(Observed)                                {}
-func (f *fake) Succeeded()                                   { f.earned++ }
-func (f *fake) Retry() bool                                  { return true }
+func (f *scriptedEngine) Cancel(context.Context, string, string) error { return nil }
+func (f *scriptedEngine) Endpoint() *pb.Endpoint                       { return &pb.Endpoint{Name: "engine-1"} }
+func (f *scriptedEngine) Imported() (int, int64)                       { return 0, 0 }
+func (f *scriptedEngine) FirstToken(Observed)                          {}
+func (f *scriptedEngine) Patience() time.Duration                      { return time.Minute }
+func (f *scriptedEngine) Done(Observed)                                {}
+func (f *scriptedEngine) Succeeded()                                   { f.succeeded++ }
+func (f *scriptedEngine) Retry() bool                                  { return true }
 
-// TestNotRunIsTrue: an error says not_run only where no attempt can have begun.
-func TestNotRunIsTrue(t *testing.T) {
-	brokeOff := step{start: result.New(result.EndpointBrokeOff)}
-	refused := step{start: result.New(result.EndpointRefused)}
-	nobody := step{place: result.New(result.NoEndpoint)}
+// TestNotRunOnlyIfNoAttemptBegan checks that an error states not_run only if no attempt can have
+// begun.
+func TestNotRunOnlyIfNoAttemptBegan(t *testing.T) {
+	brokeOff := attemptScript{start: result.New(result.EndpointBrokeOff)}
+	refused := attemptScript{start: result.New(result.EndpointRefused)}
+	noEndpoint := attemptScript{place: result.New(result.NoEndpoint)}
 	cases := map[string]struct {
-		steps []step
+		steps []attemptScript
 		want  result.RunState
 	}{
-		"nobody to ask":                {[]step{nobody}, result.NotRun},
-		"refused, then nobody":         {[]step{refused, nobody}, result.NotRun},
-		"deadline in the queue":        {[]step{{placeWaits: true}}, result.NotRun},
-		"broke off, then nobody":       {[]step{brokeOff, nobody}, result.MayHaveRun},
-		"broke off, then refused":      {[]step{brokeOff, refused, refused, refused}, result.MayHaveRun},
-		"broke off, deadline in queue": {[]step{brokeOff, {placeWaits: true}}, result.MayHaveRun},
-		"silent engine":                {[]step{{silent: true}}, result.MayHaveRun},
+		"nobody to ask":                {[]attemptScript{noEndpoint}, result.NotRun},
+		"refused, then nobody":         {[]attemptScript{refused, noEndpoint}, result.NotRun},
+		"deadline in the queue":        {[]attemptScript{{placeWaits: true}}, result.NotRun},
+		"broke off, then nobody":       {[]attemptScript{brokeOff, noEndpoint}, result.MayHaveRun},
+		"broke off, then refused":      {[]attemptScript{brokeOff, refused, refused, refused}, result.MayHaveRun},
+		"broke off, deadline in queue": {[]attemptScript{brokeOff, {placeWaits: true}}, result.MayHaveRun},
+		"silent engine":                {[]attemptScript{{silent: true}}, result.MayHaveRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				salter, err := kvcache.NewSalter([]byte("0123456789abcdef0123456789abcdef"))
 				must.NoError(t, err)
-				f := &fake{steps: c.steps}
+				f := &scriptedEngine{steps: c.steps}
 				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: f, Placer: f, Budget: f}
 				_, err = d.Run(t.Context(), &Request{Account: "a", Prompt: "p", MaxTokens: 1, Deadline: time.Now().Add(time.Second)}, nil)
 				must.Eq(t, c.want, result.From(err).RunState, must.Sprint(err))
-				must.Zero(t, f.earned)
+				must.Zero(t, f.succeeded)
 			})
 		})
 	}
 }
 
-// TestRunsOnPastTheDeadline: the deadline bounds the wait for an engine alone.
-func TestRunsOnPastTheDeadline(t *testing.T) {
+// TestRunContinuesPastDeadline checks that with RunsOn the deadline limits only the wait for an
+// engine.
+func TestRunContinuesPastDeadline(t *testing.T) {
 	const deadline, end = time.Second, 5 * time.Second
 	cases := map[string]struct {
-		now    step
-		runsOn bool
-		after  time.Duration
-		want   result.RunState
+		attempt attemptScript
+		runsOn  bool
+		after   time.Duration
+		want    result.RunState
 	}{
-		"ends":               {step{silent: true}, false, deadline, result.MayHaveRun},
-		"runs on":            {step{silent: true}, true, end, result.MayHaveRun},
-		"still in the queue": {step{placeWaits: true}, true, deadline, result.NotRun},
+		"ends":               {attemptScript{silent: true}, false, deadline, result.MayHaveRun},
+		"runs on":            {attemptScript{silent: true}, true, end, result.MayHaveRun},
+		"still in the queue": {attemptScript{placeWaits: true}, true, deadline, result.NotRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				salter, err := kvcache.NewSalter([]byte("0123456789abcdef0123456789abcdef"))
 				must.NoError(t, err)
-				f := &fake{steps: []step{c.now}}
+				f := &scriptedEngine{steps: []attemptScript{c.attempt}}
 				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: f, Placer: f, Budget: f}
 				ctx, cancel := context.WithCancelCause(t.Context())
 				time.AfterFunc(end, func() { cancel(context.DeadlineExceeded) })
-				begun := time.Now()
-				_, err = d.Run(ctx, &Request{Account: "a", Prompt: "p", MaxTokens: 1, Deadline: begun.Add(deadline), RunsOn: c.runsOn}, nil)
-				must.Eq(t, c.after, time.Since(begun))
+				start := time.Now()
+				_, err = d.Run(ctx, &Request{Account: "a", Prompt: "p", MaxTokens: 1, Deadline: start.Add(deadline), RunsOn: c.runsOn}, nil)
+				must.Eq(t, c.after, time.Since(start))
 				must.Eq(t, result.DeadlinePassed, result.From(err).Code)
 				must.Eq(t, c.want, result.From(err).RunState)
 			})
--- a/internal/runs/resume.go
+++ b/internal/runs/resume.go
@@ -11,17 +11,17 @@
 	"github.com/cherryward/cherryward/internal/runid"
 )
 
-// ResumeRequest asks for the rest of a run that an engine holds.
+// ResumeRequest is a request for the rest of a run that an engine holds.
 type ResumeRequest struct {
 	Account  string
 	Run      string
-	Offset   int // answer tokens that the caller has
+	Offset   int // answer tokens that the caller has received
 	Deadline time.Time
 }
 
-// Resume streams the rest of a run from the engine that holds it. A run of
-// another account gives result.RunNotFound, like one that never was. Safe to
-// repeat: the engine sends the same tokens again.
+// Resume streams the rest of a run from the engine that holds it. It fails with result.RunNotFound
+// if the run belongs to another account or does not exist. It is safe to repeat: the engine sends
+// the same tokens again.
 func (d *Dispatcher) Resume(ctx context.Context, req ResumeRequest, sink Sink) (Summary, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -34,28 +34,29 @@
 		return Summary{}, result.New(result.RunNotFound)
 	}
 	r := &engineRun{
-		d:     d,
-		p:     &progress{sink: sink, begun: time.Now(), tokens: req.Offset},
-		base:  endpoint.GetUrl(),
-		name:  id.Endpoint,
-		id:    req.Run,
-		begun: time.Now(),
-		first: id.Base,
+		d:          d,
+		p:          &progress{sink: sink, startedAt: time.Now(), tokens: req.Offset},
+		baseURL:    endpoint.GetUrl(),
+		name:       id.Endpoint,
+		id:         req.Run,
+		startedAt:  time.Now(),
+		baseTokens: id.Base,
 	}
 	want := answer.Expected{Run: req.Run, CacheSalt: d.Salter.CacheSalt(req.Account)}
 	r.checker = answer.NewResumedChecker(want, req.Offset-id.Base)
 	w := newWatchdog(ctx, resumeTimeout)
 	defer w.stop()
-	stream, err := d.Engines.Resume(w.ctx, r.base, r.id, r.checker.Tokens())
+	stream, err := d.Engines.Resume(w.ctx, r.baseURL, r.id, r.checker.Tokens())
 	if err != nil {
-		return Summary{}, heldError(w.explain(ctx, err))
+		return Summary{}, resumeError(w.wrapError(ctx, err))
 	}
-	err = w.explain(ctx, r.read(ctx, stream, w))
-	return r.p.sum, r.readOn(ctx, err)
+	err = w.wrapError(ctx, r.readStream(ctx, stream, w))
+	return r.p.summary, r.resumeWhileBroken(ctx, err)
 }
 
-// heldError tells the caller that the run is gone where the engine said so.
-func heldError(err error) error {
+// resumeError converts an engine's error on resuming: RunNotFound if the engine no longer holds the
+// run, otherwise the error with the run state may_have_run.
+func resumeError(err error) error {
 	if engine.CodeOf(err) == enginewire.ErrRunUnknown {
 		return result.Wrap(err, result.RunNotFound)
 	}
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -1,9 +1,9 @@
-// Package runs carries a prompt through: it finds an engine, starts the run,
-// hands on the checked tokens, and goes on when a connection or an engine fails.
+// Package runs runs prompts on engines: it selects an engine, starts the run, passes on the checked
+// tokens, and continues when a connection or an engine fails.
 //
-// Guarantee: a sink gets each token of one answer once and in order, all on the
-// weight version that the request began with. Run returns without an error only
-// after a complete answer; its error's run state tells what may have happened.
+// Guarantee: a sink gets each token of one answer once and in order, all on the same weight
+// version. Run returns without an error only after a complete answer; the run state of its error
+// states whether the request may have run.
 package runs
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/cherryward/cherryward/internal/kvcache"
 )
 
-// Class is a request's priority class. A lower class goes first.
+// Class is a request's priority class. A lower class has priority over a higher one.
 type Class int
 
 // The priority classes.
@@ -31,60 +31,60 @@
 // Request is one prompt to answer.
 type Request struct {
 	ID          string  // for logs and explanations
-	Account     string  // by its id, which no other account ever has
+	Account     string  // account id, which is never reused for another account
 	Weight      float64 // the account's share of a contended engine; 0 means 1
 	Model       string
-	Version     string // weight version that serves all of the answer
+	Version     string // weight version that serves the whole answer
 	Adapter     string
 	Prompt      string
-	PromptIDs   []int // in place of Prompt where not nil
+	PromptIDs   []int // used in place of Prompt if not nil
 	MaxTokens   int
 	Temperature float64
 	Seed        int64
 	Class       Class
 	Deadline    time.Time
-	// RunsOn is set where an answer that has an engine goes on past the deadline,
-	// until its context ends.
+	// RunsOn makes an answer that has been placed on an engine continue past the deadline, until
+	// its context ends.
 	RunsOn bool
-	// Resumable is set where the caller can resume a broken stream.
+	// Resumable states that the caller can resume a broken stream.
 	Resumable bool
-	// Once forbids a second start after one that may have run.
+	// Once forbids starting the request again after an attempt that may have run.
 	Once bool
-	// Chain fingerprints the prompt for the look-up of kept context.
+	// Chain identifies the prompt's prefixes, to look up cached context.
 	Chain kvcache.Chain
 }
 
-// Start is what is known when the engine has begun a run.
+// Start describes a run that an engine has begun.
 type Start struct {
 	Run          string
 	Endpoint     string
-	Model        string // as the engine echoes it; empty from engines that don't
+	Model        string // as stated by the engine; empty if it does not state it
 	Adapter      string
 	PromptTokens int
 	CachedTokens int
 }
 
-// Sink takes the answer. An error of a method ends the run.
+// Sink receives an answer. An error of any method ends the run.
 type Sink interface {
-	// Started is called once for each engine run that serves the answer.
+	// Started is called once for each engine run that contributes to the answer.
 	Started(Start) error
-	// Tokens takes the next piece. Offset counts the answer's tokens after it.
+	// Tokens receives the next piece of text. offset is the number of answer tokens up to its end.
 	Tokens(run string, offset int, text string) error
 }
 
-// Summary is the outcome of a complete answer.
+// Summary describes a complete answer.
 type Summary struct {
 	Start
 	OutputTokens   int
 	Finish         string
-	Engines        int           // engine runs that it took
-	Queued         time.Duration // until the first engine was granted
+	Engines        int           // number of engine runs
+	Queued         time.Duration // time until the first engine was granted
 	FirstToken     time.Duration
 	ImportedTokens int
 	ImportedBytes  int64
 }
 
-// Observed is what a grant's holder saw of the run, for the endpoint's owner.
+// Observed is what was observed of one run, reported to the owner of the endpoint's grant.
 type Observed struct {
 	Started      bool
 	Complete     bool
@@ -92,7 +92,7 @@
 	PromptTokens int
 	CachedTokens int
 	OutputTokens int
-	FirstToken   time.Duration // from start of the run to its first token
+	FirstToken   time.Duration // from the start of the run to its first token
 	Total        time.Duration
 	Blocks       []enginewire.Block
 	Err          error
@@ -101,23 +101,23 @@
 // Grant is the right to start one run on an endpoint.
 type Grant interface {
 	Endpoint() *pb.Endpoint
-	// Imported tells what was imported for the run.
+	// Imported returns the amount of cached context that was imported for the run.
 	Imported() (tokens int, bytes int64)
-	// Patience is how long the engine may take until its first frame.
+	// Patience is the longest time to wait for the engine's first frame.
 	Patience() time.Duration
-	// FirstToken tells that the engine has begun to answer.
+	// FirstToken reports that the engine has sent its first token.
 	FirstToken(Observed)
-	// Done gives the grant back.
+	// Done releases the grant and reports what was observed.
 	Done(Observed)
 }
 
-// Placer finds an engine for a request and waits for its grant. Endpoints in
-// tried have failed this request and are avoided where there are others.
+// Placer selects an engine for a request and waits for its grant. Endpoints in tried have failed
+// this request and are used only if there are no others.
 type Placer interface {
 	Place(ctx context.Context, req *Request, tried []string) (Grant, error)
 }
 
-// Budget decides on retries, so that failures do not multiply load.
+// Budget limits retries, so that failures do not multiply the load.
 type Budget interface {
 	// Succeeded records a first attempt's success.
 	Succeeded()
@@ -125,14 +125,14 @@
 	Retry() bool
 }
 
-// Engines is what a run needs of the engines' protocol.
+// Engines is the part of the engines' protocol that runs need.
 type Engines interface {
 	Start(ctx context.Context, base string, req *enginewire.RunRequest) (*engine.Stream, error)
 	Resume(ctx context.Context, base, run string, offset int) (*engine.Stream, error)
 	Cancel(ctx context.Context, base, run string) error
 }
 
-// Directory gives the newest configuration.
+// Directory provides the latest configuration.
 type Directory interface {
 	View() *config.View
 }
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -18,60 +18,65 @@
 
 var key = []byte("0123456789abcdef0123456789abcdef")
 
-// listed grants the engines in turn, each with little patience.
-type listed struct {
+// fixedPlacer grants its engines one after the other.
+type fixedPlacer struct {
 	urls     []string
 	patience time.Duration
 	seen     []Observed
 }
 
-type listedGrant struct {
-	*listed
+// fixedGrant is a grant of the engine at url.
+type fixedGrant struct {
+	*fixedPlacer
 	url string
 }
 
-func (l *listed) Place(_ context.Context, _ *Request, tried []string) (Grant, error) {
+func (l *fixedPlacer) Place(_ context.Context, _ *Request, tried []string) (Grant, error) {
 	if len(tried) == len(l.urls) {
 		return nil, result.New(result.NoEndpoint)
 	}
-	return listedGrant{l, l.urls[len(tried)]}, nil
+	return fixedGrant{l, l.urls[len(tried)]}, nil
 }
 
-func (g listedGrant) Endpoint() *pb.Endpoint  { return &pb.Endpoint{Name: g.url, Url: g.url} }
-func (g listedGrant) Imported() (int, int64)  { return 0, 0 }
-func (g listedGrant) FirstToken(Observed)     {}
-func (g listedGrant) Patience() time.Duration { return g.patience }
-func (g listedGrant) Done(seen Observed)      { g.listed.seen = append(g.listed.seen, seen) }
+func (g fixedGrant) Endpoint() *pb.Endpoint  { return &pb.Endpoint{Name: g.url, Url: g.url} }
+func (g fixedGrant) Imported() (int, int64)  { return 0, 0 }
+func (g fixedGrant) FirstToken(Observed)     {}
+func (g fixedGrant) Patience() time.Duration { return g.patience }
+func (g fixedGrant) Done(seen Observed)      { g.fixedPlacer.seen = append(g.fixedPlacer.seen, seen) }
 
-type plenty struct{}
+// unlimitedBudget allows every retry.
+type unlimitedBudget struct{}
 
-func (plenty) Succeeded()  {}
-func (plenty) Retry() bool { return true }
+func (unlimitedBudget) Succeeded()  {}
+func (unlimitedBudget) Retry() bool { return true }
 
-type text struct{ got string }
+// textSink collects the text of an answer.
+type textSink struct{ got string }
 
-func (t *text) Started(Start) error { return nil }
-func (t *text) Tokens(_ string, offset int, s string) error {
+func (t *textSink) Started(Start) error { return nil }
+func (t *textSink) Tokens(_ string, offset int, s string) error {
 	t.got += s
 	return nil
 }
 
-type world struct {
-	placer  *listed
+// testCluster is a dispatcher with stub engines.
+type testCluster struct {
+	placer  *fixedPlacer
 	engines []*enginestandin.Engine
 	*Dispatcher
 }
 
-func newWorld(t *testing.T, engines int) *world {
+// newTestCluster starts the given number of stub engines and a dispatcher that uses them.
+func newTestCluster(t *testing.T, engines int) *testCluster {
 	t.Helper()
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	w := &world{placer: &listed{patience: time.Minute}}
+	w := &testCluster{placer: &fixedPlacer{patience: time.Minute}}
 	for range engines {
 		e := enginestandin.New(enginestandin.Config{Loaded: []enginewire.Loaded{{Model: "m", Version: "v"}}, TimeScale: 1, DecodeStep: 2 * time.Millisecond})
 		server := httptest.NewServer(e.Handler())
 		t.Cleanup(func() {
-			e.Faults.Set(enginestandin.Faults{}) // frozen handlers end only so
+			e.Faults.Set(enginestandin.Faults{}) // frozen handlers return only once the faults are cleared
 			e.Close()
 			server.CloseClientConnections()
 			server.Close()
@@ -79,57 +84,58 @@
 		w.engines = append(w.engines, e)
 		w.placer.urls = append(w.placer.urls, server.URL)
 	}
-	w.Dispatcher = &Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: w.placer, Budget: plenty{}}
+	w.Dispatcher = &Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: w.placer, Budget: unlimitedBudget{}}
 	return w
 }
 
-func (w *world) ask(t *testing.T, timeout time.Duration) (string, error) {
+func (w *testCluster) runPrompt(t *testing.T, timeout time.Duration) (string, error) {
 	t.Helper()
-	sink := &text{}
+	sink := &textSink{}
 	req := &Request{Account: "mill", Model: "m", Version: "v", Prompt: "pass or hold?", MaxTokens: 30, Deadline: time.Now().Add(timeout)}
 	_, err := w.Run(t.Context(), req, sink)
 	return sink.got, err
 }
 
-func set(e *enginestandin.Engine, change func(*enginestandin.Faults)) {
+func setFaults(e *enginestandin.Engine, change func(*enginestandin.Faults)) {
 	e.Faults.Update(change)
 }
 
 func TestRunStates(t *testing.T) {
 	t.Run("no engine was reached", func(t *testing.T) {
-		w := newWorld(t, 0)
+		w := newTestCluster(t, 0)
 		w.placer.urls = []string{"http://127.0.0.1:1", "http://127.0.0.1:1"}
-		_, err := w.ask(t, time.Minute)
+		_, err := w.runPrompt(t, time.Minute)
 		must.Eq(t, result.NotRun, result.From(err).RunState)
 	})
 	t.Run("refused by each engine's own word", func(t *testing.T) {
-		w := newWorld(t, 2)
+		w := newTestCluster(t, 2)
 		for _, e := range w.engines {
-			set(e, func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
+			setFaults(e, func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
 		}
-		_, err := w.ask(t, time.Minute)
+		_, err := w.runPrompt(t, time.Minute)
 		must.Eq(t, result.NotRun, result.From(err).RunState)
 	})
 	t.Run("deadline passed after the request was sent", func(t *testing.T) {
-		w := newWorld(t, 1)
-		set(w.engines[0], func(f *enginestandin.Faults) { f.Frozen = true })
-		_, err := w.ask(t, 200*time.Millisecond)
+		w := newTestCluster(t, 1)
+		setFaults(w.engines[0], func(f *enginestandin.Faults) { f.Frozen = true })
+		_, err := w.runPrompt(t, 200*time.Millisecond)
 		must.Eq(t, result.DeadlinePassed, result.From(err).Code)
 		must.Eq(t, result.MayHaveRun, result.From(err).RunState)
 	})
 	t.Run("refused after an attempt that may have run", func(t *testing.T) {
-		w := newWorld(t, 2)
-		set(w.engines[0], func(f *enginestandin.Faults) { f.FailEvery = 1 })
-		set(w.engines[1], func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
-		_, err := w.ask(t, time.Minute)
+		w := newTestCluster(t, 2)
+		setFaults(w.engines[0], func(f *enginestandin.Faults) { f.FailEvery = 1 })
+		setFaults(w.engines[1], func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
+		_, err := w.runPrompt(t, time.Minute)
 		must.Eq(t, result.MayHaveRun, result.From(err).RunState)
 	})
 }
 
-// An engine that stops sending, with its connections open, is left for another,
-// and the answer is the same as from an engine that never stopped.
-func TestAnswerGoesOnElsewhere(t *testing.T) {
-	undisturbed, err := newWorld(t, 1).ask(t, time.Minute)
+// TestAnswerContinuesOnOtherEngine checks that an answer continues on another engine after an
+// engine stops sending with its connections open, fails or truncates its stream, and that it equals
+// the answer of an undisturbed engine.
+func TestAnswerContinuesOnOtherEngine(t *testing.T) {
+	undisturbed, err := newTestCluster(t, 1).runPrompt(t, time.Minute)
 	must.NoError(t, err)
 	cases := map[string]func(*enginestandin.Faults){
 		"frozen before the start": func(f *enginestandin.Faults) { f.Frozen = true },
@@ -139,21 +145,22 @@
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 2)
+			w := newTestCluster(t, 2)
 			w.placer.patience = 150 * time.Millisecond
-			set(w.engines[0], fault)
-			got, err := w.ask(t, time.Minute)
+			setFaults(w.engines[0], fault)
+			got, err := w.runPrompt(t, time.Minute)
 			must.NoError(t, err)
 			must.Eq(t, undisturbed, got)
 		})
 	}
 }
 
-// The frame that ends an answer may be lost after the last token.
-func TestAllTokensWithoutTheEndFrameIsComplete(t *testing.T) {
-	w := newWorld(t, 1)
-	set(w.engines[0], func(f *enginestandin.Faults) { f.TruncateAfter = 30 })
-	got, err := w.ask(t, time.Minute)
+// TestAllTokensWithoutEndFrameIsComplete checks that an answer with all requested tokens is
+// complete if only the end frame is lost.
+func TestAllTokensWithoutEndFrameIsComplete(t *testing.T) {
+	w := newTestCluster(t, 1)
+	setFaults(w.engines[0], func(f *enginestandin.Faults) { f.TruncateAfter = 30 })
+	got, err := w.runPrompt(t, time.Minute)
 	must.NoError(t, err)
 	must.Eq(t, 30*4, len(got))
 	must.True(t, w.placer.seen[0].Complete)
--- a/internal/runs/stream.go
+++ b/internal/runs/stream.go
@@ -14,21 +14,21 @@
 // maxResumes bounds how often one run is resumed on the engine that holds it.
 const maxResumes = 2
 
-// finishLength is the finish reason of an answer that has all its tokens.
+// finishLength is the finish reason of an answer that reached its token limit.
 const finishLength = "length"
 
-// errNotResumed means that the engine would not resume the run.
+// errNotResumed means that the engine did not resume the run.
 var errNotResumed = errors.New("run was not resumed")
 
-// sinkError marks a failure of the caller's side, which no other engine mends.
+// sinkError is a failure to deliver to the caller, which trying another engine can't fix.
 type sinkError struct{ cause error }
 
-func (e *sinkError) Error() string { return "write answer: " + e.cause.Error() }
+func (e *sinkError) Error() string { return "write answer to the caller: " + e.cause.Error() }
 func (e *sinkError) Unwrap() error { return e.cause }
 
-// readOn resumes a run on the same engine where only the connection broke, and
-// returns err where it can't.
-func (r *engineRun) readOn(ctx context.Context, err error) error {
+// resumeWhileBroken resumes a run on the same engine while only its stream is broken. It returns
+// nil once the answer is complete, or the latest error if the run can't be resumed.
+func (r *engineRun) resumeWhileBroken(ctx context.Context, err error) error {
 	for resumes := 0; err != nil && r.mayResume(ctx, err, resumes); resumes++ {
 		next := r.resume(ctx)
 		if next == errNotResumed {
@@ -39,19 +39,19 @@
 	return err
 }
 
-// resume reads the run on from the token after the last one delivered.
+// resume continues the run after the last delivered token.
 func (r *engineRun) resume(ctx context.Context) error {
 	w := newWatchdog(ctx, resumeTimeout)
 	defer w.stop()
-	stream, err := r.d.Engines.Resume(w.ctx, r.base, r.id, r.checker.Tokens())
+	stream, err := r.d.Engines.Resume(w.ctx, r.baseURL, r.id, r.checker.Tokens())
 	if err != nil {
 		return errNotResumed
 	}
-	return w.explain(ctx, r.read(ctx, stream, w))
+	return w.wrapError(ctx, r.readStream(ctx, stream, w))
 }
 
-// read hands on the frames of one stream until the answer is complete.
-func (r *engineRun) read(ctx context.Context, stream *engine.Stream, w *watchdog) error {
+// readStream delivers the frames of one stream until the answer is complete.
+func (r *engineRun) readStream(ctx context.Context, stream *engine.Stream, w *watchdog) error {
 	defer stream.Close()
 	var frame enginewire.Frame
 	for {
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		w.feed()
+		w.reset()
 		deliver, err := r.checker.Check(&frame)
 		if err != nil {
 			return err
@@ -82,93 +82,93 @@
 func (r *engineRun) deliver(f *enginewire.Frame) error {
 	switch f.Kind {
 	case enginewire.FrameStart:
-		return r.started(f)
+		return r.handleStart(f)
 	case enginewire.FrameTokens:
-		return r.tokens(f)
+		return r.handleTokens(f)
 	case enginewire.FrameEnd:
-		r.ended(f)
+		r.handleEnd(f)
 	}
 	return nil
 }
 
-func (r *engineRun) started(f *enginewire.Frame) error {
-	r.seen.Started = true
-	r.seen.Incarnation = f.Incarnation
-	r.seen.PromptTokens = f.PromptTokens
-	r.seen.CachedTokens = f.CachedTokens
+func (r *engineRun) handleStart(f *enginewire.Frame) error {
+	r.observed.Started = true
+	r.observed.Incarnation = f.Incarnation
+	r.observed.PromptTokens = f.PromptTokens
+	r.observed.CachedTokens = f.CachedTokens
 	s := Start{Run: r.id, Endpoint: r.name, Model: f.Model, Adapter: f.Adapter, PromptTokens: f.PromptTokens, CachedTokens: f.CachedTokens}
-	if r.p.sum.Engines == 0 {
-		r.p.sum.Start = s
+	if r.p.summary.Engines == 0 {
+		r.p.summary.Start = s
 	}
-	r.p.sum.Engines++
-	return wrapSink(r.p.sink.Started(s))
+	r.p.summary.Engines++
+	return wrapSinkError(r.p.sink.Started(s))
 }
 
-func (r *engineRun) tokens(f *enginewire.Frame) error {
-	if r.seen.FirstToken == 0 {
-		r.seen.FirstToken = time.Since(r.begun)
-		r.notifyFirst()
+func (r *engineRun) handleTokens(f *enginewire.Frame) error {
+	if r.observed.FirstToken == 0 {
+		r.observed.FirstToken = time.Since(r.startedAt)
+		r.notifyFirstToken()
 	}
-	if r.p.sum.FirstToken == 0 {
-		r.p.sum.FirstToken = time.Since(r.p.begun)
+	if r.p.summary.FirstToken == 0 {
+		r.p.summary.FirstToken = time.Since(r.p.startedAt)
 	}
 	r.p.text.WriteString(f.Text)
-	r.p.tokens = r.first + r.checker.Tokens()
-	r.seen.OutputTokens = r.checker.Tokens()
-	return wrapSink(r.p.sink.Tokens(r.id, r.p.tokens, f.Text))
+	r.p.tokens = r.baseTokens + r.checker.Tokens()
+	r.observed.OutputTokens = r.checker.Tokens()
+	return wrapSinkError(r.p.sink.Tokens(r.id, r.p.tokens, f.Text))
 }
 
-// notifyFirst tells the grant, which a resumed run has not.
-func (r *engineRun) notifyFirst() {
+// notifyFirstToken notifies the grant; a resumed run has none.
+func (r *engineRun) notifyFirstToken() {
 	if r.grant != nil {
-		r.grant.FirstToken(r.seen)
+		r.grant.FirstToken(r.observed)
 	}
 }
 
-func (r *engineRun) ended(f *enginewire.Frame) {
-	r.complete()
-	r.seen.Blocks = f.Blocks
-	r.p.sum.Finish = f.Finish
+func (r *engineRun) handleEnd(f *enginewire.Frame) {
+	r.markComplete()
+	r.observed.Blocks = f.Blocks
+	r.p.summary.Finish = f.Finish
 }
 
-// complete notes that the answer is whole.
-func (r *engineRun) complete() {
-	r.seen.Complete = true
-	r.p.sum.OutputTokens = r.p.tokens
-	r.p.sum.Finish = finishLength
+// markComplete records that the answer is complete.
+func (r *engineRun) markComplete() {
+	r.observed.Complete = true
+	r.p.summary.OutputTokens = r.p.tokens
+	r.p.summary.Finish = finishLength
 }
 
-func wrapSink(err error) error {
+func wrapSinkError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return result.Wrap(&sinkError{cause: err}, result.CallerGone)
 }
 
-// mayResume tells whether the engine may still hold a run whose stream broke.
+// mayResume reports whether the engine may still hold a run whose stream broke off.
 func (r *engineRun) mayResume(ctx context.Context, err error, resumes int) bool {
-	if ctx.Err() != nil || resumes == maxResumes || !r.seen.Started {
+	if ctx.Err() != nil || resumes == maxResumes || !r.observed.Started {
 		return false
 	}
 	code := result.From(err).Code
 	return code == result.EndpointBrokeOff || code == result.AnswerTruncated || code == result.AnswerMalformed
 }
 
-// abandon cancels a run that nobody will read further, in the background. A run
-// whose caller broke off a stream is left: the caller may resume it at another
-// node, and the engine drops it after its own hold time.
-func (r *engineRun) abandon(ctx context.Context) {
+// cancelInBackground cancels a run that will not be read further. It does not cancel a run whose
+// caller left a resumable stream: the caller may resume it at another node, and the engine drops it
+// after its hold time.
+func (r *engineRun) cancelInBackground(ctx context.Context) {
 	var sink *sinkError
-	callerGone := errors.As(r.seen.Err, &sink) || errors.Is(r.seen.Err, context.Canceled)
+	callerGone := errors.As(r.observed.Err, &sink) || errors.Is(r.observed.Err, context.Canceled)
 	if callerGone && r.p.req.Resumable {
 		return
 	}
-	if result.From(r.seen.Err).RunState == result.NotRun {
+	if result.From(r.observed.Err).RunState == result.NotRun {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 		defer cancel()
-		_ = r.d.Engines.Cancel(ctx, r.base, r.id) // best effort: the engine drops it in the end
+		_ = r.d.Engines.Cancel(ctx, r.baseURL, r.id) // best effort: the engine drops the run after its hold time anyway
 	}()
 }
--- a/internal/runs/watchdog.go
+++ b/internal/runs/watchdog.go
@@ -15,8 +15,8 @@
 	resumeTimeout = 2 * time.Second
 )
 
-// watchdog cuts a stream from which nothing comes: an engine that is paused or
-// cut off closes no connection.
+// watchdog cancels a stream on which no frames arrive: an engine that is paused or disconnected
+// closes no connection.
 type watchdog struct {
 	ctx     context.Context // of the stream
 	cancel  context.CancelFunc
@@ -24,7 +24,7 @@
 	stalled atomic.Bool
 }
 
-// newWatchdog allows patience until the first frame.
+// newWatchdog returns a watchdog that allows patience until the first frame.
 func newWatchdog(ctx context.Context, patience time.Duration) *watchdog {
 	w := &watchdog{}
 	w.ctx, w.cancel = context.WithCancel(ctx)
@@ -35,31 +35,31 @@
 	return w
 }
 
-// feed notes that a frame has come.
-func (w *watchdog) feed() { w.timer.Reset(stallTimeout) }
+// reset restarts the timeout when a frame has arrived.
+func (w *watchdog) reset() { w.timer.Reset(stallTimeout) }
 
 func (w *watchdog) stop() {
 	w.timer.Stop()
 	w.cancel()
 }
 
-// explain gives an error the reason for which the stream was cut: the end of the
-// request's context, or the stall.
-func (w *watchdog) explain(ctx context.Context, err error) error {
+// wrapError replaces or wraps an error with the reason for which the stream was canceled: the end
+// of the request's context, or the stall.
+func (w *watchdog) wrapError(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case ctx.Err() != nil && w.ctx.Err() != nil && !w.stalled.Load():
-		return ctxError(ctx, err)
+		return contextError(ctx, err)
 	case w.stalled.Load():
-		return result.Wrap(err, result.EndpointBrokeOff, result.WithMessage("nothing came from the engine for too long"))
+		return result.Wrap(err, result.EndpointBrokeOff, result.WithMessage("engine sent no frame within the time limit"))
 	}
 	return err
 }
 
-// ctxError keeps a failure that certainly did not run; else the context's end is
-// the reason.
-func ctxError(ctx context.Context, err error) error {
+// contextError returns the cause of the context's end, with the run state may_have_run. An error
+// that states not_run is returned unchanged.
+func contextError(ctx context.Context, err error) error {
 	if result.From(err).RunState == result.NotRun {
 		return err
 	}
