--- a/internal/runid/runid.go
+++ b/internal/runid/runid.go
@@ -1,8 +1,8 @@
-// Package runid makes and reads the ids of runs.
+// Package runid creates and parses the ids of runs.
 //
-// Guarantee: any node can tell from a run id which endpoint holds the run, and
-// Parse accepts an id only for the client account that it was made for: the id
-// carries an HMAC under the nodes' shared key.
+// Guarantee: any node can find from a run id the endpoint that holds the run, and Parse accepts an
+// id only for the client account for which it was created: the id contains an HMAC under the nodes'
+// shared key.
 package runid
 
 import (
@@ -17,16 +17,16 @@
 )
 
 const (
-	prefix      = "r1"
-	randomBytes = 12
-	macBytes    = 16
-	parts       = 5
-	sep         = "-"
-	eventSep    = ":"
-	maxLength   = 256
+	prefix         = "r1"
+	randomBytes    = 12
+	macBytes       = 16
+	partCount      = 5
+	separator      = "-"
+	eventSeparator = ":"
+	maxIDLength    = 256
 )
 
-// ID is what a run id says.
+// ID is the information contained in a run id.
 type ID struct {
 	// Endpoint is the name of the engine that holds the run.
 	Endpoint string
@@ -34,28 +34,28 @@
 	Base int
 }
 
-// New returns a fresh run id.
+// New returns a new, unique run id for an account, authenticated with key.
 func New(key []byte, account string, id ID) string {
 	nonce := Nonce()
 	base := strconv.Itoa(id.Base)
-	return strings.Join([]string{prefix, nonce, base, sum(key, account, nonce, base, id.Endpoint), id.Endpoint}, sep)
+	return strings.Join([]string{prefix, nonce, base, computeMAC(key, account, nonce, base, id.Endpoint), id.Endpoint}, separator)
 }
 
-// Nonce returns a random name that no other node or start gives out.
+// Nonce returns a random string that is unique across nodes and restarts.
 func Nonce() string {
 	random := make([]byte, randomBytes)
-	rand.Read(random) // never fails, by its documentation
+	rand.Read(random) // never returns an error, according to its documentation
 	return hex.EncodeToString(random)
 }
 
-// Parse reads a run id. An id that was not made for the account gives
-// result.RunNotFound, as does one that was never made.
+// Parse parses a run id. It fails with result.RunNotFound if the id is malformed or was not created
+// for the account.
 func Parse(key []byte, account, run string) (ID, error) {
-	p := strings.SplitN(run, sep, parts)
-	if len(run) > maxLength || len(p) != parts || p[0] != prefix {
+	p := strings.SplitN(run, separator, partCount)
+	if len(run) > maxIDLength || len(p) != partCount || p[0] != prefix {
 		return ID{}, result.New(result.RunNotFound)
 	}
-	want := sum(key, account, p[1], p[2], p[4])
+	want := computeMAC(key, account, p[1], p[2], p[4])
 	if !hmac.Equal([]byte(want), []byte(p[3])) {
 		return ID{}, result.New(result.RunNotFound)
 	}
@@ -66,15 +66,15 @@
 	return ID{Endpoint: p[4], Base: base}, nil
 }
 
-// EventID returns the id of the event after which offset tokens of the answer
-// have been delivered.
+// EventID returns the id of the event after which offset tokens of the answer have been delivered.
 func EventID(run string, offset int) string {
-	return run + eventSep + strconv.Itoa(offset)
+	return run + eventSeparator + strconv.Itoa(offset)
 }
 
-// ParseEventID splits an event id into its run id and offset.
+// ParseEventID splits an event id into its run id and offset. It fails with result.BadEventID if
+// the id is malformed.
 func ParseEventID(s string) (run string, offset int, err error) {
-	run, text, ok := strings.Cut(s, eventSep)
+	run, text, ok := strings.Cut(s, eventSeparator)
 	if !ok {
 		return "", 0, result.New(result.BadEventID, result.WithField("Last-Event-ID"))
 	}
@@ -85,10 +85,11 @@
 	return run, offset, nil
 }
 
-// sum authenticates the parts of an id. The account comes first and is the only
-// part that may hold the separator, so its length is made part of the input.
-func sum(key []byte, account string, fields ...string) string {
+// computeMAC returns the HMAC over the account and the other parts of an id, in hex. The account
+// comes first and is the only part that may contain the separator, so its length is included in the
+// input.
+func computeMAC(key []byte, account string, fields ...string) string {
 	mac := hmac.New(sha256.New, key)
-	mac.Write([]byte(strconv.Itoa(len(account)) + sep + account + sep + strings.Join(fields, sep)))
+	mac.Write([]byte(strconv.Itoa(len(account)) + separator + account + separator + strings.Join(fields, separator)))
 	return hex.EncodeToString(mac.Sum(nil)[:macBytes])
 }
--- a/internal/runid/runid_test.go
+++ b/internal/runid/runid_test.go
@@ -16,14 +16,14 @@
 	got, err := Parse(key, "mill", run)
 	must.NoError(t, err)
 	must.Eq(t, id, got)
-	for name, try := range map[string]func() error{
+	for name, parse := range map[string]func() error{
 		"other account":  func() error { _, err := Parse(key, "yard", run); return err },
 		"other key":      func() error { _, err := Parse([]byte("x"), "mill", run); return err },
 		"other endpoint": func() error { _, err := Parse(key, "mill", run+"9"); return err },
 		"cut":            func() error { _, err := Parse(key, "mill", run[:20]); return err },
 		"empty":          func() error { _, err := Parse(key, "mill", ""); return err },
 	} {
-		must.True(t, result.Is(try(), result.RunNotFound), must.Sprint(name))
+		must.True(t, result.Is(parse(), result.RunNotFound), must.Sprint(name))
 	}
 	must.NotEq(t, run, New(key, "mill", id))
 }
@@ -33,9 +33,9 @@
 	must.NoError(t, err)
 	must.Eq(t, "r1-a-0-b-c", run)
 	must.Eq(t, 5, offset)
-	for _, bad := range []string{"", "r1", "r1:", "r1:-1", "r1:x"} {
-		_, _, err := ParseEventID(bad)
-		must.True(t, result.Is(err, result.BadEventID), must.Sprint(bad))
+	for _, malformed := range []string{"", "r1", "r1:", "r1:-1", "r1:x"} {
+		_, _, err := ParseEventID(malformed)
+		must.True(t, result.Is(err, result.BadEventID), must.Sprint(malformed))
 	}
 }
 
@@ -45,7 +45,7 @@
 	f.Fuzz(func(t *testing.T, run, account string) {
 		id, err := Parse(key, account, run)
 		if err == nil && id.Endpoint == "" && account != "" {
-			t.Fatal("accepted a run without an endpoint")
+			t.Fatal("Parse accepted a run id without an endpoint")
 		}
 		_, _, _ = ParseEventID(run)
 	})
