--- a/internal/forward/answer_once_test.go
+++ b/internal/forward/answer_once_test.go
@@ -33,22 +33,22 @@
 		complete      bool
 	}{
 		{name: "cut, then an error", path: resumePath, first: cut, second: failing, status: http.StatusOK, body: events(1, 2)},
-		{name: "cut, then an error of the caller", path: resumePath, first: cut, second: modelserver.Faults{Status: http.StatusBadRequest}, status: http.StatusOK, body: events(1, 2)},
-		{name: "cut, then an answer that is no stream", path: resumePath, first: cut, second: modelserver.Faults{Status: http.StatusCreated}, status: http.StatusOK, body: events(1, 2)},
+		{name: "cut, then a client error", path: resumePath, first: cut, second: modelserver.Faults{Status: http.StatusBadRequest}, status: http.StatusOK, body: events(1, 2)},
+		{name: "cut, then an answer other than a stream", path: resumePath, first: cut, second: modelserver.Faults{Status: http.StatusCreated}, status: http.StatusOK, body: events(1, 2)},
 		{name: "cut, then refused", path: resumePath, first: cut, second: modelserver.Faults{Shed: true}, status: http.StatusOK, body: events(1, 2)},
 		{name: "cut within the first event, then an error", path: resumePath, first: modelserver.Faults{CutAfter: -1}, second: failing, status: http.StatusInternalServerError, body: failure, complete: true},
 		{name: "error, then a stream", path: resumePath, first: failing, status: http.StatusOK, body: events(1, streamSize), complete: true},
 		{name: "error twice", path: resumePath, first: failing, second: failing, status: http.StatusInternalServerError, body: failure, complete: true},
 		{name: "error, not resumable", path: streamPath, first: failing, status: http.StatusInternalServerError, body: "s0 answers r1", complete: true},
-		{name: "error of the caller", path: resumePath, first: modelserver.Faults{Status: http.StatusBadRequest}, status: http.StatusBadRequest, body: "s0 answers r1", complete: true},
-		{name: "no length, whole", path: streamPath, first: modelserver.Faults{Unframed: true}, status: http.StatusOK, body: events(1, streamSize), complete: true},
+		{name: "client error", path: resumePath, first: modelserver.Faults{Status: http.StatusBadRequest}, status: http.StatusBadRequest, body: "s0 answers r1", complete: true},
+		{name: "no length, complete", path: streamPath, first: modelserver.Faults{Unframed: true}, status: http.StatusOK, body: events(1, streamSize), complete: true},
 		{name: "no length, ends within an event", path: streamPath, first: modelserver.Faults{Unframed: true, CutAfter: 2}, status: http.StatusOK, body: events(1, 2)},
 		{name: "no length, ends within an event, resumed", path: resumePath, first: modelserver.Faults{Unframed: true, CutAfter: 2}, status: http.StatusOK, body: events(1, streamSize), complete: true},
 		{name: "no length, ends within the first event", path: streamPath, first: modelserver.Faults{Unframed: true, CutAfter: -1}, status: http.StatusBadGateway, complete: true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, model, model)
+			w := newTestHandler(t, model, model)
 			w.servers[0].SetFaults(tc.first)
 			w.servers[1].SetFaults(tc.second)
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
@@ -80,7 +80,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, model, model)
+			w := newTestHandler(t, model, model)
 			w.servers[0].SetFaults(tc.first)
 			w.servers[1].SetFaults(tc.second)
 			got := w.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -86,7 +86,7 @@
 	}
 	if err != nil {
 		answer.Abort()
-		x.recordLoss(eris.Wrap(err, "read the answer"))
+		x.recordLoss(eris.Wrap(err, "read answer body"))
 		return mayHaveRun
 	}
 	if x.withholds(answer.StatusCode) {
--- a/internal/forward/endpoint_signals_test.go
+++ b/internal/forward/endpoint_signals_test.go
@@ -12,11 +12,11 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// TestOnlySuccessRemovesLimit checks that only a success without a limit header removes a recorded limit; an
-// error, a refusal or an unreadable limit does not.
+// TestOnlySuccessRemovesLimit checks that only a success without a limit header removes a recorded
+// limit; an error, a refusal or an unreadable limit does not.
 func TestOnlySuccessRemovesLimit(t *testing.T) {
-	w := newWorld(t, "")
-	signals := w.order.members[0].Signals
+	w := newTestHandler(t, "")
+	signals := w.placer.members[0].Signals
 	limitAfter := func(f modelserver.Faults) (limited bool) {
 		w.servers[0].SetFaults(f)
 		w.do(t, http.MethodGet, recordPath, "", nil)
@@ -33,26 +33,26 @@
 	test.True(t, limitAfter(modelserver.Faults{Shed: true, Limit: "1"}), test.Sprint("limit stated in a refusal"))
 }
 
-// TestSignalsOfOtherEndpointIgnored checks that a refusal by another endpoint at the same address does not
-// change the signals recorded for the expected one.
+// TestSignalsOfOtherEndpointIgnored checks that a refusal by another endpoint at the same address
+// does not change the signals recorded for the expected one.
 func TestSignalsOfOtherEndpointIgnored(t *testing.T) {
-	w := newWorld(t, "", "")
+	w := newTestHandler(t, "", "")
 	w.servers[0].SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
-	m := w.order.members[0]
-	w.order.members = w.order.members[:1]
+	m := w.placer.members[0]
+	w.placer.members = w.placer.members[:1]
 	w.do(t, http.MethodGet, recordPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", "r2") })
 	_, draining := m.Signals.Draining()
 	test.True(t, draining)
 
 	server := modelserver.New(modelserver.Config{ID: "another", Service: "servers"})
 	server.SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
-	back := httptest.NewServer(server.Handler())
-	defer back.Close()
-	misdirected := &world{}
-	misdirected.open(t, []string{strings.TrimPrefix(back.URL, "http://")})
+	backend := httptest.NewServer(server.Handler())
+	defer backend.Close()
+	misdirected := &testHandler{}
+	misdirected.open(t, []string{strings.TrimPrefix(backend.URL, "http://")})
 	a := misdirected.do(t, http.MethodGet, recordPath, "", nil)
 	test.NotEq(t, http.StatusOK, a.status)
-	signals := misdirected.order.members[0].Signals
+	signals := misdirected.placer.members[0].Signals
 	_, limited := signals.RateLimit()
 	_, draining = signals.Draining()
 	test.False(t, limited || draining)
@@ -61,8 +61,8 @@
 // TestRefusalsAskForBackoff checks that a readable Retry-After in a refusal sets a backoff, and
 // that the backoff is capped.
 func TestRefusalsAskForBackoff(t *testing.T) {
-	w := newWorld(t, "")
-	signals := w.order.members[0].Signals
+	w := newTestHandler(t, "")
+	signals := w.placer.members[0].Signals
 	for _, after := range []string{"soon", "-3", "NaN", ""} {
 		w.servers[0].SetFaults(modelserver.Faults{Shed: true, Rest: after})
 		w.do(t, http.MethodGet, recordPath, "", nil)
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -39,7 +39,7 @@
 			return x.finishEvents(answer, d)
 		}
 		if err != nil {
-			x.recordLoss(eris.Wrap(err, "read the stream"))
+			x.recordLoss(eris.Wrap(err, "read event stream"))
 			return x.abortStream(answer)
 		}
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestForwardsUnchanged(t *testing.T) {
-	w := newWorld(t, "")
+	w := newTestHandler(t, "")
 	got := w.do(t, http.MethodPost, uploadPath+"?x=%2f&y", "the body", func(r *http.Request) {
 		r.Header.Set("X-Custom", "kept")
 		r.Header.Set("Connection", "X-Hop")
@@ -70,7 +70,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, "")
+			w := newTestHandler(t, "")
 			w.state.age = tc.age
 			method := http.MethodGet
 			if tc.body != "" {
@@ -87,7 +87,7 @@
 // TestStaleKeys checks that known keys are still accepted during an outage of the store if the
 // operators allow it, and that a request with an unknown key is answered 503, not 401.
 func TestStaleKeys(t *testing.T) {
-	w := newWorld(t, "")
+	w := newTestHandler(t, "")
 	w.bounds.AcceptStaleKeys = true
 	w.state.age = time.Minute
 	test.Eq(t, http.StatusOK, w.do(t, http.MethodGet, recordPath, "", nil).status)
@@ -97,7 +97,7 @@
 }
 
 func TestNoConfiguration(t *testing.T) {
-	w := newWorld(t, "")
+	w := newTestHandler(t, "")
 	w.state.config = nil
 	test.Eq(t, http.StatusServiceUnavailable, w.do(t, http.MethodGet, recordPath, "", nil).status)
 }
@@ -121,7 +121,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, "", "")
+			w := newTestHandler(t, "", "")
 			w.servers[0].SetFaults(tc.faults)
 			test.Eq(t, tc.status, w.do(t, http.MethodGet, tc.path, "", nil).status)
 			test.Len(t, tc.second, w.servers[1].Runs())
@@ -132,7 +132,7 @@
 // TestAllRefuse checks that a request refused by all endpoints is answered with a status that
 // promises that it has not run.
 func TestAllRefuse(t *testing.T) {
-	w := newWorld(t, "", "")
+	w := newTestHandler(t, "", "")
 	for _, s := range w.servers {
 		s.SetFaults(modelserver.Faults{Shed: true})
 	}
@@ -143,7 +143,7 @@
 
 func TestForeignAnswers(t *testing.T) {
 	for _, faults := range []modelserver.Faults{{Foreign: true}, {Extra: true}} {
-		w := newWorld(t, "")
+		w := newTestHandler(t, "")
 		w.servers[0].SetFaults(faults)
 		for i := range 3 {
 			got := w.do(t, http.MethodGet, uploadPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", fmt.Sprint("r", i)) })
@@ -168,7 +168,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, model, model)
+			w := newTestHandler(t, model, model)
 			w.servers[0].SetFaults(tc.faults)
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
@@ -185,7 +185,7 @@
 }
 
 func TestCallerLeaves(t *testing.T) {
-	w := newWorld(t, model)
+	w := newTestHandler(t, model)
 	w.servers[0].SetFaults(modelserver.Faults{Hang: true})
 	left := make(chan struct{})
 	go func() {
@@ -196,8 +196,8 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].Left() == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 }
 
-// TestUnbegunAttemptWithdrawn checks that a request is withdrawn from an endpoint that has not begun it by
-// the time at which its weights become too old.
+// TestUnbegunAttemptWithdrawn checks that a request is withdrawn from an endpoint that has not
+// begun it by the time at which its weights become too old.
 func TestUnbegunAttemptWithdrawn(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -213,8 +213,8 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, model, model)
-			w.order.beginWithin = tc.beginLimit
+			w := newTestHandler(t, model, model)
+			w.placer.beginWithin = tc.beginLimit
 			w.servers[0].SetFaults(tc.faults)
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, tc.status, got.status)
@@ -228,7 +228,7 @@
 // TestTimeout checks that a request is answered at the caller's deadline, with a status that does
 // not promise that it has not run.
 func TestTimeout(t *testing.T) {
-	w := newWorld(t, model)
+	w := newTestHandler(t, model)
 	w.servers[0].SetFaults(modelserver.Faults{Hang: true})
 	got := w.do(t, http.MethodGet, streamPath, "", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "50") })
 	test.Eq(t, http.StatusGatewayTimeout, got.status)
--- a/internal/forward/framing_test.go
+++ b/internal/forward/framing_test.go
@@ -17,16 +17,16 @@
 		first, second string
 		body          string
 	}{
-		{name: "goes on", last: "2", first: events(3, streamSize), body: events(3, streamSize)},
-		{name: "goes on at a higher id", last: "2", first: events(4, streamSize), body: events(4, streamSize)},
-		{name: "begins anew, the second goes on", last: "2", first: events(1, streamSize), second: events(3, streamSize), body: events(3, streamSize)},
-		{name: "repeats, the second goes on", last: "2", first: events(2, streamSize), second: events(3, streamSize), body: events(3, streamSize)},
+		{name: "stream continues", last: "2", first: events(3, streamSize), body: events(3, streamSize)},
+		{name: "continues at a higher id", last: "2", first: events(4, streamSize), body: events(4, streamSize)},
+		{name: "starts again, the second continues", last: "2", first: events(1, streamSize), second: events(3, streamSize), body: events(3, streamSize)},
+		{name: "repeats, the second continues", last: "2", first: events(2, streamSize), second: events(3, streamSize), body: events(3, streamSize)},
 		{name: "ids of another form", last: "a:2", first: "id: a:3\ndata: x\n\n", body: "id: a:3\ndata: x\n\n"},
-		{name: "nothing is left", last: "4", first: "", body: ""},
+		{name: "no events left", last: "4", first: "", body: ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawWorld(t, fixedAnswer(streamOf(tc.first, -1)), fixedAnswer(streamOf(tc.second, -1)))
+			w := newRawTestHandler(t, fixedAnswer(streamOf(tc.first, -1)), fixedAnswer(streamOf(tc.second, -1)))
 			got := w.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", tc.last) })
 			test.Eq(t, http.StatusOK, got.status)
 			test.NoError(t, got.err)
@@ -40,7 +40,7 @@
 // endpoint.
 func TestEventsThatBreakOff(t *testing.T) {
 	lf := events(1, streamSize)
-	crlf, cr := numbered(1, streamSize, "\r\n"), numbered(1, streamSize, "\r")
+	crlf, cr := eventsWithLineEnd(1, streamSize, "\r\n"), eventsWithLineEnd(1, streamSize, "\r")
 	unnamed := "id: 1\ndata: a\n\ndata: b\n\n"
 	lengthUpTo := func(n int) int { return len(events(1, n)) }
 	tests := []struct {
@@ -50,26 +50,26 @@
 		body          string
 		complete      bool
 	}{
-		{name: "goes on", path: resumePath, first: streamOf(lf, lengthUpTo(2)+3), second: streamOf(events(3, streamSize), -1), body: lf, complete: true},
-		{name: "lines end with CR and LF", path: resumePath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))+3), second: streamOf(numbered(3, streamSize, "\r\n"), -1), body: crlf, complete: true},
-		{name: "lines end with CR and LF, cut between them", path: resumePath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))-1), second: streamOf(numbered(2, streamSize, "\r\n"), -1), body: crlf, complete: true},
-		{name: "lines end with CR", path: resumePath, first: streamOf(cr, len(numbered(1, 2, "\r"))+3), second: streamOf(numbered(3, streamSize, "\r"), -1), body: cr, complete: true},
-		{name: "CR and LF, not resumable", path: streamPath, first: streamOf(crlf, len(numbered(1, 2, "\r\n"))+3), body: numbered(1, 2, "\r\n")},
-		{name: "leaves one out", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(events(4, streamSize), -1), body: events(1, 2)},
+		{name: "stream continues", path: resumePath, first: streamOf(lf, lengthUpTo(2)+3), second: streamOf(events(3, streamSize), -1), body: lf, complete: true},
+		{name: "lines end with CR and LF", path: resumePath, first: streamOf(crlf, len(eventsWithLineEnd(1, 2, "\r\n"))+3), second: streamOf(eventsWithLineEnd(3, streamSize, "\r\n"), -1), body: crlf, complete: true},
+		{name: "lines end with CR and LF, cut between them", path: resumePath, first: streamOf(crlf, len(eventsWithLineEnd(1, 2, "\r\n"))-1), second: streamOf(eventsWithLineEnd(2, streamSize, "\r\n"), -1), body: crlf, complete: true},
+		{name: "lines end with CR", path: resumePath, first: streamOf(cr, len(eventsWithLineEnd(1, 2, "\r"))+3), second: streamOf(eventsWithLineEnd(3, streamSize, "\r"), -1), body: cr, complete: true},
+		{name: "CR and LF, not resumable", path: streamPath, first: streamOf(crlf, len(eventsWithLineEnd(1, 2, "\r\n"))+3), body: eventsWithLineEnd(1, 2, "\r\n")},
+		{name: "skips an event", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(events(4, streamSize), -1), body: events(1, 2)},
 		{name: "repeats the last", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(events(2, streamSize), -1), body: events(1, 2)},
-		{name: "begins anew", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(lf, -1), body: events(1, 2)},
-		{name: "goes on without an id", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf("data: a\n\n"+events(3, streamSize), -1), body: events(1, 2)},
+		{name: "starts again", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf(lf, -1), body: events(1, 2)},
+		{name: "continues without an id", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf("data: a\n\n"+events(3, streamSize), -1), body: events(1, 2)},
 		{name: "an event without an id before the cut", path: resumePath, first: streamOf(unnamed+events(2, 3), len(unnamed)), second: streamOf("data: b\n\n"+events(2, 3), -1), body: unnamed},
 		{name: "no ids at all", path: resumePath, first: streamOf("data: a\n\ndata: b\n\n", 9), second: streamOf("data: a\n\ndata: b\n\n", -1), body: "data: a\n\n"},
 		{name: "a comment before the cut", path: resumePath, first: streamOf(": ping\n\n"+lf, 8), second: streamOf(lf, -1), body: ": ping\n\n" + lf, complete: true},
-		{name: "no event, but text", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf("internal error", -1), body: events(1, 2)},
+		{name: "text instead of events", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: streamOf("internal error", -1), body: events(1, 2)},
 		{name: "no event and no length", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: head(http.StatusOK, eventStream), body: events(1, 2)},
 		{name: "all delivered, only the end is lost", path: resumePath, first: streamOf(lf, len(lf)), second: streamOf("", -1), body: lf, complete: true},
 		{name: "encoded", path: resumePath, first: streamOf(lf, lengthUpTo(2)), second: strings.Replace(streamOf(events(3, streamSize), -1), eventStream, eventStream+"Content-Encoding: br\r\n", 1), body: events(1, 2)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawWorld(t, fixedAnswer(tc.first), fixedAnswer(tc.second))
+			w := newRawTestHandler(t, fixedAnswer(tc.first), fixedAnswer(tc.second))
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, tc.body, got.body)
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -115,7 +115,7 @@
 	stale := x.configAge > bounds.ConfigApply
 	x.route = x.config.Match(x.r.Host, rawPath(x.r))
 	if x.route == nil {
-		return codeUnlessStale(stale, result.UnknownPath)
+		return staleErrorOr(stale, result.UnknownPath)
 	}
 	if !x.route.Public {
 		if err := x.authenticate(stale, &bounds); err != nil {
@@ -130,7 +130,7 @@
 	return x.readBody()
 }
 
-func codeUnlessStale(stale bool, code result.Code) *result.Error {
+func staleErrorOr(stale bool, code result.Code) *result.Error {
 	if stale {
 		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
 	}
@@ -149,7 +149,7 @@
 	}
 	x.account = x.config.AccountOf(x.attrs.Key)
 	if x.account == nil {
-		return codeUnlessStale(stale, result.UnknownKey)
+		return staleErrorOr(stale, result.UnknownKey)
 	}
 	return nil
 }
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -57,22 +57,22 @@
 	return c.Index()
 }
 
-// state is a forward.State with a fixed configuration and age.
-type state struct {
+// fixedState is a forward.State with a fixed configuration and age.
+type fixedState struct {
 	config *routing.Config
 	age    time.Duration
 }
 
-func (s *state) Config() (*routing.Config, time.Duration) { return s.config, s.age }
+func (s *fixedState) Config() (*routing.Config, time.Duration) { return s.config, s.age }
 
-// inOrder is a placer that selects the first endpoint not yet tried.
-type inOrder struct {
+// orderedPlacer is a placer that selects the first endpoint not yet tried.
+type orderedPlacer struct {
 	members []*fleet.Member
 	// beginWithin is the time within which the first endpoint must begin; 0 means no limit.
 	beginWithin time.Duration
 }
 
-func (o *inOrder) Place(q *forward.Query) (forward.Placement, bool) {
+func (o *orderedPlacer) Place(q *forward.Query) (forward.Placement, bool) {
 	for i, m := range o.members {
 		if !slices.Contains(q.Tried, m.ID) {
 			p := forward.Placement{Member: m, Attempt: forward.Attempt{Instance: m.ID, Account: "yard"}, Reason: "in_order"}
@@ -85,32 +85,32 @@
 	return forward.Placement{}, false
 }
 
-type outcomes struct{ list []forward.Outcome }
+type recordedOutcomes struct{ list []forward.Outcome }
 
-func (o *outcomes) Forwarded(outcome *forward.Outcome) { o.list = append(o.list, *outcome) }
+func (o *recordedOutcomes) Forwarded(outcome *forward.Outcome) { o.list = append(o.list, *outcome) }
 
-// world is a handler in front of stub model servers.
-type world struct {
-	state   *state
+// testHandler is a handler in front of stub model servers.
+type testHandler struct {
+	state   *fixedState
 	bounds  bootstrap.Bounds
 	servers []*modelserver.Server
-	order   *inOrder
+	placer  *orderedPlacer
 	handler *forward.Handler
-	front   *httptest.Server
+	server  *httptest.Server
 }
 
-// newWorld starts one server for each model, with the ids s0, s1 and so on, and a handler in front
-// of them.
-func newWorld(t *testing.T, models ...string) *world {
+// newTestHandler starts one server for each model, with the ids s0, s1 and so on, and a handler in
+// front of them.
+func newTestHandler(t *testing.T, models ...string) *testHandler {
 	t.Helper()
-	w := &world{}
+	w := &testHandler{}
 	var addrs []string
 	for i, model := range models {
 		server := modelserver.New(modelserver.Config{ID: serverID(i), Service: "servers", Model: model, Pieces: streamSize})
-		back := httptest.NewServer(server.Handler())
-		t.Cleanup(back.Close)
+		backend := httptest.NewServer(server.Handler())
+		t.Cleanup(backend.Close)
 		w.servers = append(w.servers, server)
-		addrs = append(addrs, strings.TrimPrefix(back.URL, "http://"))
+		addrs = append(addrs, strings.TrimPrefix(backend.URL, "http://"))
 	}
 	w.open(t, addrs)
 	return w
@@ -120,41 +120,41 @@
 
 // open starts the handler in front of endpoints at the given addresses, which it tries in that
 // order.
-func (w *world) open(t testing.TB, addrs []string) {
+func (w *testHandler) open(t testing.TB, addrs []string) {
 	t.Helper()
-	w.state = &state{config: config()}
+	w.state = &fixedState{config: config()}
 	f := fleet.New(zerolog.Nop())
 	for i, addr := range addrs {
 		f.Update(&fleet.Endpoint{ID: serverID(i), Service: "servers", Addr: addr}, time.Now())
 	}
 	members := f.Members("servers")
 	slices.SortFunc(members, func(a, b *fleet.Member) int { return strings.Compare(a.ID, b.ID) })
-	w.order = &inOrder{members: members}
+	w.placer = &orderedPlacer{members: members}
 	w.bounds = bootstrap.Bounds{Revoke: 5 * time.Second, ConfigApply: 2 * time.Second, RetryRatio: 10, RetrySlack: 1000}
 	w.handler = &forward.Handler{
-		Dialect: platform.Dialect{}, State: w.state, Placer: w.order, Budgets: forward.NewBudgets(w.bounds, func() int { return 1 }), Patience: &forward.Patience{},
+		Dialect: platform.Dialect{}, State: w.state, Placer: w.placer, Budgets: forward.NewBudgets(w.bounds, func() int { return 1 }), Patience: &forward.Patience{},
 		Quarantine: quarantine.NewTable(time.Now), Fleet: f,
-		Bounds: func() bootstrap.Bounds { return w.bounds }, Recorder: &outcomes{}, Log: zerolog.Nop(),
+		Bounds: func() bootstrap.Bounds { return w.bounds }, Recorder: &recordedOutcomes{}, Log: zerolog.Nop(),
 	}
-	w.front = httptest.NewServer(w.handler)
-	t.Cleanup(w.front.Close)
+	w.server = httptest.NewServer(w.handler)
+	t.Cleanup(w.server.Close)
 }
 
-// answer is the response that a caller received.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error // from reading the body
 }
 
-func (w *world) request(t *testing.T, method, path, body string, change func(*http.Request)) *http.Request {
+func (w *testHandler) request(t *testing.T, method, path, body string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	var content io.Reader
 	if body != "" {
 		content = strings.NewReader(body)
 	}
-	req, err := http.NewRequestWithContext(t.Context(), method, w.front.URL+path, content)
+	req, err := http.NewRequestWithContext(t.Context(), method, w.server.URL+path, content)
 	must.NoError(t, err)
 	req.Host = host
 	req.Header.Set("Authorization", "Bearer "+key)
@@ -166,17 +166,17 @@
 	return req
 }
 
-func (w *world) do(t *testing.T, method, path, body string, change func(*http.Request)) answer {
+func (w *testHandler) do(t *testing.T, method, path, body string, change func(*http.Request)) response {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(w.request(t, method, path, body, change))
 	must.NoError(t, err)
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
 // doUntil sends a request and cancels it when left is closed.
-func (w *world) doUntil(t *testing.T, left <-chan struct{}, path string) {
+func (w *testHandler) doUntil(t *testing.T, left <-chan struct{}, path string) {
 	t.Helper()
 	req := w.request(t, http.MethodGet, path, "", nil)
 	ctx, cancel := context.WithCancel(req.Context())
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -42,8 +42,8 @@
 		{"free", 0, 0, true, 0},
 		{"soon", 100 * time.Millisecond, 0, true, 100 * time.Millisecond},
 		{"too late", 130 * time.Millisecond, 0, false, 0},
-		{"came back", 100 * time.Millisecond, time.Second, true, 100 * time.Millisecond},
-		{"came back, too late", 130 * time.Millisecond, time.Second, false, 0},
+		{"second try", 100 * time.Millisecond, time.Second, true, 100 * time.Millisecond},
+		{"second try, too late", 130 * time.Millisecond, time.Second, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/forward/property_test.go
+++ b/internal/forward/property_test.go
@@ -42,9 +42,9 @@
 
 func (s drawnStream) text() string { return strings.Join(s.events, "") }
 
-// after returns the part of the stream after the event with the given id, or all of it if id is
-// empty.
-func (s drawnStream) after(t *rapid.T, id string) string {
+// eventsAfter returns the part of the stream eventsAfter the event with the given id, or all of it
+// if id is empty.
+func (s drawnStream) eventsAfter(t *rapid.T, id string) string {
 	if id == "" {
 		return s.text()
 	}
@@ -60,7 +60,7 @@
 	cut := rapid.IntRange(0, len(s.text())).Draw(t, "second cut")
 	return script{answer: func(r *http.Request) string {
 		id := r.Header.Get("Last-Event-Id")
-		right := s.after(t, id)
+		right := s.eventsAfter(t, id)
 		if id == "" || kind == "right" {
 			return streamOf(right, -1)
 		}
@@ -73,11 +73,11 @@
 			n, _ := strconv.Atoi(id) // a valid id: it comes from this stream
 			return streamOf("id: "+strconv.Itoa(n+2)+s.end+"data: z"+s.end+s.end, -1)
 		case "error":
-			return head(http.StatusInternalServerError, ofLength(3)) + "no\n"
+			return head(http.StatusInternalServerError, contentLength(3)) + "no\n"
 		case "plain":
-			return head(http.StatusOK, ofLength(3)) + "ok\n"
+			return head(http.StatusOK, contentLength(3)) + "ok\n"
 		case "refused":
-			return head(http.StatusServiceUnavailable, "X-Not-Executed: 1\r\n"+ofLength(0))
+			return head(http.StatusServiceUnavailable, "X-Not-Executed: 1\r\n"+contentLength(0))
 		case "text":
 			return streamOf("sorry", -1)
 		default:
@@ -94,7 +94,7 @@
 		s := drawStream(rt)
 		want := s.text()
 		first := fixedAnswer(streamOf(want, rapid.IntRange(-1, len(want)).Draw(rt, "cut")))
-		w := newRawWorld(t, first, s.drawSecond(rt))
+		w := newRawTestHandler(t, first, s.drawSecond(rt))
 		got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
 		must.Eq(rt, http.StatusOK, got.status)
 		must.StrHasPrefix(rt, got.body, want)
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -8,9 +8,9 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// quarantineRefusal returns the refusal of a request that is in quarantine because endpoints ended while
-// running it, or nil if it may be sent. It is checked before each send, since the request may have
-// been quarantineRefusal during the previous one.
+// quarantineRefusal returns the refusal of a request that is in quarantine because endpoints ended
+// while running it, or nil if it may be sent. It is checked before each send, since the request may
+// have been quarantined during the previous one.
 func (x *exchange) quarantineRefusal() *result.Error {
 	if x.Quarantine.Empty() {
 		return nil
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -15,31 +15,31 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// endsOn is the path suffix of requests that make a server exit.
-const endsOn = "/ends"
+// exitPath is the path suffix of requests that make a server exit.
+const exitPath = "/ends"
 
-// newEndingWorld starts servers that exit on requests whose path ends with endsOn.
-func newEndingWorld(t *testing.T, servers int) *world {
+// newExitingTestHandler starts servers that exit on requests whose path ends with endsOn.
+func newExitingTestHandler(t *testing.T, servers int) *testHandler {
 	t.Helper()
-	w := &world{}
+	w := &testHandler{}
 	var addrs []string
 	for i := range servers {
-		back := httptest.NewUnstartedServer(nil)
-		end := func() { _ = back.Config.Close() }
+		backend := httptest.NewUnstartedServer(nil)
+		end := func() { _ = backend.Config.Close() }
 		server := modelserver.New(modelserver.Config{ID: serverID(i), Service: "servers", Model: "reader", Pieces: streamSize, End: end})
-		server.SetFaults(modelserver.Faults{EndOn: endsOn})
-		back.Config.Handler = server.Handler()
-		back.Start()
-		t.Cleanup(back.Close)
+		server.SetFaults(modelserver.Faults{EndOn: exitPath})
+		backend.Config.Handler = server.Handler()
+		backend.Start()
+		t.Cleanup(backend.Close)
 		w.servers = append(w.servers, server)
-		addrs = append(addrs, strings.TrimPrefix(back.URL, "http://"))
+		addrs = append(addrs, strings.TrimPrefix(backend.URL, "http://"))
 	}
 	w.open(t, addrs)
 	return w
 }
 
 // ran returns the number of servers that ran requests whose id has the given prefix.
-func (w *world) ran(prefix string) (servers int) {
+func (w *testHandler) ran(prefix string) (servers int) {
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
 			if strings.HasPrefix(r.Request, prefix) {
@@ -52,8 +52,8 @@
 }
 
 // removeEnded removes the endpoints that have ended, as a registry does.
-func (w *world) removeEnded() {
-	w.order.members = slices.DeleteFunc(slices.Clone(w.order.members), func(m *fleet.Member) bool { return m.Ended() })
+func (w *testHandler) removeEnded() {
+	w.placer.members = slices.DeleteFunc(slices.Clone(w.placer.members), func(m *fleet.Member) bool { return m.Ended() })
 }
 
 // TestRequestThatEndsEndpoints checks that a request that makes engines exit reaches only a few of
@@ -70,10 +70,10 @@
 		servers = 8
 		tries   = 12
 	)
-	w := newEndingWorld(t, servers)
+	w := newExitingTestHandler(t, servers)
 	for i := range tries {
 		id := fmt.Sprint("guilty-", i)
-		resp, err := http.DefaultClient.Do(w.request(t, http.MethodPost, "/resume"+endsOn, "prompt", func(r *http.Request) { r.Header.Set("X-Attempt-Id", id) }))
+		resp, err := http.DefaultClient.Do(w.request(t, http.MethodPost, "/resume"+exitPath, "prompt", func(r *http.Request) { r.Header.Set("X-Attempt-Id", id) }))
 		must.NoError(t, err)
 		must.NoError(t, resp.Body.Close())
 		if w.ran(id) == 0 {
@@ -82,7 +82,7 @@
 		w.removeEnded()
 	}
 	test.Eq(t, 3, w.ran("guilty-"))
-	must.SliceNotEmpty(t, w.order.members)
+	must.SliceNotEmpty(t, w.placer.members)
 	a := w.do(t, http.MethodPost, "/resume/other", "prompt", nil)
 	test.Eq(t, http.StatusOK, a.status)
 }
--- a/internal/forward/raw_test.go
+++ b/internal/forward/raw_test.go
@@ -31,12 +31,12 @@
 }
 
 const (
-	eventStream = "Content-Type: text/event-stream\r\n"
-	isChunked   = "Transfer-Encoding: chunked\r\n"
-	lastChunk   = "0\r\n\r\n"
+	eventStream     = "Content-Type: text/event-stream\r\n"
+	chunkedEncoding = "Transfer-Encoding: chunked\r\n"
+	lastChunk       = "0\r\n\r\n"
 )
 
-func ofLength(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
+func contentLength(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
 
 // chunk encodes a piece of a body as an HTTP chunk; an empty piece yields nothing.
 func chunk(piece string) string {
@@ -50,19 +50,19 @@
 // many bytes.
 func streamOf(body string, cutAt int) string {
 	if cutAt < 0 {
-		return head(http.StatusOK, eventStream+isChunked) + chunk(body) + lastChunk
+		return head(http.StatusOK, eventStream+chunkedEncoding) + chunk(body) + lastChunk
 	}
-	return head(http.StatusOK, eventStream+isChunked) + chunk(body[:cutAt])
+	return head(http.StatusOK, eventStream+chunkedEncoding) + chunk(body[:cutAt])
 }
 
-// newRawWorld starts a handler in front of one endpoint for each script.
-func newRawWorld(t testing.TB, scripts ...script) *world {
+// newRawTestHandler starts a handler in front of one endpoint for each script.
+func newRawTestHandler(t testing.TB, scripts ...script) *testHandler {
 	t.Helper()
 	var addrs []string
 	for _, s := range scripts {
 		addrs = append(addrs, listen(t, s))
 	}
-	w := &world{}
+	w := &testHandler{}
 	w.open(t, addrs)
 	return w
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// numbered returns the events with ids from through to, with end as the line terminator.
-func numbered(from, to int, end string) string {
+// eventsWithLineEnd returns the events with ids from through to, with end as the line terminator.
+func eventsWithLineEnd(from, to int, end string) string {
 	return strings.ReplaceAll(events(from, to), "\n", end)
 }
--- a/internal/forward/send_counts_test.go
+++ b/internal/forward/send_counts_test.go
@@ -11,7 +11,7 @@
 )
 
 // noBudget sets a budget without retries.
-func (w *world) noBudget() {
+func (w *testHandler) noBudget() {
 	w.handler.Budgets = forward.NewBudgets(bootstrap.Bounds{}, func() int { return 1 })
 }
 
@@ -20,8 +20,8 @@
 // small budget, though nothing of the request had been sent; the budget was empty within a second,
 // and requests (10,164 in one case) failed after their first send.
 
-// TestFailedConnectionsTakeNoRetries checks that sending a request on after failed connections takes no
-// retry from the budget.
+// TestFailedConnectionsTakeNoRetries checks that sending a request on after failed connections
+// takes no retry from the budget.
 func TestFailedConnectionsTakeNoRetries(t *testing.T) {
 	for _, path := range []string{recordPath, uploadPath, streamPath} {
 		for ended := range 6 {
@@ -29,7 +29,7 @@
 			for range ended {
 				addrs = append(addrs, endedEndpoint(t))
 			}
-			w := &world{}
+			w := &testHandler{}
 			w.open(t, append(addrs, liveEndpoint(t, serverID(ended))))
 			w.noBudget()
 			a := w.do(t, http.MethodPost, path, "x", nil)
@@ -46,7 +46,7 @@
 // whatever the number of failed connections before it succeeds.
 func TestRefusedSendsTakeRetries(t *testing.T) {
 	for _, budget := range []bool{false, true} {
-		w := &world{}
+		w := &testHandler{}
 		other := liveEndpoint(t, "another")
 		w.open(t, []string{endedEndpoint(t), other, endedEndpoint(t), liveEndpoint(t, serverID(3))})
 		if !budget {
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -15,14 +15,14 @@
 
 // suspendingPlacer suspends the host while it places a request.
 type suspendingPlacer struct {
-	*inOrder
+	*orderedPlacer
 	host *clocktest.Host
 	d    time.Duration
 }
 
 func (s *suspendingPlacer) Place(q *forward.Query) (forward.Placement, bool) {
 	s.host.Suspend(s.d)
-	return s.inOrder.Place(q)
+	return s.orderedPlacer.Place(q)
 }
 
 // TestDeadlineAfterASuspension checks that the time for which the host is suspended between a
@@ -31,10 +31,10 @@
 // at once and not sent.
 func TestDeadlineAfterASuspension(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second, 30 * time.Second} {
-		w := newWorld(t, model)
+		w := newTestHandler(t, model)
 		host := clocktest.New()
 		w.handler.Clock = host.Clock
-		w.handler.Placer = &suspendingPlacer{inOrder: w.order, host: host, d: d}
+		w.handler.Placer = &suspendingPlacer{orderedPlacer: w.placer, host: host, d: d}
 		got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
 		runs := w.servers[0].Runs()
 		if d >= 4*time.Second {
--- a/internal/forward/withdraw_plain_test.go
+++ b/internal/forward/withdraw_plain_test.go
@@ -14,14 +14,14 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// TestPlainAnswerInProgressNotWithdrawn checks that a plain answer in progress is not withdrawn when the
-// endpoint's weights become too old: the endpoint has begun the request, and one that can't be
-// repeated would be lost.
+// TestPlainAnswerInProgressNotWithdrawn checks that a plain answer in progress is not withdrawn
+// when the endpoint's weights become too old: the endpoint has begun the request, and one that
+// can't be repeated would be lost.
 func TestPlainAnswerInProgressNotWithdrawn(t *testing.T) {
 	const within = 200 * time.Millisecond
 	for _, path := range []string{recordPath, uploadPath} {
 		t.Run(path, func(t *testing.T) {
-			back := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+			backend := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				rw.Header().Set("X-Attempt-Id", "r1")
 				rw.Header().Set("X-Server-Seal", "seal")
@@ -34,10 +34,10 @@
 					_, _ = io.WriteString(rw, "whole")
 				}
 			}))
-			defer back.Close()
-			w := &world{}
-			w.open(t, []string{strings.TrimPrefix(back.URL, "http://")})
-			w.order.beginWithin = within
+			defer backend.Close()
+			w := &testHandler{}
+			w.open(t, []string{strings.TrimPrefix(backend.URL, "http://")})
+			w.placer.beginWithin = within
 			got := w.do(t, http.MethodPost, path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, "half whole", got.body)
@@ -51,17 +51,17 @@
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer silent.Close()
 	good := modelserver.New(modelserver.Config{ID: serverID(1), Service: "servers"})
-	back := httptest.NewServer(good.Handler())
-	defer back.Close()
-	w := &world{}
-	w.open(t, []string{strings.TrimPrefix(silent.URL, "http://"), strings.TrimPrefix(back.URL, "http://")})
-	w.order.beginWithin = 100 * time.Millisecond
-	health := &w.order.members[1].Health
+	backend := httptest.NewServer(good.Handler())
+	defer backend.Close()
+	w := &testHandler{}
+	w.open(t, []string{strings.TrimPrefix(silent.URL, "http://"), strings.TrimPrefix(backend.URL, "http://")})
+	w.placer.beginWithin = 100 * time.Millisecond
+	health := &w.placer.members[1].Health
 	now := time.Now()
 	health.Failed(now, false)
 	before := health.FailureRate(now)
 	got := w.do(t, http.MethodGet, recordPath, "", nil)
 	must.Eq(t, http.StatusOK, got.status)
 	test.Less(t, before, health.FailureRate(now))
-	test.Eq(t, 0, w.order.members[0].Health.FailureRate(now), test.Sprint("a withdrawal is no failure of the endpoint"))
+	test.Eq(t, 0, w.placer.members[0].Health.FailureRate(now), test.Sprint("a withdrawal is no failure of the endpoint"))
 }
--- a/internal/runid/runid.go
+++ b/internal/runid/runid.go
@@ -1,8 +1,8 @@
 // Package runid creates and parses the ids of runs.
 //
 // Guarantee: any node can find from a run id the endpoint that holds the run, and Parse accepts an
-// id only for the client account for which it was created: the id contains an HMAC under the nodes'
-// shared key.
+// id only for the client account for which it was created: the id contains a truncated HMAC under
+// the nodes' shared key.
 package runid
 
 import (
@@ -85,9 +85,9 @@
 	return run, offset, nil
 }
 
-// computeMAC returns the HMAC over the account and the other parts of an id, in hex. The account
-// comes first and is the only part that may contain the separator, so its length is included in the
-// input.
+// computeMAC returns the truncated HMAC over the account and the other parts of an id, in hex. The
+// account comes first and is the only part that may contain the separator, so its length is
+// included in the input.
 func computeMAC(key []byte, account string, fields ...string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(strconv.Itoa(len(account)) + separator + account + separator + strings.Join(fields, separator)))
--- a/internal/runs/broken_streams_test.go
+++ b/internal/runs/broken_streams_test.go
@@ -110,7 +110,7 @@
 	d := &Dispatcher{Key: key, Salter: salter, Engines: b, Placer: b, Budget: b}
 	sink := &textSink{}
 	_, err = d.Run(context.Background(), &Request{Account: "a", Prompt: "p", MaxTokens: maxTokens, Deadline: time.Now().Add(time.Minute), Once: once}, sink)
-	return sink.got, err
+	return sink.received, err
 }
 
 // tails are texts that follow the break of a stream, with RUN in place of the run's id. None of
--- a/internal/runs/dispatcher_test.go
+++ b/internal/runs/dispatcher_test.go
@@ -26,13 +26,13 @@
 // scriptedEngine is a placer, engine and budget that plays attemptScripts in order and allows every
 // retry.
 type scriptedEngine struct {
-	steps     []attemptScript
+	attempts  []attemptScript
 	current   attemptScript
 	succeeded int
 }
 
 func (f *scriptedEngine) Place(ctx context.Context, _ *Request, _ []string) (Grant, error) {
-	f.current, f.steps = f.steps[0], f.steps[1:]
+	f.current, f.attempts = f.attempts[0], f.attempts[1:]
 	if f.current.placeWaits {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -68,13 +68,13 @@
 	refused := attemptScript{start: result.New(result.EndpointRefused)}
 	noEndpoint := attemptScript{place: result.New(result.NoEndpoint)}
 	cases := map[string]struct {
-		steps []attemptScript
-		want  result.RunState
+		attempts []attemptScript
+		want     result.RunState
 	}{
-		"nobody to ask":                {[]attemptScript{noEndpoint}, result.NotRun},
-		"refused, then nobody":         {[]attemptScript{refused, noEndpoint}, result.NotRun},
+		"no endpoint":                  {[]attemptScript{noEndpoint}, result.NotRun},
+		"refused, then no endpoint":    {[]attemptScript{refused, noEndpoint}, result.NotRun},
 		"deadline in the queue":        {[]attemptScript{{placeWaits: true}}, result.NotRun},
-		"broke off, then nobody":       {[]attemptScript{brokeOff, noEndpoint}, result.MayHaveRun},
+		"broke off, then no endpoint":  {[]attemptScript{brokeOff, noEndpoint}, result.MayHaveRun},
 		"broke off, then refused":      {[]attemptScript{brokeOff, refused, refused, refused}, result.MayHaveRun},
 		"broke off, deadline in queue": {[]attemptScript{brokeOff, {placeWaits: true}}, result.MayHaveRun},
 		"silent engine":                {[]attemptScript{{silent: true}}, result.MayHaveRun},
@@ -84,7 +84,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				salter, err := kvcache.NewSalter([]byte("0123456789abcdef0123456789abcdef"))
 				must.NoError(t, err)
-				f := &scriptedEngine{steps: c.steps}
+				f := &scriptedEngine{attempts: c.attempts}
 				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: f, Placer: f, Budget: f}
 				_, err = d.Run(t.Context(), &Request{Account: "a", Prompt: "p", MaxTokens: 1, Deadline: time.Now().Add(time.Second)}, nil)
 				must.Eq(t, c.want, result.From(err).RunState, must.Sprint(err))
@@ -104,16 +104,16 @@
 		after   time.Duration
 		want    result.RunState
 	}{
-		"ends":               {attemptScript{silent: true}, false, deadline, result.MayHaveRun},
-		"runs on":            {attemptScript{silent: true}, true, end, result.MayHaveRun},
-		"still in the queue": {attemptScript{placeWaits: true}, true, deadline, result.NotRun},
+		"ends":                        {attemptScript{silent: true}, false, deadline, result.MayHaveRun},
+		"continues past the deadline": {attemptScript{silent: true}, true, end, result.MayHaveRun},
+		"still in the queue":          {attemptScript{placeWaits: true}, true, deadline, result.NotRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				salter, err := kvcache.NewSalter([]byte("0123456789abcdef0123456789abcdef"))
 				must.NoError(t, err)
-				f := &scriptedEngine{steps: []attemptScript{c.attempt}}
+				f := &scriptedEngine{attempts: []attemptScript{c.attempt}}
 				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: f, Placer: f, Budget: f}
 				ctx, cancel := context.WithCancelCause(t.Context())
 				time.AfterFunc(end, func() { cancel(context.DeadlineExceeded) })
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -22,7 +22,7 @@
 type fixedPlacer struct {
 	urls     []string
 	patience time.Duration
-	seen     []Observed
+	observed []Observed
 }
 
 // fixedGrant is a grant of the engine at url.
@@ -42,7 +42,9 @@
 func (g fixedGrant) Imported() (int, int64)  { return 0, 0 }
 func (g fixedGrant) FirstToken(Observed)     {}
 func (g fixedGrant) Patience() time.Duration { return g.patience }
-func (g fixedGrant) Done(seen Observed)      { g.fixedPlacer.seen = append(g.fixedPlacer.seen, seen) }
+func (g fixedGrant) Done(seen Observed) {
+	g.fixedPlacer.observed = append(g.fixedPlacer.observed, seen)
+}
 
 // unlimitedBudget allows every retry.
 type unlimitedBudget struct{}
@@ -51,11 +53,11 @@
 func (unlimitedBudget) Retry() bool { return true }
 
 // textSink collects the text of an answer.
-type textSink struct{ got string }
+type textSink struct{ received string }
 
 func (t *textSink) Started(Start) error { return nil }
 func (t *textSink) Tokens(_ string, offset int, s string) error {
-	t.got += s
+	t.received += s
 	return nil
 }
 
@@ -93,7 +95,7 @@
 	sink := &textSink{}
 	req := &Request{Account: "mill", Model: "m", Version: "v", Prompt: "pass or hold?", MaxTokens: 30, Deadline: time.Now().Add(timeout)}
 	_, err := w.Run(t.Context(), req, sink)
-	return sink.got, err
+	return sink.received, err
 }
 
 func setFaults(e *enginestandin.Engine, change func(*enginestandin.Faults)) {
@@ -107,7 +109,7 @@
 		_, err := w.runPrompt(t, time.Minute)
 		must.Eq(t, result.NotRun, result.From(err).RunState)
 	})
-	t.Run("refused by each engine's own word", func(t *testing.T) {
+	t.Run("refused by each engine", func(t *testing.T) {
 		w := newTestCluster(t, 2)
 		for _, e := range w.engines {
 			setFaults(e, func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
@@ -163,5 +165,5 @@
 	got, err := w.runPrompt(t, time.Minute)
 	must.NoError(t, err)
 	must.Eq(t, 30*4, len(got))
-	must.True(t, w.placer.seen[0].Complete)
+	must.True(t, w.placer.observed[0].Complete)
 }
