--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestForwardsUnchanged(t *testing.T) {
-	w := newWorld(t, "")
+	w := newTestHandler(t, "")
 	got := w.do(t, http.MethodPost, uploadPath+"?x=%2f&y", "the body", func(r *http.Request) {
 		r.Header.Set("X-Custom", "kept")
 		r.Header.Set("Connection", "X-Hop")
@@ -70,7 +70,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, "")
+			w := newTestHandler(t, "")
 			w.state.age = tc.age
 			method := http.MethodGet
 			if tc.body != "" {
@@ -84,10 +84,10 @@
 	}
 }
 
-// TestStaleKeys serves the keys that are known through an outage of the store where the
-// operators accept that, and promises nothing of the others.
+// TestStaleKeys checks that known keys are still accepted during an outage of the store if the
+// operators allow it, and that a request with an unknown key is answered 503, not 401.
 func TestStaleKeys(t *testing.T) {
-	w := newWorld(t, "")
+	w := newTestHandler(t, "")
 	w.bounds.AcceptStaleKeys = true
 	w.state.age = time.Minute
 	test.Eq(t, http.StatusOK, w.do(t, http.MethodGet, recordPath, "", nil).status)
@@ -97,13 +97,13 @@
 }
 
 func TestNoConfiguration(t *testing.T) {
-	w := newWorld(t, "")
+	w := newTestHandler(t, "")
 	w.state.config = nil
 	test.Eq(t, http.StatusServiceUnavailable, w.do(t, http.MethodGet, recordPath, "", nil).status)
 }
 
-// TestSentAgain tells which failures of the first server are made up for by the
-// second, and which must not be.
+// TestSentAgain checks after which failures of the first server a request is sent to the second
+// one.
 func TestSentAgain(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -121,7 +121,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, "", "")
+			w := newTestHandler(t, "", "")
 			w.servers[0].SetFaults(tc.faults)
 			test.Eq(t, tc.status, w.do(t, http.MethodGet, tc.path, "", nil).status)
 			test.Len(t, tc.second, w.servers[1].Runs())
@@ -129,9 +129,10 @@
 	}
 }
 
-// TestAllRefuse leaves the promise that the request has not run.
+// TestAllRefuse checks that a request refused by all endpoints is answered with a status that
+// promises that it has not run.
 func TestAllRefuse(t *testing.T) {
-	w := newWorld(t, "", "")
+	w := newTestHandler(t, "", "")
 	for _, s := range w.servers {
 		s.SetFaults(modelserver.Faults{Shed: true})
 	}
@@ -142,7 +143,7 @@
 
 func TestForeignAnswers(t *testing.T) {
 	for _, faults := range []modelserver.Faults{{Foreign: true}, {Extra: true}} {
-		w := newWorld(t, "")
+		w := newTestHandler(t, "")
 		w.servers[0].SetFaults(faults)
 		for i := range 3 {
 			got := w.do(t, http.MethodGet, uploadPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", fmt.Sprint("r", i)) })
@@ -154,26 +155,26 @@
 
 func TestStreams(t *testing.T) {
 	tests := []struct {
-		name   string
-		path   string
-		faults modelserver.Faults
-		want   string
-		whole  bool
-		second int
+		name     string
+		path     string
+		faults   modelserver.Faults
+		want     string
+		complete bool
+		second   int
 	}{
-		{name: "whole", path: streamPath, want: events(1, streamSize), whole: true},
+		{name: "whole", path: streamPath, want: events(1, streamSize), complete: true},
 		{name: "cut, not resumable", path: streamPath, faults: modelserver.Faults{CutAfter: 2}, want: events(1, 2)},
-		{name: "cut, resumed", path: resumePath, faults: modelserver.Faults{CutAfter: 2}, want: events(1, streamSize), whole: true, second: 1},
+		{name: "cut, resumed", path: resumePath, faults: modelserver.Faults{CutAfter: 2}, want: events(1, streamSize), complete: true, second: 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, model, model)
+			w := newTestHandler(t, model, model)
 			w.servers[0].SetFaults(tc.faults)
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, "seal-s0", got.header.Get("X-Server-Seal"))
 			test.Eq(t, tc.want, got.body)
-			test.Eq(t, tc.whole, got.err == nil)
+			test.Eq(t, tc.complete, got.err == nil)
 			runs := w.servers[1].Runs()
 			must.Len(t, tc.second, runs)
 			if tc.second > 0 {
@@ -184,7 +185,7 @@
 }
 
 func TestCallerLeaves(t *testing.T) {
-	w := newWorld(t, model)
+	w := newTestHandler(t, model)
 	w.servers[0].SetFaults(modelserver.Faults{Hang: true})
 	left := make(chan struct{})
 	go func() {
@@ -195,25 +196,25 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].Left() == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 }
 
-// TestWithdrawsUnbegun takes a request back from an endpoint that has not begun by the time at
-// which its weights are too old.
-func TestWithdrawsUnbegun(t *testing.T) {
+// TestUnbegunAttemptWithdrawn checks that a request is withdrawn from an endpoint that has not
+// begun it by the time at which its weights become too old.
+func TestUnbegunAttemptWithdrawn(t *testing.T) {
 	tests := []struct {
-		name   string
-		path   string
-		faults modelserver.Faults
-		within time.Duration
-		status int
-		second int // runs at the second server
+		name       string
+		path       string
+		faults     modelserver.Faults
+		beginLimit time.Duration
+		status     int
+		second     int // runs at the second server
 	}{
-		{name: "not begun, resumable", path: resumePath, faults: modelserver.Faults{Hang: true}, within: 20 * time.Millisecond, status: http.StatusOK, second: 1},
-		{name: "not begun, not resumable", path: streamPath, faults: modelserver.Faults{Hang: true}, within: 20 * time.Millisecond, status: http.StatusBadGateway},
-		{name: "begun in time", path: streamPath, within: longTimeout, status: http.StatusOK},
+		{name: "not begun, resumable", path: resumePath, faults: modelserver.Faults{Hang: true}, beginLimit: 20 * time.Millisecond, status: http.StatusOK, second: 1},
+		{name: "not begun, not resumable", path: streamPath, faults: modelserver.Faults{Hang: true}, beginLimit: 20 * time.Millisecond, status: http.StatusBadGateway},
+		{name: "begun in time", path: streamPath, beginLimit: longTimeout, status: http.StatusOK},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, model, model)
-			w.order.beginWithin = tc.within
+			w := newTestHandler(t, model, model)
+			w.placer.beginWithin = tc.beginLimit
 			w.servers[0].SetFaults(tc.faults)
 			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, tc.status, got.status)
@@ -224,9 +225,10 @@
 	}
 }
 
-// TestTimeout answers at the caller's deadline, not later, and promises nothing.
+// TestTimeout checks that a request is answered at the caller's deadline, with a status that does
+// not promise that it has not run.
 func TestTimeout(t *testing.T) {
-	w := newWorld(t, model)
+	w := newTestHandler(t, model)
 	w.servers[0].SetFaults(modelserver.Faults{Hang: true})
 	got := w.do(t, http.MethodGet, streamPath, "", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "50") })
 	test.Eq(t, http.StatusGatewayTimeout, got.status)
--- a/internal/forward/raw_test.go
+++ b/internal/forward/raw_test.go
@@ -12,32 +12,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// script answers one request of a connection in the endpoint's own bytes. The connection
-// is closed behind an answer that is not kept.
+// script answers the requests on a connection with raw bytes. Unless keepAlive is set, the
+// connection is closed after the first answer.
 type script struct {
-	answer func(r *http.Request) string
-	kept   bool
+	answer    func(r *http.Request) string
+	keepAlive bool
 }
 
-// says is a script of a fixed answer.
-func says(answer string) script {
+// fixedAnswer returns a script that always gives the same answer.
+func fixedAnswer(answer string) script {
 	return script{answer: func(*http.Request) string { return answer }}
 }
 
-// head begins the answer to request r1 with a seal; fields end with "\r\n" each.
+// head returns the response header for request r1, with an endpoint signature. Each of the fields
+// must end with "\r\n".
 func head(status int, fields string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Attempt-Id: r1\r\nX-Server-Seal: seal\r\n%s\r\n", status, http.StatusText(status), fields)
 }
 
 const (
-	eventStream = "Content-Type: text/event-stream\r\n"
-	isChunked   = "Transfer-Encoding: chunked\r\n"
-	lastChunk   = "0\r\n\r\n"
+	eventStream     = "Content-Type: text/event-stream\r\n"
+	chunkedEncoding = "Transfer-Encoding: chunked\r\n"
+	lastChunk       = "0\r\n\r\n"
 )
 
-func ofLength(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
+func contentLength(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
 
-// chunk frames a piece of a body; an empty one is nothing.
+// chunk encodes a piece of a body as an HTTP chunk; an empty piece yields nothing.
 func chunk(piece string) string {
 	if piece == "" {
 		return ""
@@ -45,27 +46,28 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
 }
 
-// streamOf is a whole answer of events; cutAt leaves it broken off behind so many bytes.
+// streamOf returns an event stream answer. If cutAt is not negative, the body breaks off after that
+// many bytes.
 func streamOf(body string, cutAt int) string {
 	if cutAt < 0 {
-		return head(http.StatusOK, eventStream+isChunked) + chunk(body) + lastChunk
+		return head(http.StatusOK, eventStream+chunkedEncoding) + chunk(body) + lastChunk
 	}
-	return head(http.StatusOK, eventStream+isChunked) + chunk(body[:cutAt])
+	return head(http.StatusOK, eventStream+chunkedEncoding) + chunk(body[:cutAt])
 }
 
-// newRawWorld starts a handler before endpoints that answer by one script each.
-func newRawWorld(t testing.TB, scripts ...script) *world {
+// newRawTestHandler starts a handler in front of one endpoint for each script.
+func newRawTestHandler(t testing.TB, scripts ...script) *testHandler {
 	t.Helper()
 	var addrs []string
 	for _, s := range scripts {
 		addrs = append(addrs, listen(t, s))
 	}
-	w := &world{}
+	w := &testHandler{}
 	w.open(t, addrs)
 	return w
 }
 
-// listen serves a script on each connection, and returns the address.
+// listen serves a script on a local port and returns the address.
 func listen(t testing.TB, s script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,13 +96,13 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if _, err := io.WriteString(conn, s.answer(r)); err != nil || !s.kept {
+		if _, err := io.WriteString(conn, s.answer(r)); err != nil || !s.keepAlive {
 			return
 		}
 	}
 }
 
-// numbered returns events with the ids from, from+1 ... to, their lines ended by end.
-func numbered(from, to int, end string) string {
+// eventsWithLineEnd returns the events with ids from through to, with end as the line terminator.
+func eventsWithLineEnd(from, to int, end string) string {
 	return strings.ReplaceAll(events(from, to), "\n", end)
 }
