--- a/internal/fleet/backoff.go
+++ b/internal/fleet/backoff.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// MaxBackoff is the longest backoff that is kept. An endpoint that asks for more gets requests again after
-// it: one that is wrong must not take it from its callers for good.
+// MaxBackoff is the longest backoff that a node honours. A longer one is cut to it, so that an endpoint
+// that reports a wrong backoff is not lost to its clients indefinitely.
 const MaxBackoff = 10 * time.Minute
 
-// Backoff is the time for which an endpoint wants no requests of this node, as it asked when it refused one.
+// Backoff is the period during which an endpoint accepts no requests from this node, as stated when it
+// refused one.
 type Backoff struct {
 	Until time.Time
-	At    time.Time // when it last asked for it
+	At    time.Time // when the endpoint last requested a backoff
 }
 
-// BackOff notes that the endpoint refused a request at a time and wants none for so long. The longest time that
-// it asked for counts. It reports whether there was no backoff before.
-func (s *Signals) BackOff(d time.Duration, at time.Time) (begins bool) {
+// BackOff records that the endpoint refused a request at the given time and requested a backoff of d.
+// If backoffs overlap, the one that ends last applies. It reports whether no backoff was in effect
+// before.
+func (s *Signals) BackOff(d time.Duration, at time.Time) (started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := Backoff{Until: at.Add(min(d, MaxBackoff)), At: at}
@@ -26,7 +28,7 @@
 	return before == nil || !at.Before(before.Until)
 }
 
-// Backoff returns the backoff that the endpoint has asked for, and false where none is left.
+// Backoff returns the backoff in effect, or false if there is none.
 func (s *Signals) Backoff(now time.Time) (Backoff, bool) {
 	if b := s.backoff.Load(); b != nil && now.Before(b.Until) {
 		return *b, true
--- a/internal/fleet/backoff_test.go
+++ b/internal/fleet/backoff_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test"
 )
 
-// TestBackoff keeps the longest backoff that was asked for, and no longer than MaxBackoff.
+// TestBackoff checks that the backoff that ends last applies, cut to MaxBackoff.
 func TestBackoff(t *testing.T) {
 	s := &Signals{}
 	start := time.Now()
@@ -15,7 +15,7 @@
 	_, backsOff := s.Backoff(start)
 	test.False(t, backsOff)
 	test.True(t, s.BackOff(3*time.Second, at(0)))
-	test.False(t, s.BackOff(time.Second, at(0.1)), test.Sprint("it backs off"))
+	test.False(t, s.BackOff(time.Second, at(0.1)), test.Sprint("already backing off"))
 	b, backsOff := s.Backoff(at(2.9))
 	test.True(t, backsOff)
 	test.Eq(t, Backoff{Until: at(3), At: at(0.1)}, b)
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// unknownFor is how long after an endpoint has ended it may be a new start under its id without its entry
-// saying so: until the entry of one that is gone has lapsed, and a copy of the registry that is up to
-// 2.5 s old tells it.
-const unknownFor = 6500 * time.Millisecond
+// coldAfterEnd is how long after an endpoint ended its id may belong to a new start that its entry does
+// not show yet: until the entry of the ended start has expired, and the new one is visible in a
+// registry copy that is up to 2.5 s old.
+const coldAfterEnd = 6500 * time.Millisecond
 
-// ColdUntil returns until when the endpoint is cold, or may be: it has just started and takes few
-// requests.
+// ColdUntil returns the time until which the endpoint is, or may be, cold: it has just started and
+// accepts few requests. The zero time means that it was never cold.
 func (m *Member) ColdUntil() time.Time {
 	if until := m.cold.Load(); until != nil {
 		return *until
@@ -16,39 +16,40 @@
 	return time.Time{}
 }
 
-// Cold reports whether the endpoint is cold, or may be.
+// Cold reports whether the endpoint is, or may be, cold at the given time.
 func (m *Member) Cold(now time.Time) bool { return now.Before(m.ColdUntil()) }
 
-// Chill has the endpoint count as cold until a time, and for no shorter time than before.
+// Chill marks the endpoint as cold until the given time. It never shortens the cold period.
 func (m *Member) Chill(until time.Time) {
 	for {
-		known := m.cold.Load()
-		if known != nil && !until.After(*known) || m.cold.CompareAndSwap(known, &until) {
+		current := m.cold.Load()
+		if current != nil && !until.After(*current) || m.cold.CompareAndSwap(current, &until) {
 			return
 		}
 	}
 }
 
-// Ends notes that the endpoint ended: nothing listens at its address any more, or another one answers
-// there. It gets no requests until its entry is gone. Whatever answers under its id before that has
-// started since; after it, the entry is one that was written since and says so itself.
+// Ends records that the endpoint ended: nothing listens at its address any more, or another endpoint
+// answers there. It gets no requests until its entry has expired. A process that answers under its id
+// before that is a new start; an entry seen after that was written by a new start and states its cold
+// period itself.
 func (m *Member) Ends(now time.Time) {
 	m.down.Store(true)
-	m.Chill(now.Add(unknownFor))
+	m.Chill(now.Add(coldAfterEnd))
 	m.Health.Ended(now)
 }
 
-// Answered notes that the endpoint answered. If it had ended it is cold from now on, for as long as
-// its service's endpoints are after a start.
+// Answered records an answer of the endpoint. If the endpoint had ended, it is a new start and is
+// marked as cold for coldStart, the cold period of its service's endpoints.
 func (m *Member) Answered(now time.Time, coldStart time.Duration) {
 	if m.down.Swap(false) && m.Cold(now) {
 		m.Chill(now.Add(coldStart))
 	}
 }
 
-// heed takes what an entry says of how long the endpoint is cold. That counts down from when it was
-// first said: the same or a smaller time is the countdown itself, told late or once more.
-func (m *Member) heed(before, e *Endpoint, now time.Time) {
+// applyColdLeft applies the remaining cold period from an entry. The period runs from the time it was
+// first read: an entry with the same or a smaller value repeats the same period and is ignored.
+func (m *Member) applyColdLeft(before, e *Endpoint, now time.Time) {
 	if e.ColdLeft <= 0 || before != nil && before.ColdLeft >= e.ColdLeft {
 		return
 	}
--- a/internal/fleet/draining_test.go
+++ b/internal/fleet/draining_test.go
@@ -11,21 +11,22 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// TestToldDrainingStays keeps an endpoint out that told in an answer that it drains, whatever its entry says then,
-// also where that was missing for a while, and where it moves.
-func TestToldDrainingStays(t *testing.T) {
+// TestReportedDrainingPersists checks that an endpoint which reported in an answer that it drains stays
+// excluded whatever its entry states, also after its entry was missing for a while or the endpoint
+// moved.
+func TestReportedDrainingPersists(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
-	f.Update(born(100, 1), at(0))
-	m := only(t, f, "s")
+	f.Update(entryStartedAt(100, 1), at(0))
+	m := onlyMember(t, f, "s")
 	must.True(t, f.Drain(m, at(time.Second)))
 	test.SliceEmpty(t, f.Members("s"))
-	test.False(t, f.Drain(m, at(2*time.Second)), test.Sprint("told before"))
-	f.Update(born(100, 1), at(3*time.Second))
-	test.SliceEmpty(t, f.Members("s"), test.Sprint("its entry says ready"))
+	test.False(t, f.Drain(m, at(2*time.Second)), test.Sprint("reported before"))
+	f.Update(entryStartedAt(100, 1), at(3*time.Second))
+	test.SliceEmpty(t, f.Members("s"), test.Sprint("the entry is not marked as draining"))
 	f.Lapse("e", at(9*time.Second))
-	f.Update(born(100, 1), at(4*time.Second))
-	test.SliceEmpty(t, f.Members("s"), test.Sprint("its entry was missing"))
-	moved := born(100, 1)
+	f.Update(entryStartedAt(100, 1), at(4*time.Second))
+	test.SliceEmpty(t, f.Members("s"), test.Sprint("the entry was missing"))
+	moved := entryStartedAt(100, 1)
 	moved.Addr = "127.0.0.1:2"
 	f.Update(moved, at(5*time.Second))
 	test.SliceEmpty(t, f.Members("s"), test.Sprint("at another address"))
@@ -34,21 +35,22 @@
 	test.Eq(t, at(time.Second), since)
 }
 
-// TestNewStartIsNotCondemned uses a later start under the same id, and another endpoint at the same address, though
-// the one before told that it drains, also where its answer comes after the later start's entry.
-func TestNewStartIsNotCondemned(t *testing.T) {
+// TestDrainingDoesNotAffectLaterStart checks that a draining report of one start excludes neither a
+// later start under the same id nor another endpoint at the same address, even if the report arrives
+// after the entry of the later start.
+func TestDrainingDoesNotAffectLaterStart(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
-	f.Update(born(100, 1), at(0))
-	first := only(t, f, "s")
+	f.Update(entryStartedAt(100, 1), at(0))
+	first := onlyMember(t, f, "s")
 	f.Drain(first, at(time.Second))
-	f.Update(born(200, 1), at(2*time.Second))
-	second := only(t, f, "s")
-	f.Update(born(300, 1), at(3*time.Second))
-	test.True(t, f.Drain(second, at(4*time.Second)), test.Sprint("told late"))
-	test.Eq(t, 300, only(t, f, "s").Born)
-	f.Drain(only(t, f, "s"), at(5*time.Second))
-	other := born(400, 1)
+	f.Update(entryStartedAt(200, 1), at(2*time.Second))
+	second := onlyMember(t, f, "s")
+	f.Update(entryStartedAt(300, 1), at(3*time.Second))
+	test.True(t, f.Drain(second, at(4*time.Second)), test.Sprint("late report"))
+	test.Eq(t, 300, onlyMember(t, f, "s").Born)
+	f.Drain(onlyMember(t, f, "s"), at(5*time.Second))
+	other := entryStartedAt(400, 1)
 	other.ID = "another"
 	f.Update(other, at(6*time.Second))
-	test.Eq(t, "another", only(t, f, "s").ID)
+	test.Eq(t, "another", onlyMember(t, f, "s").ID)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet holds the endpoints that a node may send requests to, and what the
-// node itself has seen of each.
+// Package fleet holds the endpoints that a node may send requests to, and what this node has observed
+// of each.
 //
-// Guarantees: an endpoint that was seen draining, or told that it drains, is never picked again before it has
-// started anew, whatever older entries say later; nor is a start of an endpoint that a
-// later one under the same id has replaced. Nothing that was seen of an earlier start
-// counts for a later one.
+// Guarantees: an endpoint that was seen or reported as draining is not selected again before it has
+// restarted, whatever older entries state later. A start of an endpoint is not selected again once a
+// later start under the same id has replaced it. Observations of one start are not applied to a later
+// one.
 package fleet
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/rs/zerolog"
 )
 
-// startMemory is how long the newest start of an endpoint is remembered after its entry
-// is gone, so that an old entry which arrives late doesn't bring it, or one before it,
-// back. Late entries are at most some heartbeats old.
-const startMemory = time.Minute
+// startRetention is how long the newest start of an endpoint is remembered after its entry is gone, so
+// that a late entry of the same or an earlier start does not bring it back. Late entries are at most a
+// few heartbeats old.
+const startRetention = time.Minute
 
-// Endpoint is an endpoint's entry in the registry. It is never changed in place.
+// Endpoint is an endpoint's entry in the registry. It is immutable.
 type Endpoint struct {
 	ID       string
 	Service  string
@@ -28,9 +28,9 @@
 	Domain   string // failure domain
 	Slots    int
 	Draining bool
-	ColdLeft time.Duration // how much longer it is cold: it takes few requests, and may be slow
-	// Born is its start in Unix milliseconds, 0 if not said. A restart under the same ID has a
-	// later one: it holds and knows nothing of before.
+	ColdLeft time.Duration // remaining cold period, in which it accepts few requests and may be slow
+	// Born is the start time in Unix milliseconds, 0 if not reported. A restart under the same ID has a
+	// later one and shares no state with the previous start.
 	Born    int64
 	Weights []Weights
 }
@@ -41,7 +41,7 @@
 	Version int64
 }
 
-// VersionOf returns the version of the model that the endpoint has, or 0.
+// VersionOf returns the version of the model in the entry, or 0 if the entry does not list the model.
 func (e *Endpoint) VersionOf(model string) int64 {
 	for _, w := range e.Weights {
 		if w.Model == model {
@@ -51,7 +51,7 @@
 	return 0
 }
 
-// drained returns the entry as that of an endpoint that drains.
+// drained returns a copy of the entry marked as draining.
 func (e *Endpoint) drained() *Endpoint {
 	drained := *e
 	drained.Draining = true
@@ -64,55 +64,56 @@
 
 	mu      sync.Mutex
 	members map[string]*Member
-	atAddr  map[string]*Member // the member that was known last at each address
-	newest  map[string]start   // by endpoint, also of those that are gone
-	// together is the number of Together calls under way, and stale is true where the view lacks
-	// what they changed.
-	together int
-	stale    bool
-	rebuilds int // views ever made
-	view     atomic.Pointer[view]
+	byAddr  map[string]*Member // the latest member at each address
+	latest  map[string]start   // latest start by endpoint id, also of removed endpoints
+	// openBatches is the number of Together calls in progress. stale is true if the view lacks changes
+	// made in them.
+	openBatches int
+	stale       bool
+	rebuilds    int // number of views built so far
+	view        atomic.Pointer[view]
 }
 
-// start is the newest start of an endpoint.
+// start is the latest start of an endpoint.
 type start struct {
-	born     int64 // Unix milliseconds, 0 if not said
-	draining bool  // it was seen draining, or told that it drains
-	seen     time.Time
-	// load is what this node has under way there, also while its entry is missing: one that is
-	// back after a lapse has the same runs.
+	startedMillis int64 // Unix milliseconds, 0 if not reported
+	draining      bool  // its entry or one of its answers said that it drains
+	lastSeen      time.Time
+	// load counts this node's requests in flight at this start. It is kept while the entry is missing,
+	// because an endpoint that is back after a lapse still runs them.
 	load *Load
-	// signals are what it told of itself, for the same reason.
+	// signals are the reports in its answers, kept for the same reason.
 	signals *Signals
 }
 
 // New returns an empty fleet.
 func New(log zerolog.Logger) *Fleet {
-	f := &Fleet{log: log, members: make(map[string]*Member), atAddr: make(map[string]*Member), newest: make(map[string]start)}
+	f := &Fleet{log: log, members: make(map[string]*Member), byAddr: make(map[string]*Member), latest: make(map[string]start)}
 	f.view.Store(&view{})
 	return f
 }
 
-// Update takes an endpoint's entry. One of an earlier start than the newest known is dropped,
-// as it arrived late, and so is one that names no start though the endpoint does.
+// Update applies an endpoint's entry. An entry of an earlier start than the latest known one has
+// arrived late and is dropped, and so is an entry without a start time if the endpoint has reported one
+// before.
 func (f *Fleet) Update(e *Endpoint, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, known := f.newest[e.ID]
-	e, current := f.date(e, now)
+	_, known := f.latest[e.ID]
+	e, current := f.reconcile(e, now)
 	if !current {
 		return
 	}
 	if !known {
-		f.succeed(e, now)
+		f.markAddressReused(e, now)
 	}
 	m := f.members[e.ID]
-	if m != nil && m.at(e) {
+	if m != nil && m.matches(e) {
 		before := m.Endpoint()
-		m.take(e, now)
-		m.lapsed = time.Time{}
+		m.applyEntry(e, now)
+		m.keepUntil = time.Time{}
 		if before.Draining == e.Draining {
-			return // a heartbeat, which changes no list
+			return // heartbeat only; the view is unchanged
 		}
 	} else {
 		f.replace(m, e, now)
@@ -122,11 +123,11 @@
 	f.rebuild()
 }
 
-// Outdated reports whether Update drops an entry.
+// Outdated reports whether Update would drop an entry.
 func (f *Fleet) Outdated(e *Endpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	newest := f.newest[e.ID].born
+	newest := f.latest[e.ID].startedMillis
 	if e.Born >= newest {
 		return false
 	}
@@ -134,30 +135,31 @@
 	return true
 }
 
-// date returns the entry with what is known of its start, and false where a later start is
-// known. An entry without a start is not the endpoint's own where that has said one before.
-func (f *Fleet) date(e *Endpoint, now time.Time) (dated *Endpoint, current bool) {
-	newest := f.newest[e.ID]
+// reconcile records the start of an entry and returns the entry, marked as draining if that start is
+// known to drain. It returns false if a later start is known; an entry without a start time counts as
+// earlier than any with one.
+func (f *Fleet) reconcile(e *Endpoint, now time.Time) (reconciled *Endpoint, current bool) {
+	newest := f.latest[e.ID]
 	switch {
-	case e.Born < newest.born:
+	case e.Born < newest.startedMillis:
 		return e, false
-	case e.Born > newest.born:
-		newest = start{born: e.Born}
+	case e.Born > newest.startedMillis:
+		newest = start{startedMillis: e.Born}
 	}
 	newest.draining = newest.draining || e.Draining
-	newest.seen = now
+	newest.lastSeen = now
 	if newest.load == nil {
 		newest.load, newest.signals = &Load{}, &Signals{}
 	}
-	f.newest[e.ID] = newest
+	f.latest[e.ID] = newest
 	if e.Draining == newest.draining {
 		return e, true
 	}
 	return e.drained(), true
 }
 
-// replace puts the member of an entry in the place of the one before, which may be nil.
-// Requests that are under way there go on.
+// replace installs a member for the entry in place of before, which may be nil. Requests in flight at
+// the previous member continue.
 func (f *Fleet) replace(before *Member, e *Endpoint, now time.Time) {
 	m := newMember(e, now)
 	if before != nil {
@@ -165,18 +167,18 @@
 			m = before.moved(e, now)
 		}
 		before.Pool.CloseIdle()
-		f.leave(before)
+		f.clearAddr(before)
 	}
-	m.Load, m.Signals = f.newest[e.ID].load, f.newest[e.ID].signals
+	m.Load, m.Signals = f.latest[e.ID].load, f.latest[e.ID].signals
 	f.members[e.ID] = m
-	f.atAddr[e.Addr] = m
+	f.byAddr[e.Addr] = m
 }
 
-// succeed has the endpoint be avoided whose address an endpoint that was never known has now: it has
-// ended, though its entry stays for some heartbeats. It isn't dropped, as a late entry of one that
-// ended before may look the same.
-func (f *Fleet) succeed(e *Endpoint, now time.Time) {
-	before := f.atAddr[e.Addr]
+// markAddressReused records that the endpoint which had the address of e, a newly seen endpoint, has
+// ended, though its entry remains for some heartbeats. The old member is not removed, because a late
+// entry of an endpoint that ended earlier can look the same.
+func (f *Fleet) markAddressReused(e *Endpoint, now time.Time) {
+	before := f.byAddr[e.Addr]
 	if before == nil || f.members[before.ID] != before {
 		return
 	}
@@ -184,21 +186,21 @@
 	f.log.Info().Str("event", "endpoint_succeeded").Str("endpoint", before.ID).Str("by", e.ID).Str("addr", e.Addr).Send()
 }
 
-// Drain notes that an endpoint told in an answer to this node that it drains. It counts as draining until it
-// starts anew, whatever its entry says, now or once the registry is back. It reports whether that is
-// news.
-func (f *Fleet) Drain(m *Member, now time.Time) (news bool) {
+// Drain records that an endpoint reported in an answer to this node that it drains. It counts as
+// draining until it restarts, whatever its entry states, also after a registry outage. Drain reports
+// whether this start had not reported it before.
+func (f *Fleet) Drain(m *Member, now time.Time) (first bool) {
 	if !m.Signals.SetDraining(now) {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s, known := f.newest[m.ID]
-	if !known || s.born != m.Born {
-		return true // a later start has taken its place, which told nothing
+	s, known := f.latest[m.ID]
+	if !known || s.startedMillis != m.Born {
+		return true // replaced by a later start, which has not reported draining
 	}
 	s.draining = true
-	f.newest[m.ID] = s
+	f.latest[m.ID] = s
 	if listed := f.members[m.ID]; listed != nil && listed.Born == m.Born {
 		listed.drain()
 		f.rebuild()
@@ -206,32 +208,32 @@
 	return true
 }
 
-// Remove takes an endpoint off at once.
+// Remove removes an endpoint immediately.
 func (f *Fleet) Remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m, known := f.members[id]; known {
-		f.drop(m)
+		f.removeMember(m)
 		f.rebuild()
 	}
 }
 
-// leave notes that a member is no more what is known at its address.
-func (f *Fleet) leave(m *Member) {
-	if addr := m.Endpoint().Addr; f.atAddr[addr] == m {
-		delete(f.atAddr, addr)
+// clearAddr removes a member from the address index unless another member has the address now.
+func (f *Fleet) clearAddr(m *Member) {
+	if addr := m.Endpoint().Addr; f.byAddr[addr] == m {
+		delete(f.byAddr, addr)
 	}
 }
 
-// drop forgets a member. Requests that are under way at it go on.
-func (f *Fleet) drop(m *Member) {
+// removeMember removes a member. Requests in flight at it continue.
+func (f *Fleet) removeMember(m *Member) {
 	delete(f.members, m.ID)
-	f.leave(m)
+	f.clearAddr(m)
 	m.Pool.CloseIdle()
 	f.log.Info().Str("event", "endpoint_gone").Str("endpoint", m.ID).Str("service", m.Service).Send()
 }
 
-// Missing returns the endpoints that are not in ids.
+// Missing returns the known endpoints that are not in ids.
 func (f *Fleet) Missing(ids map[string]bool) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -244,20 +246,20 @@
 	return missing
 }
 
-// Expire ends lapses, and drops what was believed beyond entries that are newer. It is called
-// with the registry's copy current.
+// Expire removes endpoints whose lapse period is over and discards outdated weight estimates and start
+// records. Call it only while the registry copy is current.
 func (f *Fleet) Expire(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endLapses(now)
 	for _, m := range f.members {
-		if m.lapsed.IsZero() {
-			m.settle(now)
+		if m.keepUntil.IsZero() {
+			m.expireEstimate(now)
 		}
 	}
-	for id, s := range f.newest {
-		if _, listed := f.members[id]; !listed && now.Sub(s.seen) > startMemory {
-			delete(f.newest, id)
+	for id, s := range f.latest {
+		if _, listed := f.members[id]; !listed && now.Sub(s.lastSeen) > startRetention {
+			delete(f.latest, id)
 		}
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -20,8 +20,7 @@
 
 func usable(f *fleet.Fleet) bool { return len(f.Members("s")) == 1 }
 
-// TestDrainingStays keeps an old entry, which arrives late, from bringing a leaving
-// endpoint back.
+// TestDrainingStays checks that an old entry that arrives late does not bring a draining endpoint back.
 func TestDrainingStays(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	f.Update(endpoint(false), at(0))
@@ -43,8 +42,8 @@
 	test.False(t, usable(f))
 }
 
-// TestLapse uses an endpoint whose entry went during an outage of the registry until
-// it would have come back.
+// TestLapse checks that an endpoint whose entry disappeared during a registry outage is used until the
+// end of its lapse period.
 func TestLapse(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	f.Update(endpoint(false), at(0))
@@ -56,7 +55,7 @@
 	test.True(t, usable(f), test.Sprint("back in the registry"))
 	f.Lapse("e", at(13*time.Second))
 	f.Expire(at(13 * time.Second))
-	test.False(t, usable(f), test.Sprint("gone for good"))
+	test.False(t, usable(f), test.Sprint("not back before the lapse period ended"))
 }
 
 func TestHealth(t *testing.T) {
@@ -71,14 +70,14 @@
 		h.Failed(at(time.Second), false)
 	}
 	test.Greater(t, 0.35, h.FailureRate(at(time.Second)))
-	test.False(t, h.Usable(at(3*time.Second)), test.Sprint("too many errors"))
+	test.False(t, h.Usable(at(3*time.Second)), test.Sprint("failure rate too high"))
 	h.Succeeded(at(3 * time.Second))
 	test.True(t, h.Usable(at(10*time.Second)))
-	test.Less(t, 0.35/4, h.FailureRate(at(20*time.Second)), test.Sprint("nothing was heard of it for long"))
+	test.Less(t, 0.35/4, h.FailureRate(at(20*time.Second)), test.Sprint("the rate decays without outcomes"))
 }
 
-// TestEndedEndpointIsAvoided: an endpoint that ended under a request gets none until its entry has
-// lapsed, 3 s to 4 s later.
+// TestEndedEndpointIsAvoided checks that an endpoint that ended during a request gets no further ones
+// until its entry has expired, 3 s to 4 s later.
 func TestEndedEndpointIsAvoided(t *testing.T) {
 	var h fleet.Health
 	h.Ended(at(0))
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -9,52 +9,51 @@
 )
 
 const (
-	// ejectBase is the first time for which a failing endpoint gets no requests;
-	// each further failure in a row doubles it up to ejectMax. A crashed endpoint
-	// leaves the registry after three heartbeats, 3.6 s, so longer ones gain
-	// nothing.
+	// ejectBase is how long a failing endpoint gets no requests after its first failure. Each further
+	// consecutive failure doubles it, up to ejectMax. A crashed endpoint's entry expires after three
+	// heartbeats, 3.6 s, so a longer ejection has no benefit.
 	ejectBase = 300 * time.Millisecond
 	ejectMax  = 3 * time.Second
-	// failureDecay is the weight of the newest outcome in the failure rate: about
-	// ten outcomes are remembered.
+	// failureDecay is the weight of the newest outcome in the failure rate, which covers about ten
+	// outcomes.
 	failureDecay = 0.12
-	// ejectRate is the failure rate from which an endpoint is avoided. Services
-	// answer up to 14% of requests with errors of their own in sound health.
+	// ejectRate is the failure rate from which an endpoint is ejected. Services in normal operation
+	// answer up to 14% of requests with errors of their own.
 	ejectRate = 0.35
-	// failureHalfLife is the time in which a failure rate falls to half without any
-	// outcome: an endpoint that is avoided has none, and may be sound again.
+	// failureHalfLife is the time in which the failure rate halves without new outcomes: an ejected
+	// endpoint gets no requests and may have recovered.
 	failureHalfLife = 5 * time.Second
 )
 
-// Health judges an endpoint by the outcomes that this node saw. Its zero value is
-// that of an endpoint nothing is known of. It is safe for concurrent use.
+// Health tracks the outcomes that this node has observed at an endpoint. The zero value has no
+// observations. It is safe for concurrent use.
 type Health struct {
-	mu      sync.Mutex
-	rate    decay.Average             // of failures
-	inRow   int                       // connection failures
-	ejected atomic.Pointer[time.Time] // until when it gets no requests; written under mu; nil where it never was
+	mu                  sync.Mutex
+	rate                decay.Average             // failure rate
+	consecutiveFailures int                       // consecutive connection failures
+	ejected             atomic.Pointer[time.Time] // end of the ejection; written under mu; nil if never ejected
 }
 
-// Succeeded notes an answer that was sound.
+// Succeeded records a successful answer.
 func (h *Health) Succeeded(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.note(now, 0)
-	h.inRow = 0
+	h.recordOutcome(now, 0)
+	h.consecutiveFailures = 0
 }
 
-// Failed notes a failed attempt. Where the endpoint could not be reached, or broke
-// the connection, broken is true: then it gets no requests for a while. It reports
-// whether the endpoint is avoided from now on and was not before.
-func (h *Health) Failed(now time.Time, broken bool) (avoided bool) {
+// Failed records a failed attempt. broken is true if the endpoint could not be reached or broke the
+// connection, which ejects it for a while; other failures eject it once the failure rate exceeds
+// ejectRate. It reports whether the endpoint became ejected by this call.
+func (h *Health) Failed(now time.Time, broken bool) (ejected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	usable := h.Usable(now)
-	h.note(now, 1)
+	h.recordOutcome(now, 1)
 	switch {
 	case broken:
-		h.eject(now, min(ejectBase<<min(h.inRow, 4), ejectMax))
-		h.inRow++
+		h.eject(now, min(ejectBase<<min(h.consecutiveFailures, 4), ejectMax))
+		h.consecutiveFailures++
 	case h.rate.At(failureHalfLife, now) > ejectRate:
 		h.eject(now, ejectMax)
 	default:
@@ -63,15 +62,15 @@
 	return usable
 }
 
-// Ended notes that the endpoint ended: it gets no requests until its entry is gone. A refused
-// connection would tell as much, at the price of one of each request's few sends.
+// Ended records that the endpoint ended and ejects it until its entry is gone. Waiting for a refused
+// connection instead would use up one of the few send attempts of each request.
 func (h *Health) Ended(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.eject(now, ejectMax)
 }
 
-// Refused notes that the endpoint would not take a request for now.
+// Refused records that the endpoint refused a request, and ejects it for pause.
 func (h *Health) Refused(now time.Time, pause time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,20 +84,21 @@
 	}
 }
 
-// Usable reports whether the endpoint should get requests. Each request asks it of each endpoint.
+// Usable reports whether the endpoint may get requests. It takes no lock, because every request calls
+// it for every endpoint.
 func (h *Health) Usable(now time.Time) bool {
 	until := h.ejected.Load()
 	return until == nil || !now.Before(*until)
 }
 
-// FailureRate returns the recent share of failed attempts, 0 to 1.
+// FailureRate returns the recent share of failed attempts, from 0 to 1.
 func (h *Health) FailureRate(now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.rate.At(failureHalfLife, now)
 }
 
-// note takes an outcome, 1 for a failure, into the rate.
-func (h *Health) note(now time.Time, outcome float64) {
+// recordOutcome adds an outcome to the failure rate: 1 for a failure, 0 for a success.
+func (h *Health) recordOutcome(now time.Time, outcome float64) {
 	h.rate.Note(outcome, failureDecay, failureHalfLife, now)
 }
--- a/internal/fleet/lapse.go
+++ b/internal/fleet/lapse.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Lapse takes an endpoint off whose entry may only have lapsed during an outage of the registry:
-// it stays until a time, unless it was draining or is back by then.
+// Lapse schedules the removal of an endpoint whose entry may only have expired because of a registry
+// outage. It is removed at the given time unless its entry is back by then, or immediately if it was
+// draining.
 func (f *Fleet) Lapse(id string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, known := f.members[id]
 	switch {
-	case !known || !m.lapsed.IsZero():
+	case !known || !m.keepUntil.IsZero():
 	case m.Endpoint().Draining:
-		f.drop(m)
+		f.removeMember(m)
 		f.rebuild()
 	default:
-		m.lapsed = until
+		m.keepUntil = until
 		f.log.Info().Str("event", "endpoint_lapsed").Str("endpoint", id).Send()
 	}
 }
 
-// EndLapses drops the endpoints whose entries lapsed and whose time is over.
+// EndLapses removes the endpoints whose lapse period is over.
 func (f *Fleet) EndLapses(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,8 +30,8 @@
 func (f *Fleet) endLapses(now time.Time) {
 	changed := false
 	for _, m := range f.members {
-		if !m.lapsed.IsZero() && !now.Before(m.lapsed) {
-			f.drop(m)
+		if !m.keepUntil.IsZero() && !now.Before(m.keepUntil) {
+			f.removeMember(m)
 			changed = true
 		}
 	}
--- a/internal/fleet/ratelimit.go
+++ b/internal/fleet/ratelimit.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// RateLimit is what an endpoint told last of how many requests it takes.
+// RateLimit is the request rate limit that an endpoint last reported.
 type RateLimit struct {
-	// PerSecond is the number of requests in a second that it takes from all nodes together.
+	// PerSecond is the number of requests per second that it accepts from all nodes together.
 	PerSecond float64
-	InForce   bool      // false once it names no limit any more
-	At        time.Time // when it told so
-	// Own is true for what it told this node, and false for what another node tells.
+	InForce   bool      // false once the endpoint has stopped reporting a limit
+	At        time.Time // when it was reported
+	// Own is true if the endpoint reported it to this node, and false if another node relayed it.
 	Own bool
 }
 
-// RateLimit returns what the endpoint told last of a limit; false where it never named one.
+// RateLimit returns the last reported limit, or false if the endpoint never reported one.
 func (s *Signals) RateLimit() (limit RateLimit, known bool) {
 	if l := s.limit.Load(); l != nil {
 		return *l, true
@@ -20,8 +20,8 @@
 	return RateLimit{}, false
 }
 
-// SetLimit notes an answer that came at a time and names a limit. It reports whether that differs
-// from what was known.
+// SetLimit records a limit from an answer received at the given time, unless a newer report is known.
+// It reports whether the limit in force changed.
 func (s *Signals) SetLimit(perSecond float64, at time.Time) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,8 +33,9 @@
 	return before == nil || !before.InForce || before.PerSecond != perSecond
 }
 
-// ClearLimit notes an answer that came at a time and names none. It reports whether that ends a
-// limit: the answer to a request that was sent before the limit was named may only have come late.
+// ClearLimit records an answer without a limit, to a request sent at sent and answered at at. It
+// reports whether this ended a limit. An answer to a request that was sent before the limit was
+// reported is ignored.
 func (s *Signals) ClearLimit(sent, at time.Time) (ended bool) {
 	if s.limit.Load() == nil {
 		return false
@@ -49,8 +50,8 @@
 	return before.InForce
 }
 
-// HearLimit notes a limit, or its end, of which another node tells. It reports whether that differs from what was
-// known; what is older than that changes nothing.
+// HearLimit records a limit, or the end of one, relayed by another node. It is ignored unless it is
+// newer than the last report. It reports whether the limit in force changed.
 func (s *Signals) HearLimit(l RateLimit) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/ratelimit_test.go
+++ b/internal/fleet/ratelimit_test.go
@@ -17,17 +17,17 @@
 	return f.Members("s")[0]
 }
 
-// TestRateLimit follows what the endpoint tells, in the order in which it told it.
+// TestRateLimit checks that reports are applied in the order in which the endpoint made them.
 func TestRateLimit(t *testing.T) {
 	m := newTestMember(t)
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	_, known := m.Signals.RateLimit()
 	test.False(t, known)
-	test.False(t, m.Signals.ClearLimit(at(0), at(1)), test.Sprint("none was named"))
+	test.False(t, m.Signals.ClearLimit(at(0), at(1)), test.Sprint("no limit was reported"))
 	test.True(t, m.Signals.SetLimit(2.8, at(10)))
-	test.False(t, m.Signals.SetLimit(2.8, at(20)), test.Sprint("the same again"))
-	test.False(t, m.Signals.ClearLimit(at(15), at(30)), test.Sprint("the answer to a request that was sent before"))
+	test.False(t, m.Signals.SetLimit(2.8, at(20)), test.Sprint("same limit again"))
+	test.False(t, m.Signals.ClearLimit(at(15), at(30)), test.Sprint("answer to a request sent before the limit was reported"))
 	test.True(t, m.Signals.SetLimit(1.5, at(40)))
 	test.False(t, m.Signals.SetLimit(9, at(35)), test.Sprint("older"))
 	limit, _ := m.Signals.RateLimit()
@@ -36,23 +36,24 @@
 	limit, known = m.Signals.RateLimit()
 	test.True(t, known)
 	test.False(t, limit.InForce)
-	test.False(t, m.Signals.ClearLimit(at(70), at(80)), test.Sprint("it ended before"))
+	test.False(t, m.Signals.ClearLimit(at(70), at(80)), test.Sprint("the limit ended before"))
 }
 
-// TestRateLimitOfOneStart doesn't carry a limit over to a later start under the same id.
-func TestRateLimitOfOneStart(t *testing.T) {
+// TestRateLimitIsNotInheritedByLaterStart checks that a limit applies to one start of the endpoint,
+// whatever its address, and not to a later start under the same id.
+func TestRateLimitIsNotInheritedByLaterStart(t *testing.T) {
 	f := New(zerolog.Nop())
 	now := time.Now()
 	f.Update(&Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1", Born: 1}, now)
 	f.Members("s")[0].Signals.SetLimit(1, now)
 	f.Update(&Endpoint{ID: "e", Service: "s", Addr: "10.0.0.2:1", Born: 1}, now)
 	limit, _ := f.Members("s")[0].Signals.RateLimit()
-	test.True(t, limit.InForce, test.Sprint("the same start at another address"))
+	test.True(t, limit.InForce, test.Sprint("same start at another address"))
 	f.Remove("e")
 	f.Update(&Endpoint{ID: "e", Service: "s", Addr: "10.0.0.2:1", Born: 1}, now)
 	limit, _ = f.Members("s")[0].Signals.RateLimit()
-	test.True(t, limit.InForce, test.Sprint("the same start, back after its entry was missing"))
+	test.True(t, limit.InForce, test.Sprint("same start, back after its entry was missing"))
 	f.Update(&Endpoint{ID: "e", Service: "s", Addr: "10.0.0.2:1", Born: 2}, now)
 	_, known := f.Members("s")[0].Signals.RateLimit()
-	test.False(t, known, test.Sprint("a later start"))
+	test.False(t, known, test.Sprint("later start"))
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -6,39 +6,43 @@
 	"time"
 )
 
-// Status is what keeps requests from an endpoint, as this node knows it: for operators.
+// Status describes, for operators, the restrictions on sending requests to an endpoint that this node
+// knows of.
 type Status struct {
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	Addr     string `json:"addr"`
 	Domain   string `json:"domain"`
-	Born     int64  `json:"born,omitempty"` // its start in Unix milliseconds, 0 if not said
-	// Limit is the number of requests in a second that it takes from all nodes together; nil for any number.
+	Born     int64  `json:"born,omitempty"` // start time in Unix milliseconds, 0 if not reported
+	// Limit is the number of requests per second that it accepts from all nodes together; nil if
+	// unlimited.
 	Limit *LimitStatus `json:"limit,omitempty"`
-	// Backoff is the time for which it wants no requests of this node; nil for none.
+	// Backoff is the period in which it accepts no requests from this node; nil if none.
 	Backoff *BackoffStatus `json:"backoff,omitempty"`
-	// DrainingForMs is how long ago it first told this node that it drains; nil where it never did. Draining is
-	// true for that, or where its entry says so.
+	// DrainingForMs is how long ago it first reported to this node that it drains; nil if never.
+	// Draining is also true if its entry is marked as draining.
 	DrainingForMs *int64 `json:"draining_for_ms,omitempty"`
 	Draining      bool   `json:"draining,omitempty"`
 	Cold          bool   `json:"cold,omitempty"`
 }
 
-// LimitStatus is a limit with its age. Own is true where it came in an answer to this node, false where another node
-// told of it.
+// LimitStatus is a rate limit with its age. Own is true if the endpoint reported it to this node, and
+// false if another node relayed it.
 type LimitStatus struct {
 	PerSecond float64 `json:"per_s"`
 	Own       bool    `json:"own"`
 	AgeMs     int64   `json:"age_ms"`
 }
 
-// BackoffStatus is a backoff that an endpoint asked this node for, last so long ago.
+// BackoffStatus is a backoff that an endpoint requested of this node: the time left, and the time since
+// it last requested it.
 type BackoffStatus struct {
 	LeftMs int64 `json:"left_ms"`
 	AgeMs  int64 `json:"age_ms"`
 }
 
-// Restricted returns the endpoints that don't take any number of requests, in the order of their ids.
+// Restricted returns the endpoints with a limit or backoff, and those that drain or are cold, sorted by
+// id.
 func (f *Fleet) Restricted(now time.Time) []Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// view is the immutable list that requests read.
+// view is an immutable snapshot of the usable endpoints. Requests read it without a lock.
 type view struct {
 	byService map[string][]*Member
 }
 
-// Members returns the endpoints of a service that take requests. The caller must
-// not change the slice.
+// Members returns the endpoints of a service that accept requests. The caller must not modify the
+// slice.
 func (f *Fleet) Members(service string) []*Member { return f.view.Load().byService[service] }
 
-// Member returns the endpoint of an id, nil where there is none that takes requests.
+// Member returns the endpoint with an id, or nil if there is none that accepts requests.
 func (f *Fleet) Member(id string) *Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// All returns every endpoint that takes requests.
+// All returns all endpoints that accept requests.
 func (f *Fleet) All() []*Member {
 	var all []*Member
 	for _, members := range f.view.Load().byService {
@@ -33,37 +33,37 @@
 	return all
 }
 
-// Empty reports whether no endpoint is known.
+// Empty reports whether there is no endpoint that accepts requests.
 func (f *Fleet) Empty() bool { return len(f.view.Load().byService) == 0 }
 
-// Together makes one new list of what change does to the fleet by the other methods, when it is done.
-// Made after each of the thousands of entries that a node reads when it starts, the lists take a small
-// host seconds.
+// Together runs change and rebuilds the view once afterwards, instead of after each modification of the
+// fleet made by change. Rebuilding after each of the thousands of entries that a node reads at startup
+// takes seconds on a small host.
 func (f *Fleet) Together(change func()) {
 	f.mu.Lock()
-	f.together++
+	f.openBatches++
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.together--; f.together == 0 && f.stale {
+		if f.openBatches--; f.openBatches == 0 && f.stale {
 			f.rebuild()
 		}
 	}()
 	change()
 }
 
-// Rebuilds returns how often the list that requests read was made.
+// Rebuilds returns how often the view has been rebuilt.
 func (f *Fleet) Rebuilds() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rebuilds
 }
 
-// rebuild makes the list that requests read, in the order of the endpoints' ids. Within Together it
-// leaves that to its end.
+// rebuild builds a new view, sorted by endpoint id. Within Together it is deferred to the end of the
+// call.
 func (f *Fleet) rebuild() {
-	if f.stale = f.together > 0; f.stale {
+	if f.stale = f.openBatches > 0; f.stale {
 		return
 	}
 	f.rebuilds++
--- /dev/null
+++ b/internal/fleet/weights.go
@@ -0,0 +1,152 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// maxEntryAge is the maximum age of the newest registry entry known to a node: a heartbeat interval
+	// of 1.2 s plus a registry copy that is up to 2.5 s old. A report older than this yields to the
+	// entry.
+	maxEntryAge = 4 * time.Second
+	// guessTTL is how long a guessed version is kept without an answer that confirms it. By then the
+	// endpoint's next heartbeat has been read.
+	guessTTL = 2 * time.Second
+	// refreshAfter is the age from which a report is replaced by a newer one with the same content.
+	refreshAfter = 500 * time.Millisecond
+)
+
+// Statement is a weights version reported by the endpoint itself, in an answer or in a status report.
+type Statement struct {
+	Weights
+	Born int64     // start time of the reporting endpoint; 0 if unknown
+	At   time.Time // earliest time at which it was true
+}
+
+// weightsEstimate is what this node knows about an endpoint's weights beyond its registry entry.
+type weightsEstimate struct {
+	Weights           // a version of 0 means unknown
+	at      time.Time // earliest time at which it was true
+	// direct is true for a report made by the endpoint to this node, and false for reports relayed by
+	// other nodes and for guesses.
+	direct bool
+	// guess is true if the version was only inferred from a refusal.
+	guess bool
+}
+
+// VersionOf returns the estimated version of the model at the endpoint, or 0 if unknown. The estimate
+// can be too old or too new, so each request states the version that it expects.
+func (m *Member) VersionOf(model string) int64 {
+	if b := m.estimate.Load(); b != nil && b.Model == model {
+		return b.Version
+	}
+	return m.Endpoint().VersionOf(model)
+}
+
+// Seen returns the weights that the endpoint reported to this node and that its registry entry does not
+// contain yet. It returns false if there are none.
+func (m *Member) Seen() (Statement, bool) {
+	b := m.estimate.Load()
+	if b == nil || !b.direct || b.Version == m.Endpoint().VersionOf(b.Model) {
+		return Statement{}, false
+	}
+	return Statement{Weights: b.Weights, Born: m.Born, At: b.at}, true
+}
+
+// Saw records the weights that the endpoint reported to this node. The newest report applies even if it
+// names an older version, since a delayed order, or one undone by a crash, can bring older weights
+// back. Reports by another start of the endpoint are discarded, and so are answers to requests that
+// were sent before the entry announced newer weights.
+func (m *Member) Saw(s Statement) { m.recordReport(s, true) }
+
+// Heard records weights that the endpoint reported to another node.
+func (m *Member) Heard(s Statement) { m.recordReport(s, false) }
+
+func (m *Member) recordReport(s Statement, direct bool) {
+	if s.Born != 0 && m.Born != 0 && s.Born != m.Born {
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	b := m.estimate.Load()
+	switch listed := m.Endpoint().VersionOf(s.Model); {
+	case b != nil && b.Model == s.Model:
+		if b.supersedes(&s, direct) {
+			return
+		}
+	case s.Version == listed, s.Version < listed && s.At.Before(m.weightsChanged):
+		return
+	}
+	m.estimate.Store(&weightsEstimate{Weights: s.Weights, at: s.At, direct: direct})
+}
+
+// supersedes reports whether the current estimate stays in place when report s about the same model
+// arrives, because s is older or repeats it.
+func (b *weightsEstimate) supersedes(s *Statement, direct bool) bool {
+	same := b.Version == s.Version && (b.direct || !direct)
+	return s.At.Before(b.at) || same && s.At.Sub(b.at) < refreshAfter
+}
+
+// Refuted records that the endpoint refused a request because it does not have the expected version.
+// The estimate becomes the version in its entry or, if that is the refused one, the next version. If
+// the refused version was itself a guess, the version is unknown until the endpoint reports it.
+func (m *Member) Refuted(model string, version int64, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.VersionOf(model) != version {
+		return // newer information has arrived since
+	}
+	next := &weightsEstimate{Weights: Weights{Model: model}, at: now, guess: true}
+	b := m.estimate.Load()
+	listed := m.Endpoint().VersionOf(model)
+	switch {
+	case b != nil && b.guess:
+	case listed != version:
+		next.Version = listed
+	default:
+		next.Version = version + 1
+	}
+	m.estimate.Store(next)
+}
+
+// applyEntry stores a newer entry of the same start. It discards the estimate if the entry names the
+// estimated version or an older version than the previous entry did, or if the entry's version changed
+// and the estimate is older or a guess.
+func (m *Member) applyEntry(e *Endpoint, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	before := m.Endpoint()
+	m.entry.Store(e)
+	m.applyColdLeft(before, e, now)
+	if !slices.Equal(before.Weights, e.Weights) {
+		m.weightsChanged = now
+	}
+	b := m.estimate.Load()
+	if b == nil {
+		return
+	}
+	listed, last := e.VersionOf(b.Model), before.VersionOf(b.Model)
+	changed := listed != last
+	if listed == b.Version || listed < last || changed && (b.guess || listed > b.Version) {
+		m.estimate.Store(nil)
+	}
+}
+
+// expireEstimate discards an estimate that is older than the entry can be, as the endpoint would have
+// included it in the entry.
+func (m *Member) expireEstimate(now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	b := m.estimate.Load()
+	if b == nil {
+		return
+	}
+	limit := maxEntryAge
+	if b.guess {
+		limit = guessTTL
+	}
+	if now.Sub(b.at) > limit {
+		m.estimate.Store(nil)
+	}
+}
