--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -1,17 +1,19 @@
-// Package throttle bounds the requests that all nodes together send to an endpoint that names a limit.
+// Package throttle limits the requests that all nodes together send to an endpoint that reports a rate
+// limit.
 //
-// Few nodes send to such an endpoint, chosen by rendezvous hashing over the members of a view that all
-// nodes read from the same place, and each sends only its share in any window. Nothing is told or agreed on
-// for it, so that it holds at any number of nodes, while messages are lost, and for nodes that are cut off
-// or just started. A node that isn't among them leaves the endpoint to the others.
+// Only a few nodes send to such an endpoint. They are selected by rendezvous hashing over a member list
+// that all nodes read from the same source, and each sends only its share per window. This needs no
+// communication between nodes, so it works for any number of nodes, with lost messages, and for nodes
+// that are partitioned or have just started. A node that is not selected sends nothing to the endpoint.
 //
-// Where an endpoint has told nothing for long, as its senders are gone or have no callers, nodes take turns at a
-// trial request, one for all nodes in each turn: a node that sends nothing would never hear that a limit
-// ended.
+// If an endpoint has not reported anything for a long time, because its senders are gone or have no
+// clients, the nodes take turns in sending a trial request, one per turn across all nodes. Otherwise a
+// node that sends nothing would never learn that a limit has ended.
 //
-// Guarantee: nodes whose views of the members hold at most two sets of senders of an endpoint, as while
-// members come or go, send it at most 1.5 times its limit and 5 requests more in any 4 s. One set sends no
-// more than the limit. A node that isn't in its own view, or whose view is too old, sends nothing.
+// Guarantee: nodes whose member lists yield at most two sets of senders for an endpoint, as during a
+// membership change, send it at most 1.5 times its limit plus 5 requests in any 4 s. A single set stays
+// within the limit. A node that is missing from its own member list, or whose list is too old, sends
+// nothing.
 package throttle
 
 import (
@@ -23,41 +25,42 @@
 )
 
 const (
-	// staleAfter is the age of what an endpoint told last from which nodes try it in turn. Of endpoints that get
-	// a request less often, it is staleWindows of their windows.
+	// staleAfter is the age of an endpoint's last report from which nodes send trial requests in turn.
+	// For endpoints whose window is long, it is staleWindows windows instead.
 	staleAfter   = 10 * time.Second
 	staleWindows = 2
-	// turnTime is the time for which a node has its turn. It uses the first half alone, so that the trials
-	// of two turns are a window apart.
-	turnTime = 2 * boundWindow
+	// trialTurn is the length of a node's turn. Only its first half is used, so that the trial requests
+	// of two turns are at least one window apart.
+	trialTurn = 2 * boundWindow
 )
 
-// Limiter decides whether this node may send a request to an endpoint that names a limit. It is safe for
-// concurrent use.
+// Limiter decides whether this node may send a request to an endpoint that reports a rate limit. It is
+// safe for concurrent use.
 type Limiter struct {
 	Node string // this node's name
-	// View returns the nodes that may send to the endpoints of a failure domain, of which so many
-	// are to.
+	// View returns the nodes from which the given number of senders for the endpoints of a failure
+	// domain is selected.
 	View func(domain string, senders int) senders.View
 
 	mu    sync.Mutex
 	table senders.Table
 }
 
-// Endpoint is an endpoint that names a limit.
+// Endpoint is an endpoint that reports a rate limit.
 type Endpoint struct {
 	ID, Domain string
-	PerSecond  float64       // requests that it takes from all nodes together
-	Age        time.Duration // of what it told last
+	PerSecond  float64       // requests per second accepted from all nodes together
+	Age        time.Duration // time since the endpoint's last report
 }
 
 // Allows reports whether a request may be sent to the endpoint now.
 func (l *Limiter) Allows(e *Endpoint, now time.Time) bool { return l.Wait(e, now) == 0 }
 
-// Never is what Wait returns at a node that isn't among the endpoint's senders.
+// Never is returned by Wait if this node may not send to the endpoint at all: it is not one of its
+// senders, and it is not its turn for a trial request.
 const Never = time.Duration(1<<63 - 1)
 
-// Wait returns how long this node has to wait until it may send a request to the endpoint.
+// Wait returns how long this node must wait before it may send a request to the endpoint.
 func (l *Limiter) Wait(e *Endpoint, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +68,8 @@
 	return wait
 }
 
-// Take counts a request that is sent now, and reports false where it may not be.
+// Take counts a request that is sent now. It returns false, and counts nothing, if the request may not
+// be sent.
 func (l *Limiter) Take(e *Endpoint, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,14 +84,14 @@
 }
 
 func (l *Limiter) wait(e *Endpoint, now time.Time) (*senders.Record, time.Duration) {
-	if e.PerSecond >= mostPerSecond {
+	if e.PerSecond >= minUnlimitedRate {
 		return nil, 0
 	}
 	share := ShareOf(e.PerSecond)
 	l.table.Node, l.table.View = l.Node, l.View
-	r := l.table.Record(e.ID, e.Domain, share.senders(), share.Window, now)
-	if most := share.of(r.Rank, r.Senders); most > 0 {
-		return r, pause(r.Sent, most, share.Window, now)
+	r := l.table.Record(e.ID, e.Domain, share.senderCount(), share.Window, now)
+	if quota := share.forRank(r.Rank, r.Senders); quota > 0 {
+		return r, waitTime(r.Sent, quota, share.Window, now)
 	}
 	if e.Age > max(staleAfter, staleWindows*share.Window) && len(r.Sent) == 0 && l.hasTurn(e.ID, r.Nodes, now) {
 		return r, 0
@@ -95,29 +99,30 @@
 	return r, Never
 }
 
-// pause returns the time until a sender that may send so many requests in a window may send the next one.
-// They are at least half of their mean distance apart, as an endpoint in need should not get them at once.
-func pause(sent []time.Time, most int, window time.Duration, now time.Time) time.Duration {
+// waitTime returns the time until a sender with the given quota per window may send its next request.
+// Requests are at least half the mean interval apart, so that an overloaded endpoint does not get them
+// in a burst.
+func waitTime(sent []time.Time, quota int, window time.Duration, now time.Time) time.Duration {
 	if len(sent) == 0 {
 		return 0
 	}
 	last := sent[len(sent)-1]
-	next := last.Add(window / time.Duration(2*most))
-	if len(sent) >= most {
-		if free := sent[len(sent)-most].Add(window); free.After(next) {
+	next := last.Add(window / time.Duration(2*quota))
+	if len(sent) >= quota {
+		if free := sent[len(sent)-quota].Add(window); free.After(next) {
 			next = free
 		}
 	}
 	return max(next.Sub(now), 0)
 }
 
-// hasTurn reports whether it is this node's turn to try an endpoint.
+// hasTurn reports whether it is this node's turn to send the endpoint a trial request.
 func (l *Limiter) hasTurn(id string, nodes []string, now time.Time) bool {
-	since := now.UnixNano()
-	turn := since / int64(turnTime)
-	if since%int64(turnTime) >= int64(turnTime/2) {
+	nanos := now.UnixNano()
+	turn := nanos / int64(trialTurn)
+	if nanos%int64(trialTurn) >= int64(trialTurn/2) {
 		return false
 	}
-	first := senders.Choose(id+" "+strconv.FormatInt(turn, 10), nodes, 1)
-	return len(first) == 1 && first[0] == l.Node
+	chosen := senders.Choose(id+" "+strconv.FormatInt(turn, 10), nodes, 1)
+	return len(chosen) == 1 && chosen[0] == l.Node
 }
--- a/internal/throttle/limiter_test.go
+++ b/internal/throttle/limiter_test.go
@@ -10,24 +10,24 @@
 	"github.com/cherryward/cherryward/internal/senders"
 )
 
-// TestSharesAreWithinTheBound has two sets of senders and their trials keep to the bound, and one set to the
-// limit.
+// TestSharesAreWithinTheBound checks that two sets of senders with their trial requests stay within the
+// bound, and that one set stays within the limit.
 func TestSharesAreWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		perSecond := rapid.Float64Range(0, mostPerSecond).Draw(t, "per second")
+		perSecond := rapid.Float64Range(0, minUnlimitedRate).Draw(t, "per second")
 		s := ShareOf(perSecond)
-		test.LessEq(t, boundRatio*perSecond*boundWindow.Seconds()+boundSlack, float64(views*(s.Total+trials)))
+		test.LessEq(t, boundRatio*perSecond*boundWindow.Seconds()+boundSlack, float64(concurrentSets*(s.Total+trialRequests)))
 		test.GreaterEq(t, window, s.Window)
-		if perSecond > 1/longestWindow.Seconds() {
+		if perSecond > 1/maxWindow.Seconds() {
 			test.LessEq(t, perSecond*1.0001, s.PerSecond())
 		}
-		most := rapid.IntRange(1, mostSenders).Draw(t, "senders")
+		count := rapid.IntRange(1, maxSenders).Draw(t, "senders")
 		sum := 0
-		for rank := range most {
-			sum += s.of(rank, most)
+		for rank := range count {
+			sum += s.forRank(rank, count)
 		}
 		test.Eq(t, s.Total, sum)
-		test.Zero(t, s.of(-1, most))
+		test.Zero(t, s.forRank(-1, count))
 	})
 }
 
@@ -36,8 +36,8 @@
 	return &Limiter{Node: node, View: func(string, int) senders.View { return *view }}, view
 }
 
-// TestSendsAreApart has a node send its share over a window, not at once, and no more.
-func TestSendsAreApart(t *testing.T) {
+// TestSendsAreSpacedOut checks that a node spreads its quota over the window and does not exceed it.
+func TestSendsAreSpacedOut(t *testing.T) {
 	l, _ := limiter("a", "a")
 	e := &Endpoint{ID: "e", PerSecond: 1}
 	now := time.Now()
@@ -55,8 +55,9 @@
 	test.True(t, l.Take(&Endpoint{ID: "f", PerSecond: 1}, now), test.Sprint("another endpoint"))
 }
 
-// TestNotCounted sends nothing where the others may not count this node, and follows its view.
-func TestNotCounted(t *testing.T) {
+// TestNodeOutsideViewSendsNothing checks that a node sends nothing while its member list lacks it or is
+// empty, as other nodes may not count it, and that it follows changes of the list.
+func TestNodeOutsideViewSendsNothing(t *testing.T) {
 	l, view := limiter("a", "b")
 	e := &Endpoint{ID: "e", PerSecond: 3}
 	now := time.Now()
@@ -67,8 +68,9 @@
 	test.Eq(t, Never, l.Wait(e, now))
 }
 
-// TestTurns has nodes that are no senders try an endpoint one at a time, where its word is old alone.
-func TestTurns(t *testing.T) {
+// TestTrialTurns checks that nodes that are not senders send trial requests one at a time, and only
+// while the endpoint's last report is old.
+func TestTrialTurns(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	var limiters []*Limiter
 	for _, name := range names {
@@ -98,8 +100,8 @@
 	}
 }
 
-// TestNoLimitAtAll lets all through where a limit bounds nothing.
-func TestNoLimitAtAll(t *testing.T) {
+// TestHighLimitIsUnlimited checks that all requests are allowed at a limit that no load reaches.
+func TestHighLimitIsUnlimited(t *testing.T) {
 	l, _ := limiter("a", "b")
-	test.True(t, l.Take(&Endpoint{ID: "e", PerSecond: mostPerSecond}, time.Now()))
+	test.True(t, l.Take(&Endpoint{ID: "e", PerSecond: minUnlimitedRate}, time.Now()))
 }
--- a/internal/throttle/network_test.go
+++ b/internal/throttle/network_test.go
@@ -14,61 +14,64 @@
 	"github.com/cherryward/cherryward/internal/throttle"
 )
 
-// Endpoints named limits of 2.8 requests a second and got 37 in 4 s, as no node heeded them.
+// These tests simulate a network of nodes under load. Without throttling, endpoints with a limit of 2.8
+// requests per second got 37 in 4 s.
 
 const (
-	limited    = 3 // endpoints that name a limit
+	limited    = 3 // endpoints that report a limit
 	unlimited  = 6
-	played     = 12 * time.Second
-	lookEvery  = 5 * time.Millisecond
+	duration   = 12 * time.Second
+	tick       = 5 * time.Millisecond
 	answerTime = 60 * time.Millisecond
-	// toldFor is how long ago a node was told by an answer when its requests count.
-	toldFor = 500 * time.Millisecond
-	// longestWay is the most by which a request arrives later than another that was sent with it.
-	longestWay  = 300 * time.Millisecond
+	// informedFor is the minimum time since a node learnt the limit from an answer for its requests to
+	// count.
+	informedFor = 500 * time.Millisecond
+	// maxDelay is the maximum network delay of a request.
+	maxDelay    = 300 * time.Millisecond
 	boundWindow = 4 * time.Second
-	// nodeRate is the number of prompts that a node places in a second on a usual day.
+	// nodeRate is the usual number of prompts per second at a node.
 	nodeRate = 12.0
 )
 
-// allowed is the bound on what an endpoint gets in boundWindow of nodes that were told of its limit.
+// allowed returns the bound on the requests in boundWindow from nodes that know the limit.
 func allowed(perSecond float64) int { return int(1.5*perSecond*boundWindow.Seconds() + 5) }
 
-// network is a system whose nodes all have callers, and whose endpoints name limits from the beginning.
+// network simulates nodes that all have clients, and endpoints that report limits from the start.
 type network struct {
-	random *rand.Rand
-	nodes  []*node
-	limit  func(endpoint int, at time.Duration) (perSecond float64, named bool)
-	got    [limited][]time.Duration   // when requests of told nodes arrived
-	due    map[time.Duration][]answer // by the look at which they are heard
-	start  time.Time
+	random   *rand.Rand
+	nodes    []*node
+	limit    func(endpoint int, at time.Duration) (perSecond float64, reported bool)
+	arrivals [limited][]time.Duration   // arrival times of requests from informed nodes
+	pending  map[time.Duration][]answer // by the tick at which they are received
+	start    time.Time
 }
 
-// answer is one that a node will hear.
+// answer is an answer in transit to a node.
 type answer struct {
-	to       *node
-	starts   int // of the node when it asked
+	node     *node
+	restarts int // restarts of the node when it sent the request
 	endpoint int
 }
 
 type node struct {
 	*senderstest.Member
-	limiter *throttle.Limiter
-	starts  int
-	word    [limited]word
-	told    [limited]time.Duration // when it was first told by an answer; 0 for never
+	limiter    *throttle.Limiter
+	restarts   int
+	limits     [limited]knownLimit
+	informedAt [limited]time.Duration // when it first learnt the limit from an answer; 0 for never
 }
 
-// word is what a node knows of an endpoint.
-type word struct {
+// knownLimit is a node's information on an endpoint's limit.
+type knownLimit struct {
 	perSecond float64
-	named     bool
+	reported  bool
 	at        time.Duration
 }
 
-// newNetwork has so many nodes, of which a share joins during the play; each reads of it at its own time.
+// newNetwork returns a network of size nodes, of which the share joining joins during the simulation.
+// Each node reads about the new members at a different time.
 func newNetwork(seed uint64, size int, joining float64) *network {
-	n := &network{random: rand.New(rand.NewPCG(seed, 1)), due: make(map[time.Duration][]answer), start: time.Unix(1_700_000_000, 0)}
+	n := &network{random: rand.New(rand.NewPCG(seed, 1)), pending: make(map[time.Duration][]answer), start: time.Unix(1_700_000_000, 0)}
 	n.limit = func(int, time.Duration) (float64, bool) { return 2.8, true }
 	for _, m := range senderstest.Members(n.random, size, joining) {
 		member := &node{Member: m}
@@ -78,28 +81,28 @@
 	return n
 }
 
-// play has callers' prompts come to all nodes at a multiple of the usual rate.
-func (n *network) play(pressure float64, takes func(m *node, e *throttle.Endpoint, now time.Time) bool) {
-	for at := time.Duration(0); at < played; at += lookEvery {
+// simulate sends prompts from clients to all nodes at the given multiple of the usual rate.
+func (n *network) simulate(loadFactor float64, allow func(m *node, e *throttle.Endpoint, now time.Time) bool) {
+	for at := time.Duration(0); at < duration; at += tick {
 		n.deliver(at)
 		for _, m := range n.nodes {
-			if n.random.Float64() < nodeRate*pressure*lookEvery.Seconds() {
-				n.place(m, at, takes)
+			if n.random.Float64() < nodeRate*loadFactor*tick.Seconds() {
+				n.sendPrompt(m, at, allow)
 			}
 		}
 	}
 }
 
-// place sends a prompt to one of the endpoints that take it, chosen at random.
-func (n *network) place(m *node, at time.Duration, takes func(*node, *throttle.Endpoint, time.Time) bool) {
+// sendPrompt sends a prompt to an endpoint, selected at random, that may get it.
+func (n *network) sendPrompt(m *node, at time.Duration, allow func(*node, *throttle.Endpoint, time.Time) bool) {
 	first := n.random.IntN(limited + unlimited)
 	for i := range limited + unlimited {
 		e := (first + i) % (limited + unlimited)
 		if e >= limited {
-			return // an endpoint without a limit has it
+			return // sent to an endpoint without a limit
 		}
-		known := &m.word[e]
-		if !known.named || takes(m, &throttle.Endpoint{ID: fmt.Sprint("e", e), PerSecond: known.perSecond, Age: at - known.at}, n.start.Add(at)) {
+		known := &m.limits[e]
+		if !known.reported || allow(m, &throttle.Endpoint{ID: fmt.Sprint("e", e), PerSecond: known.perSecond, Age: at - known.at}, n.start.Add(at)) {
 			n.send(m, e, at)
 			return
 		}
@@ -107,46 +110,47 @@
 }
 
 func (n *network) send(m *node, e int, at time.Duration) {
-	arrives := at + time.Duration(n.random.Int64N(int64(longestWay)))
-	if m.told[e] > 0 && arrives-m.told[e] > toldFor {
-		n.got[e] = append(n.got[e], arrives)
+	arrives := at + time.Duration(n.random.Int64N(int64(maxDelay)))
+	if m.informedAt[e] > 0 && arrives-m.informedAt[e] > informedFor {
+		n.arrivals[e] = append(n.arrivals[e], arrives)
 	}
-	heard := (arrives + answerTime).Truncate(lookEvery)
-	n.due[heard] = append(n.due[heard], answer{m, m.starts, e})
+	receivedAt := (arrives + answerTime).Truncate(tick)
+	n.pending[receivedAt] = append(n.pending[receivedAt], answer{m, m.restarts, e})
 }
 
-// deliver has nodes hear the answers that are due.
+// deliver hands the pending answers for this tick to their nodes.
 func (n *network) deliver(at time.Duration) {
-	for _, a := range n.due[at] {
-		if a.starts != a.to.starts {
+	for _, a := range n.pending[at] {
+		if a.restarts != a.node.restarts {
 			continue
 		}
-		perSecond, named := n.limit(a.endpoint, at)
-		a.to.word[a.endpoint] = word{perSecond, named, at}
-		if named && a.to.told[a.endpoint] == 0 {
-			a.to.told[a.endpoint] = at
+		perSecond, reported := n.limit(a.endpoint, at)
+		a.node.limits[a.endpoint] = knownLimit{perSecond, reported, at}
+		if reported && a.node.informedAt[a.endpoint] == 0 {
+			a.node.informedAt[a.endpoint] = at
 		}
 	}
-	delete(n.due, at)
+	delete(n.pending, at)
 }
 
-// restart has a node start anew, which knows nothing; what it was told before counts no more.
+// restart restarts a node, which loses all information on limits. Answers to its earlier requests are
+// dropped.
 func (n *network) restart(m *node) {
 	m.limiter = &throttle.Limiter{Node: m.Name, View: func(string, int) senders.View { return m.View }}
-	m.starts++
-	m.word, m.told = [limited]word{}, [limited]time.Duration{}
+	m.restarts++
+	m.limits, m.informedAt = [limited]knownLimit{}, [limited]time.Duration{}
 }
 
-// busiest returns the most requests that an endpoint got in any boundWindow.
-func (n *network) busiest() (most int) {
-	for e := range n.got {
-		slices.Sort(n.got[e])
-		for i, from := range n.got[e] {
-			end, _ := slices.BinarySearch(n.got[e], from+boundWindow+1)
-			most = max(most, end-i)
+// peak returns the maximum number of requests that any endpoint got in any boundWindow.
+func (n *network) peak() (peak int) {
+	for e := range n.arrivals {
+		slices.Sort(n.arrivals[e])
+		for i, from := range n.arrivals[e] {
+			end, _ := slices.BinarySearch(n.arrivals[e], from+boundWindow+1)
+			peak = max(peak, end-i)
 		}
 	}
-	return most
+	return peak
 }
 
 func throttled(m *node, e *throttle.Endpoint, now time.Time) bool { return m.limiter.Take(e, now) }
@@ -155,92 +159,96 @@
 
 var (
 	sizes = []int{6, 71, 295, 1000}
-	// pressure is the multiple of the usual load, by size; less at the largest for the time it takes to play.
-	pressure = map[int]float64{6: 3, 71: 3, 295: 2, 1000: 1}
+	// loadFactor is the multiple of the usual load, by network size. It is lower for the largest size
+	// to limit the run time.
+	loadFactor = map[int]float64{6: 3, 71: 3, 295: 2, 1000: 1}
 )
 
-// TestLimitHoldsAtAnySize keeps what an endpoint gets within the bound under more than the usual load, while a third of the nodes join and every second node hasn't read of that yet.
+// TestLimitHoldsAtAnySize checks that the requests to an endpoint stay within the bound under high load
+// while a third of the nodes join and half of the others have not read about them yet.
 func TestLimitHoldsAtAnySize(t *testing.T) {
 	for _, size := range sizes {
 		for seed, joining := range []float64{0, 0.33} {
 			n := newNetwork(uint64(seed), size, joining)
-			n.play(pressure[size], throttled)
-			test.LessEq(t, allowed(2.8), n.busiest(), test.Sprint(size, seed, joining))
+			n.simulate(loadFactor[size], throttled)
+			test.LessEq(t, allowed(2.8), n.peak(), test.Sprint(size, seed, joining))
 		}
 	}
 }
 
-// TestLimitHoldsWhileNodesRestart has nodes start anew one after the other, each of which knows of no limit.
+// TestLimitHoldsWhileNodesRestart checks the bound while nodes restart one after the other and lose the
+// known limits.
 func TestLimitHoldsWhileNodesRestart(t *testing.T) {
 	for _, size := range sizes[:3] {
 		n := newNetwork(7, size, 0.33)
 		restarts := 0
-		n.play(1, func(m *node, e *throttle.Endpoint, now time.Time) bool {
+		n.simulate(1, func(m *node, e *throttle.Endpoint, now time.Time) bool {
 			if n.random.IntN(200) == 0 {
 				restarts++
 				n.restart(n.nodes[n.random.IntN(len(n.nodes))])
 			}
 			return m.limiter.Take(e, now)
 		})
-		test.LessEq(t, allowed(2.8), n.busiest(), test.Sprint(size))
+		test.LessEq(t, allowed(2.8), n.peak(), test.Sprint(size))
 		test.Positive(t, restarts)
 	}
 }
 
-// TestLimitHoldsWhileItChanges has endpoints name other limits every second. The bound follows the greatest
-// of them.
+// TestLimitHoldsWhileItChanges checks the bound while endpoints change their limits every second. The
+// bound is that of the highest limit.
 func TestLimitHoldsWhileItChanges(t *testing.T) {
 	limits := []float64{4, 0.3, 2, 1}
 	for _, size := range sizes {
 		n := newNetwork(3, size, 0.2)
 		n.limit = func(e int, at time.Duration) (float64, bool) { return limits[(e+int(at.Seconds()))%len(limits)], true }
-		n.play(1, throttled)
-		test.LessEq(t, allowed(4), n.busiest(), test.Sprint(size))
+		n.simulate(1, throttled)
+		test.LessEq(t, allowed(4), n.peak(), test.Sprint(size))
 	}
 }
 
-// TestSmallLimits keeps to limits under one request a second, also to one of none at all.
+// TestSmallLimits checks the bound for limits of at most one request per second, down to zero.
 func TestSmallLimits(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.05, 0.3, 1} {
 		n := newNetwork(5, 71, 0.33)
 		n.limit = func(int, time.Duration) (float64, bool) { return perSecond, true }
-		n.play(2, throttled)
-		test.LessEq(t, allowed(perSecond), n.busiest(), test.Sprint(perSecond))
+		n.simulate(2, throttled)
+		test.LessEq(t, allowed(perSecond), n.peak(), test.Sprint(perSecond))
 	}
 }
 
-// TestLimitIsUsed has endpoints serve at least half of what they take, at any size.
+// TestLimitIsUsed checks that endpoints get at least half of the requests that their limit allows, at
+// any size.
 func TestLimitIsUsed(t *testing.T) {
 	for _, size := range sizes {
 		n := newNetwork(1, size, 0)
-		n.play(1, throttled)
-		for e := range n.got {
-			// The first second is that of nodes which have not been told.
-			settled, _ := slices.BinarySearch(n.got[e], 2*time.Second)
-			perSecond := float64(len(n.got[e])-settled) / (played - 2*time.Second).Seconds()
-			t.Logf("%d nodes: %.2f requests a second of 2.8", size, perSecond)
+		n.simulate(1, throttled)
+		for e := range n.arrivals {
+			// Skip the start, when nodes do not know the limits yet.
+			settled, _ := slices.BinarySearch(n.arrivals[e], 2*time.Second)
+			perSecond := float64(len(n.arrivals[e])-settled) / (duration - 2*time.Second).Seconds()
+			t.Logf("%d nodes: %.2f requests per second of 2.8", size, perSecond)
 			test.GreaterEq(t, 1.4, perSecond, test.Sprint(size))
 		}
 	}
 }
 
-// TestLimitEndsForAll has all nodes use an endpoint again some time after it names no limit any more, though
-// those that send nothing there hear nothing of it.
-func TestLimitEndsForAll(t *testing.T) {
+// TestEndOfLimitReachesAllNodes checks that some time after an endpoint stops reporting a limit all
+// nodes use it again, even those that send nothing to it and therefore get no answers.
+func TestEndOfLimitReachesAllNodes(t *testing.T) {
 	const size = 6
 	n := newNetwork(2, size, 0)
 	n.limit = func(_ int, at time.Duration) (float64, bool) { return 2.8, at < 5*time.Second }
-	n.play(1, throttled)
+	n.simulate(1, throttled)
 	for _, m := range n.nodes {
-		for e := range m.word {
-			test.False(t, m.word[e].named)
+		for e := range m.limits {
+			test.False(t, m.limits[e].reported)
 		}
 	}
 }
 
-// TestUnthrottledBreaksIt shows that the load alone breaks the bound.
-func TestUnthrottledBreaksIt(t *testing.T) {
+// TestUnthrottledLoadExceedsBound checks that the simulated load exceeds the bound without throttling.
+func TestUnthrottledLoadExceedsBound(t *testing.T) {
 	n := newNetwork(1, 6, 0)
-	n.play(1, unthrottled)
-	test.Greater(t, allowed(2.8), n.busiest())
+	n.simulate(1, unthrottled)
+	test.Greater(t, allowed(2.8), n.peak())
 }
--- a/internal/throttle/share.go
+++ b/internal/throttle/share.go
@@ -3,57 +3,59 @@
 import "time"
 
 const (
-	// boundWindow is the time in which the bound on what an endpoint gets is counted, and jitter what the
-	// way of one request may take longer than that of another.
+	// boundWindow is the interval for which the bound on an endpoint's requests is stated. jitter is
+	// the maximum difference between the network delays of two requests.
 	boundWindow = 4 * time.Second
 	jitter      = 400 * time.Millisecond
 	window      = boundWindow + jitter
-	// boundRatio and boundSlack are the bound: so many times what the limit allows, and so many requests
-	// more.
+	// boundRatio and boundSlack define the bound: boundRatio times the requests that the limit allows,
+	// plus boundSlack.
 	boundRatio = 1.5
 	boundSlack = 5
-	// views is the number of sets of senders that keep to the bound together.
-	views = 2
-	// trials is what is left of the bound for trial requests in a window, of the nodes of one view.
-	trials = 1
-	// longestWindow bounds the time between two requests to an endpoint that takes next to none: whether it
-	// does so yet, only an answer tells.
-	longestWindow = time.Minute
-	// mostSenders bounds the nodes that send to a limited endpoint. With fewer, an endpoint stays unused
-	// where these have few callers or are gone; more would have no whole request each at usual limits.
-	mostSenders = 8
-	// mostPerSecond is the limit from which an endpoint counts as not limited: all nodes together send it
-	// less.
-	mostPerSecond = 1000
+	// concurrentSets is the number of sets of senders that together keep within the bound.
+	concurrentSets = 2
+	// trialRequests is the part of the bound reserved, per window and set, for trial requests.
+	trialRequests = 1
+	// maxWindow limits the time between two requests to an endpoint with a limit close to zero, because
+	// only an answer shows whether the limit has changed.
+	maxWindow = time.Minute
+	// maxSenders is the maximum number of nodes that send to a limited endpoint. With fewer, an
+	// endpoint is left idle when these nodes have few clients or are gone; with more, each node's share
+	// at usual limits is less than one request.
+	maxSenders = 8
+	// minUnlimitedRate is the limit from which an endpoint counts as unlimited, since all nodes
+	// together send less than that.
+	minUnlimitedRate = 1000
 )
 
-// Share is what one set of senders sends to an endpoint: Total requests in any Window.
+// Share is the quota of one set of senders for an endpoint: Total requests in any Window.
 type Share struct {
 	Total  int
 	Window time.Duration
 }
 
-// ShareOf returns what one set of senders sends to an endpoint that takes so many requests a second: no
-// more than that, and what keeps two sets and their trials within the bound. An endpoint that takes less
-// than one in a window gets one at a time, seldom.
+// ShareOf returns the quota of one set of senders for an endpoint with the given limit. It does not
+// exceed the limit, and two sets with their trial requests stay within the bound. If the limit allows
+// less than one request per window, the window is extended so that it holds one.
 func ShareOf(perSecond float64) Share {
 	bound := boundRatio*perSecond*boundWindow.Seconds() + boundSlack
-	total := min(int(bound/views-trials), int(perSecond*window.Seconds()))
+	total := min(int(bound/concurrentSets-trialRequests), int(perSecond*window.Seconds()))
 	if total > 0 {
 		return Share{Total: total, Window: window}
 	}
-	apart := min(1/perSecond, longestWindow.Seconds())
+	apart := min(1/perSecond, maxWindow.Seconds())
 	return Share{Total: 1, Window: max(time.Duration(apart*float64(time.Second)), window)}
 }
 
-// PerSecond returns the requests that one set of senders sends in a second.
+// PerSecond returns the request rate of one set of senders.
 func (s Share) PerSecond() float64 { return float64(s.Total) / s.Window.Seconds() }
 
-// senders returns how many nodes send.
-func (s Share) senders() int { return min(s.Total, mostSenders) }
+// senderCount returns the number of nodes in the set.
+func (s Share) senderCount() int { return min(s.Total, maxSenders) }
 
-// of returns how many requests the sender of a rank may send in a window, of so many senders.
-func (s Share) of(rank, senders int) int {
+// forRank returns the number of requests per window that the sender with the given rank may send, if
+// there are the given number of senders. It is 0 for a negative rank.
+func (s Share) forRank(rank, senders int) int {
 	if rank < 0 {
 		return 0
 	}
