--- a/internal/slowstart/doc.go
+++ b/internal/slowstart/doc.go
@@ -1,11 +1,13 @@
-// Package slowstart bounds the requests that all nodes together send to an endpoint that is cold: one
-// that has just started, or may have.
+// Package slowstart limits the requests that all nodes together send to a cold endpoint: one that has
+// just started, or may have.
 //
-// Few nodes send to a cold endpoint, chosen by rendezvous hashing over the members of a view that all
-// nodes read from the same place, and each sends only its share in any second. Nothing is told or
-// agreed on for it, so that nodes which are cut off, frozen or just started keep to it as well.
+// Only a few nodes send to a cold endpoint. They are selected by rendezvous hashing over a member list
+// that all nodes read from the same source, and each sends only its share per second. This needs no
+// communication between nodes, so the limit also holds for nodes that are partitioned, were frozen or
+// have just started.
 //
-// Guarantee: nodes whose views of the members hold at most two sets of senders of an endpoint, as
-// while members come or go, send it no more than the bound in any second. The shares of one set add
-// up to half of it. A node that isn't in its own view, or whose view is too old, sends nothing.
+// Guarantee: nodes whose member lists yield at most two sets of senders for an endpoint, as during a
+// membership change, send it no more than the bound in any second. The shares of one set add up to at
+// most half of the bound, except for a bound of 1, which a single sender uses. A node that is missing
+// from its own member list, or whose list is too old, sends nothing.
 package slowstart
--- a/internal/slowstart/limiter.go
+++ b/internal/slowstart/limiter.go
@@ -7,19 +7,19 @@
 	"github.com/cherryward/cherryward/internal/senders"
 )
 
-// window is the time in which a node sends its share: a second, and what the way of one request
-// may take longer than that of the one before.
+// window is the interval in which a node sends its share: one second plus the maximum difference
+// between the network delays of two requests.
 const window = 1100 * time.Millisecond
 
-// View is what a node knows of the nodes that may send to an endpoint.
+// View is a node's list of the nodes that may send to an endpoint.
 type View = senders.View
 
 // Limiter decides whether this node may send a request to a cold endpoint. It is safe for concurrent
 // use.
 type Limiter struct {
 	Node string // this node's name
-	// View returns the nodes that may send to the endpoints of a failure domain, of which so many
-	// are to.
+	// View returns the nodes from which the given number of senders for the endpoints of a failure
+	// domain is selected.
 	View func(domain string, senders int) View
 
 	mu    sync.Mutex
@@ -29,7 +29,7 @@
 // Endpoint is a cold endpoint.
 type Endpoint struct {
 	ID, Domain string
-	Most       int // requests that it may get in a second
+	Most       int // maximum number of requests per second
 }
 
 // Allows reports whether a request may be sent to a cold endpoint now.
@@ -40,7 +40,8 @@
 	return ok
 }
 
-// Take counts a request that is sent now, and reports false where it may not be.
+// Take counts a request that is sent now. It returns false, and counts nothing, if the request may not
+// be sent.
 func (l *Limiter) Take(e *Endpoint, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,5 +59,5 @@
 	}
 	l.table.Node, l.table.View = l.Node, l.View
 	r := l.table.Record(e.ID, e.Domain, share.Senders, window, now)
-	return r, r.Rank >= 0 && len(r.Sent) < share.Each
+	return r, r.Rank >= 0 && len(r.Sent) < share.PerSender
 }
--- a/internal/slowstart/limiter_test.go
+++ b/internal/slowstart/limiter_test.go
@@ -10,22 +10,23 @@
 	"github.com/cherryward/cherryward/internal/slowstart"
 )
 
-// TestShares keeps two sets of senders within the bound, and uses most of half of it.
+// TestShares checks that two sets of senders keep within the bound, and that one set uses most of half
+// of it.
 func TestShares(t *testing.T) {
 	for _, tc := range []struct {
-		most int
-		want slowstart.Share
+		maxPerSecond int
+		want         slowstart.Share
 	}{
-		{0, slowstart.Share{}}, {1, slowstart.Share{Senders: 1, Each: 1}}, {2, slowstart.Share{Senders: 1, Each: 1}},
-		{5, slowstart.Share{Senders: 2, Each: 1}}, {16, slowstart.Share{Senders: 4, Each: 2}}, {32, slowstart.Share{Senders: 4, Each: 4}},
+		{0, slowstart.Share{}}, {1, slowstart.Share{Senders: 1, PerSender: 1}}, {2, slowstart.Share{Senders: 1, PerSender: 1}},
+		{5, slowstart.Share{Senders: 2, PerSender: 1}}, {16, slowstart.Share{Senders: 4, PerSender: 2}}, {32, slowstart.Share{Senders: 4, PerSender: 4}},
 	} {
-		test.Eq(t, tc.want, slowstart.ShareOf(tc.most), test.Sprint(tc.most))
+		test.Eq(t, tc.want, slowstart.ShareOf(tc.maxPerSecond), test.Sprint(tc.maxPerSecond))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(2, 10_000).Draw(t, "most")
-		s := slowstart.ShareOf(most)
-		test.LessEq(t, most, 2*s.Senders*s.Each)
-		test.GreaterEq(t, most/2-s.Senders+1, s.Senders*s.Each)
+		maxPerSecond := rapid.IntRange(2, 10_000).Draw(t, "most")
+		s := slowstart.ShareOf(maxPerSecond)
+		test.LessEq(t, maxPerSecond, 2*s.Senders*s.PerSender)
+		test.GreaterEq(t, maxPerSecond/2-s.Senders+1, s.Senders*s.PerSender)
 	})
 }
 
@@ -34,7 +35,7 @@
 	return &slowstart.Limiter{Node: node, View: func(string, int) slowstart.View { return *view }}, view
 }
 
-// TestWindow sends its share in any second, and again when that is over.
+// TestWindow checks that a node sends its share in a window, and again after it.
 func TestWindow(t *testing.T) {
 	l, _ := limiter("a", "a")
 	e := &slowstart.Endpoint{ID: "e", Most: 16}
@@ -49,8 +50,9 @@
 	test.True(t, l.Take(&slowstart.Endpoint{ID: "f", Most: 16}, now), test.Sprint("another endpoint"))
 }
 
-// TestNotCounted sends nothing where the others may not count this node, and follows its view.
-func TestNotCounted(t *testing.T) {
+// TestNodeOutsideViewSendsNothing checks that a node sends nothing while its member list lacks it or is
+// empty, as other nodes may not count it, and that it follows changes of the list.
+func TestNodeOutsideViewSendsNothing(t *testing.T) {
 	l, view := limiter("a", "b", "c")
 	e := &slowstart.Endpoint{ID: "e", Most: 16}
 	now := time.Now()
--- a/internal/slowstart/network_test.go
+++ b/internal/slowstart/network_test.go
@@ -12,38 +12,38 @@
 	"github.com/cherryward/cherryward/internal/slowstart"
 )
 
-// Endpoints of a whole failure domain came back cold, and single ones got 34 to 40 requests in a second
-// of the 32 that they were to get at most: each node knew from the registry that they were cold, but
-// none did anything about it, and what the others sent at the same time was told 0.4 s later.
+// These tests simulate nodes that send to the endpoints of a failure domain that has restarted. Without
+// a limit across nodes, single endpoints got 34 to 40 requests per second of an allowed 32: each node
+// knew from the registry that they were cold, but did not know what the others sent at the same time,
+// which was reported 0.4 s later.
 
 const (
-	most      = 32 // requests that a cold endpoint may get in a second
-	coldNodes = 12 // cold endpoints at a time
-	played    = 2 * time.Second
-	lookEvery = 5 * time.Millisecond
-	// nodeRate is the number of prompts that a node places in a second on a usual day.
+	maxPerSecond  = 32 // maximum requests per second at a cold endpoint
+	coldEndpoints = 12 // number of cold endpoints
+	duration      = 2 * time.Second
+	tick          = 5 * time.Millisecond
+	// nodeRate is the usual number of prompts per second at a node.
 	nodeRate = 12.0
 )
 
-// network is a system whose nodes all have callers, and endpoints that are back cold at the beginning.
+// network simulates nodes that all have clients, and endpoints that are cold from the start.
 type network struct {
-	random *rand.Rand
-	nodes  []*node
-	// endpoints are those that are cold.
+	random    *rand.Rand
+	nodes     []*node
 	endpoints []*slowstart.Endpoint
-	sent      map[string][]time.Duration // by endpoint
-	refused   int                        // prompts that found no place at a cold endpoint
+	sent      map[string][]time.Duration // send times by endpoint
+	refused   int                        // prompts that no cold endpoint could take
 	placed    int
 }
 
 type node struct{ limiter *slowstart.Limiter }
 
-// newNetwork has so many nodes, of which a share joins during the play; each reads of it at its own
-// time.
+// newNetwork returns a network of the given number of nodes, of which the share joining joins during
+// the simulation. Each node reads about the new members at a different time.
 func newNetwork(seed uint64, nodes int, joining float64) *network {
 	n := &network{random: rand.New(rand.NewPCG(seed, 1)), sent: make(map[string][]time.Duration)}
-	for i := range coldNodes {
-		n.endpoints = append(n.endpoints, &slowstart.Endpoint{ID: fmt.Sprint("e", i), Domain: "d", Most: most})
+	for i := range coldEndpoints {
+		n.endpoints = append(n.endpoints, &slowstart.Endpoint{ID: fmt.Sprint("e", i), Domain: "d", Most: maxPerSecond})
 	}
 	for _, m := range senderstest.Members(n.random, nodes, joining) {
 		member := &node{limiter: &slowstart.Limiter{Node: m.Name, View: func(string, int) slowstart.View { return m.View }}}
@@ -52,25 +52,25 @@
 	return n
 }
 
-// play has callers' prompts come to all nodes at a multiple of the usual rate. Each goes to a cold
-// endpoint that its node may send to, if any.
-func (n *network) play(pressure float64, allows func(m *node, e *slowstart.Endpoint, now time.Time) bool) {
+// simulate sends prompts from clients to all nodes at the given multiple of the usual rate. Each goes
+// to a cold endpoint that its node may send to, if there is one.
+func (n *network) simulate(loadFactor float64, allow func(m *node, e *slowstart.Endpoint, now time.Time) bool) {
 	start := time.Now()
-	for at := time.Duration(0); at < played; at += lookEvery {
+	for at := time.Duration(0); at < duration; at += tick {
 		for _, m := range n.nodes {
-			if n.random.Float64() >= nodeRate*pressure*lookEvery.Seconds() {
+			if n.random.Float64() >= nodeRate*loadFactor*tick.Seconds() {
 				continue
 			}
-			n.place(m, at, start.Add(at), allows)
+			n.sendPrompt(m, at, start.Add(at), allow)
 		}
 	}
 }
 
-func (n *network) place(m *node, at time.Duration, now time.Time, allows func(*node, *slowstart.Endpoint, time.Time) bool) {
-	first := n.random.IntN(coldNodes)
-	for i := range coldNodes {
-		e := n.endpoints[(first+i)%coldNodes]
-		if allows(m, e, now) {
+func (n *network) sendPrompt(m *node, at time.Duration, now time.Time, allow func(*node, *slowstart.Endpoint, time.Time) bool) {
+	first := n.random.IntN(coldEndpoints)
+	for i := range coldEndpoints {
+		e := n.endpoints[(first+i)%coldEndpoints]
+		if allow(m, e, now) {
 			n.sent[e.ID] = append(n.sent[e.ID], at)
 			n.placed++
 			return
@@ -79,55 +79,57 @@
 	n.refused++
 }
 
-// busiest returns the most requests that an endpoint got in any second.
-func (n *network) busiest() int {
-	busiest := 0
+// peak returns the maximum number of requests that any endpoint got in any second.
+func (n *network) peak() int {
+	peak := 0
 	for _, times := range n.sent {
 		for i := range times {
-			in := 0
+			count := 0
 			for _, at := range times[i:] {
 				if at-times[i] <= time.Second {
-					in++
+					count++
 				}
 			}
-			busiest = max(busiest, in)
+			peak = max(peak, count)
 		}
 	}
-	return busiest
+	return peak
 }
 
 func bounded(m *node, e *slowstart.Endpoint, now time.Time) bool { return m.limiter.Take(e, now) }
 
 func unbounded(*node, *slowstart.Endpoint, time.Time) bool { return true }
 
-// TestBoundHolds keeps what a cold endpoint gets within the bound, at all sizes, under three times the
-// usual load, while a third of the nodes join and every second node hasn't read of that yet.
+// TestBoundHolds checks that the requests to a cold endpoint stay within the bound, at all sizes and
+// under three times the usual load, while a third of the nodes join and half of the others have not
+// read about them yet.
 func TestBoundHolds(t *testing.T) {
 	for _, size := range []int{7, 71, 295, 1000} {
 		for seed, joining := range []float64{0, 0.33} {
 			n := newNetwork(uint64(seed), size, joining)
-			n.play(3, bounded)
-			test.LessEq(t, most, n.busiest(), test.Sprint(size, seed, joining))
+			n.simulate(3, bounded)
+			test.LessEq(t, maxPerSecond, n.peak(), test.Sprint(size, seed, joining))
 			test.Greater(t, 0, n.placed)
 		}
 	}
 }
 
-// TestBoundIsUsed has cold endpoints serve at least a quarter of what they may in a large system, where
-// each of many nodes has few prompts. A share for each node of the system would be less than one.
+// TestBoundIsUsed checks that cold endpoints in a large system, where each of many nodes has few
+// prompts, get at least a quarter of the requests that they may get. A share for every node of the
+// system would be less than one request.
 func TestBoundIsUsed(t *testing.T) {
 	for _, size := range []int{71, 295, 1000} {
 		n := newNetwork(1, size, 0)
-		n.play(1, bounded)
-		perSecond := float64(n.placed) / played.Seconds() / coldNodes
-		t.Logf("%d nodes: %.1f requests a second at each of %d cold endpoints, %d at most", size, perSecond, coldNodes, n.busiest())
-		test.Greater(t, float64(most)/4, perSecond, test.Sprint(size))
+		n.simulate(1, bounded)
+		perSecond := float64(n.placed) / duration.Seconds() / coldEndpoints
+		t.Logf("%d nodes: %.1f requests per second at each of %d cold endpoints, peak %d", size, perSecond, coldEndpoints, n.peak())
+		test.Greater(t, float64(maxPerSecond)/4, perSecond, test.Sprint(size))
 	}
 }
 
-// TestUnboundedBreaksIt shows that the load alone breaks the bound.
-func TestUnboundedBreaksIt(t *testing.T) {
+// TestUnboundedLoadExceedsBound checks that the simulated load exceeds the bound without a limiter.
+func TestUnboundedLoadExceedsBound(t *testing.T) {
 	n := newNetwork(1, 71, 0)
-	n.play(1, unbounded)
-	test.Greater(t, most, n.busiest())
+	n.simulate(1, unbounded)
+	test.Greater(t, maxPerSecond, n.peak())
 }
--- a/internal/slowstart/share.go
+++ b/internal/slowstart/share.go
@@ -1,27 +1,27 @@
 package slowstart
 
-// mostSenders is the number of nodes that send to a cold endpoint, where the bound gives each a
-// request a second. More would each keep a connection for few requests; with fewer, an endpoint
-// stays unused when one of them has few callers.
-const mostSenders = 4
+// maxSenders is the maximum number of nodes that send to a cold endpoint. With more, each would keep a
+// connection open for few requests; with fewer, an endpoint is left idle when one of them has few
+// clients.
+const maxSenders = 4
 
-// Share is how the bound on a cold endpoint is shared out.
+// Share is the division among senders of the requests that a cold endpoint may get.
 type Share struct {
-	Senders int // nodes that send to it
-	Each    int // requests that one of them sends in any second
+	Senders   int // number of nodes that send to the endpoint
+	PerSender int // requests per second of each sender
 }
 
-// ShareOf returns how requests of so many a second are shared out. Two sets of senders together keep to
-// it, but for a bound of one, which a single sender keeps.
-func ShareOf(most int) Share {
-	half := most / 2
+// ShareOf returns the share for a bound in requests per second. Two sets of senders together keep
+// within the bound, except for a bound of 1, which a single sender uses.
+func ShareOf(maxPerSecond int) Share {
+	half := maxPerSecond / 2
 	switch {
-	case most <= 0:
+	case maxPerSecond <= 0:
 		return Share{}
 	case half == 0:
-		return Share{Senders: 1, Each: 1}
-	case half < mostSenders:
-		return Share{Senders: half, Each: 1}
+		return Share{Senders: 1, PerSender: 1}
+	case half < maxSenders:
+		return Share{Senders: half, PerSender: 1}
 	}
-	return Share{Senders: mostSenders, Each: half / mostSenders}
+	return Share{Senders: maxSenders, PerSender: half / maxSenders}
 }
