--- a/internal/senders/senderstest/views.go
+++ b/internal/senders/senderstest/views.go
@@ -1,4 +1,4 @@
-// Package senderstest has nodes whose views of the members differ, for tests of what they send.
+// Package senderstest provides nodes with different member lists, for tests of what they send.
 package senderstest
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/cherryward/cherryward/internal/senders"
 )
 
-// Member is a node with its view of the members.
+// Member is a node with its member list.
 type Member struct {
 	Name string
 	View senders.View
 }
 
-// Members returns so many nodes, of which a share joins. Of the others every second one hasn't read of that
-// yet; with a share of 0 all views have the same nodes.
+// Members returns size nodes, of which the share joining has just joined. Half of the others, at
+// random, have not read about that yet; with a share of 0 all have the same list.
 func Members(random *rand.Rand, size int, joining float64) []*Member {
 	var old, all []string
 	for i := range size {
