--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -8,22 +8,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// fingerprintBytes is the length of a fingerprint: enough that no account finds a request of its
-// own with the fingerprint of another account's.
+// fingerprintBytes is the length of a fingerprint. It is long enough that no account can find a request
+// of its own with the same fingerprint as a request of another account.
 const fingerprintBytes = 16
 
-// Fingerprint identifies a request by its client account and by what is the same each time that it
-// comes: its method, host, path, query and body. Callers give each try an id of its own.
+// Fingerprint identifies a request by its client account and by the parts that are equal in each
+// attempt: method, host, path, query and body. Request ids are not included, because callers use a new
+// one for each attempt.
 type Fingerprint [fingerprintBytes]byte
 
-// FingerprintOf returns the fingerprint of a request. account is empty on public routes; target is
-// the path and query as the caller wrote them.
+// FingerprintOf returns the fingerprint of a request. account is empty on public routes; target is the
+// path and query as sent by the caller.
 func FingerprintOf(account, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, field := range []string{account, method, host, target} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
-		h.Write(length[:]) // a hash never fails
+		h.Write(length[:]) // hash.Hash never returns an error
 		h.Write([]byte(field))
 	}
 	h.Write(body)
@@ -31,7 +32,7 @@
 	return Fingerprint(h.Sum(sum[:0])[:fingerprintBytes])
 }
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -43,14 +44,15 @@
 	return err
 }
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the output of String. It fails if s is not hexadecimal or has the wrong
+// length.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	data, err := hex.DecodeString(s)
 	if err != nil {
-		return Fingerprint{}, eris.Wrap(err, "decode a request's fingerprint")
+		return Fingerprint{}, eris.Wrap(err, "decode request fingerprint")
 	}
 	if len(data) != fingerprintBytes {
-		return Fingerprint{}, eris.Errorf("a request's fingerprint has %d bytes", len(data))
+		return Fingerprint{}, eris.Errorf("decode request fingerprint: wrong length of %d bytes", len(data))
 	}
 	return Fingerprint(data), nil
 }
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -9,61 +9,62 @@
 )
 
 const (
-	// method is the name of the notification. It may be repeated.
-	method = "node.endings"
-	// maxNews bounds what one message tells, so that it fits into a datagram.
-	maxNews = 64
-	// maxEndpointBytes bounds the name of an endpoint's start.
+	// endingsMethod is the method name of the notification. The notification is idempotent.
+	endingsMethod = "node.endings"
+	// maxReportEntries limits the entries of one message, so that it fits into a datagram.
+	maxReportEntries = 64
+	// maxEndpointBytes is the maximum length of the identifier of an endpoint's start.
 	maxEndpointBytes = 128
 )
 
-// errNoFingerprint refuses a message in which a fingerprint is missing.
-var errNoFingerprint = eris.New("a message without a request's fingerprint")
+// errNoFingerprint is returned for a message in which a fingerprint is missing.
+var errNoFingerprint = eris.New("decode endings: request fingerprint is missing")
 
-// news tells what a node saw of endpoints that ended.
-type news struct {
+// report is the content of a notification: the endings that a node saw, and the requests that
+// completed.
+type report struct {
 	Endings []Ending `json:"endings,omitempty"`
-	// Served are requests that an endpoint ran to a good end.
+	// Served are requests that an endpoint has completed successfully.
 	Served []Fingerprint `json:"served,omitempty"`
-	// Recorded is true where the endings hold a request and its record was written.
+	// Recorded is true if the endings caused a hold whose record has been written.
 	Recorded bool `json:"recorded,omitempty"`
 }
 
-// messages returns the news in messages that fit into datagrams.
-func (n *news) messages() iter.Seq[news] {
-	return func(yield func(news) bool) {
-		for endings := range slices.Chunk(n.Endings, maxNews) {
-			if !yield(news{Endings: endings, Recorded: n.Recorded}) {
+// messages splits the report into messages that fit into datagrams.
+func (n *report) messages() iter.Seq[report] {
+	return func(yield func(report) bool) {
+		for endings := range slices.Chunk(n.Endings, maxReportEntries) {
+			if !yield(report{Endings: endings, Recorded: n.Recorded}) {
 				return
 			}
 		}
-		for served := range slices.Chunk(n.Served, maxNews) {
-			if !yield(news{Served: served}) {
+		for served := range slices.Chunk(n.Served, maxReportEntries) {
+			if !yield(report{Served: served}) {
 				return
 			}
 		}
 	}
 }
 
-// decodeNews decodes a message, which is refused as a whole if any part of it is wrong.
-func decodeNews(params json.RawMessage) (news, error) {
-	var n news
+// decodeReport decodes a message. It fails if any part of the message is invalid.
+func decodeReport(params json.RawMessage) (report, error) {
+	var n report
 	if err := json.Unmarshal(params, &n); err != nil {
-		return news{}, eris.Wrap(err, "decode endings")
+		return report{}, eris.Wrap(err, "decode endings")
 	}
-	if len(n.Endings)+len(n.Served) > maxNews {
-		return news{}, eris.Errorf("%d endings in a message", len(n.Endings)+len(n.Served))
+	if len(n.Endings)+len(n.Served) > maxReportEntries {
+		return report{}, eris.Errorf("decode endings: %d entries exceed the maximum", len(n.Endings)+len(n.Served))
 	}
 	for _, e := range n.Endings {
 		if e.Endpoint == "" || len(e.Endpoint) > maxEndpointBytes {
-			return news{}, eris.Errorf("an endpoint's name of %d bytes", len(e.Endpoint))
+			return report{}, eris.Errorf("decode endings: endpoint identifier is empty or too long: %d bytes", len(e.Endpoint))
 		}
 		if e.Fingerprint == (Fingerprint{}) {
-			return news{}, errNoFingerprint
+			return report{}, errNoFingerprint
 		}
 	}
 	if slices.Contains(n.Served, Fingerprint{}) {
-		return news{}, errNoFingerprint
+		return report{}, errNoFingerprint
 	}
 	return n, nil
 }
--- a/internal/quarantine/network_test.go
+++ b/internal/quarantine/network_test.go
@@ -19,36 +19,36 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// network carries messages between nodes in one process, and the topic's records.
+// network simulates the network between nodes in one process, and the topic.
 type network struct {
 	t    *testing.T
 	seed uint64
-	loss float64 // share of messages that are lost
+	loss float64 // share of messages lost
 
 	mu       sync.Mutex
 	nodes    map[netip.AddrPort]*node
 	records  map[string][]byte
 	writes   int
-	down     bool // the topic fails
+	down     bool // writes to the topic fail
 	messages int
-	// sent counts the messages between two nodes, so that which are lost does not depend on the order
-	// in which goroutines run.
+	// sent counts the messages between two nodes. Whether a message is lost depends on this number, and
+	// not on the order in which goroutines run.
 	sent  map[string]int
 	bytes int
-	// relayed is how long after a write a node of a large system reads it by another, at most; 0
-	// means that all read it at once.
-	relayed time.Duration
+	// maxReadDelay is the maximum time after a write until a node of a large system reads it through
+	// another node; 0 means that all nodes read it immediately.
+	maxReadDelay time.Duration
 }
 
-// node is a service with its network.
+// node is a service and its connection to the network.
 type node struct {
 	*Service
-	net    *network
-	name   string
-	addr   netip.AddrPort
-	handle datagram.Handler
-	cut    bool // from the other nodes
-	stop   context.CancelFunc
+	net          *network
+	name         string
+	addr         netip.AddrPort
+	handle       datagram.Handler
+	disconnected bool // disconnected from the other nodes
+	stop         context.CancelFunc
 }
 
 var (
@@ -71,25 +71,25 @@
 	return len(data)
 }
 
-// deliver returns the node that a message reaches, nil if it is lost.
+// deliver returns the node that a message reaches, or nil if the message is lost.
 func (w *network) deliver(from *node, addr netip.AddrPort, bytes int) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.messages++
 	w.bytes += bytes
 	to := w.nodes[addr]
-	if to == nil || from.cut || to.cut {
+	if to == nil || from.disconnected || to.disconnected {
 		return nil
 	}
-	way := from.name + " " + to.name
-	w.sent[way]++
-	if w.draw(fmt.Sprint(way, w.sent[way])) < w.loss {
+	route := from.name + " " + to.name
+	w.sent[route]++
+	if w.draw(fmt.Sprint(route, w.sent[route])) < w.loss {
 		return nil
 	}
 	return to
 }
 
-// draw returns a number from 0 to 1 that the seed and the text give.
+// draw returns a pseudo-random number from 0 to 1 that is determined by the seed and the text.
 func (w *network) draw(text string) float64 {
 	return float64(xxhash.Sum64String(fmt.Sprint(w.seed, text))) / math.MaxUint64
 }
@@ -105,18 +105,18 @@
 	nodes := maps.Clone(w.nodes)
 	w.mu.Unlock()
 	for _, n := range nodes {
-		w.afterRead(n.name+key, func() { must.NoError(w.t, n.Apply(&follow.Record{Key: key, Value: value})) })
+		w.afterReadDelay(n.name+key, func() { must.NoError(w.t, n.Apply(&follow.Record{Key: key, Value: value})) })
 	}
 	return nil
 }
 
-// afterRead does what a node does when it reads the topic next; which text names.
-func (w *network) afterRead(which string, apply func()) {
-	if w.relayed == 0 {
+// afterReadDelay calls apply when a node next reads the topic. The delay is determined by which.
+func (w *network) afterReadDelay(which string, apply func()) {
+	if w.maxReadDelay == 0 {
 		apply()
 		return
 	}
-	time.AfterFunc(time.Duration(w.draw(which)*float64(w.relayed)), apply)
+	time.AfterFunc(time.Duration(w.draw(which)*float64(w.maxReadDelay)), apply)
 }
 
 func (w *network) peersOf(own string) map[string]netip.AddrPort {
@@ -135,7 +135,7 @@
 	return &network{t: t, seed: seed, sent: make(map[string]int), nodes: make(map[netip.AddrPort]*node), records: make(map[string][]byte)}
 }
 
-// start starts a node, which reads the topic, or one anew that is there. It ends with the test.
+// start starts or restarts a node, which reads the topic. It stops at the end of the test.
 func (w *network) start(i int) *node {
 	n := &node{net: w, name: fmt.Sprint("n", i), addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7700)}
 	n.Service = New(Config{
@@ -155,11 +155,11 @@
 	}
 	ctx, stop := context.WithCancel(w.t.Context())
 	n.stop = stop
-	go func() { _ = n.Run(ctx) }() // it returns nil
+	go func() { _ = n.Run(ctx) }() // it always returns nil
 	return n
 }
 
-// kill ends a node, whose entry stays until end.
+// kill stops a node and removes it from the network.
 func (w *network) kill(n *node) {
 	n.stop()
 	w.mu.Lock()
@@ -174,15 +174,15 @@
 	return nodes
 }
 
-// written returns how often the topic was written to.
-func (w *network) written() int {
+// writeCount returns the number of writes to the topic.
+func (w *network) writeCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.writes
 }
 
-// holding returns the number of nodes that hold a request.
-func holding(nodes []*node, f Fingerprint) (count int) {
+// holdingNodes returns the number of nodes that hold a request.
+func holdingNodes(nodes []*node, f Fingerprint) (count int) {
 	for _, n := range nodes {
 		if !n.HeldUntil(f).IsZero() {
 			count++
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,31 +12,32 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// keyPrefix is what the keys of held requests begin with, in a topic that they share with nodes.
+// keyPrefix is the prefix of the keys of held requests, which distinguishes them from node entries in
+// the same topic.
 const keyPrefix = "quarantine/"
 
-// record is a hold as it is recorded on the platform. Times are Unix milliseconds.
+// record is the stored form of a hold. Times are Unix milliseconds.
 type record struct {
 	UntilMS   int64    `json:"until_ms"`
 	Endpoints []string `json:"endpoints"`
-	// SinceMS and Node are when which node knew first that the request is to be held; they are for
+	// SinceMS and Node are when the hold began and the node that recorded it. They are information for
 	// operators.
 	SinceMS int64  `json:"since_ms,omitempty"`
 	Node    string `json:"node,omitempty"`
 }
 
-// IsRecord reports whether a key is that of a held request.
+// IsRecord reports whether a key of the topic is that of a held request.
 func IsRecord(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
 func keyOf(f Fingerprint) string { return keyPrefix + f.String() }
 
 func (h *Hold) encode(node string) ([]byte, error) {
 	data, err := json.Marshal(record{UntilMS: h.Until.UnixMilli(), Endpoints: h.Endpoints, SinceMS: h.Since.UnixMilli(), Node: node})
-	return data, eris.Wrap(err, "encode a held request")
+	return data, eris.Wrap(err, "encode held request")
 }
 
-// decodeHold decodes a record. Hosts' clocks differ and records may be another writer's: none holds
-// a request for longer than any may be.
+// decodeHold decodes a record. Hosts' clocks differ, and the record may come from another writer, so
+// the remaining time is limited to maxHold.
 func decodeHold(r *follow.Record, now time.Time) (Hold, error) {
 	f, err := ParseFingerprint(strings.TrimPrefix(r.Key, keyPrefix))
 	if err != nil {
@@ -44,17 +45,17 @@
 	}
 	var stored record
 	if err := json.Unmarshal(r.Value, &stored); err != nil {
-		return Hold{}, eris.Wrap(err, "decode a held request")
+		return Hold{}, eris.Wrap(err, "decode held request")
 	}
-	if len(stored.Endpoints) < threshold || len(stored.Endpoints) > maxNews {
-		return Hold{}, eris.Errorf("a request held for %d endpoints", len(stored.Endpoints))
+	if len(stored.Endpoints) < holdThreshold || len(stored.Endpoints) > maxReportEntries {
+		return Hold{}, eris.Errorf("decode held request: invalid number of endpoints: %d", len(stored.Endpoints))
 	}
-	left := min(time.UnixMilli(stored.UntilMS).Sub(now), longestHold)
+	left := min(time.UnixMilli(stored.UntilMS).Sub(now), maxHold)
 	return Hold{Fingerprint: f, Endpoints: stored.Endpoints, Since: time.UnixMilli(stored.SinceMS), Until: now.Add(left), Node: stored.Node}, nil
 }
 
-// ReadHolds returns the requests that are or were held by records of a topic, the newest first. What
-// can't be read is left out.
+// ReadHolds returns the requests with a hold record in a topic, including expired holds, newest first.
+// Invalid records are skipped. It fails if the topic cannot be read.
 func ReadHolds(ctx context.Context, topic follow.Topic, now time.Time) ([]Hold, error) {
 	page, err := topic.Newest(ctx)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return holds, nil
 }
 
-// Release removes the record of a held request: all nodes that follow the topic send it again.
+// Release removes the record of a held request, so that all nodes that follow the topic send the
+// request again.
 func Release(ctx context.Context, topic Topic, f Fingerprint) error {
 	return topic.Put(ctx, keyOf(f), nil)
 }
--- /dev/null
+++ b/internal/quarantine/send.go
@@ -0,0 +1,77 @@
+package quarantine
+
+import (
+	"maps"
+	"net/netip"
+	"slices"
+
+	"github.com/cherryward/cherryward/coord/rendezvous"
+)
+
+// sendReports sends the given reports to the coordinators of each request, together with the known
+// endings if the peers have changed. It returns true if the reports are to be sent again.
+func (s *Service) sendReports(reports []outgoingReport, peers map[string]netip.AddrPort) (more bool) {
+	if s.lastPeers != nil && !maps.Equal(peers, s.lastPeers) {
+		reports = append(reports, s.knownEndings()...)
+	}
+	s.lastPeers = peers
+	byNode := make(map[string]*report)
+	for _, t := range reports {
+		for _, node := range s.coordinators(t.Fingerprint, peers) {
+			if node == s.config.Node {
+				continue
+			}
+			n := byNode[node]
+			if n == nil {
+				n = &report{}
+				byNode[node] = n
+			}
+			n.add(t)
+		}
+	}
+	for node, n := range byNode {
+		for m := range n.messages() {
+			s.config.Conn.Notify([]netip.AddrPort{peers[node]}, endingsMethod, m)
+		}
+	}
+	return len(reports) > 0
+}
+
+// pendingReports returns the reports that are to be sent now.
+func (s *Service) pendingReports() []outgoingReport {
+	now := s.config.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.outgoing = slices.DeleteFunc(s.outgoing, func(t outgoingReport) bool { return now.Sub(t.since) > resendFor })
+	return slices.Clone(s.outgoing)
+}
+
+// knownEndings returns the latest endings of requests that are not held, for nodes that have joined. A
+// node that has just started sees endings before it knows its peers.
+func (s *Service) knownEndings() []outgoingReport {
+	var list []outgoingReport
+	all := s.Endings()
+	for _, e := range all[max(len(all)-maxReportEntries, 0):] {
+		list = append(list, outgoingReport{Ending: e})
+	}
+	return list
+}
+
+func (n *report) add(t outgoingReport) {
+	if t.Endpoint == "" {
+		n.Served = append(n.Served, t.Fingerprint)
+		return
+	}
+	n.Endings = append(n.Endings, t.Ending)
+}
+
+// coordinators returns the nodes that a request's endings are reported to, in the order in which they
+// try to record a hold. This node may be one of them.
+func (s *Service) coordinators(f Fingerprint, peers map[string]netip.AddrPort) []string {
+	nodes := make([]rendezvous.Node, 0, len(peers)+1)
+	nodes = append(nodes, rendezvous.Node{ID: s.config.Node, Weight: 1})
+	for name := range peers {
+		nodes = append(nodes, rendezvous.Node{ID: name, Weight: 1})
+	}
+	return rendezvous.Top(coordinators, f.String(), nodes)
+}
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -15,86 +15,88 @@
 )
 
 const (
-	// assessors is the number of nodes that are told of the endings under a request: all of a small
-	// system, which then need no store to agree.
-	assessors = 12
-	// tellPause is the time between two messages with the same news, and tellFor how long these are
-	// told: one of them may be lost.
-	tellPause = 250 * time.Millisecond
-	tellFor   = 700 * time.Millisecond
-	// maxTold bounds what is told at once: the runs that a node loses when several endpoints end.
-	maxTold = 256
-	// recordPause is what each assessor leaves to the one before it to record a held request, and the
-	// time between two tries.
-	recordPause   = 500 * time.Millisecond
-	recordTimeout = time.Second
-	// forgetPause is the time between two looks for records to be removed.
-	forgetPause = time.Minute
+	// coordinators is the number of nodes that the endings of a request are reported to. In a small
+	// system these are all nodes, which then agree on holds without the store.
+	coordinators = 12
+	// resendInterval is the time between two sends of the same report, and resendFor how long it is
+	// repeated, because messages may be lost.
+	resendInterval = 250 * time.Millisecond
+	resendFor      = 700 * time.Millisecond
+	// maxOutgoing limits the reports that are sent repeatedly at one time. It covers the runs that a
+	// node loses when several endpoints end.
+	maxOutgoing = 256
+	// recordInterval is the delay of each coordinator after the previous one in recording a hold, and
+	// the time between two attempts.
+	recordInterval = 500 * time.Millisecond
+	recordTimeout  = time.Second
+	// cleanupInterval is the time between two removals of expired holds.
+	cleanupInterval = time.Minute
 )
 
-// Conn carries notifications between nodes. Nothing is repeated.
+// Conn carries notifications between nodes. It does not retransmit them.
 type Conn interface {
-	// Handle has a method served. It is called before messages come.
+	// Handle registers the handler of a method. It must be called before messages arrive.
 	Handle(method string, h datagram.Handler)
-	// Notify sends a notification to each peer, and returns the bytes of all.
+	// Notify sends a notification to each peer, and returns the total number of bytes sent.
 	Notify(peers []netip.AddrPort, method string, params any) (bytes int)
 }
 
-// Topic is where held requests are recorded. Without a value a key is removed.
+// Topic stores the records of held requests. Put with a nil value removes a key.
 type Topic interface {
 	Put(ctx context.Context, key string, value []byte) error
 }
 
-// Config is what a Service needs. All fields must be set.
+// Config holds the dependencies of a Service. All fields must be set.
 type Config struct {
 	Node string
 	Conn Conn
-	// Peers returns the addresses of the other nodes by their names.
+	// Peers returns the addresses of the other nodes by node name.
 	Peers func() map[string]netip.AddrPort
 	Topic Topic
 	Now   func() time.Time
 	Log   zerolog.Logger
 }
 
-// Service shares a node's table with the other nodes.
+// Service shares a node's Table with the other nodes.
 type Service struct {
 	*Table
 	config Config
-	kick   chan struct{}
+	wakeup chan struct{}
 
-	mu   sync.Mutex
-	told []telling
-	gone []Fingerprint // their records are to be removed
+	mu              sync.Mutex
+	outgoing        []outgoingReport
+	recordsToRemove []Fingerprint // requests whose records are to be removed
 
-	// The rest is used by Run alone.
-	tried    time.Time                 // when a record could not be written last
-	recorded []Hold                    // that all nodes are to be told of once more
-	peers    map[string]netip.AddrPort // that were told last
+	// The fields below are used only by Run.
+	lastFailure   time.Time                 // time of the last failed attempt to write a record
+	toRebroadcast []Hold                    // recorded holds to be broadcast a second time
+	lastPeers     map[string]netip.AddrPort // peers at the last send
 }
 
-// telling is an ending, told again and again for some time. Without an endpoint it tells that the
-// request was run to a good end.
-type telling struct {
+// outgoingReport is an ending that is sent repeatedly for some time. If it has no endpoint, it reports
+// that the request completed successfully.
+type outgoingReport struct {
 	Ending
 	since time.Time
 }
 
-// New returns a service that hears its peers at a connection that doesn't run yet.
+// New returns a service that receives reports through c.Conn once that runs.
 func New(c Config) *Service {
-	s := &Service{Table: NewTable(c.Now), config: c, kick: make(chan struct{}, 1)}
-	c.Conn.Handle(method, s.take)
+	s := &Service{Table: NewTable(c.Now), config: c, wakeup: make(chan struct{}, 1)}
+	c.Conn.Handle(endingsMethod, s.handleReport)
 	return s
 }
 
-// Note notes an ending that this node saw, and tells its peers.
+// Note records an ending that this node saw, and reports it to other nodes. It returns true if the
+// request becomes held.
 func (s *Service) Note(e Ending) (held bool) {
-	held = s.note(e)
-	s.tell(telling{Ending: e})
+	held = s.recordEnding(e)
+	s.enqueue(outgoingReport{Ending: e})
 	return held
 }
 
-// Clear forgets a request that an endpoint ran to a good end for this node, and tells its peers if
-// anything was known of it.
+// Clear removes what is known about a request, because an endpoint completed it for this node, and
+// reports that to other nodes. It returns false, and sends nothing, if nothing was known.
 func (s *Service) Clear(f Fingerprint) (known bool) {
 	known, recorded := s.remove(f)
 	if !known {
@@ -102,14 +104,14 @@
 	}
 	if recorded {
 		s.mu.Lock()
-		s.gone = append(s.gone, f)
+		s.recordsToRemove = append(s.recordsToRemove, f)
 		s.mu.Unlock()
 	}
-	s.tell(telling{Ending: Ending{Fingerprint: f}})
+	s.enqueue(outgoingReport{Ending: Ending{Fingerprint: f}})
 	return true
 }
 
-func (s *Service) note(e Ending) (held bool) {
+func (s *Service) recordEnding(e Ending) (held bool) {
 	held = s.Table.Note(e)
 	if held {
 		s.config.Log.Warn().Str("event", "request_held").Stringer("fingerprint", e.Fingerprint).
@@ -119,12 +121,12 @@
 	return held
 }
 
-func (s *Service) tell(t telling) {
+func (s *Service) enqueue(t outgoingReport) {
 	t.since = s.config.Now()
 	s.mu.Lock()
-	s.told = append(s.told, t)
-	if excess := len(s.told) - maxTold; excess > 0 {
-		s.told = slices.Delete(s.told, 0, excess)
+	s.outgoing = append(s.outgoing, t)
+	if excess := len(s.outgoing) - maxOutgoing; excess > 0 {
+		s.outgoing = slices.Delete(s.outgoing, 0, excess)
 	}
 	s.mu.Unlock()
 	s.wake()
@@ -132,19 +134,19 @@
 
 func (s *Service) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// take notes what a peer tells.
-func (s *Service) take(params json.RawMessage) (any, error) {
-	n, err := decodeNews(params)
+// handleReport applies a report from a peer.
+func (s *Service) handleReport(params json.RawMessage) (any, error) {
+	n, err := decodeReport(params)
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range n.Endings {
-		s.note(e)
+		s.recordEnding(e)
 		if n.Recorded {
 			s.Recorded(e.Fingerprint)
 		}
@@ -155,8 +157,7 @@
 	return nil, nil
 }
 
-// Apply takes a record of the topic whose key is that of a held request. An error means that it
-// can't be read.
+// Apply applies a record of the topic whose key IsRecord accepts. It fails if the record is invalid.
 func (s *Service) Apply(r *follow.Record) error {
 	if r.Value == nil {
 		if f, err := ParseFingerprint(r.Key[len(keyPrefix):]); err == nil {
@@ -168,47 +169,48 @@
 	if err != nil {
 		return err
 	}
-	s.Take(h)
+	s.ApplyHold(h)
 	return nil
 }
 
-// Run tells peers and records what is held, until ctx is done.
+// Run sends reports and records holds until ctx is done.
 func (s *Service) Run(ctx context.Context) error {
-	forget := time.NewTicker(forgetPause)
-	defer forget.Stop()
+	cleanup := time.NewTicker(cleanupInterval)
+	defer cleanup.Stop()
 	for {
-		var again <-chan time.Time
+		var resend <-chan time.Time
 		if s.step(ctx) {
-			again = time.After(tellPause)
+			resend = time.After(resendInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.kick:
-		case <-again:
-		case <-forget.C:
-			s.forget(ctx)
+		case <-s.wakeup:
+		case <-resend:
+		case <-cleanup.C:
+			s.removeExpired(ctx)
 		}
 	}
 }
 
-// PeersChanged has nodes that came be told what they are to know.
+// PeersChanged makes Run send known endings to nodes that have joined.
 func (s *Service) PeersChanged() {
 	if !s.Empty() {
 		s.wake()
 	}
 }
 
-// step tells and records once, and reports whether there is more to do soon.
+// step sends pending reports and writes pending records once. It returns true if it must be called
+// again soon.
 func (s *Service) step(ctx context.Context) (more bool) {
-	s.spreadAgain()
-	told := s.due()
-	if len(told) == 0 && s.Empty() {
+	s.rebroadcast()
+	reports := s.pendingReports()
+	if len(reports) == 0 && s.Empty() {
 		return s.removeRecords(ctx)
 	}
 	peers := s.config.Peers()
-	telling := s.sendNews(told, peers)
+	sending := s.sendReports(reports, peers)
 	recording := s.recordHolds(ctx, peers)
 	removing := s.removeRecords(ctx)
-	return telling || recording || removing || len(s.recorded) > 0
+	return sending || recording || removing || len(s.toRebroadcast) > 0
 }
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -14,11 +14,12 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// TestEndingsOfThreeNodes: each of three nodes saw one endpoint end under a request. All nodes hold
-// it within the bound that the operators give, with a tenth of the messages lost, and few write a
-// record: another one's turn comes where the one before it learned late, as messages were lost.
-func TestEndingsOfThreeNodes(t *testing.T) {
-	const bound = time.Second // well within the 3 s after which a node counts as in touch
+// TestEndingsSeenByThreeNodes checks that a request is held by all nodes within one second after three
+// nodes each saw one endpoint end, with a tenth of the messages lost, and that few nodes write a
+// record. A second write can occur if the next coordinator in turn learns of the record late because of
+// a lost message.
+func TestEndingsSeenByThreeNodes(t *testing.T) {
+	const bound = time.Second // well within the liveness timeout of 3 s
 	for _, size := range []int{3, 7, 82, 295} {
 		for seed := range uint64(5) {
 			synctest.Test(t, func(t *testing.T) {
@@ -31,16 +32,17 @@
 				}
 				time.Sleep(bound)
 				synctest.Wait()
-				test.Eq(t, size, holding(nodes, f), test.Sprint(size, seed))
-				test.LessEq(t, int(bound/recordPause)+1, w.written())
-				test.LessEq(t, 3*assessors*4+2*w.written()*size, w.messages) // each writer tells all twice
+				test.Eq(t, size, holdingNodes(nodes, f), test.Sprint(size, seed))
+				test.LessEq(t, int(bound/recordInterval)+1, w.writeCount())
+				test.LessEq(t, 3*coordinators*4+2*w.writeCount()*size, w.messages) // each writer sends to all nodes twice
 			})
 		}
 	}
 }
 
-// TestStoreIsAway: the nodes of a small system agree without it, and record the hold when it is back.
-func TestStoreIsAway(t *testing.T) {
+// TestTopicOutage checks that the nodes of a small system agree on a hold while the topic is
+// unavailable, and record it afterwards.
+func TestTopicOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, 1)
 		w.down = true
@@ -50,45 +52,47 @@
 			nodes[i].Note(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(10 * time.Second)
-		test.Eq(t, 6, holding(nodes, f))
+		test.Eq(t, 6, holdingNodes(nodes, f))
 		w.mu.Lock()
 		w.down = false
 		w.mu.Unlock()
-		time.Sleep(2 * recordPause)
+		time.Sleep(2 * recordInterval)
 		synctest.Wait()
 		test.MapLen(t, 1, w.records)
-		test.LessEq(t, len(nodes), w.written()) // each once at most
+		test.LessEq(t, len(nodes), w.writeCount()) // at most once per node
 	})
 }
 
-// TestNodesThatStartKnow: a node that told of the first ending starts anew, has forgotten it and sees
-// the third; all nodes hold the request. All start anew then, and know the hold from its record.
-func TestNodesThatStartKnow(t *testing.T) {
+// TestRestartedNodesKnowHolds checks that endings reported before a restart count: a node that reported
+// the first ending restarts, loses it and sees the third, and all nodes hold the request. After a
+// restart of all nodes the hold is known from its record.
+func TestRestartedNodesKnowHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, 1)
 		nodes := w.startAll(3)
 		f := print("guilty")
 		nodes[2].Note(Ending{f, "e0"})
 		nodes[1].Note(Ending{f, "e1"})
-		time.Sleep(2 * tellFor)
+		time.Sleep(2 * resendFor)
 		w.kill(nodes[2])
 		nodes[2] = w.start(2)
-		time.Sleep(tellPause)
+		time.Sleep(resendInterval)
 		synctest.Wait()
-		test.Eq(t, 0, holding(nodes, f))
+		test.Eq(t, 0, holdingNodes(nodes, f))
 		nodes[2].Note(Ending{f, "e2"})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		test.Eq(t, 3, holding(nodes, f))
+		test.Eq(t, 3, holdingNodes(nodes, f))
 		for _, n := range nodes {
 			w.kill(n)
 		}
 		nodes = w.startAll(3)
-		test.Eq(t, 3, holding(nodes, f))
+		test.Eq(t, 3, holdingNodes(nodes, f))
 	})
 }
 
-// TestEndingsBeforePeersAreKnown: a node tells of the endings that it saw alone once others come.
+// TestEndingsBeforePeersAreKnown checks that a node reports the endings that it saw while it was alone
+// when other nodes join.
 func TestEndingsBeforePeersAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, 1)
@@ -96,20 +100,21 @@
 		f := print("guilty")
 		nodes[0].Note(Ending{f, "e0"})
 		nodes[0].Note(Ending{f, "e1"})
-		time.Sleep(2 * tellFor)
+		time.Sleep(2 * resendFor)
 		nodes = append(nodes, w.start(1), w.start(2))
-		time.Sleep(tellPause)
+		time.Sleep(resendInterval)
 		synctest.Wait()
 		nodes[1].Note(Ending{f, "e2"})
-		time.Sleep(tellPause)
+		time.Sleep(resendInterval)
 		synctest.Wait()
-		test.Eq(t, 3, holding(nodes, f))
+		test.Eq(t, 3, holdingNodes(nodes, f))
 	})
 }
 
-// TestServedElsewhere: a request that many callers send ran beside guilty ones at two endpoints that
-// ended. A third node's good answer clears it everywhere, also once it is held and recorded.
-func TestServedElsewhere(t *testing.T) {
+// TestSuccessAtAnotherNodeClears checks that a success at a third node clears a request on all nodes,
+// also after it has been held and recorded. Such a request is sent by many callers, and ran next to the
+// one that made the endpoints end.
+func TestSuccessAtAnotherNodeClears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, 1)
 		nodes := w.startAll(4)
@@ -119,7 +124,7 @@
 				nodes[i%2].Note(Ending{f, e})
 			}
 			time.Sleep(2 * time.Second)
-			test.Eq(t, 4*round, holding(nodes, f))
+			test.Eq(t, 4*round, holdingNodes(nodes, f))
 			test.True(t, nodes[3].Clear(f))
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
@@ -134,8 +139,8 @@
 	})
 }
 
-// TestRecordsAreRemoved: once a hold ended long ago, one node removes its record.
-func TestRecordsAreRemoved(t *testing.T) {
+// TestExpiredRecordsAreRemoved checks that one node removes the record of a hold that ended long ago.
+func TestExpiredRecordsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, 1)
 		nodes := w.startAll(5)
@@ -143,11 +148,11 @@
 		for i := range 3 {
 			nodes[0].Note(Ending{f, fmt.Sprint("e", i)})
 		}
-		time.Sleep(firstHold + memory - time.Minute)
-		test.Eq(t, 1, w.written())
+		time.Sleep(firstHold + retention - time.Minute)
+		test.Eq(t, 1, w.writeCount())
 		time.Sleep(3 * time.Minute)
 		synctest.Wait()
-		test.Eq(t, 2, w.written())
+		test.Eq(t, 2, w.writeCount())
 		test.SliceEmpty(t, w.records[keyOf(f)])
 		for _, n := range nodes {
 			test.True(t, n.Empty())
@@ -155,23 +160,24 @@
 	})
 }
 
-// TestNodeThatIsCutOff: a node that hears no other, but reaches the store, holds what is recorded.
-func TestNodeThatIsCutOff(t *testing.T) {
+// TestPartitionedNodeReadsRecords checks that a node that receives no messages but can read the topic
+// holds the recorded requests.
+func TestPartitionedNodeReadsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, 1)
 		nodes := w.startAll(4)
 		f := print("guilty")
-		nodes[0].cut = true
+		nodes[0].disconnected = true
 		for i := range 3 {
 			nodes[1].Note(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		test.Eq(t, 4, holding(nodes, f))
+		test.Eq(t, 4, holdingNodes(nodes, f))
 	})
 }
 
-func TestRecordsOfOthers(t *testing.T) {
+func TestInvalidRecordsAreRejected(t *testing.T) {
 	c := newClock()
 	s := New(Config{Node: "n", Conn: &node{}, Now: c.now, Log: zerolog.Nop()})
 	key := keyOf(print("a"))
@@ -183,33 +189,34 @@
 	test.True(t, s.Empty())
 	forever := fmt.Sprintf(`{"until_ms":%d,"endpoints":["a","b","c"]}`, c.at.Add(1000*time.Hour).UnixMilli())
 	must.NoError(t, s.Apply(&follow.Record{Key: key, Value: []byte(forever)}))
-	test.Eq(t, c.at.Add(longestHold), s.HeldUntil(print("a")))
+	test.Eq(t, c.at.Add(maxHold), s.HeldUntil(print("a")))
 }
 
-// FuzzDecodeNews: a message is refused as a whole or taken, and bounded.
-func FuzzDecodeNews(f *testing.F) {
+// FuzzDecodeReport checks that a message is either rejected as a whole or accepted with a bounded
+// number of entries.
+func FuzzDecodeReport(f *testing.F) {
 	f.Add([]byte(`{"endings":[{"fingerprint":"00112233445566778899aabbccddeeff","endpoint":"e@1"}],"served":["00112233445566778899aabbccddeeff"]}`))
 	f.Add([]byte(`{"endings":[{"fingerprint":"0011","endpoint":"e@1"}]}`))
 	f.Add([]byte(`{"endings":[{"fingerprint":"00112233445566778899aabbccddeeff","endpoint":""}]}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n, err := decodeNews(data)
+		n, err := decodeReport(data)
 		if err != nil {
 			return
 		}
-		must.LessEq(t, maxNews, len(n.Endings)+len(n.Served))
+		must.LessEq(t, maxReportEntries, len(n.Endings)+len(n.Served))
 		for m := range n.messages() {
 			encoded, err := json.Marshal(m)
 			must.NoError(t, err)
-			_, err = decodeNews(encoded)
+			_, err = decodeReport(encoded)
 			must.NoError(t, err)
 		}
 	})
 }
 
-// TestReleased: an operator removes the record of a held request. No node holds it any more, nor
-// records it again, and what is known of it begins anew.
-func TestReleased(t *testing.T) {
+// TestRelease checks that after an operator removed the record of a held request no node holds it or
+// records it again, and that its endings are counted from zero.
+func TestRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newNetwork(t, 1)
 		nodes := w.startAll(4)
@@ -218,12 +225,12 @@
 			nodes[i].Note(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(2 * time.Second)
-		must.Eq(t, 4, holding(nodes, f))
+		must.Eq(t, 4, holdingNodes(nodes, f))
 		must.NoError(t, Release(t.Context(), w, f))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		test.Eq(t, 0, holding(nodes, f))
-		test.Eq(t, 2, w.written())
+		test.Eq(t, 0, holdingNodes(nodes, f))
+		test.Eq(t, 2, w.writeCount())
 		test.False(t, nodes[0].Note(Ending{f, "e4"}))
 	})
 }
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -8,71 +8,73 @@
 	"time"
 )
 
-// recordHolds records what this node holds and the topic doesn't, and reports whether any is left.
+// recordHolds writes missing records of holds to the topic, as far as it is this node's turn, and
+// reports whether any is left.
 func (s *Service) recordHolds(ctx context.Context, peers map[string]netip.AddrPort) (more bool) {
 	now := s.config.Now()
 	for _, h := range s.Holds() {
 		if h.Recorded || !now.Before(h.Until) {
 			continue
 		}
-		rank := slices.Index(s.assessors(h.Fingerprint, peers), s.config.Node)
+		rank := slices.Index(s.coordinators(h.Fingerprint, peers), s.config.Node)
 		if rank < 0 {
 			continue
 		}
-		if now.Sub(h.Since) < time.Duration(rank)*recordPause || now.Sub(s.tried) < recordPause || !s.record(ctx, &h) {
+		if now.Sub(h.Since) < time.Duration(rank)*recordInterval || now.Sub(s.lastFailure) < recordInterval || !s.record(ctx, &h) {
 			more = true
 		}
 	}
 	return more
 }
 
-// record writes a held request, and reports whether it is there.
+// record writes the record of a held request, and reports whether that succeeded.
 func (s *Service) record(ctx context.Context, h *Hold) bool {
 	value, err := h.encode(s.config.Node)
 	if err == nil {
 		err = s.put(ctx, h.Fingerprint, value)
 	}
 	if err != nil {
-		s.tried = s.config.Now()
+		s.lastFailure = s.config.Now()
 		return false
 	}
 	s.Recorded(h.Fingerprint)
-	s.spread(h)
-	s.recorded = append(s.recorded, *h)
+	s.broadcast(h)
+	s.toRebroadcast = append(s.toRebroadcast, *h)
 	return true
 }
 
-// spreadAgain tells all nodes once more of what was recorded since, as messages may be lost.
-func (s *Service) spreadAgain() {
-	for i := range s.recorded {
-		s.spread(&s.recorded[i])
+// rebroadcast sends the holds recorded in the previous step once more, because messages may be lost.
+func (s *Service) rebroadcast() {
+	for i := range s.toRebroadcast {
+		s.broadcast(&s.toRebroadcast[i])
 	}
-	s.recorded = nil
+	s.toRebroadcast = nil
 }
 
-// spread tells all nodes of a held request: those of a large system that read the topic by others
-// learn of it some seconds later else, and the next assessors write another record.
-func (s *Service) spread(h *Hold) {
+// broadcast sends a recorded hold to all nodes. In a large system, nodes that read the topic through
+// others would otherwise learn of it some seconds later, and the next coordinators would write another
+// record.
+func (s *Service) broadcast(h *Hold) {
 	peers := slices.Collect(maps.Values(s.config.Peers()))
-	n := news{Endings: h.endings(), Recorded: true}
+	n := report{Endings: h.endings(), Recorded: true}
 	for m := range n.messages() {
-		s.config.Conn.Notify(peers, method, m)
+		s.config.Conn.Notify(peers, endingsMethod, m)
 	}
 }
 
-// removeRecords removes the records of requests that ran to a good end, and reports whether any is
+// removeRecords removes the records of requests that completed successfully, and reports whether any is
 // left.
 func (s *Service) removeRecords(ctx context.Context) (more bool) {
 	s.mu.Lock()
-	gone := s.gone
-	s.gone = nil
+	remaining := s.recordsToRemove
+	s.recordsToRemove = nil
 	s.mu.Unlock()
-	for i, f := range gone {
+	for i, f := range remaining {
 		if s.put(ctx, f, nil) == nil {
 			continue
 		}
 		s.mu.Lock()
-		s.gone = append(s.gone, gone[i:]...)
+		s.recordsToRemove = append(s.recordsToRemove, remaining[i:]...)
 		s.mu.Unlock()
 		return true
 	}
@@ -89,14 +91,15 @@
 	return err
 }
 
-// forget drops holds that ended long ago. The first assessor removes their records.
-func (s *Service) forget(ctx context.Context) {
+// removeExpired removes holds that ended long ago from the table. The first coordinator also removes
+// their records.
+func (s *Service) removeExpired(ctx context.Context) {
 	now, peers := s.config.Now(), s.config.Peers()
 	for _, h := range s.Holds() {
 		if !h.Expired(now) {
 			continue
 		}
-		if s.assessors(h.Fingerprint, peers)[0] == s.config.Node && s.put(ctx, h.Fingerprint, nil) != nil {
+		if s.coordinators(h.Fingerprint, peers)[0] == s.config.Node && s.put(ctx, h.Fingerprint, nil) != nil {
 			continue
 		}
 		s.Table.Clear(h.Fingerprint)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -10,56 +10,56 @@
 )
 
 const (
-	// threshold is the number of endpoints that must have ended under a request for it to be held.
-	// Up to a dozen others run beside it at each; one of them is rarely sent on to the next two
-	// endpoints that end, too.
-	threshold = 3
-	// firstHold is how long a request is held first, and longestHold at most. Each further endpoint
-	// that ends under it afterwards doubles the time.
-	firstHold   = 10 * time.Minute
-	longestHold = 4 * time.Hour
-	// memory is how long endings count after the newest one, and after the end of a hold.
-	memory = time.Hour
-	// maxSuspects and maxHeld bound what is known, some 150 bytes each.
+	// holdThreshold is the number of endpoints that must end during a request for it to be held. Up to
+	// a dozen other requests run next to it at each endpoint; it is rare that one of them is retried on
+	// the next two endpoints that end as well.
+	holdThreshold = 3
+	// firstHold is the initial duration of a hold, and maxHold the maximum. Each further endpoint that
+	// ends during the request after a hold doubles the duration.
+	firstHold = 10 * time.Minute
+	maxHold   = 4 * time.Hour
+	// retention is how long endings count after the newest one, and how long a hold is kept after its
+	// end.
+	retention = time.Hour
+	// maxSuspects and maxHeld limit the number of table entries, of about 150 bytes each.
 	maxSuspects = 4096
 	maxHeld     = 1024
 )
 
-// Ending is the end of an endpoint while it had a request.
+// Ending records that an endpoint ended while it had a request.
 type Ending struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
-	// Endpoint names one start of an endpoint.
+	// Endpoint identifies one start of an endpoint.
 	Endpoint string `json:"endpoint"`
 }
 
 // Hold is a request that is held.
 type Hold struct {
 	Fingerprint Fingerprint
-	Endpoints   []string  // starts of endpoints that ended under it
-	Since       time.Time // when this node knew
+	Endpoints   []string  // starts of endpoints that ended during the request
+	Since       time.Time // when the hold began or became known at this node
 	Until       time.Time
-	Recorded    bool   // on the platform
-	Node        string // that recorded it; empty if not known
+	Recorded    bool   // whether the hold is recorded on the platform
+	Node        string // node that recorded it; empty if not known
 }
 
-// Table is what a node knows of endpoints that ended, and of requests that are held. It is safe for
-// concurrent use.
+// Table holds the endings and the held requests that a node knows. It is safe for concurrent use.
 type Table struct {
-	now   func() time.Time
-	known atomic.Int64 // entries
+	now     func() time.Time
+	entries atomic.Int64 // number of entries
 
 	mu       sync.Mutex
 	suspects *simplelru.LRU[Fingerprint, *suspect]
 	held     *simplelru.LRU[Fingerprint, *Hold]
 }
 
-// suspect is a request under which less than threshold endpoints ended.
+// suspect is a request with fewer endings than the threshold.
 type suspect struct {
 	endpoints []string
 	newest    time.Time
 }
 
-// NewTable returns an empty table that reads the time from now.
+// NewTable returns an empty table that uses now as its clock.
 func NewTable(now func() time.Time) *Table {
 	suspects, err := simplelru.NewLRU[Fingerprint, *suspect](maxSuspects, nil)
 	if err != nil {
@@ -72,10 +72,10 @@
 	return &Table{now: now, suspects: suspects, held: held}
 }
 
-// Empty reports whether nothing is known of any request, so that none needs a fingerprint.
-func (t *Table) Empty() bool { return t.known.Load() == 0 }
+// Empty reports whether the table has no entries. If so, callers need not compute fingerprints.
+func (t *Table) Empty() bool { return t.entries.Load() == 0 }
 
-// HeldUntil returns until when a request is held, zero if it isn't.
+// HeldUntil returns the end of a request's hold, or the zero time if it is not held.
 func (t *Table) HeldUntil(f Fingerprint) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,13 +86,12 @@
 	return h.Until
 }
 
-// Note takes an ending, and reports whether the request is held from now on and was not before. It
-// may be told any number of times. Endings under a request that is held are those of runs that had
-// begun: they don't prolong it.
+// Note records an ending, and reports whether the request becomes held by it. It is idempotent. Endings
+// during a hold belong to runs that had already started, and do not prolong it.
 func (t *Table) Note(e Ending) (held bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.count()
+	defer t.updateCount()
 	now := t.now()
 	if h, known := t.held.Get(e.Fingerprint); known {
 		return h.prolong(e.Endpoint, now)
@@ -102,14 +101,14 @@
 		s = &suspect{}
 		t.suspects.Add(e.Fingerprint, s)
 	}
-	if now.Sub(s.newest) > memory {
+	if now.Sub(s.newest) > retention {
 		s.endpoints = nil
 	}
 	if slices.Contains(s.endpoints, e.Endpoint) {
 		return false
 	}
 	s.endpoints, s.newest = append(s.endpoints, e.Endpoint), now
-	if len(s.endpoints) < threshold {
+	if len(s.endpoints) < holdThreshold {
 		return false
 	}
 	t.suspects.Remove(e.Fingerprint)
@@ -117,25 +116,27 @@
 	return true
 }
 
-// prolong holds a request anew whose time was over when another endpoint ended under it.
+// prolong starts a new, longer hold if another endpoint ended during the request after the previous
+// hold was over.
 func (h *Hold) prolong(endpoint string, now time.Time) bool {
 	if now.Before(h.Until) || slices.Contains(h.Endpoints, endpoint) {
 		return false
 	}
 	h.Endpoints = append(h.Endpoints, endpoint)
 	length := firstHold
-	for range len(h.Endpoints) - threshold {
-		length = min(2*length, longestHold)
+	for range len(h.Endpoints) - holdThreshold {
+		length = min(2*length, maxHold)
 	}
 	h.Since, h.Until, h.Recorded = now, now.Add(length), false
 	return true
 }
 
-// Take takes a hold that is recorded on the platform.
-func (t *Table) Take(h Hold) {
+// ApplyHold adds a hold that is recorded on the platform. If a later end is known for it, that one is
+// kept.
+func (t *Table) ApplyHold(h Hold) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.count()
+	defer t.updateCount()
 	h.Since, h.Recorded = t.now(), true
 	if before, known := t.held.Peek(h.Fingerprint); known && before.Until.After(h.Until) {
 		h.Until = before.Until
@@ -144,18 +145,18 @@
 	t.held.Add(h.Fingerprint, &h)
 }
 
-// Clear forgets what is known of a request, as an endpoint ran it to a good end, and reports
-// whether anything was.
+// Clear removes a request from the table, because an endpoint completed it, and reports whether it was
+// there.
 func (t *Table) Clear(f Fingerprint) bool {
 	known, _ := t.remove(f)
 	return known
 }
 
-// remove does what Clear does, and reports whether the request was held by a record on the platform.
+// remove is Clear, but also reports whether the request had a hold recorded on the platform.
 func (t *Table) remove(f Fingerprint) (known, recorded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.count()
+	defer t.updateCount()
 	if h, held := t.held.Peek(f); held {
 		t.held.Remove(f)
 		return true, h.Recorded
@@ -163,7 +164,7 @@
 	return t.suspects.Remove(f), false
 }
 
-// Recorded notes that a hold is recorded on the platform.
+// Recorded marks a hold as recorded on the platform.
 func (t *Table) Recorded(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,7 +173,7 @@
 	}
 }
 
-// Endings returns what is known of requests that are not held, those of the newest request last.
+// Endings returns the endings of requests that are not held, those of the newest request last.
 func (t *Table) Endings() (list []Ending) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,7 +186,7 @@
 	return list
 }
 
-// Holds returns the requests that are or were held, the one used least lately first.
+// Holds returns all current and past holds in the table, the least recently used first.
 func (t *Table) Holds() []Hold {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,14 +208,14 @@
 	return count
 }
 
-// Suspects returns the number of requests under which endpoints ended, too few to hold them.
+// Suspects returns the number of requests that have endings but are not held.
 func (t *Table) Suspects() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.suspects.Len()
 }
 
-// endings returns what the hold rests on.
+// endings returns the endings that caused the hold.
 func (h *Hold) endings() (list []Ending) {
 	for _, endpoint := range h.Endpoints {
 		list = append(list, Ending{h.Fingerprint, endpoint})
@@ -222,8 +223,8 @@
 	return list
 }
 
-// Expired reports whether a hold ended so long ago that it is to be forgotten.
-func (h *Hold) Expired(now time.Time) bool { return now.Sub(h.Until) > memory }
+// Expired reports whether a hold ended so long ago that it is to be removed.
+func (h *Hold) Expired(now time.Time) bool { return now.Sub(h.Until) > retention }
 
-// count notes the number of entries. t.mu is held.
-func (t *Table) count() { t.known.Store(int64(t.suspects.Len() + t.held.Len())) }
+// updateCount updates the number of entries. The caller must hold t.mu.
+func (t *Table) updateCount() { t.entries.Store(int64(t.suspects.Len() + t.held.Len())) }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// clock is a time that tests move.
+// clock is a manually advanced clock.
 type clock struct{ at time.Time }
 
 func newClock() *clock { return &clock{at: time.Unix(1_800_000_000, 0)} }
@@ -21,8 +21,8 @@
 	return FingerprintOf("yard", "POST", "office.example", "/query/"+name, nil)
 }
 
-// endings notes that endpoints ended under a request, and returns whether it is held by then.
-func endings(t *Table, f Fingerprint, endpoints ...string) bool {
+// recordEndings records endings of a request, and returns whether the request became held.
+func recordEndings(t *Table, f Fingerprint, endpoints ...string) bool {
 	held := false
 	for _, e := range endpoints {
 		held = t.Note(Ending{f, e}) || held
@@ -35,10 +35,10 @@
 	table := NewTable(c.now)
 	f := print("a")
 	test.True(t, table.Empty())
-	test.False(t, endings(table, f, "e1@1", "e2@1", "e1@1", "e2@1")) // told again
+	test.False(t, recordEndings(table, f, "e1@1", "e2@1", "e1@1", "e2@1")) // repeated reports
 	test.False(t, table.Empty())
 	test.True(t, table.HeldUntil(f).IsZero())
-	test.True(t, endings(table, f, "e1@2")) // another start of the same endpoint
+	test.True(t, recordEndings(table, f, "e1@2")) // another start of the same endpoint
 	test.Eq(t, c.at.Add(firstHold), table.HeldUntil(f))
 	test.True(t, table.HeldUntil(print("b")).IsZero())
 	test.SliceEmpty(t, table.Endings())
@@ -46,19 +46,19 @@
 	test.True(t, table.HeldUntil(f).IsZero())
 }
 
-// TestHoldsGrow: a request whose time is over and that ends one more endpoint is held for twice
-// as long at once; runs that were under way when it was held don't count.
-func TestHoldsGrow(t *testing.T) {
+// TestHoldTimeDoubles checks that each further endpoint that ends after a hold starts a hold of twice
+// the duration, and that runs in flight at the start of a hold do not count.
+func TestHoldTimeDoubles(t *testing.T) {
 	c := newClock()
 	table := NewTable(c.now)
 	f := print("a")
-	must.True(t, endings(table, f, "e1", "e2", "e3"))
-	test.False(t, endings(table, f, "e4", "e5", "e6"))
+	must.True(t, recordEndings(table, f, "e1", "e2", "e3"))
+	test.False(t, recordEndings(table, f, "e4", "e5", "e6"))
 	test.Eq(t, c.at.Add(firstHold), table.HeldUntil(f))
-	for i, want := range []time.Duration{2 * firstHold, 4 * firstHold, 8 * firstHold, 16 * firstHold, longestHold, longestHold} {
+	for i, want := range []time.Duration{2 * firstHold, 4 * firstHold, 8 * firstHold, 16 * firstHold, maxHold, maxHold} {
 		c.at = table.Holds()[0].Until
-		test.False(t, endings(table, f, "e1")) // told late
-		must.True(t, endings(table, f, fmt.Sprint("later-", i)))
+		test.False(t, recordEndings(table, f, "e1")) // late report
+		must.True(t, recordEndings(table, f, fmt.Sprint("later-", i)))
 		test.Eq(t, c.at.Add(want), table.HeldUntil(f))
 	}
 }
@@ -67,37 +67,38 @@
 	table := NewTable(newClock().now)
 	f := print("a")
 	test.False(t, table.Clear(f))
-	endings(table, f, "e1", "e2")
+	recordEndings(table, f, "e1", "e2")
 	test.True(t, table.Clear(f))
 	test.True(t, table.Empty())
-	test.False(t, endings(table, f, "e3"))
-	must.True(t, endings(table, f, "e4", "e5"))
+	test.False(t, recordEndings(table, f, "e3"))
+	must.True(t, recordEndings(table, f, "e4", "e5"))
 	test.True(t, table.Clear(f))
 	test.True(t, table.HeldUntil(f).IsZero())
 }
 
-func TestOldEndingsDontCount(t *testing.T) {
+func TestOldEndingsExpire(t *testing.T) {
 	c := newClock()
 	table := NewTable(c.now)
 	f := print("a")
-	endings(table, f, "e1", "e2")
-	c.advance(memory + time.Second)
-	test.False(t, endings(table, f, "e3"))
-	test.True(t, endings(table, f, "e4", "e5"))
+	recordEndings(table, f, "e1", "e2")
+	c.advance(retention + time.Second)
+	test.False(t, recordEndings(table, f, "e3"))
+	test.True(t, recordEndings(table, f, "e4", "e5"))
 }
 
-// TestKnowledgeIsBounded: a flood of requests that each lose an endpoint pushes none out that is held.
-func TestKnowledgeIsBounded(t *testing.T) {
+// TestTableIsBounded checks that the table size is bounded, and that many requests with one ending each
+// do not evict a held request.
+func TestTableIsBounded(t *testing.T) {
 	table := NewTable(newClock().now)
 	guilty := print("guilty")
-	must.True(t, endings(table, guilty, "e1", "e2", "e3"))
+	must.True(t, recordEndings(table, guilty, "e1", "e2", "e3"))
 	for i := range 3 * maxSuspects {
 		table.Note(Ending{print(fmt.Sprint(i)), "e4"})
 	}
-	test.Eq(t, maxSuspects+1, int(table.known.Load()))
+	test.Eq(t, maxSuspects+1, int(table.entries.Load()))
 	test.False(t, table.HeldUntil(guilty).IsZero())
 	for i := range 2 * maxHeld {
-		endings(table, print(fmt.Sprint("held-", i)), "e1", "e2", "e3")
+		recordEndings(table, print(fmt.Sprint("held-", i)), "e1", "e2", "e3")
 	}
 	test.Eq(t, maxHeld, len(table.Holds()))
 }
@@ -122,7 +123,8 @@
 	}
 }
 
-// BenchmarkFingerprint: it is computed where something is known of some request, or a run is lost.
+// BenchmarkFingerprint measures the fingerprint computation, which is needed for each request while the
+// table is not empty, and for each lost run.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 32 << 10, 1 << 20} {
 		body := make([]byte, size)
