--- a/internal/rollout/board.go
+++ b/internal/rollout/board.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// reportAge is how long a board believes a report.
-	reportAge = 3 * steadyReport
-	// gatherTime is how long a board that is new to a model waits for reports
-	// before it takes those it has for all.
-	gatherTime = 3 * time.Second
-	// maxHolders bounds the engines that are named for one version.
+	// reportTTL is how long a board uses a report.
+	reportTTL = 3 * reportInterval
+	// gatherTimeout is how long a new board of a model waits for reports before it treats them as
+	// complete.
+	gatherTimeout = 3 * time.Second
+	// maxHolders limits the number of engines listed for one version.
 	maxHolders = 64
 )
 
@@ -23,40 +23,39 @@
 type Holding struct {
 	Version string `json:"v"`
 	Loading bool   `json:"l,omitempty"`
-	// Completed and Failed count the runs since the engine holds the version.
+	// Completed and Failed count the runs since the engine first held the version.
 	Completed int `json:"c,omitempty"`
 	Failed    int `json:"f,omitempty"`
-	// Age is for how long the engine has held it, as far as its owner knows.
+	// Age is how long the engine has held the version, as far as its owner knows.
 	Age time.Duration `json:"a,omitempty"`
 }
 
-// Report is what an engine's owner tells of one of the engine's models.
+// Report is the report of an engine's owner on one of the engine's models.
 type Report struct {
 	Model    string    `json:"m"`
 	Engine   string    `json:"e"`
 	Domain   string    `json:"d"`
-	Down     bool      `json:"x,omitempty"` // does not answer, or takes no new runs
+	Down     bool      `json:"x,omitempty"` // the engine does not answer, or accepts no new runs
 	Holdings []Holding `json:"h,omitempty"`
 }
 
-// Standing answers a report.
+// Standing is the answer to a report.
 type Standing struct {
 	Model string `json:"m"`
 	Stage Stage  `json:"s"`
-	// Go tells that it is this engine's turn to take the wanted version.
-	Go bool `json:"g,omitempty"`
+	// Turn is set if it is this engine's turn to load the requested version.
+	Turn bool `json:"g,omitempty"`
 }
 
-// Holders are the engines in service that hold one version.
+// Holders lists the engines in service that hold one version.
 type Holders struct {
 	Version string   `json:"v"`
 	Count   int      `json:"n"`
-	Engines []string `json:"e"` // at most maxHolders of them
+	Engines []string `json:"e"` // at most maxHolders entries
 }
 
-// board gathers the reports on models, at the node that owns each model's key.
-// It is soft state: nodes that disagree on the owner have two for a while. It is
-// safe for concurrent use.
+// board collects the reports on models at the node that owns each model's key. Its state is soft: while
+// nodes disagree on the owner, a model has two boards. It is safe for concurrent use.
 type board struct {
 	mu     sync.Mutex
 	models map[string]*modelBoard
@@ -64,7 +63,7 @@
 
 type modelBoard struct {
 	since   time.Time
-	reports map[string]entry // by engine
+	reports map[string]entry // by engine name
 }
 
 type entry struct {
@@ -72,10 +71,9 @@
 	at time.Time
 }
 
-// newBoard returns an empty board.
 func newBoard() *board { return &board{models: make(map[string]*modelBoard)} }
 
-// Report takes a report in and tells how things stand for its engine.
+// Report records a report and returns the standing of its engine.
 func (b *board) Report(now time.Time, view *config.View, r Report) Standing {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,20 +87,20 @@
 	if !ok {
 		return Standing{Model: r.Model, Stage: Gathering}
 	}
-	return Standing{Model: r.Model, Stage: f.stage(), Go: slices.Contains(f.turns(), r.Engine)}
+	return Standing{Model: r.Model, Stage: f.stage(), Turn: slices.Contains(f.turns(), r.Engine)}
 }
 
-// Holders returns the versions of a model that new runs may use with the engines
-// that hold them. While whole is false, reports are still coming in.
-func (b *board) Holders(now time.Time, view *config.View, model string) (holders []Holders, whole bool) {
+// Holders returns the versions of a model that new runs may use, with the engines that hold them.
+// complete is false while reports are still being collected.
+func (b *board) Holders(now time.Time, view *config.View, model string) (holders []Holders, complete bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f, whole := b.fleet(now, view, model)
-	return f.holders(), whole
+	f, complete := b.fleet(now, view, model)
+	return f.holders(), complete
 }
 
-// fleet joins the reports with the configuration. It is false where the model is
-// gone, or where engines may be about to report.
+// fleet combines the reports on a model with the configuration. It returns false if the model does not
+// exist any more, or if reports are still being collected.
 func (b *board) fleet(now time.Time, view *config.View, model string) (fleet, bool) {
 	m := b.models[model]
 	target, ok := targetOf(view, model)
@@ -116,7 +114,7 @@
 	for name, e := range m.reports {
 		endpoint, ok := view.Endpoint(name)
 		switch {
-		case now.Sub(e.at) > reportAge || !ok || !slices.Contains(endpoint.GetModels(), model):
+		case now.Sub(e.at) > reportTTL || !ok || !slices.Contains(endpoint.GetModels(), model):
 			delete(m.reports, name)
 		case !endpoint.GetLeaving():
 			f.engines = append(f.engines, e.Report)
@@ -128,5 +126,5 @@
 		}
 		return strings.Compare(a.Engine, b.Engine)
 	})
-	return f, len(f.engines) >= f.size || now.Sub(m.since) >= gatherTime
+	return f, len(f.engines) >= f.size || now.Sub(m.since) >= gatherTimeout
 }
--- a/internal/rollout/capacity.go
+++ b/internal/rollout/capacity.go
@@ -8,14 +8,14 @@
 	"github.com/cherryward/cherryward/api/wire/enginewire"
 )
 
-// defaultMinAvailable is the share of a model's engines that stay in service
-// during a rollout where the model states none.
+// defaultMinAvailable is the share of a model's engines that stay in service during a rollout if the
+// model does not set one.
 const defaultMinAvailable = 0.5
 
 const roleLeaving = "leaving"
 
-// minAvailable returns how many of n engines must stay in service. One may
-// always be out: a share that forbids it would forbid every rollout.
+// minAvailable returns how many of n engines must stay in service. One engine may always be out of
+// service, because otherwise a share close to 1 would block every rollout.
 func minAvailable(model *pb.Model, n int) int {
 	share := model.GetRolloutMinAvailable()
 	if share == 0 {
@@ -24,7 +24,7 @@
 	return min(int(math.Ceil(share*float64(n))), max(n-1, 0))
 }
 
-// serves tells whether an engine takes new runs of a model.
+// serves reports whether an engine accepts new runs of a model.
 func serves(t Target, state *enginewire.State) bool {
 	if state == nil || state.Role == roleLeaving {
 		return false
@@ -34,8 +34,8 @@
 	})
 }
 
-// taken tells whether any engine holds the wanted version or loads it.
-func taken(t Target, states []*enginewire.State) bool {
+// anyHasTarget reports whether any engine holds or loads the requested version.
+func anyHasTarget(t Target, states []*enginewire.State) bool {
 	return slices.ContainsFunc(states, func(state *enginewire.State) bool {
 		return state != nil && slices.ContainsFunc(state.Loaded, func(l enginewire.Loaded) bool {
 			return l.Model == t.Model && l.Version == t.Version
@@ -43,9 +43,9 @@
 	})
 }
 
-// spare tells whether one engine in service may leave it. States are those of
-// all engines of the model, nil for one that does not answer. It is pure.
-func spare(model *pb.Model, t Target, states []*enginewire.State) bool {
+// canSpare reports whether one of the engines in service may be taken out. states holds the states of
+// all engines of the model, nil for an engine that does not answer. It is a pure function.
+func canSpare(model *pb.Model, t Target, states []*enginewire.State) bool {
 	serving := 0
 	for _, state := range states {
 		if serves(t, state) {
--- a/internal/rollout/claims.go
+++ b/internal/rollout/claims.go
@@ -12,10 +12,10 @@
 	"github.com/cherryward/cherryward/coord/retry"
 )
 
-// MaxLoads is how many loads run through the weight store at once.
+// MaxLoads is the maximum number of concurrent loads through the weight store.
 const MaxLoads = 2
 
-// Names of what is claimed.
+// Names of the claimed resources.
 const (
 	slotResource   = "weights"
 	endpointPrefix = "endpoint/"
@@ -23,31 +23,30 @@
 )
 
 const (
-	// orderTimeout bounds an order; uncheckedTimeout one to an engine that does not
-	// check fencing tokens.
+	// orderTimeout is the timeout of an order. uncheckedTimeout is that of an order to an engine that
+	// does not check fencing tokens.
 	orderTimeout     = 2 * time.Second
 	uncheckedTimeout = time.Second
 	// settleTime is how long after its timeout an order may still take effect.
 	settleTime = 2 * time.Second
-	// claimGrace is waited for after a claim that ran out without its release.
+	// claimGrace is the delay before a claim that expired without a release can be acquired again.
 	claimGrace = settleTime
 	claimPoll  = 250 * time.Millisecond
-	// acquireTimeout bounds the wait for a claim; the pass after it tries again.
+	// acquireTimeout limits the wait for a claim. The next pass tries again.
 	acquireTimeout = 2 * time.Second
-	// releaseInterval is the time between two attempts to give a claim back.
+	// releaseInterval is the time between two attempts to release a claim.
 	releaseInterval = time.Second
 
 	endpointTTL = 10 * time.Second
-	// modelTTL covers the reading of the fleet, the drain and two orders.
+	// modelTTL covers the reads of all engines of the model, the drain and two orders.
 	modelTTL = 20 * time.Second
-	// slotTTL bounds one load: one that is not through by then is cancelled.
+	// slotTTL limits the duration of one load. A load that has not finished by then is cancelled.
 	slotTTL = time.Minute
-	// slotMargin is the time in which a load that takes too long is cancelled.
+	// slotMargin is the time reserved for cancelling a load that takes too long.
 	slotMargin = 2*orderTimeout + settleTime
 )
 
-// claimLog is a stream of the platform's log as the claims' log. It counts
-// appends.
+// claimLog adapts a stream of the platform's log to claim.Log, and counts appends.
 type claimLog struct {
 	log     changelog.Log
 	appends atomic.Int64
@@ -89,40 +88,39 @@
 	})
 }
 
-// lease is a claim that is taken when first needed and given back later.
+// lease is a claim that is acquired when first needed and released later.
 type lease struct {
-	claim *claim.Claim
-	take  func(ctx context.Context) (*claim.Claim, error)
+	claim  *claim.Claim
+	obtain func(ctx context.Context) (*claim.Claim, error)
 }
 
-// held tells whether the claim can cover another order.
+// held reports whether the claim is valid for long enough for another order.
 func (l *lease) held() bool { return l.claim != nil && l.claim.Valid(orderTimeout) }
 
-// acquire takes the claim unless it is held.
+// acquire acquires the claim unless it is held.
 func (l *lease) acquire(ctx context.Context) error {
 	if l.held() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
-	c, err := l.take(ctx)
+	c, err := l.obtain(ctx)
 	l.claim = c
 	return err
 }
 
-// release gives the claim back in the background, so that an outage of the log
-// holds up nothing: it tries until the claim has run out or ctx ends, but once in
-// any case.
+// release releases the claim in the background, so that an outage of the log blocks nothing. It makes
+// at least one attempt, and repeats it until the claim has expired or ctx is done.
 func (l *lease) release(ctx context.Context, wg *sync.WaitGroup) {
 	c := l.claim
 	l.claim = nil
 	if c == nil || !c.Valid(0) {
 		return
 	}
-	wg.Go(func() { giveBack(ctx, c) })
+	wg.Go(func() { releaseWithRetry(ctx, c) })
 }
 
-func giveBack(ctx context.Context, c *claim.Claim) {
+func releaseWithRetry(ctx context.Context, c *claim.Claim) {
 	for {
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), acquireTimeout)
 		err := c.Release(bounded)
--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -16,90 +16,91 @@
 )
 
 const (
-	// steadyReport is the time between two reports on an engine that does not change.
-	steadyReport = 10 * time.Second
-	reportWait   = 250 * time.Millisecond
+	// reportInterval is the time between two reports on an engine that does not change, and
+	// minReportInterval the minimum time between any two reports.
+	reportInterval    = 10 * time.Second
+	minReportInterval = 250 * time.Millisecond
 )
 
-// Directory gives the newest configuration.
-type Directory interface {
+// ConfigSource provides the newest configuration.
+type ConfigSource interface {
 	View() *config.View
 }
 
-// Owner is the local owner of the engines, which grants runs on them.
+// Owner is the local owner of engines, which grants runs on them.
 type Owner interface {
-	// Runs counts the runs that an engine completed or failed on a version since
-	// it was first seen to hold it; the zero value for one that it does not hold.
+	// Runs returns the number of runs that an engine completed or failed on a version since it was
+	// first seen to hold it, or the zero value if it does not hold the version.
 	Runs(endpoint, model, version string) owner.Tally
-	// Observe takes what an engine holds.
+	// Observe records the state of an engine.
 	Observe(endpoint string, state *enginewire.State)
-	// Withhold stops grants for one model on an engine, until called with "".
+	// Withhold stops grants for one model on an engine until it is called with an empty model.
 	Withhold(endpoint, model string)
 }
 
 var _ Owner = (*owner.Service)(nil)
 
-// Reporter brings a report to the board of its model, here or at another node.
+// Reporter delivers a report to the board of its model, on this node or another.
 type Reporter interface {
-	// Keeper names the node that keeps a model's board.
-	Keeper(model string) string
-	// Report is safe to repeat.
+	// BoardOwner returns the node that owns the board of a model.
+	BoardOwner(model string) string
+	// Report is idempotent.
 	Report(ctx context.Context, r Report) (Standing, error)
 }
 
-// core is what the workers of one node share.
+// core is the state shared by the workers of one node.
 type core struct {
-	claimer   *claim.Claimer
-	directory Directory
-	engines   Engines
-	owner     Owner
-	reporter  Reporter
-	// leaving tells whether the platform takes an engine's host out of service.
+	claimer      *claim.Claimer
+	configSource ConfigSource
+	engines      Engines
+	owner        Owner
+	reporter     Reporter
+	// leaving reports whether an engine's host is being taken out of service.
 	leaving func(*pb.Endpoint) bool
-	// fresh tells whether the configuration is new enough to act on.
-	fresh    func() bool
-	counters *Counters
-	log      zerolog.Logger
+	// configFresh reports whether the configuration is recent enough to act on.
+	configFresh func() bool
+	counters    *Counters
+	log         zerolog.Logger
 }
 
-// told is what was last reported of one model, and the answer.
-type told struct {
-	at       time.Time
-	keeper   string
-	report   Report
-	standing Standing
+// lastReport is the latest report on one model, with its answer.
+type lastReport struct {
+	at         time.Time
+	boardOwner string
+	report     Report
+	standing   Standing
 }
 
-// tell reports on all models of the engine and returns how they stand. A nil
-// state is that of an engine that does not answer.
-func (w *worker) tell(ctx context.Context, endpoint *pb.Endpoint, want Want, state *enginewire.State) map[string]Standing {
+// reportAll reports on all models of the engine and returns their standings. state is nil if the engine
+// does not answer.
+func (w *worker) reportAll(ctx context.Context, endpoint *pb.Endpoint, want DesiredState, state *enginewire.State) map[string]Standing {
 	standings := make(map[string]Standing, len(want.Targets))
 	for _, t := range want.Targets {
 		r := w.report(endpoint, t, state)
-		last := w.told[t.Model]
-		keeper := w.reporter.Keeper(t.Model)
+		last := w.lastReport[t.Model]
+		boardOwner := w.reporter.BoardOwner(t.Model)
 		since := time.Since(last.at)
-		if since < reportWait || (since < steadyReport && last.quiet(r, keeper, t)) {
+		if since < minReportInterval || (since < reportInterval && last.unchanged(r, boardOwner, t)) {
 			standings[t.Model] = last.standing
 			continue
 		}
-		next := told{at: time.Now(), keeper: keeper, report: r}
+		next := lastReport{at: time.Now(), boardOwner: boardOwner, report: r}
 		standing, err := w.reporter.Report(ctx, r)
 		if err == nil {
 			next.standing = standing
 			standings[t.Model] = standing
 		}
-		w.told[t.Model] = next
+		w.lastReport[t.Model] = next
 	}
 	return standings
 }
 
-// quiet tells whether a report has no news for the board, and the board none
-// for the engine.
-func (t told) quiet(r Report, keeper string, target Target) bool {
-	_, has := r.on(target.Version)
+// unchanged reports whether a report contains nothing new for the board, and the board has nothing
+// pending for the engine.
+func (t lastReport) unchanged(r Report, boardOwner string, target Target) bool {
+	_, has := r.holding(target.Version)
 	settled := t.standing.Stage == Settled && (has || target.Version == "")
-	return settled && keeper == t.keeper && slices.EqualFunc(t.report.Holdings, r.Holdings, sameHolding) && t.report.Down == r.Down
+	return settled && boardOwner == t.boardOwner && slices.EqualFunc(t.report.Holdings, r.Holdings, sameHolding) && t.report.Down == r.Down
 }
 
 func sameHolding(a, b Holding) bool { return a.Version == b.Version && a.Loading == b.Loading }
--- a/internal/rollout/demo_test.go
+++ b/internal/rollout/demo_test.go
@@ -25,10 +25,10 @@
 	"github.com/cherryward/cherryward/standin/engine"
 )
 
-// watcher reads the engines of a fleet all the time.
+// watcher samples the engines of a fleet continuously.
 type watcher struct {
-	loading, serving atomic.Int32 // most loads at once, fewest engines in service
-	early            atomic.Int32 // engines with v2 up to when the first holds it
+	loading, serving atomic.Int32 // maximum concurrent loads, minimum engines in service
+	early            atomic.Int32 // number of engines with v2 when the first one can serve it
 }
 
 func (w *watcher) run(ctx context.Context, f *demo.Fleet) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// prompts sends requests one after the other until ctx ends.
+// prompts sends requests sequentially until ctx is done.
 func prompts(ctx context.Context, t *testing.T, url string, client int, sent, failed *atomic.Int64) {
 	for n := 0; ctx.Err() == nil; n++ {
 		body := fmt.Sprintf(`{"model":%q,"prompt":"client %d heat %d","max_tokens":8}`, demo.Model, client, n)
@@ -130,7 +130,7 @@
 	time.Sleep(500 * time.Millisecond)
 	stop()
 	wg.Wait()
-	t.Logf("took %v, %d requests, %d failed, at most %d loads, at least %d serving", took, sent.Load(), failed.Load(), w.loading.Load(), w.serving.Load())
+	t.Logf("took %v, %d requests, %d failed, max %d loads, min %d serving", took, sent.Load(), failed.Load(), w.loading.Load(), w.serving.Load())
 	must.NoError(t, ctx.Err())
 	must.Eq(t, 0, failed.Load())
 	must.Positive(t, sent.Load())
--- a/internal/rollout/desired.go
+++ b/internal/rollout/desired.go
@@ -8,36 +8,36 @@
 	"github.com/cherryward/cherryward/internal/config"
 )
 
-// Weights names one set of weights: of a model version, or of an adapter over it.
+// Weights identifies one set of weights: those of a model version, or of an adapter for it.
 type Weights struct {
 	Model   string
 	Version string
-	Adapter string // empty for the bare model
+	Adapter string // empty for the model itself
 }
 
-// Target is what an engine is to hold of one model.
+// Target is the desired state of one model on an engine.
 type Target struct {
 	Model string
-	// Version is empty where the model's version is withdrawn: then nothing is
-	// loaded, and other versions that may serve are left where they are.
+	// Version is empty if the model's version is withdrawn. In that case nothing is loaded, and other
+	// versions that may serve are kept.
 	Version  string
-	Adapters []string // by name
-	// Eligible are the versions that new runs may use, by name. They stay in
-	// memory until Version takes their place.
+	Adapters []string // sorted by name
+	// Eligible are the versions that new runs may use, sorted by name. They stay in memory until
+	// Version replaces them.
 	Eligible []string
 }
 
-// Want is what the configuration wants of one engine.
-type Want struct {
-	Targets []Target // by model
-	// Leaving is set for an engine on its way out: it is given no weights, and
-	// loses only those that must not serve.
+// DesiredState is the state that the configuration requests of one engine.
+type DesiredState struct {
+	Targets []Target // sorted by model
+	// Leaving is set for an engine that is being taken out of service: it gets no weights, and loses
+	// only those that must not serve.
 	Leaving bool
 }
 
-// Desired returns what a configuration wants of an engine. It is pure.
-func Desired(view *config.View, endpoint *pb.Endpoint) Want {
-	want := Want{Leaving: endpoint.GetLeaving()}
+// Desired returns the state that a configuration requests of an engine. It is a pure function.
+func Desired(view *config.View, endpoint *pb.Endpoint) DesiredState {
+	want := DesiredState{Leaving: endpoint.GetLeaving()}
 	for _, name := range slices.Sorted(slices.Values(endpoint.GetModels())) {
 		if target, ok := targetOf(view, name); ok {
 			want.Targets = append(want.Targets, target)
@@ -46,7 +46,7 @@
 	return want
 }
 
-// targetOf returns what an engine of a model is to hold of it.
+// targetOf returns the target of a model, or false if the model is not configured.
 func targetOf(view *config.View, name string) (Target, bool) {
 	model, ok := view.Model(name)
 	if !ok {
@@ -82,8 +82,8 @@
 	return versions
 }
 
-// target returns the target of a model.
-func (w Want) target(model string) (Target, bool) {
+// target returns the target of a model, or false if there is none.
+func (w DesiredState) target(model string) (Target, bool) {
 	i, ok := slices.BinarySearchFunc(w.Targets, model, func(t Target, name string) int {
 		return strings.Compare(t.Model, name)
 	})
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -8,7 +8,7 @@
 	"github.com/cherryward/cherryward/api/wire/enginewire"
 )
 
-// Events in the log.
+// Event names in the log.
 const (
 	eventLoad        = "weights_load"
 	eventUnload      = "weights_unload"
@@ -23,16 +23,15 @@
 	eventNotUndone   = "rollout_not_undone"
 )
 
-// Counters count what this node did, since its start. They may be read at any
-// time.
+// Counters count the actions of this node since its start. They are safe for concurrent use.
 type Counters struct {
-	Loads     atomic.Int64 // load orders given
-	Unloads   atomic.Int64 // unload orders given
-	Undone    atomic.Int64 // rollouts undone by a change of the configuration
-	Uncertain atomic.Int64 // orders whose answer did not come
+	Loads     atomic.Int64 // load orders sent
+	Unloads   atomic.Int64 // unload orders sent
+	Undone    atomic.Int64 // rollouts reverted by a configuration change
+	Uncertain atomic.Int64 // orders without an answer
 }
 
-func (c *Counters) ordered(kind enginewire.OrderKind) {
+func (c *Counters) countOrder(kind enginewire.OrderKind) {
 	if kind == enginewire.OrderLoad {
 		c.Loads.Add(1)
 		return
@@ -40,7 +39,7 @@
 	c.Unloads.Add(1)
 }
 
-// event begins the log line of a step with one set of weights.
+// event starts the log line of an action on one set of weights.
 func (w *worker) event(name string, weights Weights) *zerolog.Event {
 	e := w.log.Info().Str("event", name).Str("model", weights.Model).Str("version", weights.Version)
 	if weights.Adapter != "" {
--- a/internal/rollout/fakenode_test.go
+++ b/internal/rollout/fakenode_test.go
@@ -15,9 +15,9 @@
 	"github.com/cherryward/cherryward/internal/owner"
 )
 
-// node is one node of a bench; it is the owner of the engines that it works on.
+// node is one node of a simulation, and the owner of the engines that it works on.
 type node struct {
-	*bench
+	*simulation
 	*core
 	board   *board
 	mu      sync.Mutex
@@ -26,30 +26,30 @@
 	done    sync.WaitGroup
 }
 
-// View implements Directory as the nodes see it.
-func (b *bench) View() *config.View {
+// View implements ConfigSource for the nodes.
+func (b *simulation) View() *config.View {
 	view := b.config.View()
 	item, ok := view.Item(config.KindModel, "m")
-	if !b.careless || !ok {
+	if !b.ignoreMinAvailable || !ok {
 		return view
 	}
 	model := &pb.Model{Name: "m", Version: item.Value.(*pb.Model).GetVersion(), RolloutMinAvailable: 0.01}
 	return view.With(config.Entry{Revision: view.Applied(), Kind: config.KindModel, Name: "m", Value: model})
 }
 
-func (b *bench) leaving(e *pb.Endpoint) bool {
+func (b *simulation) leaving(e *pb.Endpoint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.gone[e.GetName()]
+	return b.leavingHosts[e.GetName()]
 }
 
-// node starts a node that works on some engines, with claims in a log.
-func (b *bench) node(name string, log *logtest.Log, engines ...string) *node {
-	n := &node{bench: b, board: b.board, tallies: make(map[string]owner.Tally)}
+// node starts a node that works on the given engines, with claims in the given log.
+func (b *simulation) node(name string, log *logtest.Log, engines ...string) *node {
+	n := &node{simulation: b, board: b.board, tallies: make(map[string]owner.Tally)}
 	claimer, err := newClaimer(name, &claimLog{log: log})
 	must.NoError(b.t, err)
-	n.core = &core{claimer: claimer, directory: b, engines: b, owner: n, reporter: n, leaving: b.leaving, fresh: func() bool { return true }, counters: &Counters{}, log: zerolog.Nop()}
-	k := &keeper{board: b.board, directory: b.config, proposer: b.config, fresh: n.fresh, keeps: func(string) bool { return true }, counters: n.counters, log: n.core.log, logged: make(map[string]Progress)}
+	n.core = &core{claimer: claimer, configSource: b, engines: b, owner: n, reporter: n, leaving: b.leaving, configFresh: func() bool { return true }, counters: &Counters{}, log: zerolog.Nop()}
+	k := &supervisor{board: b.board, configSource: b.config, proposer: b.config, configFresh: n.configFresh, ownsBoard: func(string) bool { return true }, counters: n.counters, log: n.core.log, lastLogged: make(map[string]Progress)}
 	var ctx context.Context
 	ctx, n.stop = context.WithCancel(b.t.Context())
 	for _, e := range engines {
@@ -57,16 +57,16 @@
 	}
 	n.done.Go(func() {
 		for ctx.Err() == nil {
-			k.look(ctx)
-			n.serve(engines)
+			k.check(ctx)
+			n.completeRuns(engines)
 			time.Sleep(500 * time.Millisecond)
 		}
 	})
 	return n
 }
 
-// serve ends one run on each engine that serves.
-func (n *node) serve(engines []string) {
+// completeRuns completes one run on each engine that serves.
+func (n *node) completeRuns(engines []string) {
 	for _, name := range engines {
 		state, _ := n.State(context.Background(), urlOf(name))
 		for _, l := range state.Loaded {
@@ -77,15 +77,15 @@
 	}
 }
 
-// endRun tells whether a run on a version failed.
+// endRun counts a run on a version and reports whether it failed.
 func (n *node) endRun(version string) (failed bool) {
-	n.bench.mu.Lock()
-	defer n.bench.mu.Unlock()
-	failed = n.bad[version]
+	n.simulation.mu.Lock()
+	defer n.simulation.mu.Unlock()
+	failed = n.failing[version]
 	if failed {
-		n.seen.bad++
+		n.observed.failing++
 	} else if version == "v2" {
-		n.seen.completed++
+		n.observed.completed++
 	}
 	return failed
 }
@@ -111,12 +111,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, v := range []string{"v1", "v2", "v3"} {
-		if !holds(state.Loaded, Weights{"m", v, ""}) {
+		if !isLoaded(state.Loaded, Weights{"m", v, ""}) {
 			delete(n.tallies, endpoint+v)
 		} else if _, ok := n.tallies[endpoint+v]; !ok {
 			n.tallies[endpoint+v] = owner.Tally{Since: time.Now()}
-			if n.praised {
-				n.tallies[endpoint+v] = owner.Tally{Since: time.Now(), Completed: goodRuns}
+			if n.assumeProven {
+				n.tallies[endpoint+v] = owner.Tally{Since: time.Now(), Completed: acceptRuns}
 			}
 		}
 	}
@@ -128,10 +128,10 @@
 	return n.tallies[endpoint+version]
 }
 
-func (n *node) Keeper(string) string { return "keeper" }
+func (n *node) BoardOwner(string) string { return "keeper" }
 
 func (n *node) Report(_ context.Context, r Report) (Standing, error) {
 	standing := n.board.Report(time.Now(), n.View(), r)
-	standing.Go = standing.Go || n.eager
+	standing.Turn = standing.Turn || n.allTurns
 	return standing, nil
 }
--- a/internal/rollout/fakes_test.go
+++ b/internal/rollout/fakes_test.go
@@ -27,37 +27,37 @@
 
 var errLost = errors.New("answer lost")
 
-// bench is a fleet of stand-in engines and nodes without a network, in virtual
-// time. Nodes share the log, the configuration and one board.
-type bench struct {
-	t       *testing.T
-	log     *logtest.Log
-	config  *configtest.Log
-	board   *board
-	engines map[string]*standin.Engine
-	size    int
-	began   time.Time // of the rollout
-	nodes   []*node
-
-	mu       sync.Mutex
-	bad      map[string]bool // versions whose runs fail
-	lose     int             // one order in this many is lost, or its answer; 0 is none
-	given    int
-	delay    time.Duration   // until an order reaches its engine
-	gone     map[string]bool // engines on hosts that are leaving
-	eager    bool            // the board tells every engine to go
-	careless bool            // nodes do not know the model's share
-	praised  bool            // versions are said to be good before their first run
-	seen     trace
-}
-
-// trace is what the invariants are checked on.
+// simulation consists of stand-in engines and nodes without a network, in virtual time. The nodes share
+// the log, the configuration and one board.
+type simulation struct {
+	t         *testing.T
+	log       *logtest.Log
+	config    *configtest.Log
+	board     *board
+	engines   map[string]*standin.Engine
+	size      int
+	startedAt time.Time // start of the rollout
+	nodes     []*node
+
+	mu                 sync.Mutex
+	failing            map[string]bool // versions whose runs fail
+	loseEvery          int             // one of this many orders, or its answer, is lost; 0 disables losses
+	ordersSent         int
+	delay              time.Duration   // delay until an order reaches its engine
+	leavingHosts       map[string]bool // engines on hosts that are leaving
+	allTurns           bool            // the board gives every engine a turn
+	ignoreMinAvailable bool            // nodes ignore the model's minimum share
+	assumeProven       bool            // versions are reported as proven before their first run
+	observed           trace
+}
+
+// trace holds the observations that the invariants are checked on.
 type trace struct {
-	loads, least int           // most loads at once, fewest engines in service
-	early        int           // most engines with v2 before it was proven
-	completed    int           // runs on v2
-	bad          int           // runs on a version that fails
-	last         time.Duration // from the start to the last order
+	maxLoads, minServing int           // maximum concurrent loads, minimum engines in service
+	maxUnproven          int           // maximum number of engines with v2 before it was proven
+	completed            int           // completed runs on v2
+	failing              int           // runs on a failing version
+	lastOrder            time.Duration // time from the start to the last order
 }
 
 type setup struct {
@@ -67,10 +67,10 @@
 	adapters []string
 }
 
-func newBench(t *testing.T, s setup) *bench {
-	b := &bench{
+func newSimulation(t *testing.T, s setup) *simulation {
+	b := &simulation{
 		t: t, log: &logtest.Log{Delay: 5 * time.Millisecond}, config: configtest.New(), board: newBoard(),
-		engines: make(map[string]*standin.Engine), size: s.engines, bad: make(map[string]bool), gone: make(map[string]bool), seen: trace{least: s.engines},
+		engines: make(map[string]*standin.Engine), size: s.engines, failing: make(map[string]bool), leavingHosts: make(map[string]bool), observed: trace{minServing: s.engines},
 	}
 	for _, v := range []string{"v1", "v2", "v3"} {
 		b.put(&pb.ModelVersion{Name: config.VersionName("m", v), Model: "m", Version: v})
@@ -93,7 +93,7 @@
 }
 
 // put writes an object as an operator does.
-func (b *bench) put(v config.Value) {
+func (b *simulation) put(v config.Value) {
 	item, _ := b.config.View().Item(config.KindOf(v), v.GetName())
 	value, err := config.Encode(v)
 	must.NoError(b.t, err)
@@ -101,16 +101,16 @@
 	must.NoError(b.t, err)
 }
 
-// want asks for a version as an operator does.
-func (b *bench) want(version string) {
+// setVersion requests a version as an operator does.
+func (b *simulation) setVersion(version string) {
 	model, _ := b.config.View().Model("m")
 	b.put(&pb.Model{Name: "m", Version: version, RolloutMinAvailable: model.GetRolloutMinAvailable()})
 }
 
-// urlOf puts the engine's number into the port.
+// urlOf returns an engine's URL. The engine's number is part of the port.
 func urlOf(name string) string { return "http://127.0.0.1:100" + strings.TrimPrefix(name, "e") }
 
-func (b *bench) call(method, base, path string, body []byte) (*httptest.ResponseRecorder, error) {
+func (b *simulation) call(method, base, path string, body []byte) (*httptest.ResponseRecorder, error) {
 	e := b.engines["e"+strings.TrimPrefix(base, urlOf("e"))]
 	rec := httptest.NewRecorder()
 	e.Handler().ServeHTTP(rec, httptest.NewRequest(method, path, bytes.NewReader(body)))
@@ -123,7 +123,7 @@
 }
 
 // State implements Engines.
-func (b *bench) State(_ context.Context, base string) (*enginewire.State, error) {
+func (b *simulation) State(_ context.Context, base string) (*enginewire.State, error) {
 	rec, err := b.call(http.MethodGet, base, enginewire.PathState, nil)
 	if err != nil {
 		return nil, err
@@ -132,14 +132,13 @@
 	return state, json.NewDecoder(io.Reader(rec.Body)).Decode(state)
 }
 
-// Order implements Engines. An order that is held up takes effect also after its
-// sender has given up.
-func (b *bench) Order(ctx context.Context, base string, order *enginewire.Order) error {
+// Order implements Engines. A delayed order takes effect even after its sender has timed out.
+func (b *simulation) Order(ctx context.Context, base string, order *enginewire.Order) error {
 	b.mu.Lock()
-	b.given++
-	b.seen.last = time.Since(b.began).Round(100 * time.Millisecond)
-	lost, delay := b.lose > 0 && b.given%b.lose == 0, b.delay
-	dropped := lost && b.given%2 == 0
+	b.ordersSent++
+	b.observed.lastOrder = time.Since(b.startedAt).Round(100 * time.Millisecond)
+	lost, delay := b.loseEvery > 0 && b.ordersSent%b.loseEvery == 0, b.delay
+	dropped := lost && b.ordersSent%2 == 0
 	b.mu.Unlock()
 	body, _ := json.Marshal(order)
 	done := make(chan error, 1)
@@ -164,9 +163,9 @@
 }
 
 // watch samples the engines until ctx ends.
-func (b *bench) watch(ctx context.Context) {
+func (b *simulation) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		var now sampled
+		var now sample
 		for name := range b.engines {
 			state, _ := b.State(ctx, urlOf(name))
 			now.add(state)
@@ -174,47 +173,47 @@
 				now.serving++
 			}
 		}
-		b.with(func() { b.seen.take(now) })
+		b.locked(func() { b.observed.record(now) })
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// sampled counts loads, engines in service, and engines with v2 at one time.
-type sampled struct{ loading, serving, second int }
+// sample holds the number of loads, engines in service and engines with v2 at one time.
+type sample struct{ loading, serving, withV2 int }
 
-func (c *sampled) add(state *enginewire.State) {
+func (c *sample) add(state *enginewire.State) {
 	for _, l := range state.Loaded {
 		if l.Loading {
 			c.loading++
 		}
 		if l.Version == "v2" && l.Adapter == "" {
-			c.second++
+			c.withV2++
 		}
 	}
 }
 
-func (t *trace) take(now sampled) {
-	t.loads = max(t.loads, now.loading)
-	t.least = min(t.least, now.serving)
-	if t.completed < goodRuns {
-		t.early = max(t.early, now.second)
+func (t *trace) record(now sample) {
+	t.maxLoads = max(t.maxLoads, now.loading)
+	t.minServing = min(t.minServing, now.serving)
+	if t.completed < acceptRuns {
+		t.maxUnproven = max(t.maxUnproven, now.withV2)
 	}
 }
 
-// wrong returns the engines that do not hold just what the configuration wants.
-func (b *bench) wrong() (names []string) {
+// mismatched returns the engines that are not in the desired state.
+func (b *simulation) mismatched() (names []string) {
 	for name := range b.engines {
 		state, _ := b.State(context.Background(), urlOf(name))
 		endpoint, _ := b.config.View().Endpoint(name)
-		if !b.gone[name] && len(Plan(Desired(b.config.View(), endpoint), state.Loaded)) > 0 {
+		if !b.leavingHosts[name] && len(Plan(Desired(b.config.View(), endpoint), state.Loaded)) > 0 {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// holding counts the engines that hold or load a version.
-func (b *bench) holding(version string) (n int) {
+// holderCount returns the number of engines that hold or load a version.
+func (b *simulation) holderCount(version string) (n int) {
 	for name := range b.engines {
 		state, _ := b.State(context.Background(), urlOf(name))
 		for _, l := range state.Loaded {
@@ -226,19 +225,19 @@
 	return n
 }
 
-// orders counts the orders given.
-func (b *bench) orders() (n int) {
-	b.with(func() { n = b.given })
+// orders returns the number of orders sent.
+func (b *simulation) orders() (n int) {
+	b.locked(func() { n = b.ordersSent })
 	return n
 }
 
-func (b *bench) with(f func()) {
+func (b *simulation) locked(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
 }
 
-func (b *bench) names(from, to int) (names []string) {
+func (b *simulation) engineNames(from, to int) (names []string) {
 	for i := from; i < to; i++ {
 		names = append(names, fmt.Sprintf("e%d", i))
 	}
--- a/internal/rollout/faults_test.go
+++ b/internal/rollout/faults_test.go
@@ -18,67 +18,68 @@
 	"github.com/cherryward/cherryward/internal/config"
 )
 
-// scenario is one rollout of v2 over engines that hold v1.
+// scenario is a rollout of v2 on engines that hold v1.
 type scenario struct {
 	name string
 	setup
-	// nodes share the engines in halves, or all work on all of them.
-	both bool
-	// before is set up before the rollout, during runs with it.
-	before, during func(b *bench)
-	// boards gives each node a board of its own, logs a log of its own: then
-	// claims exclude nobody.
-	boards, logs bool
-	// withdrawn weights are given up whatever the share.
+	// shared makes all nodes work on all engines instead of on half of them each.
+	shared bool
+	// before is called before the rollout, and during while it runs.
+	before, during func(b *simulation)
+	// separateBoards gives each node its own board. separateLogs gives each node its own log, so that
+	// claims do not exclude each other.
+	separateBoards, separateLogs bool
+	// withdrawn is set if weights are withdrawn, in which case they are unloaded whatever the minimum
+	// share.
 	withdrawn bool
-	within    time.Duration
-	version   string // held in the end
+	duration  time.Duration
+	version   string // expected at the end
 }
 
-// run plays a scenario for its time and returns what broke.
-func (s *scenario) run(t *testing.T) (b *bench, broken []string) {
-	b = newBench(t, s.setup)
+// run runs a scenario for its duration and returns the violated invariants.
+func (s *scenario) run(t *testing.T) (b *simulation, violations []string) {
+	b = newSimulation(t, s.setup)
 	if s.before != nil {
 		s.before(b)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	half := s.engines / 2
-	sets := [][]string{b.names(0, half), b.names(half, s.engines)}
+	sets := [][]string{b.engineNames(0, half), b.engineNames(half, s.engines)}
 	for i, set := range sets {
 		log := b.log
-		if s.logs {
+		if s.separateLogs {
 			log = &logtest.Log{Delay: b.log.Delay}
 		}
-		if s.boards {
+		if s.separateBoards {
 			b.board = newBoard()
 		}
-		if s.both {
-			set = b.names(0, s.engines)
+		if s.shared {
+			set = b.engineNames(0, s.engines)
 		}
 		b.nodes = append(b.nodes, b.node(fmt.Sprint("node-", i), log, set...))
 	}
 	var watching sync.WaitGroup
 	watching.Go(func() { b.watch(ctx) })
 	time.Sleep(5 * time.Second)
-	b.with(func() { b.began = time.Now() })
-	b.want("v2")
+	b.locked(func() { b.startedAt = time.Now() })
+	b.setVersion("v2")
 	if s.during != nil {
 		s.during(b)
 	}
-	time.Sleep(s.within - time.Since(b.began))
+	time.Sleep(s.duration - time.Since(b.startedAt))
 	cancel()
 	watching.Wait()
-	broken = b.broken(s)
+	violations = b.violations(s)
 	for _, n := range b.nodes {
 		n.stop()
 		n.done.Wait()
 	}
-	time.Sleep(slotTTL) // claims that nobody gave back
-	return b, broken
+	time.Sleep(slotTTL) // wait for unreleased claims to expire
+	return b, violations
 }
 
-// broken checks the invariants.
-func (b *bench) broken(s *scenario) (out []string) {
+// violations checks the invariants and returns those that are violated.
+func (b *simulation) violations(s *scenario) (out []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	add := func(bad bool, format string, args ...any) {
@@ -88,11 +89,11 @@
 	}
 	model, _ := b.config.View().Model("m")
 	need := minAvailable(model, b.size)
-	add(b.seen.loads > 2, "%d loads at once", b.seen.loads)
-	add(b.seen.least < need && !s.withdrawn, "%d engines in service, want %d", b.seen.least, need)
-	add(b.seen.early > 1, "%d engines with an unproven version", b.seen.early)
-	add(len(b.wrong()) > 0, "not as wanted: %v", b.wrong())
-	add(model.GetVersion() != s.version, "the model's version is %s", model.GetVersion())
+	add(b.observed.maxLoads > 2, "%d loads at once", b.observed.maxLoads)
+	add(b.observed.minServing < need && !s.withdrawn, "%d engines in service, want %d", b.observed.minServing, need)
+	add(b.observed.maxUnproven > 1, "%d engines with an unproven version", b.observed.maxUnproven)
+	add(len(b.mismatched()) > 0, "unwanted weights: %v", b.mismatched())
+	add(model.GetVersion() != s.version, "model has version %s", model.GetVersion())
 	return out
 }
 
@@ -100,68 +101,68 @@
 	nine := setup{engines: 9, share: 0.7}
 	fencing := nine
 	fencing.fencing = true
-	loseSome := func(b *bench) { b.lose = 3 }
-	late := func(b *bench) { // longer than an order, its settling and the engine's claim
-		b.with(func() { b.delay = 15 * time.Second })
+	loseSome := func(b *simulation) { b.loseEvery = 3 }
+	late := func(b *simulation) { // longer than an order, its settle time and the engine's claim
+		b.locked(func() { b.delay = 15 * time.Second })
 		time.Sleep(20 * time.Second)
-		b.with(func() { b.delay = 0 })
+		b.locked(func() { b.delay = 0 })
 	}
 	const short, long = 30 * time.Second, 60 * time.Second
 	return []scenario{
-		{name: "plain", setup: nine, within: short, version: "v2"},
-		{name: "adapters", setup: setup{engines: 3, adapters: []string{"lora"}}, within: short, version: "v2"},
-		{name: "orders lost", setup: nine, before: loseSome, within: long, version: "v2"},
-		{name: "orders lost, fencing", setup: fencing, before: loseSome, within: long, version: "v2"},
-		{name: "orders late", setup: nine, during: late, within: long, version: "v2"},
-		{name: "orders late, fencing", setup: fencing, during: late, within: long, version: "v2"},
-		{name: "appends lost", setup: nine, before: func(b *bench) { b.log.LoseAnswers(20) }, within: long, version: "v2"},
-		{name: "two holders", setup: nine, both: true, within: short, version: "v2"},
-		{name: "two holders, fencing", setup: fencing, both: true, within: short, version: "v2"},
-		{name: "two holders, two boards", setup: nine, both: true, boards: true, within: short, version: "v2"},
-		{name: "the board lets all go", setup: setup{engines: 9, share: 0.85}, before: func(b *bench) { b.eager = true }, within: long, version: "v2"},
-		{name: "owners change", setup: nine, within: 2 * long, version: "v2", during: func(b *bench) {
+		{name: "plain", setup: nine, duration: short, version: "v2"},
+		{name: "adapters", setup: setup{engines: 3, adapters: []string{"lora"}}, duration: short, version: "v2"},
+		{name: "orders lost", setup: nine, before: loseSome, duration: long, version: "v2"},
+		{name: "orders lost, fencing", setup: fencing, before: loseSome, duration: long, version: "v2"},
+		{name: "orders late", setup: nine, during: late, duration: long, version: "v2"},
+		{name: "orders late, fencing", setup: fencing, during: late, duration: long, version: "v2"},
+		{name: "appends lost", setup: nine, before: func(b *simulation) { b.log.LoseAnswers(20) }, duration: long, version: "v2"},
+		{name: "two holders", setup: nine, shared: true, duration: short, version: "v2"},
+		{name: "two holders, fencing", setup: fencing, shared: true, duration: short, version: "v2"},
+		{name: "two holders, two boards", setup: nine, shared: true, separateBoards: true, duration: short, version: "v2"},
+		{name: "board gives all engines a turn", setup: setup{engines: 9, share: 0.85}, before: func(b *simulation) { b.allTurns = true }, duration: long, version: "v2"},
+		{name: "owners change", setup: nine, duration: 2 * long, version: "v2", during: func(b *simulation) {
 			time.Sleep(6 * time.Second)
 			for i := range 6 {
 				for _, n := range b.nodes {
 					n.stop()
 				}
-				b.nodes = append(b.nodes, b.node(fmt.Sprint("new-", i), b.log, b.names(0, 9)...))
+				b.nodes = append(b.nodes, b.node(fmt.Sprint("new-", i), b.log, b.engineNames(0, 9)...))
 				time.Sleep(1700 * time.Millisecond)
 			}
 		}},
-		{name: "engines restart", setup: nine, within: long, version: "v2", during: func(b *bench) {
-			for _, name := range b.names(0, 9) {
+		{name: "engines restart", setup: nine, duration: long, version: "v2", during: func(b *simulation) {
+			for _, name := range b.engineNames(0, 9) {
 				time.Sleep(700 * time.Millisecond)
 				b.engines[name].Restart()
 			}
 		}},
-		{name: "operator changes again", setup: nine, within: long, version: "v3", during: func(b *bench) {
+		{name: "operator changes again", setup: nine, duration: long, version: "v3", during: func(b *simulation) {
 			time.Sleep(6 * time.Second)
-			b.want("v3")
+			b.setVersion("v3")
 		}},
-		{name: "hosts leave", setup: nine, within: long, version: "v2", before: func(b *bench) {
-			b.gone["e7"], b.gone["e8"] = true, true
-		}, during: func(b *bench) {
+		{name: "hosts leave", setup: nine, duration: long, version: "v2", before: func(b *simulation) {
+			b.leavingHosts["e7"], b.leavingHosts["e8"] = true, true
+		}, during: func(b *simulation) {
 			time.Sleep(20 * time.Second)
-			must.Zero(b.t, b.holding("v2")) // seven of nine are left: none can be spared
-			b.with(func() { clear(b.gone) })
+			must.Zero(b.t, b.holderCount("v2")) // seven of nine remain, so none can be taken out of service
+			b.locked(func() { clear(b.leavingHosts) })
 		}},
-		{name: "canary fails", setup: nine, within: short, version: "v1", before: func(b *bench) { b.bad["v2"] = true }},
-		{name: "withdrawn", setup: nine, withdrawn: true, within: long, version: "v1", during: func(b *bench) {
+		{name: "canary fails", setup: nine, duration: short, version: "v1", before: func(b *simulation) { b.failing["v2"] = true }},
+		{name: "withdrawn", setup: nine, withdrawn: true, duration: long, version: "v1", during: func(b *simulation) {
 			time.Sleep(6 * time.Second)
-			b.want("v1")
+			b.setVersion("v1")
 			b.put(&pb.ModelVersion{Name: config.VersionName("m", "v2"), Model: "m", Version: "v2", Withdrawn: true})
 			time.Sleep(idleInterval + time.Second)
-			must.Zero(b.t, b.holding("v2"))
+			must.Zero(b.t, b.holderCount("v2"))
 		}},
-		{name: "log down", setup: nine, within: long, version: "v2", during: func(b *bench) {
+		{name: "log down", setup: nine, duration: long, version: "v2", during: func(b *simulation) {
 			time.Sleep(6 * time.Second)
 			b.log.SetDown(true)
-			time.Sleep(acquireTimeout + 2*time.Second) // what holds its claims goes on
+			time.Sleep(acquireTimeout + 2*time.Second) // steps under claims already held continue
 			given := b.orders()
 			time.Sleep(20 * time.Second)
 			must.Eq(b.t, given, b.orders())
-			must.Positive(b.t, b.holding("v1"))
+			must.Positive(b.t, b.holderCount("v1"))
 			b.log.SetDown(false)
 		}},
 	}
@@ -171,44 +172,44 @@
 	for _, s := range scenarios() {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b, broken := s.run(t)
-				must.SliceEmpty(t, broken, must.Sprint(broken))
-				t.Logf("most loads %d, fewest serving %d, appends %d, orders %d, done after %v", b.seen.loads, b.seen.least, b.log.Traffic().Appends, b.given, b.seen.last)
+				b, violations := s.run(t)
+				must.SliceEmpty(t, violations, must.Sprint(violations))
+				t.Logf("max loads %d, min serving %d, appends %d, orders %d, done after %v", b.observed.maxLoads, b.observed.minServing, b.log.Traffic().Appends, b.ordersSent, b.observed.lastOrder)
 			})
 		})
 	}
 }
 
-// TestCheckers shows that the invariants' checks catch broken mechanisms.
-func TestCheckers(t *testing.T) {
+// TestInvariantChecks checks that each invariant check detects a broken mechanism.
+func TestInvariantChecks(t *testing.T) {
 	nine := setup{engines: 9, share: 0.9}
-	broken := []scenario{
-		{name: "at once", setup: setup{engines: 9, share: 0.1}, both: true, boards: true, logs: true},
-		{name: "in service", setup: nine, before: func(b *bench) { b.careless = true }},
-		{name: "unproven", setup: nine, before: func(b *bench) { b.praised = true }},
-		{name: "not as wanted", setup: nine, before: func(b *bench) { b.lose, b.delay = 1, 3*time.Second }},
+	variants := []scenario{
+		{name: "at once", setup: setup{engines: 9, share: 0.1}, shared: true, separateBoards: true, separateLogs: true},
+		{name: "in service", setup: nine, before: func(b *simulation) { b.ignoreMinAvailable = true }},
+		{name: "unproven", setup: nine, before: func(b *simulation) { b.assumeProven = true }},
+		{name: "unwanted weights", setup: nine, before: func(b *simulation) { b.loseEvery, b.delay = 1, 3*time.Second }},
 	}
-	for _, s := range broken {
-		s.within, s.version = 20*time.Second, "v2"
+	for _, s := range variants {
+		s.duration, s.version = 20*time.Second, "v2"
 		t.Run(s.name, func(t *testing.T) {
-			must.True(t, s.isFound(t), must.Sprint("no run of the broken variant was found"))
+			must.True(t, s.detected(t), must.Sprint("the broken variant was not detected in any run"))
 		})
 	}
 }
 
-// brokenRuns is how often a broken variant is played at most. Nodes choose engines by
-// chance: in one run of about fifty, two nodes that exclude each other from nothing
-// choose the same ones, and nothing breaks that a checker could find.
-const brokenRuns = 5
+// maxAttempts is the maximum number of runs of a broken variant. Nodes choose engines at random: in
+// about one run of fifty, two nodes without mutual exclusion choose the same engines, and no invariant
+// is violated.
+const maxAttempts = 5
 
-// isFound plays a broken variant until a checker finds what the scenario's name says.
-func (s *scenario) isFound(t *testing.T) bool {
+// detected runs a broken variant until a violation that contains the scenario's name is found.
+func (s *scenario) detected(t *testing.T) bool {
 	t.Helper()
 	found := false
-	for range brokenRuns {
+	for range maxAttempts {
 		synctest.Test(t, func(t *testing.T) {
-			_, broken := s.run(t)
-			found = strings.Contains(fmt.Sprint(broken), s.name)
+			_, violations := s.run(t)
+			found = strings.Contains(fmt.Sprint(violations), s.name)
 		})
 		if found {
 			break
@@ -217,16 +218,17 @@
 	return found
 }
 
-// TestLateOrder has an earlier holder's orders arrive when the rollout is over.
+// TestLateOrder checks that orders of an earlier claim holder that arrive after the rollout are
+// rejected if engines check fencing tokens, and corrected otherwise.
 func TestLateOrder(t *testing.T) {
 	for _, fencing := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s := scenario{setup: setup{engines: 3, fencing: fencing}, within: 20 * time.Second}
-			b := newBench(t, s.setup)
-			n := b.node("node", b.log, b.names(0, 3)...)
-			b.want("v2")
-			time.Sleep(s.within)
-			must.SliceEmpty(t, b.wrong())
+			s := scenario{setup: setup{engines: 3, fencing: fencing}, duration: 20 * time.Second}
+			b := newSimulation(t, s.setup)
+			n := b.node("node", b.log, b.engineNames(0, 3)...)
+			b.setVersion("v2")
+			time.Sleep(s.duration)
+			must.SliceEmpty(t, b.mismatched())
 			for _, o := range []enginewire.Order{
 				{Kind: enginewire.OrderUnload, Model: "m", Version: "v2"},
 				{Kind: enginewire.OrderLoad, Model: "m", Version: "v1"},
@@ -235,11 +237,11 @@
 				err := b.Order(t.Context(), urlOf("e0"), &o)
 				must.Eq(t, fencing, err != nil)
 			}
-			must.Eq(t, fencing, len(b.wrong()) == 0)
+			must.Eq(t, fencing, len(b.mismatched()) == 0)
 			time.Sleep(idleInterval + time.Second)
-			must.Zero(t, b.holding("v1"))
+			must.Zero(t, b.holderCount("v1"))
 			time.Sleep(2 * time.Second)
-			must.SliceEmpty(t, b.wrong())
+			must.SliceEmpty(t, b.mismatched())
 			n.stop()
 			n.done.Wait()
 			time.Sleep(slotTTL)
@@ -247,35 +249,35 @@
 	}
 }
 
-// TestRandomFaults plays random faults and changes at once, from fixed seeds.
+// TestRandomFaults runs rollouts with random concurrent faults and changes, from fixed seeds.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 0))
-			s := scenario{setup: setup{engines: 9, share: 0.7, fencing: seed%2 == 0}, both: true, boards: seed%4 < 2, within: 2 * time.Minute, version: "v2"}
-			s.during = func(b *bench) {
+			s := scenario{setup: setup{engines: 9, share: 0.7, fencing: seed%2 == 0}, shared: true, separateBoards: seed%4 < 2, duration: 2 * time.Minute, version: "v2"}
+			s.during = func(b *simulation) {
 				for range 10 {
 					time.Sleep(time.Duration(rng.Int64N(int64(4 * time.Second))))
 					switch rng.IntN(5) {
 					case 0:
 						b.engines[fmt.Sprint("e", rng.IntN(9))].Restart()
 					case 1:
-						b.with(func() { b.lose = rng.IntN(4) })
+						b.locked(func() { b.loseEvery = rng.IntN(4) })
 					case 2:
 						b.log.LoseAnswers(rng.IntN(4))
 					case 3:
 						b.log.SetDown(rng.IntN(2) == 0)
 					case 4:
 						s.version = fmt.Sprint("v", 1+rng.IntN(3))
-						b.want(s.version)
+						b.setVersion(s.version)
 					}
 				}
 				b.log.SetDown(false)
-				b.with(func() { b.lose = 0 })
+				b.locked(func() { b.loseEvery = 0 })
 			}
-			b, broken := s.run(t)
-			must.SliceEmpty(t, broken, must.Sprint(seed, broken))
-			t.Logf("seed %d: most loads %d, fewest serving %d, appends %d, orders %d", seed, b.seen.loads, b.seen.least, b.log.Traffic().Appends, b.given)
+			b, violations := s.run(t)
+			must.SliceEmpty(t, violations, must.Sprint(seed, violations))
+			t.Logf("seed %d: max loads %d, min serving %d, appends %d, orders %d", seed, b.observed.maxLoads, b.observed.minServing, b.log.Traffic().Appends, b.ordersSent)
 		})
 	}
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -10,22 +10,22 @@
 	"github.com/cherryward/cherryward/internal/endpoint/engine"
 )
 
-// pending is an order whose effect is uncertain.
-type pending struct {
+// pendingOrder is an order that may or may not have taken effect.
+type pendingOrder struct {
 	weights Weights
 	load    bool
 	until   time.Time
 }
 
-func (w *worker) unload(ctx context.Context, r round, weights Weights) {
+func (w *worker) unload(ctx context.Context, r snapshot, weights Weights) {
 	w.event(eventUnload, weights).Send()
 	w.order(ctx, r.endpoint, enginewire.OrderUnload, weights)
 }
 
-// order gives one order under the engine's claim.
+// order sends one order under the engine's claim.
 func (w *worker) order(ctx context.Context, endpoint *pb.Endpoint, kind enginewire.OrderKind, weights Weights) {
 	if err := w.endpoint.acquire(ctx); err != nil {
-		w.noClaim(endpointPrefix+w.name, err)
+		w.logNoClaim(endpointPrefix+w.name, err)
 		return
 	}
 	bounded, cancel, err := w.endpoint.claim.Order(ctx)
@@ -44,47 +44,47 @@
 		Version: weights.Version,
 		Adapter: weights.Adapter,
 	}
-	w.settle(w.engines.Order(bounded, endpoint.GetUrl(), order), kind, weights)
+	w.handleResult(w.engines.Order(bounded, endpoint.GetUrl(), order), kind, weights)
 }
 
-// settle takes note of an order's outcome.
-func (w *worker) settle(err error, kind enginewire.OrderKind, weights Weights) {
-	w.counters.ordered(kind)
+// handleResult records the result of an order.
+func (w *worker) handleResult(err error, kind enginewire.OrderKind, weights Weights) {
+	w.counters.countOrder(kind)
 	code := engine.CodeOf(err)
 	w.loading = w.loading || kind == enginewire.OrderLoad && code == ""
 	switch {
 	case err == nil:
-		w.pending = pending{}
+		w.pendingOrder = pendingOrder{}
 	case code == enginewire.ErrStaleToken:
 		w.event(eventStale, weights).Send()
-		w.endpoint.claim = nil // another node gives the orders now
+		w.endpoint.claim = nil // another node holds the claim now
 	case code != "":
 		w.event(eventRefused, weights).Err(err).Send()
 	default:
 		w.counters.Uncertain.Add(1)
 		w.event(eventUncertain, weights).Err(err).Send()
 		load := kind == enginewire.OrderLoad
-		w.pending = pending{weights: weights, load: load, until: time.Now().Add(settleTime)}
+		w.pendingOrder = pendingOrder{weights: weights, load: load, until: time.Now().Add(settleTime)}
 	}
 }
 
-// undecided tells whether an order may still take effect that has not yet.
-func (w *worker) undecided(loaded []enginewire.Loaded) bool {
-	if w.pending.until.IsZero() {
+// orderPending reports whether an order has not taken effect, but still may.
+func (w *worker) orderPending(loaded []enginewire.Loaded) bool {
+	if w.pendingOrder.until.IsZero() {
 		return false
 	}
-	there := false
+	present := false
 	for _, l := range loaded {
-		there = there || weightsOf(l) == w.pending.weights
+		present = present || weightsOf(l) == w.pendingOrder.weights
 	}
-	if there == w.pending.load || time.Now().After(w.pending.until) {
-		w.pending = pending{}
+	if present == w.pendingOrder.load || time.Now().After(w.pendingOrder.until) {
+		w.pendingOrder = pendingOrder{}
 		return false
 	}
 	return true
 }
 
-func (w *worker) noClaim(resource string, err error) {
+func (w *worker) logNoClaim(resource string, err error) {
 	if !errors.Is(err, context.Canceled) {
 		w.log.Info().Str("event", eventNoClaim).Str("resource", resource).Err(err).Send()
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -6,36 +6,37 @@
 	"github.com/cherryward/cherryward/api/wire/enginewire"
 )
 
-// Step tells what is to be done with one set of weights.
+// Step is the kind of an action on one set of weights.
 type Step uint8
 
 // The steps.
 const (
-	// Unload drops weights without which the engine serves as much as before, or
-	// which must not serve. It needs the engine's claim.
+	// Unload removes weights that must not serve, or that the engine does not need to keep its service
+	// level. It needs the engine's claim.
 	Unload Step = iota + 1
-	// Await means that wanted weights are being loaded.
+	// Await means that requested weights are being loaded.
 	Await
-	// Load fetches wanted weights; the engine serves no other version of the model.
-	// It needs a load slot as well.
+	// Load loads requested weights while the engine serves no other version of the model. It needs the
+	// engine's claim and a load slot.
 	Load
-	// Replace drops weights that serve now, so that the wanted version can be
-	// loaded in their place. It needs the model's claim and its spare capacity too.
+	// Replace removes weights that serve now, so that the requested version can be loaded in their
+	// place. In addition it needs the model's claim, and enough other engines in service.
 	Replace
 )
 
-// Action is one step towards what is wanted.
+// Action is one step towards the desired state.
 type Action struct {
 	Step    Step
 	Weights Weights
 }
 
-// Plan returns the next step for each set of weights that is not as wanted,
-// those first that cost nothing. It is pure; none means that all is as wanted.
-func Plan(want Want, loaded []enginewire.Loaded) []Action {
+// Plan returns the next action for each set of weights that differs from the desired state. Unloads,
+// which do not reduce service, come first. The result is empty if the engine is in the desired state.
+// It is a pure function.
+func Plan(want DesiredState, loaded []enginewire.Loaded) []Action {
 	var unloads, rest []Action
 	for _, l := range loaded {
-		if superfluous(want, l, loaded) {
+		if removable(want, l, loaded) {
 			unloads = append(unloads, Action{Unload, weightsOf(l)})
 		}
 	}
@@ -54,8 +55,8 @@
 	return Weights{Model: l.Model, Version: l.Version, Adapter: l.Adapter}
 }
 
-// superfluous tells weights that can be unloaded at no cost.
-func superfluous(want Want, l enginewire.Loaded, loaded []enginewire.Loaded) bool {
+// removable reports whether weights can be unloaded without reducing service.
+func removable(want DesiredState, l enginewire.Loaded, loaded []enginewire.Loaded) bool {
 	t, ok := want.target(l.Model)
 	if ok && !slices.Contains(t.Eligible, l.Version) {
 		return true
@@ -69,10 +70,10 @@
 	if t.Version == "" || l.Version == t.Version {
 		return false
 	}
-	return l.Loading || holds(loaded, Weights{Model: t.Model, Version: t.Version})
+	return l.Loading || isLoaded(loaded, Weights{Model: t.Model, Version: t.Version})
 }
 
-// planTarget returns the next step towards one model's target.
+// planTarget returns the next action for one model's target, or false if none is needed.
 func planTarget(t Target, loaded []enginewire.Loaded) (Action, bool) {
 	if t.Version == "" {
 		return Action{}, false
@@ -87,16 +88,17 @@
 		case i >= 0:
 			continue
 		}
-		if old, ok := other(t, loaded); ok && adapter == "" {
-			return Action{Replace, old}, true
+		if current, ok := otherVersion(t, loaded); ok && adapter == "" {
+			return Action{Replace, current}, true
 		}
 		return Action{Load, w}, true
 	}
 	return Action{}, false
 }
 
-// other returns weights of another version that may serve, adapters last.
-func other(t Target, loaded []enginewire.Loaded) (Weights, bool) {
+// otherVersion returns loaded weights of another eligible version, adapters last, or false if there are
+// none.
+func otherVersion(t Target, loaded []enginewire.Loaded) (Weights, bool) {
 	found := Weights{}
 	for _, l := range loaded {
 		if l.Model != t.Model || l.Version == t.Version || l.Loading || !slices.Contains(t.Eligible, l.Version) {
@@ -109,12 +111,12 @@
 	return found, found.Model != ""
 }
 
-// holds tells whether weights are in memory and serve.
-func holds(loaded []enginewire.Loaded, w Weights) bool {
+// isLoaded reports whether weights are in memory and can serve.
+func isLoaded(loaded []enginewire.Loaded, w Weights) bool {
 	return slices.ContainsFunc(loaded, func(l enginewire.Loaded) bool { return weightsOf(l) == w && !l.Loading })
 }
 
-// busy tells whether an engine is loading anything.
-func busy(loaded []enginewire.Loaded) bool {
+// isLoading reports whether an engine is loading anything.
+func isLoading(loaded []enginewire.Loaded) bool {
 	return slices.ContainsFunc(loaded, func(l enginewire.Loaded) bool { return l.Loading })
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -24,12 +24,12 @@
 		return out
 	}
 	loading := []enginewire.Loaded{{Model: "m", Version: "v2", Loading: true}}
-	want := Want{Targets: []Target{{Model: "m", Version: "v2", Adapters: []string{"a"}, Eligible: []string{"v1", "v2"}}}}
-	none := Want{Targets: []Target{{Model: "m", Eligible: []string{"v1"}}}}
-	leaving := Want{Leaving: true, Targets: want.Targets}
+	want := DesiredState{Targets: []Target{{Model: "m", Version: "v2", Adapters: []string{"a"}, Eligible: []string{"v1", "v2"}}}}
+	none := DesiredState{Targets: []Target{{Model: "m", Eligible: []string{"v1"}}}}
+	leaving := DesiredState{Leaving: true, Targets: want.Targets}
 	for _, c := range []struct {
 		name   string
-		want   Want
+		want   DesiredState
 		loaded []enginewire.Loaded
 		steps  []Action
 	}{
@@ -43,9 +43,9 @@
 		{"loading", want, loading, []Action{{Await, v("v2")}}},
 		{"loading beside", want, append(held(v("v1")), loading...), []Action{{Await, v("v2")}}},
 		{"withdrawn", none, held(v("v1"), v("v2")), []Action{{Unload, v("v2")}}},
-		{"superseded", Want{Targets: []Target{{Model: "m", Version: "v1", Eligible: []string{"v1", "v2"}}}}, loading, []Action{{Unload, v("v2")}, {Load, v("v1")}}},
+		{"superseded", DesiredState{Targets: []Target{{Model: "m", Version: "v1", Eligible: []string{"v1", "v2"}}}}, loading, []Action{{Unload, v("v2")}, {Load, v("v1")}}},
 		{"leaving", leaving, held(v("v0"), v("v1")), []Action{{Unload, v("v0")}}},
-		{"other model", Want{}, held(v("v1")), []Action{{Unload, v("v1")}}},
+		{"other model", DesiredState{}, held(v("v1")), []Action{{Unload, v("v1")}}},
 	} {
 		must.Eq(t, c.steps, Plan(c.want, c.loaded), must.Sprint(c.name))
 	}
@@ -60,7 +60,8 @@
 	}
 }
 
-// versionsOf configures a model on v2 with v1 and v2, some withdrawn.
+// versionsOf returns a configuration with a model on v2 and the versions v1 and v2, one of them
+// optionally withdrawn.
 func versionsOf(withdrawn ...string) *config.View {
 	view := config.NewView()
 	put := func(kind config.Kind, v config.Value) {
@@ -74,8 +75,8 @@
 	return view
 }
 
-// TestServingVersion has the wanted version's share grow: a conversation never
-// goes back, never gets a version that nobody holds, and never a withdrawn one.
+// TestServingVersion checks that, while the share of the configured version grows, a conversation never
+// goes back to the old version, never gets a version that no engine holds, and never a withdrawn one.
 func TestServingVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
@@ -86,7 +87,7 @@
 			got, ok := ServingVersion(versionsOf(), "m", holders, draw)
 			must.True(t, ok)
 			must.True(t, got == "v2" && n > 0 || got == "v1" && n < engines, must.Sprint(got, n))
-			must.False(t, got == "v1" && moved > 0, must.Sprint("went back at", n))
+			must.False(t, got == "v1" && moved > 0, must.Sprint("went back to v1 at", n))
 			if got == "v2" {
 				moved = n
 			}
@@ -101,33 +102,34 @@
 		got, ok := ServingVersion(versionsOf(), "m", unknown, 0.5)
 		must.True(t, ok && got == "v2")
 	}
-	next, ok := newestBut(versionsOf(), "m", []string{"v2"})
+	next, ok := latestExcept(versionsOf(), "m", []string{"v2"})
 	must.True(t, ok && next == "v1")
-	_, ok = newestBut(versionsOf("v1"), "m", []string{"v2"})
+	_, ok = latestExcept(versionsOf("v1"), "m", []string{"v2"})
 	must.False(t, ok)
 }
 
-// TestUndoing has the change that undoes a rollout race an operator's.
-func TestUndoing(t *testing.T) {
+// TestUndoChange checks the change that reverts a rollout, alone and against a concurrent change by an
+// operator.
+func TestUndoChange(t *testing.T) {
 	log := configtest.New()
-	b := &bench{t: t, config: log}
+	b := &simulation{t: t, config: log}
 	for _, v := range []string{"v1", "v2", "v3"} {
 		b.put(&pb.ModelVersion{Name: config.VersionName("m", v), Model: "m", Version: v})
 	}
 	b.put(&pb.Model{Name: "m", Version: "v1", MaxContextTokens: 7})
-	b.want("v2")
-	b.put(&pb.ModelVersion{Name: "m@v4", Model: "m", Version: "v4"}) // says nothing of the model
+	b.setVersion("v2")
+	b.put(&pb.ModelVersion{Name: "m@v4", Model: "m", Version: "v4"}) // does not change the model
 	seen := log.View()
 	f := fleet{size: 3}
 	f.target, _ = targetOf(seen, "m")
-	for i, held := range []Holding{{Version: "v2", Failed: badRuns}, {Version: "v1"}, {Version: "v1"}} {
+	for i, held := range []Holding{{Version: "v2", Failed: failRuns}, {Version: "v1"}, {Version: "v1"}} {
 		f.engines = append(f.engines, Report{Model: "m", Engine: fmt.Sprint(i), Holdings: []Holding{held}})
 	}
 	must.Eq(t, Failed, f.stage())
 	must.Eq(t, []Holders{{Version: "v1", Count: 2, Engines: []string{"1", "2"}}}, f.holders())
-	change, ok := undoing(seen, f)
+	change, ok := undoChange(seen, f)
 	must.True(t, ok)
-	again, _ := undoing(seen, f)
+	again, _ := undoChange(seen, f)
 	must.Eq(t, change, again)
 	for range 2 { // from two nodes
 		_, err := log.Propose(t.Context(), change)
@@ -136,14 +138,14 @@
 	back, _ := log.View().Model("m")
 	must.Eq(t, "v1", back.GetVersion())
 
-	b.want("v2")
-	change, ok = undoing(log.View(), f)
+	b.setVersion("v2")
+	change, ok = undoChange(log.View(), f)
 	must.True(t, ok)
-	b.want("v3")
+	b.setVersion("v3")
 	_, err := log.Propose(t.Context(), change)
 	must.True(t, result.Is(err, result.RevisionConflict))
 	model, _ := log.View().Model("m")
 	must.Eq(t, "v3", model.GetVersion())
-	_, ok = undoing(log.View(), f)
+	_, ok = undoChange(log.View(), f)
 	must.False(t, ok)
 }
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -20,13 +20,13 @@
 // Name is the service's name in the kernel.
 const Name = "rollout"
 
-// ClaimsSuffix is added to the name of the configuration's stream to name that
-// of the claims.
+// ClaimsSuffix is appended to the name of the configuration's stream to form the name of the claims'
+// stream.
 const ClaimsSuffix = "-claims"
 
 const (
-	methodReport  = "rollout.report"  // safe to repeat
-	methodHolders = "rollout.holders" // safe to repeat
+	methodReport  = "rollout.report"  // idempotent
+	methodHolders = "rollout.holders" // idempotent
 
 	boardPrefix   = "rollout/"
 	sweepInterval = time.Second
@@ -35,18 +35,18 @@
 
 // Service is the rollout service.
 type Service struct {
-	// Versions chooses the weight versions of new requests. It is set by Start.
+	// Versions selects the weight versions of new requests. It is set by Start.
 	Versions *Versions
-	// Counters count what this node did.
+	// Counters count the actions of this node.
 	Counters *Counters
 
-	claims  *claimLog
-	core    *core
-	board   *board
-	cluster *cluster.Cluster
-	keeper  *keeper
-	workers map[string]context.CancelFunc
-	wg      sync.WaitGroup
+	claims     *claimLog
+	core       *core
+	board      *board
+	cluster    *cluster.Cluster
+	supervisor *supervisor
+	workers    map[string]context.CancelFunc
+	wg         sync.WaitGroup
 }
 
 var (
@@ -55,8 +55,7 @@
 	_ Reporter       = (*Service)(nil)
 )
 
-// New returns the service of a node over a stream of the log that holds claims
-// alone.
+// New returns the service of a node. claims is a stream of the log that holds only claims.
 func New(node string, claims changelog.Log, engines Engines, log zerolog.Logger) (*Service, error) {
 	s := &Service{
 		Counters: &Counters{},
@@ -98,19 +97,19 @@
 	if err != nil {
 		return err
 	}
-	s.core.directory = sync
-	s.core.fresh = func() bool { return sync.Ready() == nil }
+	s.core.configSource = sync
+	s.core.configFresh = func() bool { return sync.Ready() == nil }
 	s.core.owner = engines
 	s.core.leaving = s.cluster.HostLeaving
-	s.keeper = &keeper{
-		board:     s.board,
-		directory: sync,
-		proposer:  sync,
-		fresh:     s.core.fresh,
-		keeps:     func(model string) bool { return s.cluster.Owns(boardKey(model)) },
-		counters:  s.Counters,
-		log:       s.core.log,
-		logged:    make(map[string]Progress),
+	s.supervisor = &supervisor{
+		board:        s.board,
+		configSource: sync,
+		proposer:     sync,
+		configFresh:  s.core.configFresh,
+		ownsBoard:    func(model string) bool { return s.cluster.Owns(boardKey(model)) },
+		counters:     s.Counters,
+		log:          s.core.log,
+		lastLogged:   make(map[string]Progress),
 	}
 	s.Versions = newVersions(sync, s.holders)
 	peers.Handle(s.cluster.Server, methodReport, s.serveReport)
@@ -118,15 +117,15 @@
 	return nil
 }
 
-// Run implements kernel.Runner: it has a worker for each engine that this node
-// owns, and looks after the boards that it keeps.
+// Run implements kernel.Runner. It runs a worker for each engine that this node owns, and supervises
+// the models whose boards it owns.
 func (s *Service) Run(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	defer s.wg.Wait()
 	for {
-		s.sweep(ctx)
-		s.keeper.look(ctx)
+		s.updateWorkers(ctx)
+		s.supervisor.check(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -135,10 +134,10 @@
 	}
 }
 
-// sweep starts and ends workers as the owners of engines change.
-func (s *Service) sweep(ctx context.Context) {
+// updateWorkers starts and stops workers as the ownership of engines changes.
+func (s *Service) updateWorkers(ctx context.Context) {
 	owned := make(map[string]bool)
-	for value := range s.core.directory.View().All(config.KindEndpoint) {
+	for value := range s.core.configSource.View().All(config.KindEndpoint) {
 		e, ok := value.(*pb.Endpoint)
 		if ok && e.GetKind() == pb.EndpointKind_ENDPOINT_KIND_ENGINE && s.cluster.Owns(e.GetName()) {
 			owned[e.GetName()] = true
@@ -160,14 +159,14 @@
 	}
 }
 
-// Appends returns the number of records that this node has appended for claims.
+// Appends returns the number of claim records that this node has appended.
 func (s *Service) Appends() int64 { return s.claims.appends.Load() }
 
-// Progress returns the rollouts of the models whose boards this node keeps.
+// Progress returns the progress of the models whose boards this node owns.
 func (s *Service) Progress() []Progress {
 	var all []Progress
-	for _, f := range s.board.fleets(time.Now(), s.core.directory.View()) {
-		if s.keeper.keeps(f.target.Model) {
+	for _, f := range s.board.fleets(time.Now(), s.core.configSource.View()) {
+		if s.supervisor.ownsBoard(f.target.Model) {
 			all = append(all, f.progress())
 		}
 	}
@@ -176,48 +175,49 @@
 
 func boardKey(model string) string { return boardPrefix + model }
 
-// Keeper implements Reporter.
-func (s *Service) Keeper(model string) string {
+// BoardOwner implements Reporter.
+func (s *Service) BoardOwner(model string) string {
 	id, _ := s.cluster.Owner(boardKey(model))
 	return id
 }
 
 // Report implements Reporter.
 func (s *Service) Report(ctx context.Context, r Report) (Standing, error) {
-	resp, err := callKeeper(ctx, s, r.Model, methodReport, &r, s.serveReport)
+	resp, err := callBoardOwner(ctx, s, r.Model, methodReport, &r, s.serveReport)
 	if err != nil {
 		return Standing{}, err
 	}
 	return *resp, nil
 }
 
-// holdersRequest asks a board for the holders of a model's versions.
+// holdersRequest requests the holders of a model's versions from its board.
 type holdersRequest struct {
 	Model string `json:"m"`
 }
 
-// holdersResponse names them. While Whole is false, reports are still coming in.
+// holdersResponse lists the holders. Complete is false while reports are still being collected.
 type holdersResponse struct {
-	Holders []Holders `json:"h,omitempty"`
-	Whole   bool      `json:"w,omitempty"`
+	Holders  []Holders `json:"h,omitempty"`
+	Complete bool      `json:"w,omitempty"`
 }
 
 func (s *Service) holders(ctx context.Context, model string) (*holdersResponse, error) {
-	return callKeeper(ctx, s, model, methodHolders, &holdersRequest{Model: model}, s.serveHolders)
+	return callBoardOwner(ctx, s, model, methodHolders, &holdersRequest{Model: model}, s.serveHolders)
 }
 
 func (s *Service) serveReport(_ context.Context, _ peers.Identity, r *Report) (*Standing, error) {
-	standing := s.board.Report(time.Now(), s.core.directory.View(), *r)
+	standing := s.board.Report(time.Now(), s.core.configSource.View(), *r)
 	return &standing, nil
 }
 
 func (s *Service) serveHolders(_ context.Context, _ peers.Identity, r *holdersRequest) (*holdersResponse, error) {
-	holders, whole := s.board.Holders(time.Now(), s.core.directory.View(), r.Model)
-	return &holdersResponse{Holders: holders, Whole: whole}, nil
+	holders, complete := s.board.Holders(time.Now(), s.core.configSource.View(), r.Model)
+	return &holdersResponse{Holders: holders, Complete: complete}, nil
 }
 
-// callKeeper calls the node that keeps a model's board, or serves the call here.
-func callKeeper[Req, Resp any](ctx context.Context, s *Service, model, method string, req *Req, local func(context.Context, peers.Identity, *Req) (*Resp, error)) (*Resp, error) {
+// callBoardOwner calls the node that owns a model's board, or serves the call locally if that is this
+// node.
+func callBoardOwner[Req, Resp any](ctx context.Context, s *Service, model, method string, req *Req, local func(context.Context, peers.Identity, *Req) (*Resp, error)) (*Resp, error) {
 	node, addr := s.cluster.Owner(boardKey(model))
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -7,47 +7,48 @@
 	pb "github.com/cherryward/cherryward/api/gen/cherryward/v1"
 )
 
-// Stage is how far a model's rollout is.
+// Stage is the stage of a model's rollout.
 type Stage uint8
 
 // The stages.
 const (
-	Gathering Stage = iota // reports are still coming in
-	Settled                // every engine that answers holds the wanted version
-	Loading                // no engine holds another version: all load it
-	Canary                 // one engine takes the version, and its first runs are watched
-	Spreading              // the version is good: the other engines follow
-	Failed                 // its first runs failed: nothing more is swapped
+	Gathering Stage = iota // reports are still being collected
+	Settled                // every engine that answers holds the requested version
+	Loading                // no engine serves another version: all load the requested one
+	Canary                 // one engine takes the version, and its first runs are monitored
+	Spreading              // the version is accepted: the other engines follow
+	Failed                 // the first runs failed: no further engine changes version
 )
 
 var stageNames = [...]string{"gathering", "settled", "loading", "canary", "spreading", "failed"}
 
-// String returns the stage in a word.
+// String returns the name of the stage.
 func (s Stage) String() string { return stageNames[s] }
 
 const (
-	// goodRuns is how many runs a new version completes before others follow.
-	goodRuns = 5
-	// badRuns is how many failed runs make it fail, if they are badShare of all.
-	badRuns  = 3
-	badShare = 0.25
-	// idleTime passes a version that no caller has used since it was loaded.
-	idleTime = 30 * time.Second
-	// maxTurns is how many engines are told to go at once: enough to keep the load
-	// slots busy, few enough to append little in vain.
+	// acceptRuns is the number of runs that a new version must complete before other engines follow.
+	acceptRuns = 5
+	// A version fails after failRuns failed runs, if they are at least failShare of all runs.
+	failRuns  = 3
+	failShare = 0.25
+	// idleAcceptTime is the time after which a loaded version without failed runs is accepted even if
+	// no caller has used it.
+	idleAcceptTime = 30 * time.Second
+	// maxTurns is the number of engines that have a turn at the same time: enough to keep the load
+	// slots in use, and few enough to limit claim records appended for unsuccessful attempts.
 	maxTurns = MaxLoads + 1
 )
 
-// fleet is the engines of one model, by failure domain and name.
+// fleet holds the engines of one model, sorted by failure domain and name.
 type fleet struct {
 	model   *pb.Model
 	target  Target
-	size    int // engines configured
+	size    int // number of engines configured
 	engines []Report
 }
 
-// on returns what an engine holds of a version.
-func (r Report) on(version string) (Holding, bool) {
+// holding returns the engine's holding of a version, or false if it has none.
+func (r Report) holding(version string) (Holding, bool) {
 	i := slices.IndexFunc(r.Holdings, func(h Holding) bool { return h.Version == version })
 	if i < 0 {
 		return Holding{}, false
@@ -55,52 +56,52 @@
 	return r.Holdings[i], true
 }
 
-// serving tells whether the engine takes new runs on any version that may serve.
+// serving reports whether the engine accepts new runs on any eligible version.
 func (f fleet) serving(r Report) bool {
 	return !r.Down && slices.ContainsFunc(r.Holdings, func(h Holding) bool {
 		return !h.Loading && slices.Contains(f.target.Eligible, h.Version)
 	})
 }
 
-// stage judges the rollout. It is pure.
+// stage determines the stage of the rollout. It is a pure function.
 func (f fleet) stage() Stage {
-	var with, without, old int
+	var with, without, servingOther int
 	var sum Holding
 	proven := false
 	for _, r := range f.engines {
-		h, ok := r.on(f.target.Version)
+		h, ok := r.holding(f.target.Version)
 		switch {
 		case ok:
 			with++
 			sum.Completed += h.Completed
 			sum.Failed += h.Failed
-			proven = proven || !h.Loading && h.Age >= idleTime && h.Failed == 0
+			proven = proven || !h.Loading && h.Age >= idleAcceptTime && h.Failed == 0
 		case !r.Down:
 			without++
 		}
 		if !ok && f.serving(r) {
-			old++
+			servingOther++
 		}
 	}
 	switch {
 	case f.target.Version == "" || without == 0:
 		return Settled
-	case old == 0:
+	case servingOther == 0:
 		return Loading
 	case failedRuns(sum) && 2*with <= f.size:
 		return Failed
-	case with > 1 || proven || sum.Completed >= goodRuns:
+	case with > 1 || proven || sum.Completed >= acceptRuns:
 		return Spreading
 	}
 	return Canary
 }
 
 func failedRuns(h Holding) bool {
-	return h.Failed >= badRuns && float64(h.Failed) >= badShare*float64(h.Failed+h.Completed)
+	return h.Failed >= failRuns && float64(h.Failed) >= failShare*float64(h.Failed+h.Completed)
 }
 
-// turns returns the engines that may take the wanted version now: those that
-// serve nothing first, then one failure domain after the other.
+// turns returns the engines that may load the requested version now: first those that serve nothing,
+// then one failure domain after the other.
 func (f fleet) turns() []string {
 	var idle, busy []string
 	with, serving := 0, 0
@@ -108,7 +109,7 @@
 		if f.serving(r) {
 			serving++
 		}
-		if _, ok := r.on(f.target.Version); ok {
+		if _, ok := r.holding(f.target.Version); ok {
 			with++
 			continue
 		}
@@ -131,8 +132,8 @@
 	return nil
 }
 
-// holders returns the versions that serve new runs. A version that has failed
-// serves none, as long as there is another.
+// holders returns the versions that serve new runs. A failed version is left out: the stage is Failed
+// only while another version serves.
 func (f fleet) holders() []Holders {
 	failed := f.stage() == Failed
 	var out []Holders
@@ -142,7 +143,7 @@
 		}
 		h := Holders{Version: version}
 		for _, r := range f.engines {
-			held, ok := r.on(version)
+			held, ok := r.holding(version)
 			if !ok || held.Loading || r.Down {
 				continue
 			}
@@ -158,7 +159,8 @@
 	return out
 }
 
-// previous returns the version that most engines hold beside the wanted one.
+// previous returns the version, other than the requested one, that most engines hold, or false if there
+// is none.
 func (f fleet) previous() (string, bool) {
 	best := Holders{}
 	for _, h := range f.holders() {
--- a/internal/rollout/swap.go
+++ b/internal/rollout/swap.go
@@ -10,78 +10,79 @@
 	"github.com/cherryward/cherryward/internal/config"
 )
 
-// parallelReads bounds the engines that are read at once before a swap.
-const parallelReads = 16
+// maxParallelReads is the maximum number of engines read concurrently before a swap.
+const maxParallelReads = 16
 
-// spareInterval is the time between two attempts to be spared.
-const spareInterval = 2 * time.Second
+// spareRetryInterval is the time between two checks whether the engine can be taken out of service.
+const spareRetryInterval = 2 * time.Second
 
-// mayReplace tells whether the engine may give up weights that serve. It takes
-// the load slot first, so that no engine is out for longer than it must, and the
-// model's claim, under which nobody else takes an engine of the model out.
-func (w *worker) mayReplace(ctx context.Context, r round, model string) bool {
-	if w.spared && w.swapping == model && w.model.held() {
-		return true // began with other weights of the model
+// mayReplace reports whether the engine may give up weights that serve. It first acquires the load
+// slot, so that the engine is not out of service while it waits for one, and then the model's claim,
+// which ensures that no other worker takes an engine of the model out of service at the same time.
+func (w *worker) mayReplace(ctx context.Context, r snapshot, model string) bool {
+	if w.spareConfirmed && w.swapModel == model && w.model.held() {
+		return true // the swap has started with other weights of the model
 	}
-	w.spared = false
-	if !r.standings[model].Go || time.Now().Before(w.notBefore) {
+	w.spareConfirmed = false
+	if !r.standings[model].Turn || time.Now().Before(w.notBefore) {
 		return false
 	}
 	if err := w.slot.acquire(ctx); err != nil {
-		w.noClaim(slotResource, err)
+		w.logNoClaim(slotResource, err)
 		return false
 	}
-	if w.swapping != model {
+	if w.swapModel != model {
 		w.model.release(ctx, &w.releases)
 	}
-	w.swapping = model
+	w.swapModel = model
 	if err := w.model.acquire(ctx); err != nil {
-		w.noClaim(modelPrefix+model, err)
+		w.logNoClaim(modelPrefix+model, err)
 		return false
 	}
 	if err := w.endpoint.acquire(ctx); err != nil {
-		w.noClaim(endpointPrefix+w.name, err)
+		w.logNoClaim(endpointPrefix+w.name, err)
 		return false
 	}
-	if !w.spareNow(ctx, r, model) {
+	if !w.checkSpare(ctx, r, model) {
 		return false
 	}
 	w.drain(ctx, model)
-	w.spared = w.model.held() && w.endpoint.held() && w.slot.claim.Valid(slotMargin)
-	return w.spared
+	w.spareConfirmed = w.model.held() && w.endpoint.held() && w.slot.claim.Valid(slotMargin)
+	return w.spareConfirmed
 }
 
-// spareNow reads the model's engines and tells whether this one can be spared.
-func (w *worker) spareNow(ctx context.Context, r round, name string) bool {
-	view := w.directory.View()
+// checkSpare reads the state of the model's engines and reports whether this one can be taken out of
+// service.
+func (w *worker) checkSpare(ctx context.Context, r snapshot, name string) bool {
+	view := w.configSource.View()
 	model, ok := view.Model(name)
 	target, known := Desired(view, r.endpoint).target(name)
-	if !ok || !known || !w.fresh() {
+	if !ok || !known || !w.configFresh() {
 		return false
 	}
 	states := w.readFleet(ctx, view, name)
-	if r.standings[name].Stage == Canary && taken(target, states) {
-		return false // there is a canary that the board does not know yet
+	if r.standings[name].Stage == Canary && anyHasTarget(target, states) {
+		return false // there is a canary that has not been reported to the board yet
 	}
-	ok = spare(model, target, states)
+	ok = canSpare(model, target, states)
 	if !ok {
-		w.notBefore = time.Now().Add(spareInterval)
+		w.notBefore = time.Now().Add(spareRetryInterval)
 		w.log.Info().Str("event", eventNoSpare).Str("model", name).Send()
 	}
 	return ok
 }
 
-// readFleet reads all engines of a model; nil stands for one that does not answer
-// or whose host is leaving.
+// readFleet reads the states of all engines of a model. The state is nil for an engine that does not
+// answer or whose host is leaving.
 func (w *worker) readFleet(ctx context.Context, view *config.View, model string) []*enginewire.State {
 	endpoints := view.Engines(model)
 	states := make([]*enginewire.State, len(endpoints))
-	free := make(chan struct{}, parallelReads)
+	semaphore := make(chan struct{}, maxParallelReads)
 	var wg sync.WaitGroup
 	for i, e := range endpoints {
-		free <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-semaphore }()
 			if state, err := w.read(ctx, e); err == nil && !w.leaving(e) {
 				states[i] = state
 			}
@@ -91,8 +92,8 @@
 	return states
 }
 
-// drain stops grants for the model on this engine, and waits until runs granted
-// before have reached it.
+// drain stops grants for the model on this engine, and waits until runs granted before have reached the
+// engine.
 func (w *worker) drain(ctx context.Context, model string) {
 	w.owner.Withhold(w.name, model)
 	retry.Sleep(ctx, drainPause)
--- a/internal/rollout/undo.go
+++ b/internal/rollout/undo.go
@@ -14,20 +14,20 @@
 
 const undoTimeout = 10 * time.Second
 
-// undoing returns the change that takes a model back to the version before. It
-// is based on the revision that started the rollout, so an operator's later
-// change of the model wins, and its id follows from that revision, so that two
-// nodes which both undo it write one change. It is false where nothing can be undone.
-func undoing(view *config.View, f fleet) (config.Change, bool) {
+// undoChange returns the change that reverts a model to its previous version. The change is based on
+// the revision that started the rollout, so that a later change of the model by an operator takes
+// precedence. Its id is derived from that revision, so that two nodes which revert the same rollout
+// write one change. It returns false if there is nothing to revert or no previous version.
+func undoChange(view *config.View, f fleet) (config.Change, bool) {
 	previous, ok := f.previous()
 	item, found := view.Item(config.KindModel, f.target.Model)
 	model, typed := item.Value.(*pb.Model)
 	if !ok || !found || !typed || model.GetVersion() != f.target.Version {
 		return config.Change{}, false
 	}
-	back := proto.CloneOf(model)
-	back.Version = previous
-	value, err := config.Encode(back)
+	reverted := proto.CloneOf(model)
+	reverted.Version = previous
+	value, err := config.Encode(reverted)
 	if err != nil {
 		return config.Change{}, false
 	}
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	// While one version serves, its holders are asked for every steadyHolders; in
-	// a rollout every changingHolders.
-	steadyHolders   = 5 * time.Second
-	changingHolders = time.Second
-	// maxHoldersAge is how old an answer may be that is still used when no newer
-	// one can be had.
+	// The holders of a model's versions are fetched every steadyInterval while only the requested
+	// version serves, and every rolloutInterval during a rollout.
+	steadyInterval  = 5 * time.Second
+	rolloutInterval = time.Second
+	// maxHoldersAge is the maximum age of an answer that is used if no newer one is available.
 	maxHoldersAge = time.Minute
-	// firstAnswer bounds how long a request waits for the first answer.
-	firstAnswer = 300 * time.Millisecond
+	// firstAnswerTimeout limits the time that a request waits for the first answer.
+	firstAnswerTimeout = 300 * time.Millisecond
 )
 
-// ServingVersion chooses the weight version of a new request among those that
-// engines hold, each with the share of the engines that hold it. A draw in [0, 1)
-// that gets the wanted version keeps it while its share grows. Without holders it
-// is the version that the configuration wants. A withdrawn version is never
-// chosen; it is false where no version may serve. It is pure.
+// ServingVersion selects the weight version of a new request among the versions that engines hold, in
+// proportion to the number of engines that hold each. A draw in [0, 1) that selects the configured
+// version continues to select it while its share grows. Without holders the configured version is used.
+// A withdrawn version is never selected. It returns false if no version may serve. It is a pure
+// function.
 func ServingVersion(view *config.View, model string, holders []Holders, draw float64) (string, bool) {
 	m, ok := view.Model(model)
 	if !ok {
 		return "", false
 	}
 	wanted := m.GetVersion()
-	total, at := 0, 0
+	total, cumulative := 0, 0
 	var usable []Holders
 	for _, h := range holders {
 		if !serviceable(view, model, h.Version) {
@@ -46,8 +45,8 @@
 		usable = append(usable, h)
 	}
 	for _, h := range usable {
-		at += h.Count
-		if draw*float64(total) < float64(at) {
+		cumulative += h.Count
+		if draw*float64(total) < float64(cumulative) {
 			return h.Version, true
 		}
 	}
@@ -59,45 +58,44 @@
 	return ok && !v.GetWithdrawn()
 }
 
-// Versions knows which engines hold which versions, as far as this node's
-// requests need it. It is safe for concurrent use.
+// Versions caches which engines hold which versions, for this node's requests. It is safe for
+// concurrent use.
 type Versions struct {
-	directory Directory
-	// ask gets the holders from the model's board.
-	ask func(ctx context.Context, model string) (*holdersResponse, error)
+	configSource ConfigSource
+	// fetch requests the holders from the model's board.
+	fetch func(ctx context.Context, model string) (*holdersResponse, error)
 
 	mu     sync.Mutex
-	models map[string]*knownHolders
+	models map[string]*cachedHolders
 }
 
-type knownHolders struct {
-	holders []Holders
-	at      time.Time // of the answer
-	asked   time.Time
-	first   chan struct{} // closed by the first answer or failure
-	once    sync.Once
+type cachedHolders struct {
+	holders     []Holders
+	at          time.Time // time of the answer
+	requestedAt time.Time
+	first       chan struct{} // closed after the first answer or failure
+	once        sync.Once
 }
 
-func newVersions(directory Directory, ask func(context.Context, string) (*holdersResponse, error)) *Versions {
-	return &Versions{directory: directory, ask: ask, models: make(map[string]*knownHolders)}
+func newVersions(configSource ConfigSource, fetch func(context.Context, string) (*holdersResponse, error)) *Versions {
+	return &Versions{configSource: configSource, fetch: fetch, models: make(map[string]*cachedHolders)}
 }
 
-// Serving chooses the version of a new request; see ServingVersion. The first
-// request of a model may wait for an answer, the others do not.
+// Serving selects the version of a new request; see ServingVersion. Only the first request of a model
+// may wait for an answer.
 func (v *Versions) Serving(ctx context.Context, view *config.View, model string, draw float64) (string, bool) {
 	return ServingVersion(view, model, v.holders(ctx, view, model), draw)
 }
 
-// Holding returns the engines that are known to hold a version; none where this
-// node does not know.
+// Holding returns the engines known to hold a version, or nil if this node has no recent information.
 func (v *Versions) Holding(model, version string) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	k := v.models[model]
-	if k == nil || time.Since(k.at) > maxHoldersAge {
+	c := v.models[model]
+	if c == nil || time.Since(c.at) > maxHoldersAge {
 		return nil
 	}
-	for _, h := range k.holders {
+	for _, h := range c.holders {
 		if h.Version == version {
 			return h.Engines
 		}
@@ -105,30 +103,30 @@
 	return nil
 }
 
-// Again chooses once more, after no engine took the request on some versions. It
-// asks anew. Where nobody knows the holders, versions are tried from the one
-// written last; after all of them, those that have holders by the newest answer.
+// Again selects another version after no engine accepted the request on the refused versions. It first
+// refreshes the holders. It prefers other versions that have holders, then the eligible version written
+// last that was not refused, and then any version that has holders. It returns false if there is none.
 func (v *Versions) Again(ctx context.Context, model string, refused []string, draw float64) (string, bool) {
-	ctx, cancel := context.WithTimeout(ctx, firstAnswer)
+	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
 	v.refresh(ctx, model, v.entry(model))
-	view := v.directory.View()
+	view := v.configSource.View()
 	holders := v.holders(ctx, view, model)
-	was := func(h Holders) bool { return slices.Contains(refused, h.Version) }
-	others := slices.DeleteFunc(slices.Clone(holders), was)
+	isRefused := func(h Holders) bool { return slices.Contains(refused, h.Version) }
+	others := slices.DeleteFunc(slices.Clone(holders), isRefused)
 	if len(others) > 0 {
 		return ServingVersion(view, model, others, draw)
 	}
-	if version, ok := newestBut(view, model, refused); ok {
+	if version, ok := latestExcept(view, model, refused); ok {
 		return version, true
 	}
 	version, ok := ServingVersion(view, model, holders, draw)
 	return version, ok && len(holders) > 0
 }
 
-// newestBut returns the version of a model that was written last, of those that
-// may serve and were not refused.
-func newestBut(view *config.View, model string, refused []string) (string, bool) {
+// latestExcept returns the eligible version of a model that was written last and is not among refused,
+// or false if there is none.
+func latestExcept(view *config.View, model string, refused []string) (string, bool) {
 	var newest config.Item
 	var found string
 	for _, version := range eligible(view, model) {
@@ -140,15 +138,15 @@
 	return found, found != ""
 }
 
-func (v *Versions) entry(model string) *knownHolders {
+func (v *Versions) entry(model string) *cachedHolders {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	k := v.models[model]
-	if k == nil {
-		k = &knownHolders{first: make(chan struct{})}
-		v.models[model] = k
+	c := v.models[model]
+	if c == nil {
+		c = &cachedHolders{first: make(chan struct{})}
+		v.models[model] = c
 	}
-	return k
+	return c
 }
 
 func (v *Versions) holders(ctx context.Context, view *config.View, model string) []Holders {
@@ -156,52 +154,52 @@
 	if !ok {
 		return nil
 	}
-	k := v.entry(model)
+	c := v.entry(model)
 	v.mu.Lock()
-	due := time.Since(k.asked) > k.interval(m.GetVersion())
-	if due {
-		k.asked = time.Now()
+	stale := time.Since(c.requestedAt) > c.interval(m.GetVersion())
+	if stale {
+		c.requestedAt = time.Now()
 	}
 	v.mu.Unlock()
-	if due {
+	if stale {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 			defer cancel()
-			v.refresh(ctx, model, k)
+			v.refresh(ctx, model, c)
 		}()
 	}
-	timer := time.NewTimer(firstAnswer)
+	timer := time.NewTimer(firstAnswerTimeout)
 	defer timer.Stop()
 	select {
-	case <-k.first:
+	case <-c.first:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if time.Since(k.at) > maxHoldersAge {
+	if time.Since(c.at) > maxHoldersAge {
 		return nil
 	}
-	return k.holders
+	return c.holders
 }
 
-// interval is the time between two questions.
-func (k *knownHolders) interval(wanted string) time.Duration {
-	if len(k.holders) == 1 && k.holders[0].Version == wanted {
-		return steadyHolders
+// interval returns the time between two fetches.
+func (c *cachedHolders) interval(wanted string) time.Duration {
+	if len(c.holders) == 1 && c.holders[0].Version == wanted {
+		return steadyInterval
 	}
-	return changingHolders
+	return rolloutInterval
 }
 
-// refresh asks the board. The answer of a board that is not whole yet replaces
-// no earlier one.
-func (v *Versions) refresh(ctx context.Context, model string, k *knownHolders) {
-	answer, err := v.ask(ctx, model)
+// refresh fetches the holders from the board. An answer from a board that is still incomplete does not
+// replace an earlier answer.
+func (v *Versions) refresh(ctx context.Context, model string, c *cachedHolders) {
+	answer, err := v.fetch(ctx, model)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	k.once.Do(func() { close(k.first) })
-	if err != nil || len(answer.Holders) == 0 || (!answer.Whole && time.Since(k.at) < maxHoldersAge) {
+	c.once.Do(func() { close(c.first) })
+	if err != nil || len(answer.Holders) == 0 || (!answer.Complete && time.Since(c.at) < maxHoldersAge) {
 		return
 	}
-	k.holders, k.at = answer.Holders, time.Now()
+	c.holders, c.at = answer.Holders, time.Now()
 }
--- a/internal/rollout/worker.go
+++ b/internal/rollout/worker.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// busyInterval is the time between readings of an engine that changes.
+	// busyInterval is the time between two reads of an engine that is changing.
 	busyInterval = 100 * time.Millisecond
-	// waitInterval is that of an engine whose turn has not come.
+	// waitInterval is the same for an engine that waits for its turn.
 	waitInterval = 500 * time.Millisecond
-	// idleInterval is that of an engine that holds what is wanted.
+	// idleInterval is the same for an engine in the desired state.
 	idleInterval = 2 * time.Second
 	readTimeout  = 2 * time.Second
-	// finishTime bounds the wait for a load when the engine gets another owner.
-	finishTime = 5 * time.Second
-	// drainPause lets runs start that were granted before the engine got no more.
+	// finishTimeout limits the wait for a load when another node becomes the engine's owner.
+	finishTimeout = 5 * time.Second
+	// drainPause is the time for runs to start that were granted before grants stopped.
 	drainPause = 250 * time.Millisecond
 )
 
-// Engines reads engines and orders them about.
+// Engines reads the state of engines and sends them orders.
 type Engines interface {
 	State(ctx context.Context, base string) (*enginewire.State, error)
 	Order(ctx context.Context, base string, order *enginewire.Order) error
@@ -37,73 +37,72 @@
 
 var _ Engines = (*engine.Client)(nil)
 
-// worker keeps one engine as the configuration wants it. One goroutine uses it.
+// worker keeps one engine in the desired state. It is used by one goroutine.
 type worker struct {
 	*core
 	name     string
-	endpoint lease // to give orders to the engine
-	slot     lease // to load
-	model    lease // to take the engine out of service
-	// swapping is the model that the model's claim is for.
-	swapping string
-	// spared tells that the fleet was found to spare the engine under that claim.
-	spared bool
-	// loading tells that a load may be under way, by the last reading or order.
+	endpoint lease // for sending orders to the engine
+	slot     lease // for loading
+	model    lease // for taking the engine out of service
+	// swapModel is the model for which the model claim is held.
+	swapModel string
+	// spareConfirmed is set once enough other engines were found to be in service under that claim.
+	spareConfirmed bool
+	// loading is set if a load may be in progress, according to the last read or order.
 	loading bool
-	// notBefore holds off the next attempt after the fleet could spare no engine.
-	notBefore time.Time
-	pending   pending
-	told      map[string]told // by model
-	releases  sync.WaitGroup
-	log       zerolog.Logger
+	// notBefore is the time of the next attempt after too few engines were in service.
+	notBefore    time.Time
+	pendingOrder pendingOrder
+	lastReport   map[string]lastReport // by model name
+	releases     sync.WaitGroup
+	log          zerolog.Logger
 }
 
 func newWorker(c *core, name string) *worker {
-	w := &worker{core: c, name: name, told: make(map[string]told), log: c.log.With().Str("endpoint", name).Logger()}
-	w.endpoint.take = func(ctx context.Context) (*claim.Claim, error) {
+	w := &worker{core: c, name: name, lastReport: make(map[string]lastReport), log: c.log.With().Str("endpoint", name).Logger()}
+	w.endpoint.obtain = func(ctx context.Context) (*claim.Claim, error) {
 		return c.claimer.Acquire(ctx, endpointPrefix+name, endpointTTL)
 	}
-	w.slot.take = func(ctx context.Context) (*claim.Claim, error) {
+	w.slot.obtain = func(ctx context.Context) (*claim.Claim, error) {
 		return c.claimer.AcquireAny(ctx, slotResource, MaxLoads, slotTTL)
 	}
-	w.model.take = func(ctx context.Context) (*claim.Claim, error) {
-		return c.claimer.Acquire(ctx, modelPrefix+w.swapping, modelTTL)
+	w.model.obtain = func(ctx context.Context) (*claim.Claim, error) {
+		return c.claimer.Acquire(ctx, modelPrefix+w.swapModel, modelTTL)
 	}
 	return w
 }
 
-// run reconciles until ctx ends.
+// run reconciles the engine until ctx is done.
 func (w *worker) run(ctx context.Context) {
 	defer w.releases.Wait()
-	defer w.letGo(ctx)
-	defer w.finish(ctx)
-	for retry.Sleep(ctx, w.pass(ctx)) {
+	defer w.releaseClaims(ctx)
+	defer w.awaitLoad(ctx)
+	for retry.Sleep(ctx, w.reconcile(ctx)) {
 	}
 }
 
-// finish waits for a load that this worker began, so that its slot can be given
-// back to the engine's next owner.
-func (w *worker) finish(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTime)
+// awaitLoad waits for a load that this worker started, so that its slot can be released for the
+// engine's next owner.
+func (w *worker) awaitLoad(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout)
 	defer cancel()
 	for w.loading && w.slot.claim != nil {
 		if !retry.Sleep(ctx, busyInterval) {
 			return
 		}
-		endpoint, _ := w.directory.View().Endpoint(w.name)
+		endpoint, _ := w.configSource.View().Endpoint(w.name)
 		if state, err := w.read(ctx, endpoint); err == nil {
-			w.loading = busy(state.Loaded)
+			w.loading = isLoading(state.Loaded)
 		}
 	}
 }
 
-// pass reads the engine once and takes at most one step. It returns the time
-// until the next pass.
-func (w *worker) pass(ctx context.Context) time.Duration {
-	if !w.fresh() {
+// reconcile reads the engine once and takes at most one step. It returns the time until the next call.
+func (w *worker) reconcile(ctx context.Context) time.Duration {
+	if !w.configFresh() {
 		return waitInterval
 	}
-	view := w.directory.View()
+	view := w.configSource.View()
 	endpoint, ok := view.Endpoint(w.name)
 	if !ok {
 		return idleInterval
@@ -112,23 +111,23 @@
 	want.Leaving = want.Leaving || w.leaving(endpoint)
 	state, err := w.read(ctx, endpoint)
 	if err != nil {
-		w.tell(ctx, endpoint, want, nil)
+		w.reportAll(ctx, endpoint, want, nil)
 		return waitInterval
 	}
-	w.loading = busy(state.Loaded)
+	w.loading = isLoading(state.Loaded)
 	w.owner.Observe(w.name, state)
-	standings := w.tell(ctx, endpoint, want, state)
+	standings := w.reportAll(ctx, endpoint, want, state)
 	actions := Plan(want, state.Loaded)
 	if len(actions) == 0 {
-		w.letGo(ctx)
-		return restInterval(standings)
+		w.releaseClaims(ctx)
+		return idleWait(standings)
 	}
-	return w.act(ctx, round{endpoint: endpoint, state: state, standings: standings}, actions)
+	return w.takeStep(ctx, snapshot{endpoint: endpoint, state: state, standings: standings}, actions)
 }
 
-// restInterval is the time until the next reading of an engine that holds what
-// is wanted: short while the fleet is on its way.
-func restInterval(standings map[string]Standing) time.Duration {
+// idleWait returns the time until the next read of an engine in the desired state. It is short while a
+// rollout of one of its models is in progress.
+func idleWait(standings map[string]Standing) time.Duration {
 	for _, s := range standings {
 		if s.Stage != Settled {
 			return waitInterval
@@ -137,11 +136,11 @@
 	return idleInterval
 }
 
-// round is what one pass has read.
-type round struct {
+// snapshot is the state read in one pass.
+type snapshot struct {
 	endpoint  *pb.Endpoint
 	state     *enginewire.State
-	standings map[string]Standing // by model
+	standings map[string]Standing // by model name
 }
 
 func (w *worker) read(ctx context.Context, endpoint *pb.Endpoint) (*enginewire.State, error) {
@@ -150,14 +149,14 @@
 	return w.engines.State(ctx, endpoint.GetUrl())
 }
 
-// act takes the first step that may be taken now.
-func (w *worker) act(ctx context.Context, r round, actions []Action) time.Duration {
-	if w.undecided(r.state.Loaded) {
+// takeStep performs the first action that is possible now, and returns the time until the next pass.
+func (w *worker) takeStep(ctx context.Context, r snapshot, actions []Action) time.Duration {
+	if w.orderPending(r.state.Loaded) {
 		return busyInterval
 	}
-	if w.model.claim != nil && !out(actions, w.swapping) {
-		w.spared = false
-		w.model.release(ctx, &w.releases) // the others see that this engine has the new version
+	if w.model.claim != nil && !swapPending(actions, w.swapModel) {
+		w.spareConfirmed = false
+		w.model.release(ctx, &w.releases) // the other workers see that this engine has the new version
 		w.owner.Withhold(w.name, "")
 	}
 	for _, a := range actions {
@@ -168,51 +167,51 @@
 		case Await:
 			return w.await(ctx, r, a.Weights)
 		case Load:
-			if busy(r.state.Loaded) || !w.mayLoad(r, a.Weights) {
+			if isLoading(r.state.Loaded) || !w.mayLoad(r, a.Weights) {
 				continue
 			}
 			w.load(ctx, r, a.Weights)
 			return busyInterval
 		case Replace:
-			if busy(r.state.Loaded) || !w.mayReplace(ctx, r, a.Weights.Model) {
+			if isLoading(r.state.Loaded) || !w.mayReplace(ctx, r, a.Weights.Model) {
 				continue
 			}
 			w.unload(ctx, r, a.Weights)
 			return busyInterval
 		}
 	}
-	w.letGo(ctx)
+	w.releaseClaims(ctx)
 	return waitInterval
 }
 
-// out tells whether an engine still has to give up or to get a model's weights.
-func out(actions []Action, model string) bool {
+// swapPending reports whether an engine still has to unload or load weights of a model.
+func swapPending(actions []Action, model string) bool {
 	return slices.ContainsFunc(actions, func(a Action) bool {
 		swap := a.Step == Replace || a.Step == Load && a.Weights.Adapter == ""
 		return swap && a.Weights.Model == model
 	})
 }
 
-// await watches a load, and cancels it before its slot runs out. A load that
-// another holder began is left to it.
-func (w *worker) await(ctx context.Context, r round, weights Weights) time.Duration {
+// await monitors a load, and cancels it before its slot expires. A load that another slot holder
+// started is left to that holder.
+func (w *worker) await(ctx context.Context, r snapshot, weights Weights) time.Duration {
 	if w.slot.claim != nil && !w.slot.claim.Valid(slotMargin) {
 		w.event(eventLoadTooLong, weights).Send()
 		w.unload(ctx, r, weights)
-		w.slot.claim = nil // runs out by itself
+		w.slot.claim = nil // left to expire
 	}
 	return busyInterval
 }
 
-// mayLoad tells whether the engine's turn to load has come. One that has given
-// up its weights goes on.
-func (w *worker) mayLoad(r round, weights Weights) bool {
-	return weights.Adapter != "" || w.swapping == weights.Model && w.slot.held() || r.standings[weights.Model].Go
+// mayLoad reports whether the engine may load weights: it is its turn, or it has already given up
+// others for them. Adapters may always be loaded.
+func (w *worker) mayLoad(r snapshot, weights Weights) bool {
+	return weights.Adapter != "" || w.swapModel == weights.Model && w.slot.held() || r.standings[weights.Model].Turn
 }
 
-func (w *worker) load(ctx context.Context, r round, weights Weights) {
+func (w *worker) load(ctx context.Context, r snapshot, weights Weights) {
 	if err := w.slot.acquire(ctx); err != nil {
-		w.noClaim(slotResource, err)
+		w.logNoClaim(slotResource, err)
 		return
 	}
 	if !w.slot.claim.Valid(slotMargin) {
@@ -223,11 +222,11 @@
 	w.order(ctx, r.endpoint, enginewire.OrderLoad, weights)
 }
 
-// letGo gives the claims back. While an order may still take effect they are
-// left to run out, so that the grace period protects the next holder; so is the
-// slot of a load that goes on.
-func (w *worker) letGo(ctx context.Context) {
-	uncertain := time.Now().Before(w.pending.until)
+// releaseClaims releases the claims. While an order may still take effect the claims are left to expire
+// instead, so that the grace period protects the next holder. The slot of a load in progress is left to
+// expire, too.
+func (w *worker) releaseClaims(ctx context.Context) {
+	uncertain := time.Now().Before(w.pendingOrder.until)
 	if w.loading {
 		w.slot.claim = nil
 	}
@@ -238,6 +237,6 @@
 		}
 		l.release(ctx, &w.releases)
 	}
-	w.swapping, w.spared = "", false
+	w.swapModel, w.spareConfirmed = "", false
 	w.owner.Withhold(w.name, "")
 }
