--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -123,7 +123,8 @@
 	f.rebuild()
 }
 
-// Outdated reports whether Update would drop an entry.
+// Outdated reports whether Update would drop an entry because it is of an earlier start, and logs it if
+// so.
 func (f *Fleet) Outdated(e *Endpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -28,7 +28,7 @@
 	Signals *Signals
 
 	cold atomic.Pointer[time.Time] // end of the cold period; nil if it was never cold
-	down atomic.Bool               // the endpoint has ended, as far as this node knows
+	down atomic.Bool               // the endpoint was seen to have ended and has not answered since
 
 	endedCheck singleflight.Group // deduplicates concurrent Ended calls
 	entry      atomic.Pointer[Endpoint]
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Status describes, for operators, the restrictions on sending requests to an endpoint that this node
-// knows of.
+// Status describes, for operators, this node's restrictions on sending requests to an endpoint.
 type Status struct {
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
--- a/internal/fleet/weights.go
+++ b/internal/fleet/weights.go
@@ -24,7 +24,7 @@
 	At   time.Time // earliest time at which it was true
 }
 
-// weightsEstimate is what this node knows about an endpoint's weights beyond its registry entry.
+// weightsEstimate is this node's information on an endpoint's weights beyond its registry entry.
 type weightsEstimate struct {
 	Weights           // a version of 0 means unknown
 	at      time.Time // earliest time at which it was true
@@ -38,8 +38,8 @@
 // VersionOf returns the estimated version of the model at the endpoint, or 0 if unknown. The estimate
 // can be too old or too new, so each request states the version that it expects.
 func (m *Member) VersionOf(model string) int64 {
-	if b := m.estimate.Load(); b != nil && b.Model == model {
-		return b.Version
+	if est := m.estimate.Load(); est != nil && est.Model == model {
+		return est.Version
 	}
 	return m.Endpoint().VersionOf(model)
 }
@@ -47,11 +47,11 @@
 // Seen returns the weights that the endpoint reported to this node and that its registry entry does not
 // contain yet. It returns false if there are none.
 func (m *Member) Seen() (Statement, bool) {
-	b := m.estimate.Load()
-	if b == nil || !b.direct || b.Version == m.Endpoint().VersionOf(b.Model) {
+	est := m.estimate.Load()
+	if est == nil || !est.direct || est.Version == m.Endpoint().VersionOf(est.Model) {
 		return Statement{}, false
 	}
-	return Statement{Weights: b.Weights, Born: m.Born, At: b.at}, true
+	return Statement{Weights: est.Weights, Born: m.Born, At: est.at}, true
 }
 
 // Saw records the weights that the endpoint reported to this node. The newest report applies even if it
@@ -69,10 +69,10 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b := m.estimate.Load()
+	est := m.estimate.Load()
 	switch listed := m.Endpoint().VersionOf(s.Model); {
-	case b != nil && b.Model == s.Model:
-		if b.supersedes(&s, direct) {
+	case est != nil && est.Model == s.Model:
+		if est.supersedes(&s, direct) {
 			return
 		}
 	case s.Version == listed, s.Version < listed && s.At.Before(m.weightsChanged):
@@ -83,9 +83,9 @@
 
 // supersedes reports whether the current estimate stays in place when report s about the same model
 // arrives, because s is older or repeats it.
-func (b *weightsEstimate) supersedes(s *Statement, direct bool) bool {
-	same := b.Version == s.Version && (b.direct || !direct)
-	return s.At.Before(b.at) || same && s.At.Sub(b.at) < refreshAfter
+func (est *weightsEstimate) supersedes(s *Statement, direct bool) bool {
+	same := est.Version == s.Version && (est.direct || !direct)
+	return s.At.Before(est.at) || same && s.At.Sub(est.at) < refreshAfter
 }
 
 // Refuted records that the endpoint refused a request because it does not have the expected version.
@@ -98,10 +98,10 @@
 		return // newer information has arrived since
 	}
 	next := &weightsEstimate{Weights: Weights{Model: model}, at: now, guess: true}
-	b := m.estimate.Load()
+	est := m.estimate.Load()
 	listed := m.Endpoint().VersionOf(model)
 	switch {
-	case b != nil && b.guess:
+	case est != nil && est.guess:
 	case listed != version:
 		next.Version = listed
 	default:
@@ -122,13 +122,13 @@
 	if !slices.Equal(before.Weights, e.Weights) {
 		m.weightsChanged = now
 	}
-	b := m.estimate.Load()
-	if b == nil {
+	est := m.estimate.Load()
+	if est == nil {
 		return
 	}
-	listed, last := e.VersionOf(b.Model), before.VersionOf(b.Model)
+	listed, last := e.VersionOf(est.Model), before.VersionOf(est.Model)
 	changed := listed != last
-	if listed == b.Version || listed < last || changed && (b.guess || listed > b.Version) {
+	if listed == est.Version || listed < last || changed && (est.guess || listed > est.Version) {
 		m.estimate.Store(nil)
 	}
 }
@@ -138,15 +138,15 @@
 func (m *Member) expireEstimate(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b := m.estimate.Load()
-	if b == nil {
+	est := m.estimate.Load()
+	if est == nil {
 		return
 	}
 	limit := maxEntryAge
-	if b.guess {
+	if est.guess {
 		limit = guessTTL
 	}
-	if now.Sub(b.at) > limit {
+	if now.Sub(est.at) > limit {
 		m.estimate.Store(nil)
 	}
 }
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -11,7 +11,7 @@
 //     has completed it since the first of these.
 //   - The endings of a request are reported to the same set of nodes whichever node saw them. Three
 //     endings seen by three nodes therefore cause a hold just as three seen by one node do.
-//   - Holds are recorded on the platform, under the nodes' topic. A node that starts knows them once it
+//   - Holds are recorded on the platform, under the nodes' topic. A node that starts has them once it
 //     has read the topic, so all nodes may restart at once.
 //   - The number of tracked requests is bounded; beyond the bound, the least recently used are evicted.
 package quarantine
--- a/internal/quarantine/propagation_test.go
+++ b/internal/quarantine/propagation_test.go
@@ -12,8 +12,8 @@
 
 // TestHoldReachesEveryNode checks how fast a hold reaches all nodes. Three nodes each see one endpoint
 // end during a request, while messages are lost, one node can only read the topic, and one restarts.
-// All connected nodes must know the hold within the shortest liveness timeout, 3 s, and half of them
-// within a second; the disconnected one knows it after its next poll of the topic. Each record ends all
+// All connected nodes must hold the request within the shortest liveness timeout, 3 s, and half of them
+// within a second; the disconnected one holds it after its next poll of the topic. Each record ends all
 // readers' waits, so few records may be written, though the nodes read them late.
 func TestHoldReachesEveryNode(t *testing.T) {
 	const (
@@ -64,7 +64,7 @@
 				written += w.writeCount()
 			})
 		}
-		t.Logf("%d nodes: half know within %v, all within %v; %d bytes per node", size, slices.Max(half), slices.Max(all), bytes/seeds/size)
+		t.Logf("%d nodes: half hold within %v, all within %v; %d bytes per node", size, slices.Max(half), slices.Max(all), bytes/seeds/size)
 		test.LessEq(t, time.Second, slices.Max(half), test.Sprint(size))
 		test.LessEq(t, seeds*recordsAllowed, written, test.Sprint(size))
 	}
--- a/internal/quarantine/send.go
+++ b/internal/quarantine/send.go
@@ -47,7 +47,7 @@
 }
 
 // knownEndings returns the latest endings of requests that are not held, for nodes that have joined. A
-// node that has just started sees endings before it knows its peers.
+// node that has just started sees endings before it has the addresses of its peers.
 func (s *Service) knownEndings() []outgoingReport {
 	var list []outgoingReport
 	all := s.Endings()
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// recordHolds writes missing records of holds to the topic, as far as it is this node's turn, and
-// reports whether any is left.
+// recordHolds writes missing records of holds to the topic if it is this node's turn, and reports
+// whether any is left.
 func (s *Service) recordHolds(ctx context.Context, peers map[string]netip.AddrPort) (more bool) {
 	now := s.config.Now()
 	for _, h := range s.Holds() {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -43,7 +43,7 @@
 	Node        string // node that recorded it; empty if not known
 }
 
-// Table holds the endings and the held requests that a node knows. It is safe for concurrent use.
+// Table holds a node's records of endings and of held requests. It is safe for concurrent use.
 type Table struct {
 	now     func() time.Time
 	entries atomic.Int64 // number of entries
--- a/internal/rollout/board.go
+++ b/internal/rollout/board.go
@@ -26,7 +26,7 @@
 	// Completed and Failed count the runs since the engine first held the version.
 	Completed int `json:"c,omitempty"`
 	Failed    int `json:"f,omitempty"`
-	// Age is how long the engine has held the version, as far as its owner knows.
+	// Age is how long the engine has held the version, as observed by its owner.
 	Age time.Duration `json:"a,omitempty"`
 }
 
--- a/internal/rollout/faults_test.go
+++ b/internal/rollout/faults_test.go
@@ -27,7 +27,7 @@
 	// before is called before the rollout, and during while it runs.
 	before, during func(b *simulation)
 	// separateBoards gives each node its own board. separateLogs gives each node its own log, so that
-	// claims do not exclude each other.
+	// claims are not mutually exclusive.
 	separateBoards, separateLogs bool
 	// withdrawn is set if weights are withdrawn, in which case they are unloaded whatever the minimum
 	// share.
--- a/internal/rollout/supervisor.go
+++ b/internal/rollout/supervisor.go
@@ -12,7 +12,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// Progress is the progress of the rollout of one model, as known by the owner of its board.
+// Progress is the progress of the rollout of one model, according to its board.
 type Progress struct {
 	Model   string
 	Version string // requested version
--- a/internal/senders/senderstest/views.go
+++ b/internal/senders/senderstest/views.go
@@ -15,8 +15,8 @@
 	View senders.View
 }
 
-// Members returns size nodes, of which the share joining has just joined. Half of the others, at
-// random, have not read about that yet; with a share of 0 all have the same list.
+// Members returns size nodes. The given share of them has just joined; half of the others, at random,
+// have not read about that yet. With a share of 0 all have the same list.
 func Members(random *rand.Rand, size int, joining float64) []*Member {
 	var old, all []string
 	for i := range size {
--- a/internal/slowstart/network_test.go
+++ b/internal/slowstart/network_test.go
@@ -13,9 +13,9 @@
 )
 
 // These tests simulate nodes that send to the endpoints of a failure domain that has restarted. Without
-// a limit across nodes, single endpoints got 34 to 40 requests per second of an allowed 32: each node
-// knew from the registry that they were cold, but did not know what the others sent at the same time,
-// which was reported 0.4 s later.
+// a limit across nodes, single endpoints got 34 to 40 requests per second of an allowed 32: the
+// registry marked them as cold, but no node limited its sends, and each node's sends were reported to
+// the others only 0.4 s later.
 
 const (
 	maxPerSecond  = 32 // maximum requests per second at a cold endpoint
@@ -38,8 +38,8 @@
 
 type node struct{ limiter *slowstart.Limiter }
 
-// newNetwork returns a network of the given number of nodes, of which the share joining joins during
-// the simulation. Each node reads about the new members at a different time.
+// newNetwork returns a network of the given number of nodes, of which the given share joins during the
+// simulation. Each node reads about the new members at a different time.
 func newNetwork(seed uint64, nodes int, joining float64) *network {
 	n := &network{random: rand.New(rand.NewPCG(seed, 1)), sent: make(map[string][]time.Duration)}
 	for i := range coldEndpoints {
--- a/internal/throttle/network_test.go
+++ b/internal/throttle/network_test.go
@@ -33,7 +33,7 @@
 	nodeRate = 12.0
 )
 
-// allowed returns the bound on the requests in boundWindow from nodes that know the limit.
+// allowed returns the bound on the requests in boundWindow from nodes that have received the limit.
 func allowed(perSecond float64) int { return int(1.5*perSecond*boundWindow.Seconds() + 5) }
 
 // network simulates nodes that all have clients, and endpoints that report limits from the start.
@@ -68,7 +68,7 @@
 	at        time.Duration
 }
 
-// newNetwork returns a network of size nodes, of which the share joining joins during the simulation.
+// newNetwork returns a network of size nodes, of which the given share joins during the simulation.
 // Each node reads about the new members at a different time.
 func newNetwork(seed uint64, size int, joining float64) *network {
 	n := &network{random: rand.New(rand.NewPCG(seed, 1)), pending: make(map[time.Duration][]answer), start: time.Unix(1_700_000_000, 0)}
@@ -223,7 +223,7 @@
 		n := newNetwork(1, size, 0)
 		n.simulate(1, throttled)
 		for e := range n.arrivals {
-			// Skip the start, when nodes do not know the limits yet.
+			// Skip the start, when nodes have not received the limits yet.
 			settled, _ := slices.BinarySearch(n.arrivals[e], 2*time.Second)
 			perSecond := float64(len(n.arrivals[e])-settled) / (duration - 2*time.Second).Seconds()
 			t.Logf("%d nodes: %.2f requests per second of 2.8", size, perSecond)
