--- a/coord/changelog/collector.go
+++ b/coord/changelog/collector.go
@@ -7,43 +7,44 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// partSet names the parts that make up one image.
-type partSet struct {
+// partSetID identifies the set of parts that make up one image.
+type partSetID struct {
 	mark  int64
 	total int
 	sum   string
 }
 
-// collected is what was seen of a part set.
-type collected struct {
-	partSet
+// partSet records which parts of a set were seen.
+type partSet struct {
+	partSetID
 	seen *bitset.BitSet
-	data [][]byte // by index; nil if the collector keeps no data
+	data [][]byte // by index; nil if the collector does not keep data
 }
 
-func (c *collected) complete() bool { return c.seen.Count() == uint(c.total) }
+func (s *partSet) complete() bool { return s.seen.Count() == uint(s.total) }
 
-// How many part sets are followed at once; the lowest mark is given up for a
-// newer one. A search through the log meets the unfinished newer ones first.
+// Limits on the part sets that a collector tracks at once. At the limit, the set
+// with the lowest mark is evicted for one with a higher mark. A search reads the
+// log backwards and finds newer incomplete sets first, so it needs a higher limit.
 const (
-	followedSets = 4
-	searchedSets = 256
+	maxFollowedSets = 4
+	maxSearchedSets = 256
 )
 
-// collector finds out which checkpoints are whole.
+// collector tracks the parts of checkpoints and detects complete ones.
 type collector struct {
 	keepData bool
-	limit    int
-	sets     []*collected
+	maxSets  int
+	sets     []*partSet
 }
 
-func newFollowing() collector { return collector{limit: followedSets} }
+func newFollowCollector() collector { return collector{maxSets: maxFollowedSets} }
 
-func newSearch() *collector { return &collector{limit: searchedSets, keepData: true} }
+func newSearchCollector() *collector { return &collector{maxSets: maxSearchedSets, keepData: true} }
 
-// add notes a part and returns its set if that is whole now.
-func (c *collector) add(p part) *collected {
-	set := c.set(partSet{p.Mark, p.Total, p.Sum})
+// add records a part and returns its set if the part completed it, else nil.
+func (c *collector) add(p part) *partSet {
+	set := c.findOrAdd(partSetID{p.Mark, p.Total, p.Sum})
 	if set == nil || set.seen.Test(uint(p.Index)) {
 		return nil
 	}
@@ -57,23 +58,25 @@
 	return set
 }
 
-// find returns what was seen of a set, or nil.
-func (c *collector) find(id partSet) *collected {
-	i := slices.IndexFunc(c.sets, func(s *collected) bool { return s.partSet == id })
+// find returns the set with the given id, or nil if it is not tracked.
+func (c *collector) find(id partSetID) *partSet {
+	i := slices.IndexFunc(c.sets, func(s *partSet) bool { return s.partSetID == id })
 	if i < 0 {
 		return nil
 	}
 	return c.sets[i]
 }
 
-func (c *collector) set(id partSet) *collected {
+// findOrAdd returns the set with the given id, tracking it if it is new. It
+// returns nil if the limit is reached and no set has a lower mark.
+func (c *collector) findOrAdd(id partSetID) *partSet {
 	if s := c.find(id); s != nil {
 		return s
 	}
-	if len(c.sets) >= c.limit && !c.evict(id.mark) {
+	if len(c.sets) >= c.maxSets && !c.evict(id.mark) {
 		return nil
 	}
-	s := &collected{partSet: id, seen: bitset.New(uint(id.total))}
+	s := &partSet{partSetID: id, seen: bitset.New(uint(id.total))}
 	if c.keepData {
 		s.data = make([][]byte, id.total)
 	}
@@ -81,7 +84,8 @@
 	return s
 }
 
-// evict drops the set with the lowest mark if that is below the given one.
+// evict drops the set with the lowest mark if that is below the given mark, and
+// reports whether it did.
 func (c *collector) evict(mark int64) bool {
 	lowest := 0
 	for i, s := range c.sets {
@@ -96,8 +100,9 @@
 	return true
 }
 
-// image joins the parts of a whole set; ok is false if they don't match its sum.
-func (c *collected) image() (data []byte, ok bool) {
-	data = bytes.Join(c.data, nil)
-	return data, imageSum(data) == c.sum
+// assemble joins the parts of a complete set. ok is false if the result does not
+// match the checksum.
+func (s *partSet) assemble() (data []byte, ok bool) {
+	data = bytes.Join(s.data, nil)
+	return data, imageDigest(data) == s.sum
 }
--- /dev/null
+++ b/coord/changelog/freshness.go
@@ -0,0 +1,93 @@
+package changelog
+
+import (
+	"sync"
+	"time"
+)
+
+// freshness tracks how long ago the log was last read, by this node or by a node
+// whose notices reached it. Nodes exchange ages instead of timestamps, so their
+// clocks need not be synchronized. An age grows while a node holds it, during
+// failed attempts to deliver a notice, and by the full duration of a pull. The
+// only time not counted is the network delay of a delivered notice: at most
+// noticeTimeout per hop, once per read of the log.
+type freshness struct {
+	mu           sync.Mutex
+	lastLogRead  time.Time // when any node last read the log, as far as known
+	lastContact  time.Time // when the log or a peer last responded or sent a notice
+	lastNotice   time.Time // when a notice was last sent or received
+	newestKnown  int64     // newest offset reported by the log or a peer
+	logReadKnown bool      // whether a read of the log was ever recorded
+}
+
+func newFreshness() *freshness {
+	now := time.Now()
+	return &freshness{lastLogRead: now, lastContact: now, lastNotice: now}
+}
+
+// recordLogRead records a successful read of the log that began at started and
+// found newestKnown as the newest offset.
+func (f *freshness) recordLogRead(started time.Time, newestKnown int64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.logReadKnown = true
+	f.lastLogRead = later(f.lastLogRead, started)
+	f.lastContact = later(f.lastContact, started)
+	f.newestKnown = max(f.newestKnown, newestKnown)
+}
+
+// recordPeerNotice records the age and the newest offset that a peer reported.
+func (f *freshness) recordPeerNotice(n Notice) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := time.Now()
+	f.lastContact = now
+	f.newestKnown = max(f.newestKnown, n.Known)
+	if n.Age >= 0 {
+		f.logReadKnown = true
+		f.lastLogRead = later(f.lastLogRead, now.Add(-n.Age))
+	}
+}
+
+// recordNoticeTime records that a notice was just sent or received.
+func (f *freshness) recordNoticeTime() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastNotice = time.Now()
+}
+
+func (f *freshness) sinceNotice() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return time.Since(f.lastNotice)
+}
+
+// ageUnknown is the age that a node reports if it knows of no read of the log.
+const ageUnknown = time.Duration(-1)
+
+// logAge returns the age of the last known read of the log, as reported to peers,
+// or ageUnknown.
+func (f *freshness) logAge() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if !f.logReadKnown {
+		return ageUnknown
+	}
+	return time.Since(f.lastLogRead)
+}
+
+// ages returns the time since the last known read of the log and since the last
+// contact with the log or a peer, each counted from the start if there was none
+// yet, and the newest offset known.
+func (f *freshness) ages() (log, contact time.Duration, newestKnown int64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return time.Since(f.lastLogRead), time.Since(f.lastContact), f.newestKnown
+}
+
+func later(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
+	}
+	return a
+}
--- a/coord/changelog/log.go
+++ b/coord/changelog/log.go
@@ -8,38 +8,39 @@
 	Data   []byte `json:"d"`
 }
 
-// Batch is the answer to one read.
+// Batch is the result of one read.
 type Batch struct {
-	// Records are in offset order, all at or above the offset asked for, and
-	// leave out nothing between the first and the last.
+	// Records holds consecutive records in offset order, all at or above the
+	// requested offset.
 	Records []Record
 	// First is the offset of the oldest record still retained.
 	First int64
-	// Next is one above the newest record that the answering replica knows.
+	// Next is one above the offset of the newest record on the replica that
+	// responded.
 	Next int64
 }
 
-// Log is the platform's append-only log. Offsets start at 1, only grow and are
-// never reused; they need not be dense.
+// Log is the platform's append-only log. Offsets start at 1, increase and are never
+// reused, but there may be gaps between them.
 type Log interface {
-	// Append adds a record and returns its offset. After an error the record
-	// may be in the log or not.
+	// Append adds a record and returns its offset. After an error the record may
+	// or may not be in the log.
 	Append(ctx context.Context, data []byte) (offset int64, err error)
-	// Read returns at most max records from the offset on. It may be answered by
-	// a replica that lags behind, so a later call can show an older tail. When
-	// from is below Batch.First, the records in between are gone.
+	// Read returns at most max records at or above an offset. The replica that
+	// responds may lag behind, so a later call can return an older tail. If from
+	// is below Batch.First, the records in between are no longer retained.
 	Read(ctx context.Context, from int64, max int) (Batch, error)
 }
 
-// Segment holds all records of the log with From <= offset < To. Segments are
-// what nodes pass to each other; their records were all read from the log.
+// Segment holds all records of the log with From <= offset < To. Nodes send
+// segments to each other; all their records were read from the log.
 type Segment struct {
 	From    int64    `json:"from"`
 	To      int64    `json:"to"`
 	Records []Record `json:"records,omitempty"`
 }
 
-// size returns the bytes of the records' data.
+// size returns the total size of the records' data in bytes.
 func (s Segment) size() int {
 	n := 0
 	for _, r := range s.Records {
@@ -48,13 +49,13 @@
 	return n
 }
 
-// announced returns the segment without its records: whoever lacks them sees so
-// and asks.
-func (s Segment) announced() Segment { return Segment{From: s.To, To: s.To} }
+// withoutRecords returns an empty segment at the end of this one. A receiver that
+// lacks the records detects the gap and pulls them.
+func (s Segment) withoutRecords() Segment { return Segment{From: s.To, To: s.To} }
 
-// segmentOf returns the part of the log that a read from the given offset
-// covers. ok is false if the batch brought no record or retention passed from.
-func segmentOf(from int64, b Batch) (seg Segment, ok bool) {
+// segmentFromBatch returns the segment that a read from the given offset covers. ok
+// is false if the batch is empty or retention has passed from.
+func segmentFromBatch(from int64, b Batch) (seg Segment, ok bool) {
 	if len(b.Records) == 0 || b.First > from {
 		return Segment{}, false
 	}
--- a/coord/changelog/logtest/log.go
+++ b/coord/changelog/logtest/log.go
@@ -1,5 +1,5 @@
-// Package logtest provides an in-memory log with faults, for tests of packages
-// that use changelog.Log. It is not durable.
+// Package logtest provides an in-memory log with fault injection, for tests of
+// packages that use changelog.Log. It is not durable.
 package logtest
 
 import (
@@ -15,70 +15,72 @@
 
 var _ changelog.Log = (*Log)(nil)
 
-// Errors of the faults.
+// Errors of injected faults.
 var (
-	ErrDown       = errors.New("log is down")
-	ErrAnswerLost = errors.New("answer of the append was lost")
+	ErrDown       = errors.New("log is unavailable")
+	ErrAnswerLost = errors.New("append response was lost")
 )
 
 // Log is an in-memory log. The zero value is an empty log without faults. It is
 // safe for concurrent use.
 type Log struct {
-	// Delay is how long each call takes. Set it before use.
+	// Delay is the duration of each call. Set it before use.
 	Delay time.Duration
 
-	mu         sync.Mutex
-	records    []changelog.Record
-	next       int64
-	first      int64
-	down       bool
-	loseNext   int
-	lag        int64
-	reads      int
-	appends    int
-	readBytes  int
-	writeBytes int
+	mu            sync.Mutex
+	records       []changelog.Record
+	next          int64
+	first         int64
+	down          bool
+	answersToLose int
+	lag           int64
+	reads         int
+	appends       int
+	readBytes     int
+	writeBytes    int
 }
 
-// SetDown starts or ends an outage: all calls fail without effect.
-func (l *Log) SetDown(down bool) { l.with(func() { l.down = down }) }
+// SetDown starts or ends an outage, during which all calls return ErrDown without
+// effect.
+func (l *Log) SetDown(down bool) { l.withLock(func() { l.down = down }) }
 
-// LoseAnswers makes the next n appends take effect and return an error.
-func (l *Log) LoseAnswers(n int) { l.with(func() { l.loseNext = n }) }
+// LoseAnswers makes the next n appends add their records but return
+// ErrAnswerLost.
+func (l *Log) LoseAnswers(n int) { l.withLock(func() { l.answersToLose = n }) }
 
-// SetLag makes reads miss the newest n offsets.
-func (l *Log) SetLag(n int64) { l.with(func() { l.lag = n }) }
+// SetLag hides the newest n offsets from reads, like a lagging replica.
+func (l *Log) SetLag(n int64) { l.withLock(func() { l.lag = n }) }
 
-// Retain drops all records but the newest n offsets.
+// Retain drops all records except those at the newest n offsets.
 func (l *Log) Retain(n int64) {
-	l.with(func() {
+	l.withLock(func() {
 		l.first = max(l.first, l.next-n, 1)
-		i := l.index(l.first)
+		i := l.indexOf(l.first)
 		l.records = slices.Clone(l.records[i:])
 	})
 }
 
-// Traffic is what the log has served.
+// Traffic counts the calls to the log and the bytes of the records in them.
 type Traffic struct {
 	Reads, Appends        int
 	ReadBytes, WriteBytes int
 }
 
-// Traffic returns the calls and record bytes since the start.
+// Traffic returns the counts since the log was created.
 func (l *Log) Traffic() (t Traffic) {
-	l.with(func() { t = Traffic{l.reads, l.appends, l.readBytes, l.writeBytes} })
+	l.withLock(func() { t = Traffic{l.reads, l.appends, l.readBytes, l.writeBytes} })
 	return t
 }
 
 // Records returns all retained records.
 func (l *Log) Records() (all []changelog.Record) {
-	l.with(func() { all = slices.Clone(l.records) })
+	l.withLock(func() { all = slices.Clone(l.records) })
 	return all
 }
 
 // Append implements changelog.Log.
 func (l *Log) Append(ctx context.Context, data []byte) (int64, error) {
-	if err := l.wait(ctx); err != nil {
+	if err := l.delay(ctx); err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
@@ -91,8 +93,8 @@
 	l.records = append(l.records, changelog.Record{Offset: offset, Data: slices.Clone(data)})
 	l.next = offset + 1
 	l.writeBytes += len(data)
-	if l.loseNext > 0 {
-		l.loseNext--
+	if l.answersToLose > 0 {
+		l.answersToLose--
 		return 0, ErrAnswerLost
 	}
 	return offset, nil
@@ -100,7 +102,7 @@
 
 // Read implements changelog.Log.
 func (l *Log) Read(ctx context.Context, from int64, limit int) (changelog.Batch, error) {
-	if err := l.wait(ctx); err != nil {
+	if err := l.delay(ctx); err != nil {
 		return changelog.Batch{}, err
 	}
 	l.mu.Lock()
@@ -110,7 +112,7 @@
 		return changelog.Batch{}, ErrDown
 	}
 	b := changelog.Batch{First: max(l.first, 1), Next: max(l.next-l.lag, 1)}
-	for _, r := range l.records[l.index(from):] {
+	for _, r := range l.records[l.indexOf(from):] {
 		if r.Offset >= b.Next || len(b.Records) == limit {
 			break
 		}
@@ -120,17 +122,18 @@
 	return b, nil
 }
 
-func (l *Log) index(offset int64) int {
+// indexOf returns the index of the first record at or above an offset.
+func (l *Log) indexOf(offset int64) int {
 	return sort.Search(len(l.records), func(i int) bool { return l.records[i].Offset >= offset })
 }
 
-func (l *Log) with(f func()) {
+func (l *Log) withLock(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-func (l *Log) wait(ctx context.Context) error {
+func (l *Log) delay(ctx context.Context) error {
 	if l.Delay == 0 {
 		return ctx.Err()
 	}
--- /dev/null
+++ b/coord/changelog/notice_test.go
@@ -0,0 +1,66 @@
+package changelog_test
+
+import (
+	"context"
+	"math/rand/v2"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"github.com/cherryward/cherryward/coord/changelog"
+	"github.com/cherryward/cherryward/coord/changelog/logtest"
+)
+
+// unresponsivePeer is a single peer that does not respond to the first notices.
+type unresponsivePeer struct {
+	unanswered int // notices left without a response
+	received   chan changelog.Notice
+}
+
+var _ changelog.Peers = (*unresponsivePeer)(nil)
+
+func (*unresponsivePeer) Members() []string { return []string{"deaf", "teller"} }
+
+func (p *unresponsivePeer) Notify(ctx context.Context, _ string, n changelog.Notice) error {
+	if p.unanswered--; p.unanswered >= 0 {
+		<-ctx.Done()
+		return ctx.Err()
+	}
+	p.received <- n
+	return nil
+}
+
+func (*unresponsivePeer) Records(context.Context, string, int64) (changelog.Notice, error) {
+	return changelog.Notice{}, errUnreachable
+}
+
+func (*unresponsivePeer) Snapshot(context.Context, string) ([]byte, error) {
+	return nil, errUnreachable
+}
+
+// Guards against a notice that is resent after failed delivery attempts with the
+// age of the first attempt. The receiver then understates the time since the last
+// read of the log: by 6 ms in a partition test that allowed 90 ms of network delay
+// (96 ms were observed), and by up to 2 s if only the last attempt is answered.
+func TestNoticeAgesDuringFailedDelivery(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const failedAttempts = 4
+		log := &logtest.Log{Delay: 5 * time.Millisecond}
+		p := &unresponsivePeer{unanswered: failedAttempts, received: make(chan changelog.Notice, 100)}
+		s := changelog.NewStore(log, limits{}, 0)
+		f := changelog.NewFollower(s, p, changelog.Options{Self: "teller", Rand: rand.New(rand.NewPCG(1, 1)),
+			Checkpoint: changelog.CheckpointPolicy{Changes: 10000, Interval: time.Hour}, MaxStale: time.Hour, MaxIsolated: time.Hour})
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			f.Run(ctx)
+		}()
+		n := <-p.received
+		must.GreaterEq(t, failedAttempts*500*time.Millisecond, n.Age)
+		cancel()
+		<-done
+	})
+}
--- a/coord/changelog/outcome.go
+++ b/coord/changelog/outcome.go
@@ -5,32 +5,35 @@
 	"fmt"
 )
 
-// Status is how a change ended.
+// Status is the final status of a change.
 type Status string
 
-// The outcomes of a change. All nodes come to the same one.
+// Statuses of a change. All nodes determine the same one.
 const (
+	// Accepted: the change was applied.
 	Accepted Status = "accepted"
-	// Conflict: the object's revision was no longer the one it was based on.
+	// Conflict: the object's revision differs from the one the change is based on.
 	Conflict Status = "conflict"
-	// Invalid: the schema refused it.
+	// Invalid: the schema rejected the change.
 	Invalid Status = "invalid"
-	// Expired: the change is older than the ids that are remembered.
+	// Expired: the change is older than the oldest change id still tracked.
 	Expired Status = "expired"
 )
 
-// Outcome is what became of a change.
+// Outcome is the result of a change.
 type Outcome struct {
 	Status Status `json:"s"`
-	// Offset of the first record of the change.
+	// Offset is the offset of the first record of the change.
 	Offset int64 `json:"o"`
-	// Revision of the object right after that record, 0 if there is none.
+	// Revision is the revision of the object right after that record, 0 if the
+	// object does not exist then.
 	Revision int64 `json:"r,omitempty"`
-	// Reason says why the schema refused the change.
+	// Reason is the error of the schema that rejected the change.
 	Reason string `json:"e,omitempty"`
 }
 
-// Err returns nil if the change was accepted, else an error of a type below.
+// Err returns nil if the change was accepted, else a *ConflictError, an
+// *InvalidError or ErrExpired.
 func (o Outcome) Err() error {
 	switch o.Status {
 	case Accepted:
@@ -43,11 +46,12 @@
 	return ErrExpired
 }
 
-// ConflictError reports that another change to the object came first. Proposing
-// the same Change again gives the same answer; make a new one on the newest
-// snapshot.
+// ConflictError reports that another change to the object was applied first.
+// Proposing the same Change again returns the same error; make a new change from
+// the newest snapshot.
 type ConflictError struct {
-	// Revision of the object when the change was rejected, 0 if it didn't exist.
+	// Revision is the revision of the object when the change was rejected, 0 if
+	// the object did not exist.
 	Revision int64
 }
 
@@ -56,37 +60,42 @@
 	return fmt.Sprintf("conflict: the object is at revision %d", e.Revision)
 }
 
-// InvalidError reports that the schema refused the change.
+// InvalidError reports that the schema rejected the change.
 type InvalidError struct{ Reason string }
 
 // Error implements error.
 func (e *InvalidError) Error() string { return "invalid change: " + e.Reason }
 
 var (
-	// ErrUnknownOutcome: the context ended before the change was seen in the
-	// log. It may be accepted later. Proposing the same Change again is safe.
+	// ErrUnknownOutcome reports that the context ended before the change was read
+	// back from the log. The change may still be accepted. Proposing the same
+	// Change again is safe.
 	ErrUnknownOutcome = errors.New("outcome of the change is not known yet")
-	// ErrExpired: the change is older than the ids that are remembered, so it
-	// can't be told whether it took effect before. Look at the object, then make
-	// a new change.
+	// ErrExpired reports that the change is older than the oldest change id still
+	// tracked, so it is unknown whether it was applied before. Read the object
+	// again, then make a new change.
 	ErrExpired = errors.New("change is too old to be applied")
-	// ErrTooLarge: the record would exceed Options.MaxRecord. Not appended.
+	// ErrTooLarge reports that the record would exceed the maxRecord given to
+	// NewStore. Nothing was appended.
 	ErrTooLarge = errors.New("change exceeds the record size limit")
-	// ErrGap: a segment starts above the applied offset. Nothing was applied.
+	// ErrGap reports that records are missing between the applied offset and a
+	// segment. Nothing was applied.
 	ErrGap = errors.New("records are missing before the segment")
-	// ErrNotReady: no state was loaded yet.
+	// ErrNotReady reports that no state has been loaded yet.
 	ErrNotReady = errors.New("no state has been loaded yet")
-	// ErrCompacted: records from that offset on are no longer held.
-	ErrCompacted = errors.New("records have been dropped")
+	// ErrCompacted reports that records at the requested offset are no longer
+	// retained.
+	ErrCompacted = errors.New("records at the requested offset are no longer retained")
 )
 
-// maxReason bounds what the outcome of a refused change keeps.
-const maxReason = 200
+// maxReasonBytes is the length to which the reason of a rejected change is
+// truncated.
+const maxReasonBytes = 200
 
-func invalid(offset, revision int64, err error) Outcome {
+func invalidOutcome(offset, revision int64, err error) Outcome {
 	reason := err.Error()
-	if len(reason) > maxReason {
-		reason = reason[:maxReason]
+	if len(reason) > maxReasonBytes {
+		reason = reason[:maxReasonBytes]
 	}
 	return Outcome{Status: Invalid, Offset: offset, Revision: revision, Reason: reason}
 }
--- a/coord/changelog/peers.go
+++ b/coord/changelog/peers.go
@@ -5,43 +5,46 @@
 	"time"
 )
 
-// Notice is what one node tells another: new records, and how fresh its word is.
-// As a heartbeat or as the answer to a pull it may hold no records.
+// Notice is a message between nodes: new records, and the age of the sender's
+// information. A heartbeat or the response to a pull may have no records.
 type Notice struct {
-	// Sender can be asked for records that the receiver lacks.
+	// Sender is the node from which the receiver can pull missing records.
 	Sender string `json:"sender"`
-	// Until names the member before which the receiver's share of the members
-	// ends, in the order that Seed gives.
+	// Until is the member at which the receiver's share of the members ends,
+	// exclusively, in the order that Seed determines.
 	Until string `json:"until,omitempty"`
-	Seed  uint64 `json:"seed,omitempty"`
-	// Known is the newest offset that the sender has heard of.
+	// Seed determines the order of the members, and so the tree along which the
+	// notice is forwarded.
+	Seed uint64 `json:"seed,omitempty"`
+	// Known is the newest offset that the sender knows of.
 	Known int64 `json:"known"`
-	// Age is how long ago the log was last read by the sender or by one whose
-	// word reached it, in nanoseconds; negative if it knows of no read.
+	// Age is the time since the last read of the log that the sender knows of, by
+	// itself or another node, in nanoseconds; negative if it knows of none.
 	Age     time.Duration `json:"age"`
 	Segment Segment       `json:"segment"`
 }
 
-// older returns the notice as it is after being held for a time: its word on the
-// log has aged, if it has any.
-func (n Notice) older(by time.Duration) Notice {
+// withAddedAge returns the notice with d added to its age, unless the age is
+// unknown.
+func (n Notice) withAddedAge(d time.Duration) Notice {
 	if n.Age >= 0 {
-		n.Age += by
+		n.Age += d
 	}
 	return n
 }
 
-// Peers reaches the other nodes. Implementations set their own timeouts under
-// the context's. All calls may be retried.
+// Peers sends messages to the other nodes. Implementations set their own timeouts,
+// shorter than the context's. All calls may be retried.
 type Peers interface {
-	// Members returns the names of the live nodes, this one included, sorted. It
-	// may be wrong for a while: that costs messages and time only.
+	// Members returns the sorted names of the live nodes, including this one. The
+	// list may be temporarily wrong, which costs only extra messages and delay.
 	Members() []string
-	// Notify hands a notice to a node, which calls Follower.Handle.
+	// Notify sends a notice to a node, which calls Follower.Handle.
 	Notify(ctx context.Context, to string, n Notice) error
-	// Records asks a node for its records from an offset on; it answers by
-	// Follower.Records.
+	// Records requests the records at and above an offset from a node, which
+	// responds with the result of Follower.Records.
 	Records(ctx context.Context, to string, from int64) (Notice, error)
-	// Snapshot asks a node for its whole state; it answers by Follower.Image.
+	// Snapshot requests the complete state of a node, which responds with the
+	// result of Follower.Image.
 	Snapshot(ctx context.Context, to string) ([]byte, error)
 }
--- a/coord/changelog/receive.go
+++ b/coord/changelog/receive.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Handle takes a notice from a peer: it applies the records, passes the notice
-// on to this node's share of the members, and closes a gap by asking the sender.
-// It returns before that is done. Handling a notice twice is harmless.
+// Handle processes a notice from a peer. It applies the records, forwards the
+// notice to this node's share of the members, and pulls missing records from the
+// sender; forwarding and pulling continue in the background. Handling a notice
+// twice is harmless.
 func (f *Follower[V]) Handle(n Notice) {
-	f.store.contact.heardPeer(n)
-	fresh, err := f.store.state.apply(n.Segment)
-	on := n
-	on.Sender = f.opts.Self
-	if !fresh && err == nil {
-		on.Segment = n.Segment.announced() // most of the share have the records by now
+	f.store.freshness.recordPeerNotice(n)
+	advanced, err := f.store.state.apply(n.Segment)
+	forwarded := n
+	forwarded.Sender = f.opts.Self
+	if !advanced && err == nil {
+		forwarded.Segment = n.Segment.withoutRecords() // most members of the share already have the records
 	}
-	f.pass(on)
-	f.store.contact.noticed()
+	f.forwardNotice(forwarded)
+	f.store.freshness.recordNoticeTime()
 	if f.store.Ready() && f.store.state.applied() < n.Segment.To-1 {
-		f.background(func(ctx context.Context) { f.fillGap(ctx, n) })
+		f.runInBackground(func(ctx context.Context) { f.fillGap(ctx, n) })
 	}
 }
 
-// fillGap gets what is missing before the records of a notice. Mostly another
-// notice on its way brings it, so it waits before it asks.
+// fillGap obtains the records that are missing before those of a notice. Usually
+// another notice in flight delivers them, so fillGap waits before it pulls.
 func (f *Follower[V]) fillGap(ctx context.Context, n Notice) {
-	pause := gapPause
-	for range gapTries {
+	pause := gapRetryDelay
+	for range maxGapPulls {
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
@@ -42,80 +43,85 @@
 	}
 }
 
-// Records answers a peer's pull.
+// Records returns the response to a peer's pull: the records at and above an
+// offset, possibly cut short. It returns ErrCompacted if they are no longer held.
 func (f *Follower[V]) Records(from int64) (Notice, error) {
-	seg, err := f.store.state.segment(from, pullBytes)
+	seg, err := f.store.state.segment(from, maxPullBytes)
 	if err != nil {
 		return Notice{}, err
 	}
-	return f.notice(seg), nil
+	return f.newNotice(seg), nil
 }
 
-// Image answers a peer that needs the whole state.
+// Image returns the encoded state for a peer that loads it. It returns ErrNotReady
+// if no state is loaded.
 func (f *Follower[V]) Image() ([]byte, error) { return f.store.Image() }
 
-// exchange asks a random peer for news.
+// exchange pulls new records from a random peer.
 func (f *Follower[V]) exchange(ctx context.Context) {
-	others := f.others()
+	others := f.otherMembers()
 	if len(others) == 0 {
 		return
 	}
 	f.pull(ctx, others[f.opts.Rand.IntN(len(others))])
 }
 
-// pull asks a peer for its records until there are no more. If the peer no
-// longer holds them, it takes the peer's whole state.
+// pull requests records from a peer until it returns no new ones. If the peer no
+// longer holds the records, pull loads the peer's complete state.
 func (f *Follower[V]) pull(ctx context.Context, peer string) {
-	for range pullRounds {
-		n, err := f.records(ctx, peer)
+	for range maxPullRounds {
+		n, err := f.pullOnce(ctx, peer)
 		if errors.Is(err, ErrCompacted) {
-			f.loadFrom(ctx, peer) // on an error the next exchange tries again
+			f.loadFromPeer(ctx, peer) // after an error, the next exchange retries
 			return
 		}
 		if err != nil {
 			return
 		}
-		f.store.contact.heardPeer(n)
-		if fresh, err := f.store.state.apply(n.Segment); err != nil || !fresh {
+		f.store.freshness.recordPeerNotice(n)
+		if advanced, err := f.store.state.apply(n.Segment); err != nil || !advanced {
 			return
 		}
 	}
 }
 
-// records makes one pull. The time that it takes counts towards the age.
-func (f *Follower[V]) records(ctx context.Context, peer string) (Notice, error) {
+// pullOnce requests records from a peer once. It adds the full duration of the
+// request to the age in the response; otherwise each pull would understate the age.
+func (f *Follower[V]) pullOnce(ctx context.Context, peer string) (Notice, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := time.Now()
+	started := time.Now()
 	n, err := f.peers.Records(ctx, peer, f.store.state.applied()+1)
-	return n.older(time.Since(asked)), err // else the age would lose time at each pull
+	return n.withAddedAge(time.Since(started)), err
 }
 
-// FollowerStatus is what a node knows of its own freshness.
+// FollowerStatus describes how up to date a node is.
 type FollowerStatus struct {
+	// Ready reports whether a state has been loaded.
 	Ready bool
-	// Applied is the offset up to which the log is contained in the state.
+	// Applied is the offset up to which the log has been applied.
 	Applied int64
-	// NewestKnown is the newest offset that this node has heard of.
+	// NewestKnown is the newest offset reported by the log or a peer.
 	NewestKnown int64
-	// LogAge is how long ago the log was last read, here or by a node whose word
-	// reached this one; since the start if it never was.
+	// LogAge is the time since the last known read of the log, by this node or one
+	// whose notices reached it; the time since the start if none is known.
 	LogAge time.Duration
-	// Silence is how long ago this node last heard from the log or any peer.
+	// Silence is the time since the last contact with the log or any peer.
 	Silence time.Duration
-	// Checkpoint is the mark of the newest whole checkpoint seen, 0 for none.
+	// Checkpoint is the mark of the newest complete checkpoint seen, 0 for none.
 	Checkpoint int64
-	// Stale tells that the node should take no new work.
+	// Stale reports that LogAge or Silence has reached its limit in Options. A
+	// stale node should accept no new work.
 	Stale bool
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (f *Follower[V]) Status() FollowerStatus {
-	logAge, silence, known := f.store.contact.ages()
+	logAge, silence, newestKnown := f.store.freshness.ages()
 	return FollowerStatus{
 		Ready:       f.store.Ready(),
 		Applied:     f.store.state.applied(),
-		NewestKnown: known,
+		NewestKnown: newestKnown,
 		LogAge:      logAge,
 		Silence:     silence,
 		Checkpoint:  f.store.state.checkpointMark(),
--- a/coord/changelog/reducer.go
+++ b/coord/changelog/reducer.go
@@ -2,32 +2,33 @@
 
 import "encoding/json"
 
-// Schema decodes and checks the values of the state. Both methods must be
-// deterministic: they depend on their arguments only and give the same answer on
+// Schema decodes and validates the values of the state. Both methods must be
+// deterministic: their results depend only on their arguments, and are the same on
 // every node and, for records already written, in every release.
 type Schema[V any] interface {
-	// Decode reads the value of an object of that kind. An error refuses the
-	// change. Values are shared by snapshots and must not be changed later.
+	// Decode decodes the value of an object of a kind. An error rejects the change.
+	// Snapshots share the returned value, so it must not be modified.
 	Decode(kind string, raw json.RawMessage) (V, error)
-	// Validate refuses a change by an error. The snapshot is the state right
-	// before the change and must not be kept. For a delete, value is zero.
+	// Validate returns an error to reject a change. The snapshot is the state right
+	// before the change and must not be retained. For a delete, value is zero.
 	Validate(s *Snapshot[V], c Change, value V) error
 }
 
-// reducer folds records into the state. It depends on nothing but the records.
+// reducer applies changes to the state. The result depends only on the records.
 type reducer[V any] struct {
 	schema Schema[V]
 	draft  *draft[V]
-	window *window
+	window *dedupWindow
 }
 
 func newReducer[V any](schema Schema[V]) *reducer[V] {
-	return &reducer[V]{schema: schema, draft: newDraft(newSnapshot[V]()), window: newWindow()}
+	return &reducer[V]{schema: schema, draft: newDraft(newSnapshot[V]()), window: newDedupWindow()}
 }
 
-// change applies the record of a change. repeated tells that its id was seen
-// before; then nothing happens and the first outcome is returned.
-func (r *reducer[V]) change(offset int64, c Change) (o Outcome, repeated bool) {
+// applyChange applies the record of a change and returns its outcome. repeated
+// reports that the change id was seen before; then the state does not change and
+// the outcome is that of the first record.
+func (r *reducer[V]) applyChange(offset int64, c Change) (o Outcome, repeated bool) {
 	if first, ok := r.window.get(c.ID); ok {
 		return first, true
 	}
@@ -38,6 +39,7 @@
 	return o, false
 }
 
+// decide applies a change whose id was not seen before, or rejects it.
 func (r *reducer[V]) decide(offset int64, c Change) Outcome {
 	current, _ := r.draft.Get(c.Kind, c.Key)
 	if r.window.expired(c.Since) {
@@ -55,7 +57,7 @@
 func (r *reducer[V]) remove(offset int64, c Change, revision int64) Outcome {
 	var zero V
 	if err := r.schema.Validate(&r.draft.Snapshot, c, zero); err != nil {
-		return invalid(offset, revision, err)
+		return invalidOutcome(offset, revision, err)
 	}
 	r.draft.remove(Name{c.Kind, c.Key})
 	return Outcome{Status: Accepted, Offset: offset}
@@ -63,13 +65,13 @@
 
 func (r *reducer[V]) put(offset int64, c Change, current Object[V]) Outcome {
 	revision := current.Revision
-	raw := compact(c.Value)
+	raw := canonicalJSON(c.Value)
 	value, err := r.schema.Decode(c.Kind, raw)
 	if err != nil {
-		return invalid(offset, revision, err)
+		return invalidOutcome(offset, revision, err)
 	}
 	if err := r.schema.Validate(&r.draft.Snapshot, c, value); err != nil {
-		return invalid(offset, revision, err)
+		return invalidOutcome(offset, revision, err)
 	}
 	created := current.Created
 	if created == 0 {
--- a/coord/changelog/snapshot.go
+++ b/coord/changelog/snapshot.go
@@ -23,23 +23,24 @@
 	Name
 	// Revision is the offset of the change that wrote this value.
 	Revision int64
-	// Created is the offset of the change that the object began with. One that
-	// was deleted and made again has another.
+	// Created is the offset of the change that created the object. It differs after
+	// the object was deleted and created again.
 	Created int64
 	Value   V
 	raw     json.RawMessage
 }
 
-// Raw returns the value as it stands in the log, compacted. Don't alter it.
+// Raw returns the JSON of the value without insignificant whitespace. The caller
+// must not modify it.
 func (o Object[V]) Raw() json.RawMessage { return o.raw }
 
-// shardCount trades the copy of the shard list per batch against the copy of
-// one shard per change.
+// shardCount is the number of shards of a snapshot. A higher number makes the copy
+// of the shard list per batch larger and the copy of one shard per change smaller.
 const shardCount = 512
 
 type shard[V any] map[Name]Object[V]
 
-// Snapshot is the state at one offset. It never changes.
+// Snapshot is the immutable state at one offset.
 type Snapshot[V any] struct {
 	applied int64
 	count   int
@@ -50,13 +51,13 @@
 	return &Snapshot[V]{shards: new([shardCount]shard[V])}
 }
 
-// Applied returns the offset up to which the log is contained, 0 for none.
+// Applied returns the offset up to which the log has been applied, 0 for none.
 func (s *Snapshot[V]) Applied() int64 { return s.applied }
 
 // Len returns the number of objects.
 func (s *Snapshot[V]) Len() int { return s.count }
 
-// Get returns the object of that name.
+// Get returns the object with the given kind and key, and whether it exists.
 func (s *Snapshot[V]) Get(kind, key string) (Object[V], bool) {
 	n := Name{kind, key}
 	o, ok := s.shards[shardOf(n)][n]
@@ -88,19 +89,21 @@
 	return list
 }
 
-// Put makes a change that sets the object, based on its revision here.
+// Put returns a change that sets the object, based on its revision in this
+// snapshot.
 func (s *Snapshot[V]) Put(kind, key string, value json.RawMessage) Change {
-	c := s.change(OpPut, kind, key)
+	c := s.newChange(OpPut, kind, key)
 	c.Value = value
 	return c
 }
 
-// Delete makes a change that removes the object, based on its revision here.
+// Delete returns a change that removes the object, based on its revision in this
+// snapshot.
 func (s *Snapshot[V]) Delete(kind, key string) Change {
-	return s.change(OpDelete, kind, key)
+	return s.newChange(OpDelete, kind, key)
 }
 
-func (s *Snapshot[V]) change(op Op, kind, key string) Change {
+func (s *Snapshot[V]) newChange(op Op, kind, key string) Change {
 	o, _ := s.Get(kind, key)
 	return Change{
 		ID:      rand.Text(),
@@ -121,34 +124,37 @@
 	return int(xxhash.Sum64String(n.Kind+"\x00"+n.Key) % shardCount)
 }
 
-// draft is a snapshot being changed. Shards are copied on their first change
-// after a freeze, so that frozen snapshots stay as they are.
+// draft is a mutable snapshot. It copies a shard before the first write after a
+// freeze, so that frozen snapshots do not change.
 type draft[V any] struct {
 	Snapshot[V]
-	owned [shardCount]bool
+	owned [shardCount]bool // shards copied since the last freeze
 }
 
 func newDraft[V any](s *Snapshot[V]) *draft[V] {
 	d := &draft[V]{Snapshot: *s}
-	d.detach()
+	d.disownShards()
 	return d
 }
 
-// detach gives up ownership of all shards, after a freeze.
-func (d *draft[V]) detach() {
+// disownShards copies the shard list and marks all shards as shared with a frozen
+// snapshot.
+func (d *draft[V]) disownShards() {
 	shards := *d.shards
 	d.shards = &shards
 	clear(d.owned[:])
 }
 
-// freeze returns the present state as a snapshot.
+// freeze returns the current state as an immutable snapshot.
 func (d *draft[V]) freeze() *Snapshot[V] {
 	s := d.Snapshot
-	d.detach()
+	d.disownShards()
 	return &s
 }
 
-func (d *draft[V]) writable(n Name) shard[V] {
+// writableShard returns the shard of an object, copied if it is shared with a
+// frozen snapshot.
+func (d *draft[V]) writableShard(n Name) shard[V] {
 	i := shardOf(n)
 	if !d.owned[i] {
 		d.owned[i] = true
@@ -161,14 +167,14 @@
 }
 
 func (d *draft[V]) put(o Object[V]) {
-	sh := d.writable(o.Name)
+	sh := d.writableShard(o.Name)
 	before := len(sh)
 	sh[o.Name] = o
 	d.count += len(sh) - before
 }
 
 func (d *draft[V]) remove(n Name) {
-	sh := d.writable(n)
+	sh := d.writableShard(n)
 	before := len(sh)
 	delete(sh, n)
 	d.count += len(sh) - before
--- a/coord/changelog/spread.go
+++ b/coord/changelog/spread.go
@@ -12,19 +12,22 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// fanout is how many members a node hands a notice to; each passes it on to its
-// share of the rest. 1,000 members are reached in 5 steps.
+// fanout is the number of members to which a node sends a notice. Each of them
+// forwards it to its share of the rest. 1,000 members are reached in 5 hops.
 const fanout = 4
 
-// noticeTimeout bounds one hand-over, so that a dead member costs little.
+// noticeTimeout is the timeout of one delivery attempt. It is short so that a dead
+// member delays the members behind it only a little.
 const noticeTimeout = 500 * time.Millisecond
 
-// handoverTries is how often a run is offered until a member of it answers, one
-// member after the other, or the only one again.
-const handoverTries = 5
+// maxDeliveryAttempts is the maximum number of attempts to deliver a notice to a
+// run of members. The attempts go to one member after the other, starting over at
+// the end of the run.
+const maxDeliveryAttempts = 5
 
-// score places a member in the order of a seed: for each seed other nodes stand
-// near the root of the tree, or rank first.
+// score returns the position of a member in the order that the seed determines.
+// Each seed gives a different order, so the nodes near the root of the tree and
+// the first in rank vary.
 func score(member string, seed uint64) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(seed)
@@ -32,8 +35,8 @@
 	return d.Sum64()
 }
 
-// rank returns how many members come before self in the order of a seed, or
-// limit if there are that many.
+// rank returns the number of members before self in the order of a seed, but at
+// most limit.
 func rank(members []string, seed uint64, self string, limit int) int {
 	own := score(self, seed)
 	n := 0
@@ -48,66 +51,70 @@
 	return n
 }
 
-// reach returns how far on the ring of scores, whose ends meet by overflow, self
-// is responsible for under a seed. The root of a spread is its own until.
-func reach(seed uint64, self, until string) uint64 {
+// shareEnd returns the distance on the ring of scores, which wraps by integer
+// overflow, up to which self forwards a notice: the distance to the member until.
+// For the node that sends the notice first, until is self, and the share is the
+// whole ring.
+func shareEnd(seed uint64, self, until string) uint64 {
 	if d := score(until, seed) - score(self, seed); d > 0 {
 		return d
 	}
 	return math.MaxUint64
 }
 
-// share returns the members that are further from self on the ring of a seed
-// than the first distance and nearer than the second, in order.
-func share(members []string, seed uint64, self string, beyond, before uint64) []string {
-	type placed struct {
+// membersBetween returns the members other than self whose distance from self on
+// the ring of a seed is in [start, end), ordered by distance.
+func membersBetween(members []string, seed uint64, self string, start, end uint64) []string {
+	type memberDistance struct {
 		name     string
 		distance uint64
 	}
 	own := score(self, seed)
-	var list []placed
+	var list []memberDistance
 	for _, m := range members {
-		if d := score(m, seed) - own; m != self && d >= beyond && d < before {
-			list = append(list, placed{m, d})
+		if d := score(m, seed) - own; m != self && d >= start && d < end {
+			list = append(list, memberDistance{m, d})
 		}
 	}
-	slices.SortFunc(list, func(a, b placed) int { return cmp.Compare(a.distance, b.distance) })
+	slices.SortFunc(list, func(a, b memberDistance) int { return cmp.Compare(a.distance, b.distance) })
 	names := make([]string, 0, len(list))
-	for _, p := range list {
-		names = append(names, p.name)
+	for _, m := range list {
+		names = append(names, m.name)
 	}
 	return names
 }
 
-// rememberedSeeds bounds for how many spreads a node knows what it did.
-const rememberedSeeds = 64
+// maxTrackedSpreads is the number of seeds for which a node tracks its progress.
+const maxTrackedSpreads = 64
 
-// duties remembers how far this node has handed on each spread, so that two
-// spreads of the same records, which share a seed, don't go out twice.
-type duties struct {
-	mu   sync.Mutex
-	done *lru.Cache[uint64, uint64]
+// spreadTracker tracks, by seed, the distance on the ring up to which this node has
+// forwarded notices. Notices of the same records share a seed, so they are not
+// forwarded to the same members twice.
+type spreadTracker struct {
+	mu      sync.Mutex
+	reached *lru.Cache[uint64, uint64]
 }
 
-func newDuties() *duties {
-	done, err := lru.New[uint64, uint64](rememberedSeeds)
+func newSpreadTracker() *spreadTracker {
+	reached, err := lru.New[uint64, uint64](maxTrackedSpreads)
 	if err != nil {
 		panic(err) // not reached: the size is positive
 	}
-	return &duties{done: done}
+	return &spreadTracker{reached: reached}
 }
 
-// extend notes a duty and returns how far it was done before.
-func (d *duties) extend(seed, reach uint64) (before uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	before, _ = d.done.Get(seed)
-	d.done.Add(seed, max(before, reach))
+// advance records that this node forwards notices with the seed up to end, and
+// returns the distance reached before.
+func (t *spreadTracker) advance(seed, end uint64) (before uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	before, _ = t.reached.Get(seed)
+	t.reached.Add(seed, max(before, end))
 	return before
 }
 
-// split cuts a share into at most fanout runs of about equal length.
-func split(members []string) [][]string {
+// splitRuns splits members into at most fanout runs of about equal length.
+func splitRuns(members []string) [][]string {
 	if len(members) == 0 {
 		return nil
 	}
@@ -115,32 +122,35 @@
 	return slices.Collect(slices.Chunk(members, size))
 }
 
-// spread hands a notice to the members of self's share that are beyond what was
-// done. Each run's first member that answers becomes responsible for its rest.
-func spread(ctx context.Context, peers Peers, self string, n Notice, done uint64) {
+// spreadNotice delivers a notice to the members of self's share at or beyond the
+// distance done. The first member of each run that accepts the notice forwards it
+// to the members after it in the run.
+func spreadNotice(ctx context.Context, peers Peers, self string, n Notice, done uint64) {
 	var wg sync.WaitGroup
-	runs := split(share(peers.Members(), n.Seed, self, done, reach(n.Seed, self, n.Until)))
+	runs := splitRuns(membersBetween(peers.Members(), n.Seed, self, done, shareEnd(n.Seed, self, n.Until)))
 	for i, run := range runs {
 		end := n.Until
 		if i+1 < len(runs) {
 			end = runs[i+1][0]
 		}
-		wg.Go(func() { handOver(ctx, peers, run, end, n) })
+		wg.Go(func() { deliverToRun(ctx, peers, run, end, n) })
 	}
 	wg.Wait()
 }
 
-func handOver(ctx context.Context, peers Peers, run []string, until string, n Notice) {
+// deliverToRun sends a notice to one member after the other until one accepts it.
+// The age of the notice includes the time of the failed attempts.
+func deliverToRun(ctx context.Context, peers Peers, run []string, until string, n Notice) {
 	n.Until = until
-	begun := time.Now()
-	for try := range handoverTries {
-		if notify(ctx, peers, run[try%len(run)], n.older(time.Since(begun))) == nil {
+	started := time.Now()
+	for attempt := range maxDeliveryAttempts {
+		if sendNotice(ctx, peers, run[attempt%len(run)], n.withAddedAge(time.Since(started))) == nil {
 			return
 		}
 	}
 }
 
-func notify(ctx context.Context, peers Peers, to string, n Notice) error {
+func sendNotice(ctx context.Context, peers Peers, to string, n Notice) error {
 	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
 	return peers.Notify(ctx, to, n)
--- a/coord/changelog/start.go
+++ b/coord/changelog/start.go
@@ -5,48 +5,53 @@
 	"time"
 )
 
-// startRounds is the number of rounds of questions to peers in which a node that is no reader leaves the
-// log to others: when all nodes start at once, nobody has a state in the first, and few in the second.
-const startRounds = 2
+// peerOnlyRounds is the number of rounds in which a node that is not a reader tries
+// to load a state from peers only. If all nodes start at once, no node has a state
+// in the first round, and few have one in the second.
+const peerOnlyRounds = 2
 
-// start gets a first state. When all nodes start at once, a few read the log and
-// the others mostly get theirs from them. It returns false if the context ended.
-func (f *Follower[V]) start(ctx context.Context) bool {
-	logFrom := time.Now()
+// loadInitialState retries until a state is loaded. If all nodes start at once, the
+// readers load it from the log, and most other nodes load it from peers. It returns
+// false if the context ended first.
+func (f *Follower[V]) loadInitialState(ctx context.Context) bool {
+	logAllowedAt := time.Now()
 	if !f.isReader() {
-		logFrom = logFrom.Add(startRounds*loadRetry + f.spreadOver(f.fallbackSpan()))
+		logAllowedAt = logAllowedAt.Add(peerOnlyRounds*loadRetryInterval + f.randomUpTo(f.fallbackSpan()))
 	}
 	for !f.store.Ready() {
-		if f.loadFromPeers(ctx) != nil && !time.Now().Before(logFrom) {
-			f.store.LoadFromLog(ctx) // on an error the next round tries again
+		if f.loadFromPeers(ctx) != nil && !time.Now().Before(logAllowedAt) {
+			f.store.LoadFromLog(ctx) // after an error, the next round retries
 		}
-		if !f.store.Ready() && !f.sleep(ctx, loadRetry) {
+		if !f.store.Ready() && !f.sleep(ctx, loadRetryInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// load gets a state beyond the present one.
-func (f *Follower[V]) load(ctx context.Context) {
+// reload loads a state newer than the current one, from a peer or else the log.
+func (f *Follower[V]) reload(ctx context.Context) {
 	if f.loadFromPeers(ctx) != nil {
-		f.store.LoadFromLog(ctx) // on an error the caller's next poll tries again
+		f.store.LoadFromLog(ctx) // after an error, the caller's next poll retries
 	}
 }
 
-// loadFromPeers asks some peers for a state beyond the present one.
+// loadFromPeers requests a state newer than the current one from up to maxLoadPeers
+// random peers. It returns ErrNotReady if none provides one.
 func (f *Follower[V]) loadFromPeers(ctx context.Context) error {
-	others := f.others()
+	others := f.otherMembers()
 	f.opts.Rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, peer := range others[:min(loadPeers, len(others))] {
-		if f.loadFrom(ctx, peer) == nil {
+	for _, peer := range others[:min(maxLoadPeers, len(others))] {
+		if f.loadFromPeer(ctx, peer) == nil {
 			return nil
 		}
 	}
 	return ErrNotReady
 }
 
-func (f *Follower[V]) loadFrom(ctx context.Context, peer string) error {
+// loadFromPeer loads the state of a peer. It returns ErrCompacted if that state is
+// not newer than the current one.
+func (f *Follower[V]) loadFromPeer(ctx context.Context, peer string) error {
 	ready, before := f.store.Ready(), f.store.state.applied()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/coord/changelog/state.go
+++ b/coord/changelog/state.go
@@ -7,45 +7,46 @@
 	"time"
 )
 
-// mark is the state at a mark record, from which a checkpoint can be written.
-type mark[V any] struct {
+// markedState is the state at a mark record, from which a checkpoint is written.
+type markedState[V any] struct {
 	offset   int64
 	seen     time.Time
 	snapshot *Snapshot[V]
-	window   *window
+	window   *dedupWindow
 }
 
-// state is the replica of one node: the reducer and what hangs on its progress.
-// It does no I/O.
+// state is the replica of one node: the reducer, and what is updated with each
+// applied segment. It does no I/O.
 type state[V any] struct {
-	snapshot atomic.Pointer[Snapshot[V]]
-	mu       sync.Mutex
-	ready    bool
-	reducer  *reducer[V]
-	recent   history
-	changed  chan struct{} // closed and replaced when the offset grows
-	waiters  map[string][]chan Outcome
-	mark     *mark[V] // the newest mark record
-	parts    collector
-	encoding sync.Mutex // guards the next two
-	image    []byte
-	imageAt  int64
-	// checkpoint is the mark of the newest whole checkpoint, wholeAt when this
-	// node learned of it, changes how many were applied since its mark.
-	checkpoint int64
-	wholeAt    time.Time
-	changes    int
-	// changesAtMark is the part of changes that came before the newest mark.
-	changesAtMark int
+	snapshot    atomic.Pointer[Snapshot[V]]
+	mu          sync.Mutex
+	ready       bool
+	reducer     *reducer[V]
+	history     history
+	changed     chan struct{}             // closed and replaced when the applied offset grows
+	waiters     map[string][]chan Outcome // by change id
+	mark        *markedState[V]           // state at the newest mark record, nil if none
+	parts       collector
+	imageMu     sync.Mutex // guards image and imageOffset
+	image       []byte
+	imageOffset int64
+	// latestCheckpoint is the mark of the newest complete checkpoint,
+	// checkpointSeenAt the time when this node saw it completed, and
+	// changesSinceCheckpoint the number of changes applied since its mark.
+	latestCheckpoint       int64
+	checkpointSeenAt       time.Time
+	changesSinceCheckpoint int
+	// changesBeforeMark is the number of these changes before the newest mark.
+	changesBeforeMark int
 }
 
 func newState[V any](schema Schema[V]) *state[V] {
 	s := &state[V]{
-		reducer: newReducer(schema),
-		changed: make(chan struct{}),
-		waiters: make(map[string][]chan Outcome),
-		wholeAt: time.Now(),
-		parts:   newFollowing(),
+		reducer:          newReducer(schema),
+		changed:          make(chan struct{}),
+		waiters:          make(map[string][]chan Outcome),
+		checkpointSeenAt: time.Now(),
+		parts:            newFollowCollector(),
 	}
 	s.snapshot.Store(newSnapshot[V]())
 	return s
@@ -59,9 +60,10 @@
 	return s.ready
 }
 
-// apply folds a segment in. Records applied before are passed over. fresh tells
-// whether the offset grew.
-func (s *state[V]) apply(seg Segment) (fresh bool, err error) {
+// apply applies the records of a segment that were not applied before. advanced
+// reports whether the applied offset grew. It returns ErrNotReady before a state is
+// loaded, and ErrGap if records before the segment are missing.
+func (s *state[V]) apply(seg Segment) (advanced bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready {
@@ -76,24 +78,24 @@
 	}
 	for _, r := range seg.Records {
 		if r.Offset > applied {
-			s.record(r)
+			s.applyRecord(r)
 		}
 	}
 	s.reducer.draft.applied = seg.To - 1
-	s.recent.add(applied+1, seg)
+	s.history.add(applied+1, seg)
 	s.publish()
 	return true, nil
 }
 
-func (s *state[V]) record(r Record) {
+func (s *state[V]) applyRecord(r Record) {
 	e, err := decodeRecord(r.Data)
 	if err != nil {
-		return // skipped on every node alike
+		return // all nodes skip the record
 	}
 	s.reducer.draft.applied = r.Offset
 	switch e.Type {
 	case typeChange:
-		s.change(r.Offset, *e.Change)
+		s.applyChange(r.Offset, *e.Change)
 	case typeMark:
 		s.setMark(r.Offset)
 	case typePart:
@@ -101,41 +103,44 @@
 	}
 }
 
-func (s *state[V]) change(offset int64, c Change) {
-	o, repeated := s.reducer.change(offset, c)
+func (s *state[V]) applyChange(offset int64, c Change) {
+	o, repeated := s.reducer.applyChange(offset, c)
 	s.resolve(c.ID, o)
 	if repeated {
 		return
 	}
-	s.changes++
+	s.changesSinceCheckpoint++
 	if o.Status == Accepted {
-		s.recent.event(Event{Offset: offset, Name: Name{c.Kind, c.Key}, Op: c.Op})
+		s.history.addEvent(Event{Offset: offset, Name: Name{c.Kind, c.Key}, Op: c.Op})
 	}
 }
 
+// setMark keeps the state at a mark record for the parts of its checkpoint.
 func (s *state[V]) setMark(offset int64) {
-	s.mark = &mark[V]{
+	s.mark = &markedState[V]{
 		offset:   offset,
 		seen:     time.Now(),
 		snapshot: s.reducer.draft.freeze(),
 		window:   s.reducer.window.clone(),
 	}
-	s.changesAtMark = s.changes
+	s.changesBeforeMark = s.changesSinceCheckpoint
 }
 
+// part records a checkpoint part. If it completes a newer checkpoint, the counts
+// for the next one restart at its mark.
 func (s *state[V]) part(p part) {
 	set := s.parts.add(p)
-	if set == nil || set.mark <= s.checkpoint {
+	if set == nil || set.mark <= s.latestCheckpoint {
 		return
 	}
-	s.checkpoint = set.mark
-	s.wholeAt = time.Now()
-	s.changes -= s.changesAtMark
-	s.changesAtMark = 0
+	s.latestCheckpoint = set.mark
+	s.checkpointSeenAt = time.Now()
+	s.changesSinceCheckpoint -= s.changesBeforeMark
+	s.changesBeforeMark = 0
 }
 
-// restore replaces the state by an image from a later offset, and does nothing
-// if the image isn't from a later one.
+// restore replaces the state by an image. It does nothing if the image is not newer
+// than the state.
 func (s *state[V]) restore(data []byte) error {
 	r, err := decodeImage(s.reducer.schema, data)
 	if err != nil {
@@ -148,15 +153,15 @@
 	}
 	s.reducer = r
 	s.ready = true
-	s.recent = history{from: r.draft.applied + 1}
+	s.history = history{firstOffset: r.draft.applied + 1}
 	s.mark = nil
-	s.parts = newFollowing()
+	s.parts = newFollowCollector()
 	s.publish()
-	s.resolveAll()
+	s.resolveRestored()
 	return nil
 }
 
-// startEmpty makes a node that has no state ready with the empty one, before the
+// startEmpty makes a node without a state ready with the empty state before the
 // first record.
 func (s *state[V]) startEmpty() {
 	s.mu.Lock()
@@ -165,23 +170,24 @@
 		return
 	}
 	s.ready = true
-	s.recent.from = 1
+	s.history.firstOffset = 1
 }
 
+// publish makes the draft the current snapshot and wakes the waiters for progress.
 func (s *state[V]) publish() {
 	s.snapshot.Store(s.reducer.draft.freeze())
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// encode returns the image of the present state. It keeps the last one, since
-// many nodes may ask at once.
-func (s *state[V]) encode() ([]byte, error) {
-	s.encoding.Lock()
-	defer s.encoding.Unlock()
+// currentImage returns the image of the current state. The last image is cached,
+// since many nodes may request it at once.
+func (s *state[V]) currentImage() ([]byte, error) {
+	s.imageMu.Lock()
+	defer s.imageMu.Unlock()
 	s.mu.Lock()
 	ready, snap, w := s.ready, s.snapshot.Load(), s.reducer.window
-	usable := s.image != nil && s.imageAt == snap.applied
+	usable := s.image != nil && s.imageOffset == snap.applied
 	if ready && !usable {
 		w = w.clone()
 	}
@@ -194,22 +200,23 @@
 	}
 	image, err := encodeImage(snap, w)
 	if err == nil {
-		s.image, s.imageAt = image, snap.applied
+		s.image, s.imageOffset = image, snap.applied
 	}
 	return image, err
 }
 
-// segment returns the records from an offset on, at most about maxBytes of them.
+// segment returns the records at and above an offset, of at most about maxBytes.
 func (s *state[V]) segment(from int64, maxBytes int) (Segment, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready {
 		return Segment{}, ErrNotReady
 	}
-	return s.recent.segment(from, s.applied()+1, maxBytes)
+	return s.history.segment(from, s.applied()+1, maxBytes)
 }
 
-// await returns a channel that gets the outcome of a change once it is applied.
+// await returns a channel that receives the outcome of a change once its record is
+// applied.
 func (s *state[V]) await(id string) <-chan Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,8 +229,8 @@
 	return ch
 }
 
-// forget takes back an await.
-func (s *state[V]) forget(id string, ch <-chan Outcome) {
+// cancelAwait removes a channel that await returned.
+func (s *state[V]) cancelAwait(id string, ch <-chan Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	left := slices.DeleteFunc(s.waiters[id], func(c chan Outcome) bool { return c == ch })
@@ -234,6 +241,7 @@
 	s.waiters[id] = left
 }
 
+// resolve sends the outcome of a change to its waiters.
 func (s *state[V]) resolve(id string, o Outcome) {
 	for _, ch := range s.waiters[id] {
 		ch <- o
@@ -241,8 +249,9 @@
 	delete(s.waiters, id)
 }
 
-// resolveAll answers waiters whose changes a restored image covers.
-func (s *state[V]) resolveAll() {
+// resolveRestored sends outcomes to the waiters whose changes are contained in a
+// restored image.
+func (s *state[V]) resolveRestored() {
 	for id := range s.waiters {
 		if o, ok := s.reducer.window.get(id); ok {
 			s.resolve(id, o)
@@ -250,18 +259,18 @@
 	}
 }
 
-// progress returns a channel that is closed when the applied offset has grown
-// past the given one.
-func (s *state[V]) progress() <-chan struct{} {
+// progressed returns a channel that is closed the next time that the applied
+// offset grows.
+func (s *state[V]) progressed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// update returns what happened after an offset.
-func (s *state[V]) update(after int64) Update[V] {
+// updateSince returns the accepted changes after an offset.
+func (s *state[V]) updateSince(after int64) Update[V] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	events, ok := s.recent.since(after + 1)
+	events, ok := s.history.eventsSince(after + 1)
 	return Update[V]{Snapshot: s.snapshot.Load(), Events: events, Reset: !ok}
 }
--- a/coord/changelog/window.go
+++ b/coord/changelog/window.go
@@ -2,25 +2,28 @@
 
 import "maps"
 
-// windowSize is how many change ids a generation of the window holds. Two
-// generations are kept, so the last windowSize ids at least are remembered. It
-// is part of the reducer: all nodes must agree on it.
+// windowSize is the number of change ids in one generation of the window. Two
+// generations are kept, so at least the last windowSize ids are tracked. The value
+// affects the outcomes of changes, so it must be the same on all nodes.
 const windowSize = 4096
 
-// window remembers the outcomes of recent changes by id. Its contents depend on
-// the log only.
-type window struct {
-	// floor is the offset of the newest change that was forgotten.
-	floor      int64
-	oldNewest  int64
+// dedupWindow holds the outcomes of recent changes by id, to detect repeated
+// records. Its contents depend only on the log.
+type dedupWindow struct {
+	// evictedUpTo is the offset of the newest change whose id was evicted.
+	evictedUpTo int64
+	// oldNewestOffset is the highest offset in old.
+	oldNewestOffset int64
+	// young holds the ids added since the last change of generation, old those of
+	// the generation before.
 	young, old map[string]Outcome
 }
 
-func newWindow() *window {
-	return &window{young: make(map[string]Outcome), old: make(map[string]Outcome)}
+func newDedupWindow() *dedupWindow {
+	return &dedupWindow{young: make(map[string]Outcome), old: make(map[string]Outcome)}
 }
 
-func (w *window) get(id string) (Outcome, bool) {
+func (w *dedupWindow) get(id string) (Outcome, bool) {
 	if o, ok := w.young[id]; ok {
 		return o, true
 	}
@@ -28,19 +31,19 @@
 	return o, ok
 }
 
-// add remembers an outcome. When a generation is full, the older one goes.
-func (w *window) add(id string, o Outcome) {
+// add adds an outcome. If the young generation is full, the old one is evicted.
+func (w *dedupWindow) add(id string, o Outcome) {
 	if len(w.young) >= windowSize {
-		w.floor = w.oldNewest
+		w.evictedUpTo = w.oldNewestOffset
 		w.old = w.young
-		w.oldNewest = w.newest()
+		w.oldNewestOffset = w.newestOldOffset()
 		w.young = make(map[string]Outcome)
 	}
 	w.young[id] = o
 }
 
-// newest returns the highest offset in the old generation.
-func (w *window) newest() int64 {
+// newestOldOffset returns the highest offset in the old generation.
+func (w *dedupWindow) newestOldOffset() int64 {
 	var top int64
 	for _, o := range w.old {
 		top = max(top, o.Offset)
@@ -48,11 +51,11 @@
 	return top
 }
 
-// expired tells whether a change made at that offset could be a repetition of
-// one that was forgotten.
-func (w *window) expired(since int64) bool { return since < w.floor }
+// expired reports whether a change made at an offset could be a retry of a change
+// whose id was evicted.
+func (w *dedupWindow) expired(since int64) bool { return since < w.evictedUpTo }
 
-func (w *window) clone() *window {
+func (w *dedupWindow) clone() *dedupWindow {
 	c := *w
 	c.young = maps.Clone(w.young)
 	c.old = maps.Clone(w.old)
