--- a/coord/limit/bench_test.go
+++ b/coord/limit/bench_test.go
@@ -9,13 +9,14 @@
 	"github.com/shoenig/test/must"
 )
 
-func ample(string) (Limit, bool) { return Limit{Requests: 1e12, Tokens: 1e12}, true }
+func ampleLimits(string) (Limit, bool) { return Limit{Requests: 1e12, Tokens: 1e12}, true }
 
 func noOwner(string) NodeID { return "" }
 
-// busyBorrower has used each of n accounts once.
+// busyBorrower returns a borrower that has admitted one request for each of n
+// accounts, and the names of the accounts.
 func busyBorrower(n int) (*Borrower, []string) {
-	b := NewBorrower(epoch, BorrowerConfig{Settings: DefaultSettings(7), Limits: ample, Owner: noOwner})
+	b := NewBorrower(epoch, BorrowerConfig{Settings: DefaultSettings(7), Limits: ampleLimits, Owner: noOwner})
 	names := make([]string, n)
 	for i := range names {
 		names[i] = fmt.Sprintf("account-%04d", i)
@@ -24,7 +25,7 @@
 	return b, names
 }
 
-// TestAllowAllocates keeps admission free of allocations.
+// TestAllowAllocates checks that Allow and Done allocate no memory.
 func TestAllowAllocates(t *testing.T) {
 	b, names := busyBorrower(10)
 	now := epoch.Add(time.Second)
@@ -51,7 +52,7 @@
 	}
 }
 
-// BenchmarkNext is one round of a node on which nothing needs to be asked for.
+// BenchmarkNext measures Borrower.Next when no account needs a request.
 func BenchmarkNext(b *testing.B) {
 	for _, accounts := range []int{10, 1300} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that an account takes.
+// BenchmarkMemory reports the heap memory used per account.
 func BenchmarkMemory(b *testing.B) {
 	const accounts = 1300
 	heap := func() uint64 {
@@ -79,7 +80,7 @@
 	b.Run("borrower", func(b *testing.B) {
 		for b.Loop() {
 			before := heap()
-			borrower := NewBorrower(epoch, BorrowerConfig{Settings: DefaultSettings(7), Limits: ample, Owner: noOwner})
+			borrower := NewBorrower(epoch, BorrowerConfig{Settings: DefaultSettings(7), Limits: ampleLimits, Owner: noOwner})
 			for _, name := range names {
 				borrower.Allow(epoch, name, 1)
 			}
@@ -90,7 +91,7 @@
 	b.Run("lender,borrowers=100", func(b *testing.B) {
 		for b.Loop() {
 			before := heap()
-			lender := NewLender(LenderConfig{Settings: DefaultSettings(100), Limits: ample})
+			lender := NewLender(LenderConfig{Settings: DefaultSettings(100), Limits: ampleLimits})
 			for i := range 100 {
 				req := Request{From: Process{Node: nodeID(i)}, Seq: 1, Asks: make([]Ask, accounts)}
 				for j, name := range names {
--- a/coord/limit/borrower.go
+++ b/coord/limit/borrower.go
@@ -8,52 +8,56 @@
 	"time"
 )
 
-// grantTimeout is how long a borrower waits for an answer before it asks anew.
+// grantTimeout is how long the sender of a request waits for its grant before
+// it may send another one.
 const grantTimeout = 500 * time.Millisecond
 
-// Reason says why a request was not allowed.
+// Reason tells whether a request was admitted and, if not, why.
 type Reason int
 
 const (
-	// Allowed is the reason of an allowed request.
+	// Allowed means that the request was admitted.
 	Allowed Reason = iota
-	// UnknownAccount means that the account has no limit: it may not be used.
+	// UnknownAccount means that no limit is configured for the account; its
+	// requests are refused.
 	UnknownAccount
-	// RequestsReached means that the node has no requests left for the account at
-	// present.
+	// RequestsReached means that the node's request budget for the account is
+	// used up for now.
 	RequestsReached
-	// TokensReached means that the node has requests left for the account, but
-	// not the tokens asked for.
+	// TokensReached means that the request budget suffices, but the token budget
+	// does not cover the request.
 	TokensReached
-	// RunsReached means that the node has no run slot left for the account.
+	// RunsReached means that all run slots that the node has for the account are
+	// in use.
 	RunsReached
 )
 
-// Decision is the answer to a request for admission.
+// Decision is the result of Borrower.Allow.
 type Decision struct {
 	Reason Reason
-	// RetryAfter is when more is expected to be there. It is zero for an
-	// allowed request and for an unknown account. If it is short, holding the
-	// request on the node is better than refusing it.
+	// RetryAfter is the expected time until the request can be admitted. It is
+	// zero for an allowed request and for an unknown account. If it is short,
+	// queue the request on the node instead of refusing it.
 	RetryAfter time.Duration
 }
 
-// OK reports whether the request may run.
+// OK reports whether the request was admitted.
 func (d Decision) OK() bool { return d.Reason == Allowed }
 
-// BorrowerConfig is what a borrower needs to know. The functions must be quick
-// and must not call the borrower.
+// BorrowerConfig configures a Borrower. The borrower calls the functions while
+// it holds its lock: they must return quickly and must not call the borrower.
 type BorrowerConfig struct {
 	Settings Settings
 	Self     Process
 	// Limits returns an account's limit, and false for an unknown account.
 	Limits func(account string) (Limit, bool)
-	// Owner returns the account's owner in this node's present view, or the
-	// empty NodeID if there is none.
+	// Owner returns the node that this node currently considers the account's
+	// owner, or the empty NodeID if there is none.
 	Owner func(account string) NodeID
 }
 
-// Borrower admits requests on one node. It is safe for concurrent use.
+// Borrower admits requests on one node, within the node's static shares and
+// the amounts borrowed from lenders. It is safe for concurrent use.
 type Borrower struct {
 	cfg   BorrowerConfig
 	start time.Time
@@ -63,21 +67,22 @@
 	accounts map[string]*ledger
 }
 
-// NewBorrower returns a borrower with empty static shares: what an earlier
-// incarnation used is not available again.
+// NewBorrower returns a borrower with empty static shares, so that a restart
+// cannot admit again what an earlier incarnation has used.
 func NewBorrower(now time.Time, cfg BorrowerConfig) *Borrower {
 	return &Borrower{cfg: cfg, start: now, accounts: map[string]*ledger{}}
 }
 
-// Accounts is the number of accounts that hold memory.
+// Accounts returns the number of accounts whose state is held in memory.
 func (b *Borrower) Accounts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.accounts)
 }
 
-// Allow admits one request that is expected to use tokens, and charges it. An
-// allowed request must be followed by one Done.
+// Allow decides whether to admit one request and charges an admitted one with
+// tokens, the estimated token count. Each admitted request must be followed by
+// exactly one call of Done.
 func (b *Borrower) Allow(now time.Time, account string, tokens float64) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,8 +93,8 @@
 	return a.allow(now, Amount{Requests: 1, Tokens: tokens})
 }
 
-// Done ends an allowed request and corrects its charge: delta is the tokens
-// that it used less those that were charged.
+// Done ends an admitted request and corrects its charge. delta is the number of
+// tokens used minus the number charged.
 func (b *Borrower) Done(now time.Time, account string, delta float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,11 +102,12 @@
 	if a == nil {
 		return
 	}
-	a.held = max(a.held-1, 0)
-	a.correct(now, a.limit.bounded(Amount{Tokens: delta}))
+	a.activeRuns = max(a.activeRuns-1, 0)
+	a.applyCorrection(now, a.limit.dropUnlimited(Amount{Tokens: delta}))
 }
 
-// ledger returns the state of an account, or nil for an unknown account.
+// ledger returns the state of an account, creating it on first use. It returns
+// nil for an unknown account.
 func (b *Borrower) ledger(now time.Time, account string) *ledger {
 	if a, ok := b.accounts[account]; ok {
 		return a
@@ -110,17 +116,19 @@
 	if !known {
 		return nil
 	}
-	// The share of an idle account has filled up since the start.
-	a := &ledger{settings: b.cfg.Settings, at: b.start, rated: now}
+	// An account without state has been idle: its static share has accrued
+	// since the borrower started.
+	a := &ledger{settings: b.cfg.Settings, staticAt: b.start, demandAt: now}
 	a.setLimit(limit)
 	b.accounts[account] = a
 	return a
 }
 
-// Next returns the requests to lenders that are due, one for each lender. Call
-// it every Lease/10 or so, and soon after Allow refused a request, but at most
-// every few milliseconds: it looks at each account in use. Only accounts that
-// need more than the static share are asked for.
+// Next returns the requests to send to lenders now, at most one for each
+// lender. They name only accounts that need more than their static share, and
+// accounts with corrections to settle. Call Next about every Lease/10 and soon
+// after Allow refused a request, but no more often than every few milliseconds,
+// because it visits every account in use.
 func (b *Borrower) Next(now time.Time) []LeaseCall {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,27 +136,27 @@
 	asks := map[NodeID][]Ask{}
 	for account, a := range b.accounts {
 		limit, known := b.cfg.Limits(account)
-		if !known || a.idle(now) {
+		if !known || a.evictable(now) {
 			delete(b.accounts, account)
 			continue
 		}
 		a.setLimit(limit)
-		a.measure(now)
-		if !a.due(now) {
+		a.updateDemand(now)
+		if !a.shouldRequest(now) {
 			continue
 		}
 		owner := b.cfg.Owner(account)
 		if owner == "" {
 			continue
 		}
-		ask := a.ask(now, b.seq)
+		ask := a.buildAsk(now, b.seq)
 		ask.Account = account
 		asks[owner] = append(asks[owner], ask)
 	}
 	return b.calls(asks)
 }
 
-// calls makes one request for each owner, in the order of names.
+// calls builds one request for each owner, sorted by owner and account.
 func (b *Borrower) calls(asks map[NodeID][]Ask) []LeaseCall {
 	calls := make([]LeaseCall, 0, len(asks))
 	for _, owner := range slices.Sorted(maps.Keys(asks)) {
@@ -159,14 +167,15 @@
 	return calls
 }
 
-// Receive takes a lender's answer. Answers to overtaken requests are ignored.
+// Receive applies a lender's grant. A share that does not answer the latest
+// request for its account is ignored.
 func (b *Borrower) Receive(now time.Time, grant Grant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range grant.Shares {
 		share := &grant.Shares[i]
 		if a, ok := b.accounts[share.Account]; ok && a.askSeq == grant.Seq {
-			a.receive(now, share)
+			a.applyShare(now, share)
 		}
 	}
 }
--- a/coord/limit/control_test.go
+++ b/coord/limit/control_test.go
@@ -13,40 +13,41 @@
 	"github.com/shoenig/test/must"
 )
 
-// The envelopes of a JSON-RPC call and of its answer, with newlines.
+// Sizes in bytes of the JSON-RPC envelopes of a request and of its response,
+// each with a newline.
 const (
 	callEnvelope   = len(`{"jsonrpc":"2.0","id":1234567,"method":"limit.borrow","params":}`) + 1
 	answerEnvelope = len(`{"jsonrpc":"2.0","id":1234567,"result":}`) + 1
 )
 
-const nodeRate = 97.0 // requests a second at each node
+const nodeRate = 97.0 // requests per second at each node
 
-// sample is one node's traffic in a fleet; by symmetry each node sends as much
-// for answers as the sampled one receives.
-type sample struct {
-	nodes    int
-	random   *rand.Rand
-	limits   map[string]Limit
-	names    []string
-	weights  []float64 // cumulative
-	borrower *Borrower
-	lender   *Lender // stands for all owners
-	waiting  map[string][]time.Time
-	ends     map[time.Time][]string
-	runFor   time.Duration
-	calls    int
-	bytes    int
-	parts    int // bytes to and from keepers, for all accounts
-	served   int
-	atOnce   int
-	refused  int
+// sampledNode simulates the traffic of one node of a fleet. All nodes are alike,
+// so each sends as many bytes in responses as the sampled node receives.
+type sampledNode struct {
+	nodes             int
+	random            *rand.Rand
+	limits            map[string]Limit
+	names             []string
+	weights           []float64 // cumulative
+	borrower          *Borrower
+	lender            *Lender // represents all owners
+	waiting           map[string][]time.Time
+	runEnds           map[time.Time][]string
+	runFor            time.Duration
+	calls             int
+	bytes             int
+	keeperBytes       int // bytes to and from keepers, for all accounts
+	served            int
+	servedImmediately int
+	refused           int
 }
 
-func newSample(settings Settings, accounts int, runFor time.Duration) *sample {
+func newSampledNode(settings Settings, accounts int, runFor time.Duration) *sampledNode {
 	nodes := settings.Nodes
-	s := &sample{
+	s := &sampledNode{
 		nodes: nodes, random: rand.New(rand.NewPCG(4, 4)), limits: map[string]Limit{}, runFor: runFor,
-		waiting: map[string][]time.Time{}, ends: map[time.Time][]string{},
+		waiting: map[string][]time.Time{}, runEnds: map[time.Time][]string{},
 	}
 	var sum float64
 	for i := range accounts {
@@ -81,7 +82,7 @@
 	return s
 }
 
-func size(v any) int {
+func encodedSize(v any) int {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -89,16 +90,17 @@
 	return len(text)
 }
 
-// allow admits one request that arrived at a time, or leaves it waiting.
-func (s *sample) allow(now, arrived time.Time, account string) {
+// allow admits a request that arrived at the given time, queues it, or refuses
+// it if it has waited for a second.
+func (s *sampledNode) allow(now, arrived time.Time, account string) {
 	switch {
 	case s.borrower.Allow(now, account, 300).OK():
 		s.served++
 		if now.Equal(arrived) {
-			s.atOnce++
+			s.servedImmediately++
 		}
 		end := now.Add(s.runFor)
-		s.ends[end] = append(s.ends[end], account)
+		s.runEnds[end] = append(s.runEnds[end], account)
 	case now.Sub(arrived) >= time.Second:
 		s.refused++
 	default:
@@ -106,11 +108,11 @@
 	}
 }
 
-func (s *sample) step(now time.Time) {
-	for _, account := range s.ends[now] {
+func (s *sampledNode) step(now time.Time) {
+	for _, account := range s.runEnds[now] {
 		s.borrower.Done(now, account, 0)
 	}
-	delete(s.ends, now)
+	delete(s.runEnds, now)
 	waiting := s.waiting
 	s.waiting = map[string][]time.Time{}
 	for _, account := range slices.Sorted(maps.Keys(waiting)) {
@@ -134,23 +136,23 @@
 		grant := s.lender.Handle(now, call.Request)
 		s.borrower.Receive(now, grant)
 		s.calls++
-		s.bytes += size(call.Request) + callEnvelope + size(grant) + answerEnvelope
+		s.bytes += encodedSize(call.Request) + callEnvelope + encodedSize(grant) + answerEnvelope
 	}
 	others := Process{Node: "others"}
 	if now.Sub(epoch)%(10*tick) != 0 {
 		return
 	}
 	for _, account := range s.names {
-		s.lender.pool(now, account).borrower(others).asked = now // others ask all the time
+		s.lender.pool(now, account).borrower(others).lastAskAt = now // the other nodes keep sending asks
 	}
 	for _, call := range s.lender.Next(now) {
-		grant := trustAll(call)
+		grant := grantAll(call)
 		s.lender.Receive(now, grant)
-		s.parts += size(call.Request) + callEnvelope + size(grant) + answerEnvelope
+		s.keeperBytes += encodedSize(call.Request) + callEnvelope + encodedSize(grant) + answerEnvelope
 	}
 }
 
-func (s *sample) run(now time.Time, d time.Duration) time.Time {
+func (s *sampledNode) run(now time.Time, d time.Duration) time.Time {
 	for end := now.Add(d); now.Before(end); {
 		now = now.Add(tick)
 		s.step(now)
@@ -158,14 +160,14 @@
 	return now
 }
 
-// TestControlBytes measures what the limits cost in messages. The bounds keep
-// it from growing unnoticed.
+// TestControlBytes bounds the message traffic in bytes per second that a node
+// sends to enforce the limits, so that it does not grow unnoticed.
 func TestControlBytes(t *testing.T) {
-	wide := func(s Settings, share float64, staticBurst time.Duration) Settings {
+	withStatic := func(s Settings, share float64, staticBurst time.Duration) Settings {
 		s.StaticShare, s.StaticBurst = share, staticBurst
 		return s
 	}
-	long := func(s Settings, runLease time.Duration) Settings {
+	withRunLease := func(s Settings, runLease time.Duration) Settings {
 		s.RunLease = runLease
 		return s
 	}
@@ -174,32 +176,32 @@
 		settings Settings
 		accounts int
 		runFor   time.Duration
-		most     int // bytes a second sent by a node
+		maxBytes int // bytes per second sent by a node
 	}{
 		{small, 10, 0, 2700},
 		{small, 1300, 0, 30000},
 		{medium, 1300, 0, 32000},
 		{large, 10, 0, 1800},
 		{large, 1300, 0, 31000},
-		{wide(large, 0.5, 30*time.Second), 1300, 0, 12000},
+		{withStatic(large, 0.5, 30*time.Second), 1300, 0, 12000},
 		{small, 10, 30 * time.Second, 4400},
 		{large, 1300, 30 * time.Second, 62000},
-		{long(large, time.Minute), 1300, 30 * time.Second, 40000},
+		{withRunLease(large, time.Minute), 1300, 30 * time.Second, 40000},
 	}
 	for _, tc := range tests {
 		st := tc.settings
 		name := fmt.Sprintf("%d/%d/%.1f/%s/%s/%s", st.Nodes, tc.accounts, st.StaticShare, st.StaticBurst, st.RunLease, tc.runFor)
 		t.Run(name, func(t *testing.T) {
-			s := newSample(st, tc.accounts, tc.runFor)
+			s := newSampledNode(st, tc.accounts, tc.runFor)
 			now := s.run(epoch, max(10*time.Second, 2*st.StaticBurst))
-			s.calls, s.bytes, s.parts, s.served, s.atOnce, s.refused = 0, 0, 0, 0, 0, 0
+			s.calls, s.bytes, s.keeperBytes, s.served, s.servedImmediately, s.refused = 0, 0, 0, 0, 0, 0
 			const seconds = 20
 			s.run(now, seconds*time.Second)
-			parts := s.parts / st.Nodes / seconds
+			parts := s.keeperBytes / st.Nodes / seconds
 			bytes := s.bytes/seconds + parts
-			t.Logf("%4.1f calls/s, %d B/s, of these %d B/s for parts; %.1f%% of %d admitted at once, %d refused; excess %.1f s",
-				float64(s.calls)/seconds, bytes, parts, 100*float64(s.atOnce)/float64(s.served), s.served, s.refused, st.Excess(1))
-			must.LessEq(t, tc.most, bytes)
+			t.Logf("%4.1f calls/s, %d B/s, of these %d B/s for parts; %.1f%% of %d admitted immediately, %d refused; excess %.1f s",
+				float64(s.calls)/seconds, bytes, parts, 100*float64(s.servedImmediately)/float64(s.served), s.served, s.refused, st.Excess(1))
+			must.LessEq(t, tc.maxBytes, bytes)
 			must.Eq(t, 0, s.refused)
 		})
 	}
--- a/coord/limit/decision_test.go
+++ b/coord/limit/decision_test.go
@@ -7,9 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOvertaken delivers messages out of order.
-func TestOvertaken(t *testing.T) {
-	w := scenario(Limit{Runs: 20})
+// TestReorderedRequests checks that lenders and keepers ignore requests that
+// arrive after a later request of the same process.
+func TestReorderedRequests(t *testing.T) {
+	w := newScenario(Limit{Runs: 20})
 	n := w.nodes[0]
 	w.nodes[1].demand[acct], w.nodes[1].runFor = 5, time.Second
 	w.run(5 * time.Second)
@@ -35,14 +36,14 @@
 	must.Eq(t, 1, part(other, 1, []string{acct}, nil))
 }
 
-// TestDecisions checks the reasons and the times to come back.
+// TestDecisions checks the reasons of refusals and their retry times.
 func TestDecisions(t *testing.T) {
-	w := scenario(Limit{Requests: 70, Runs: 8}) // 2 requests a second, 4 saved up; no static slot
+	w := newScenario(Limit{Requests: 70, Runs: 8}) // 2 static requests per second, at most 4 accrued; no static slot
 	b := w.nodes[1].borrower
 	must.Eq(t, Decision{Reason: UnknownAccount}, b.Allow(w.now, "stranger", 1))
 	must.Eq(t, Decision{RunsReached, partRetry}, b.Allow(w.now, acct, 1))
 	w.limits[acct] = Limit{Requests: 70}
-	w.owner(-1, w.nodes...)
+	w.setOwner(-1, w.nodes...)
 	w.run(time.Second)
 	must.True(t, b.Allow(w.now, acct, 1).OK())
 	must.True(t, b.Allow(w.now, acct, 1).OK())
@@ -50,8 +51,8 @@
 	b.accounts[acct].retryAt = w.now.Add(time.Minute)
 	must.Eq(t, Decision{RequestsReached, 500 * time.Millisecond}, b.Allow(w.now, acct, 1))
 
-	w = scenario(Limit{Requests: 70, Tokens: 700}) // 2 requests and 20 tokens in the first second
-	w.owner(-1, w.nodes...)
+	w = newScenario(Limit{Requests: 70, Tokens: 700}) // 2 static requests and 20 static tokens in the first second
+	w.setOwner(-1, w.nodes...)
 	w.run(time.Second)
 	b = w.nodes[1].borrower
 	must.True(t, b.Allow(w.now, acct, 15).OK())
--- a/coord/limit/demand.go
+++ b/coord/limit/demand.go
@@ -5,153 +5,165 @@
 	"time"
 )
 
-// Thresholds of asking, as parts of what is used during one lease.
 const (
-	askBelow  = 0.25
-	smoothing = 0.5
-	// frequent is the least number of requests in a lease to ask ahead for.
-	frequent = 2
+	// refillThreshold is the fraction of the lease demand: a request is sent
+	// when less than that is available.
+	refillThreshold = 0.25
+	// demandSmoothing is the weight of the latest sample in the moving average
+	// of the demand.
+	demandSmoothing = 0.5
+	// minLeaseRequests is the minimum number of requests in one lease for which
+	// an amount is requested in advance.
+	minLeaseRequests = 2
 )
 
-// measure updates the demand twice a lease. Sudden demand shows sooner, by
-// refusals.
-func (a *ledger) measure(now time.Time) {
-	passed := now.Sub(a.rated)
+// updateDemand updates the moving average of the demand, at most twice per
+// lease. A sudden rise is detected earlier, by refusals.
+func (a *ledger) updateDemand(now time.Time) {
+	passed := now.Sub(a.demandAt)
 	if passed < a.settings.Lease/2 {
 		return
 	}
-	rate := a.limit.clamp(a.used.times(1 / passed.Seconds()))
-	a.demand = a.demand.times(1 - smoothing).plus(rate.times(smoothing))
-	a.used = Amount{}
-	a.rated = now
+	rate := a.limit.clamp(a.usedSinceMeasure.scale(1 / passed.Seconds()))
+	a.demand = a.demand.scale(1 - demandSmoothing).add(rate.scale(demandSmoothing))
+	a.usedSinceMeasure = Amount{}
+	a.demandAt = now
 }
 
-// leaseDemand is what the node uses during one lease beyond its static share,
-// in whole requests. It is zero for an account that is used so rarely that
-// asking ahead would mostly be in vain.
+// leaseDemand returns the expected usage during one lease beyond the static
+// share, rounded up to whole requests. It is zero for rarely used accounts,
+// because amounts requested in advance would mostly expire unused.
 func (a *ledger) leaseDemand() Amount {
 	lease := a.settings.Lease.Seconds()
 	requests := a.demand.Requests * lease
-	if requests < frequent {
+	if requests < minLeaseRequests {
 		return Amount{}
 	}
-	perRequest := a.demand.times(1 / a.demand.Requests)
-	whole := perRequest.times(math.Ceil(requests))
-	return a.limit.bounded(whole.minus(a.staticRate.times(lease)).atLeast(Amount{}))
+	perRequest := a.demand.scale(1 / a.demand.Requests)
+	wholeRequests := perRequest.scale(math.Ceil(requests))
+	return a.limit.dropUnlimited(wholeRequests.sub(a.staticRate.scale(lease)).maxWith(Amount{}))
 }
 
-// wantedRuns is the number of run slots wanted beyond the static ones: those
-// held, those that were refused and, if any are in use, an eighth to spare.
-func (a *ledger) wantedRuns() int {
+// desiredSlots returns the number of run slots to request beyond the static
+// ones: enough for the active runs and the refused ones and, if that exceeds
+// the static slots, a reserve. The reserve is an eighth of that number or, if
+// more, an eighth of the expected starts per lease up to the active runs.
+func (a *ledger) desiredSlots() int {
 	if a.limit.Runs == 0 {
 		return 0
 	}
-	beyond := a.held + a.refusedRuns - a.staticRuns
-	if beyond <= 0 {
+	needed := a.activeRuns + a.refusedRuns - a.staticRuns
+	if needed <= 0 {
 		return 0
 	}
 	starts := int(math.Ceil(a.demand.Requests * a.settings.Lease.Seconds() / 8))
-	return min(beyond+max(beyond/8, min(starts, a.held)), a.limit.Runs)
+	return min(needed+max(needed/8, min(starts, a.activeRuns)), a.limit.Runs)
 }
 
-// due reports whether the lender should be asked now.
-func (a *ledger) due(now time.Time) bool {
-	if a.waiting && now.Sub(a.askedAt) < grantTimeout {
+// shouldRequest reports whether to send a request to the lender now.
+func (a *ledger) shouldRequest(now time.Time) bool {
+	if a.awaitingGrant && now.Sub(a.askedAt) < grantTimeout {
 		return false
 	}
-	if a.runsDue(now) {
+	if a.slotsNeedRenewal(now) {
 		return true
 	}
 	if now.Before(a.retryAt) {
 		return false
 	}
-	short := a.limit.Runs > 0 && a.held > a.staticRuns+a.lent.runs
-	if short || a.refused != (Amount{}) || a.refusedRuns > 0 || a.settlementDue(now) {
+	short := a.limit.Runs > 0 && a.activeRuns > a.staticRuns+a.currentSlots.runs
+	if short || a.refused != (Amount{}) || a.refusedRuns > 0 || a.shouldSettle(now) {
 		return true
 	}
 	if !a.lastUsed.After(a.askedAt) {
 		return false
 	}
 	need := a.leaseDemand()
-	return !a.available(now).atLeast(Amount{}).covers(need.times(askBelow))
+	return !a.available(now).maxWith(Amount{}).covers(need.scale(refillThreshold))
 }
 
-// runsDue reports whether lent run slots that are in use lapse soon.
-func (a *ledger) runsDue(now time.Time) bool {
-	if a.limit.Runs == 0 || a.held <= a.staticRuns {
+// slotsNeedRenewal reports whether borrowed run slots that are in use expire
+// within half a run lease and the latest request is at least a quarter of a run
+// lease old.
+func (a *ledger) slotsNeedRenewal(now time.Time) bool {
+	if a.limit.Runs == 0 || a.activeRuns <= a.staticRuns {
 		return false
 	}
-	return a.lent.until.Sub(now) < a.settings.RunLease/2 && !now.Before(a.askedAt.Add(a.settings.RunLease/4))
+	return a.currentSlots.until.Sub(now) < a.settings.RunLease/2 && !now.Before(a.askedAt.Add(a.settings.RunLease/4))
 }
 
-// settlementDue reports whether corrections have waited for a lease.
-func (a *ledger) settlementDue(now time.Time) bool {
-	if a.owed == (Amount{}) && a.returned == (Amount{}) {
+// shouldSettle reports whether there are corrections to report and the latest
+// request is more than one lease old.
+func (a *ledger) shouldSettle(now time.Time) bool {
+	if a.debt == (Amount{}) && a.unreportedRefund == (Amount{}) {
 		return false
 	}
 	return now.Sub(a.askedAt) > a.settings.Lease
 }
 
-// ask puts together what the lender is asked for, as request number seq.
-func (a *ledger) ask(now time.Time, seq uint64) Ask {
+// buildAsk returns the ask for the lender as part of request number seq, and
+// updates the ledger as if the request has been sent.
+func (a *ledger) buildAsk(now time.Time, seq uint64) Ask {
 	a.refill(now)
-	left := a.available(now).plus(a.owed)
-	ahead := a.leaseDemand().minus(left)
-	want := ahead.atLeast(a.refused.atMost(a.limit.rate().times(a.settings.Lease.Seconds())))
-	want = want.atLeast(a.least).atLeast(Amount{})
-	if a.least == (Amount{}) && want != (Amount{}) {
-		a.least = a.limit.bounded(a.demand.times(1 / a.demand.Requests)).atMost(a.maxCharge)
+	remaining := a.available(now).add(a.debt)
+	advance := a.leaseDemand().sub(remaining)
+	amount := advance.maxWith(a.refused.minWith(a.limit.rate().scale(a.settings.Lease.Seconds())))
+	amount = amount.maxWith(a.minAmount).maxWith(Amount{})
+	if a.minAmount == (Amount{}) && amount != (Amount{}) {
+		a.minAmount = a.limit.dropUnlimited(a.demand.scale(1 / a.demand.Requests)).minWith(a.maxCharge)
 	}
 	ask := Ask{
-		Want:     want.whole(),
-		Least:    a.least,
-		Owed:     a.owed,
-		Returned: a.returned,
-		Runs:     a.wantedRuns(),
-	}
-	// A smaller number of run slots holds from now on, because the lender may
-	// lend the rest to others as soon as it has read this.
-	a.lent.runs = min(a.lent.runs, ask.Runs)
-	a.former.runs = min(a.former.runs, ask.Runs)
-	// What is returned is given up for good; what is owed stays owed until it
-	// is known to be paid. A lost message thus never raises the limit.
-	a.returned = Amount{}
-	a.sentOwed = a.owed
-	a.refused, a.refusedRuns, a.least = Amount{}, 0, Amount{}
-	a.askSeq, a.askedAt, a.waiting = seq, now, true
+		Amount:    amount.ceil(),
+		MinAmount: a.minAmount,
+		Debt:      a.debt,
+		Refund:    a.unreportedRefund,
+		Runs:      a.desiredSlots(),
+	}
+	// A reduction of the run slots takes effect now, because the lender may lend
+	// the freed slots to others as soon as it receives the request.
+	a.currentSlots.runs = min(a.currentSlots.runs, ask.Runs)
+	a.previousSlots.runs = min(a.previousSlots.runs, ask.Runs)
+	// The refund is given up when the request is sent, whereas the debt is
+	// cleared only when the grant arrives. A lost message therefore never
+	// raises the limit.
+	a.unreportedRefund = Amount{}
+	a.reportedDebt = a.debt
+	a.refused, a.refusedRuns, a.minAmount = Amount{}, 0, Amount{}
+	a.askSeq, a.askedAt, a.awaitingGrant = seq, now, true
 	return ask
 }
 
-// receive takes the lender's answer to the latest ask.
-func (a *ledger) receive(now time.Time, share *Share) {
-	if !a.waiting {
+// applyShare applies the lender's answer to the latest ask.
+func (a *ledger) applyShare(now time.Time, share *Share) {
+	if !a.awaitingGrant {
 		return
 	}
-	a.waiting = false
-	a.owed = a.owed.minus(a.sentOwed).atLeast(Amount{})
-	a.sentOwed = Amount{}
+	a.awaitingGrant = false
+	a.debt = a.debt.sub(a.reportedDebt).maxWith(Amount{})
+	a.reportedDebt = Amount{}
 	a.retryAt = now.Add(share.Wait.Duration())
-	a.addRuns(now, slots{runs: share.Runs, until: a.askedAt.Add(a.settings.RunLease)})
+	a.applySlots(now, slots{runs: share.Runs, until: a.askedAt.Add(a.settings.RunLease)})
 	until := a.askedAt.Add(a.settings.Lease)
 	if now.Before(until) && share.Amount != (Amount{}) {
-		a.add(now, credit{amount: share.Amount, until: until})
+		a.addCredit(now, credit{amount: share.Amount, until: until})
 	}
 }
 
-// addRuns takes up new slots, keeping former ones if they were more.
-func (a *ledger) addRuns(now time.Time, s slots) {
+// applySlots replaces the current slots by s. The replaced slots are kept as
+// previous ones if there were more of them.
+func (a *ledger) applySlots(now time.Time, s slots) {
 	if !now.Before(s.until) {
 		return
 	}
-	if a.lent.inForce(now) > max(s.runs, a.former.inForce(now)) {
-		a.former = a.lent
+	if a.currentSlots.inForce(now) > max(s.runs, a.previousSlots.inForce(now)) {
+		a.previousSlots = a.currentSlots
 	}
-	a.lent = s
+	a.currentSlots = s
 }
 
-// add takes up a new credit. Two older ones become one, with the time of the
-// first to lapse.
-func (a *ledger) add(now time.Time, c credit) {
+// addCredit adds a credit. If two unexpired credits exist, they are merged into
+// one that expires with the earlier of the two.
+func (a *ledger) addCredit(now time.Time, c credit) {
 	for i := range a.credits {
 		if !now.Before(a.credits[i].until) {
 			a.credits[i] = credit{}
@@ -159,7 +171,7 @@
 	}
 	first, second := a.credits[0], a.credits[1]
 	if first.amount != (Amount{}) {
-		second = credit{amount: first.amount.plus(second.amount), until: first.until}
+		second = credit{amount: first.amount.add(second.amount), until: first.until}
 	}
 	a.credits = [2]credit{second, c}
 }
--- a/coord/limit/doc.go
+++ b/coord/limit/doc.go
@@ -1,29 +1,33 @@
 // Package limit enforces one limit per client account over all nodes, without
 // a shared store.
 //
-// A limit L is divided in advance. A fraction, Settings.StaticShare, is spread
-// evenly over the most nodes that there may be: each node may always use its
-// static share. The rest, the pool, is cut into Settings.Parts equal parts.
-// Each part is kept by one node, a Keeper, chosen by the roster alone. A
-// keeper leases its part to at most one Lender at a time. A lender, the node
-// that others take for the account's owner, lends what the parts that it
-// holds allow, by demand, to the Borrower of each node, for seconds.
+// A limit L is divided in two. The fraction Settings.StaticShare is divided
+// evenly among the maximum number of nodes, Settings.Nodes: each node may always
+// use its static share. The rest, the pool, is divided into Settings.Parts equal
+// parts. Each part is managed by one node's Keeper, which is selected from the
+// roster (the list of member nodes) alone, regardless of which nodes are alive.
+// A keeper leases its part to at most one Lender at a time. The lender of the
+// account's owner node acquires the parts and lends their amounts, by demand,
+// to the Borrower of each node, for a few seconds at a time.
 //
-// Guarantees, for whatever nodes are dead, paused, restarted or cut off, and
-// however many take themselves for the owner, as long as at most Settings.Nodes
-// nodes run and clocks keep the same pace within Settings.Drift:
+// The following bounds hold for any set of dead, paused, restarted or
+// partitioned nodes and any number of nodes that consider themselves the owner,
+// provided that at most Settings.Nodes nodes run and that clocks differ by at
+// most Settings.Drift during a part lease:
 //
-//   - Rates. What all nodes admit of an account in any window w is at most
-//     L*w + Settings.Excess(L), plus corrections not yet repaid.
-//   - Runs. The run slots in force never add up to more than L. Runs that go on
-//     after their node's lease lapsed are not stopped, and come on top; their
-//     node starts no other until it has enough slots again.
+//   - Rates: in any time window w, all nodes together admit at most
+//     L*w + Settings.Excess(L) of an account, plus corrections not yet repaid.
+//   - Runs: the valid run slots of an account never add up to more than L. Runs
+//     that continue after the slots of their node have expired are not stopped
+//     and are not counted; the node starts no further run until it has enough
+//     slots again.
 //
-// Both hold exactly while nodes agree on an account's keepers. While rosters
-// differ, so that m+r nodes keep m parts, and until one part lease after they
-// agree again, the pool counts 1+r/m times in both.
+// Both bounds are exact while nodes agree on an account's keepers. While rosters
+// differ, so that m+r nodes keep m parts, and until one part lease after the
+// rosters agree again, the pool counts 1+r/m times in both bounds.
 //
-// Without a lender a node has its static share. Keepers, lenders and borrowers
-// do no I/O and read no clock: messages go out by Next and come in by Handle
-// and Receive. Lost, late and reordered messages cost efficiency only.
+// Without a lender, a node can use only its static share. Keepers, lenders and
+// borrowers do no I/O and read no clock: Next returns outgoing messages, Handle
+// and Receive take incoming ones. Lost, late and reordered messages reduce
+// utilisation but never break a bound.
 package limit
--- a/coord/limit/example_test.go
+++ b/coord/limit/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/cherryward/cherryward/coord/limit"
 )
 
-// Example runs keeper, lender and borrower of one node in one process. Between
-// processes, the calls go over the daemon's own transport.
+// Example connects the keeper, lender and borrower of one node by direct calls.
+// Between nodes, the application sends the calls over its own transport.
 func Example() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	settings := limit.DefaultSettings(1)
@@ -25,7 +25,7 @@
 		Settings: settings, Self: self, Limits: limits, Owner: owner,
 	})
 
-	now = now.Add(time.Minute) // a keeper is silent for one part lease
+	now = now.Add(time.Minute) // a keeper grants nothing in the first part lease after its start
 	for range 4 {
 		decision := borrower.Allow(now, "foundry", 0)
 		fmt.Println(decision.OK(), decision.RetryAfter)
--- a/coord/limit/keeper.go
+++ b/coord/limit/keeper.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Keeper leases this node's parts of accounts' pools, each to one lender at a
-// time. It is not safe for concurrent use.
+// Keeper manages this node's parts of the accounts' pools and leases each part
+// to at most one lender at a time. It is not safe for concurrent use.
 type Keeper struct {
 	settings Settings
 	self     NodeID
@@ -17,8 +17,9 @@
 
 // NewKeeper returns the keeper of node self. keepers returns the nodes that
 // keep an account's parts; it must depend on the roster only, never on which
-// nodes seem alive. A keeper leases nothing until one part lease after its
-// start, because an earlier incarnation may have done so.
+// nodes appear to be alive. A keeper grants no lease during the first part lease
+// after its start, because leases granted by an earlier incarnation may still
+// be valid.
 func NewKeeper(now time.Time, settings Settings, self NodeID, keepers func(account string) []NodeID) *Keeper {
 	return &Keeper{
 		settings: settings,
@@ -29,7 +30,8 @@
 	}
 }
 
-// Handle answers a lender. A repeated request is harmless.
+// Handle processes a lender's request and returns the grant. A repeated request
+// has no effect and is granted nothing.
 func (k *Keeper) Handle(now time.Time, req PartRequest) PartGrant {
 	grant := PartGrant{From: k.self, Seq: req.Seq}
 	for _, account := range req.Release {
@@ -56,45 +58,50 @@
 	return grant
 }
 
-// keeps reports whether this node keeps a part of account.
+// keeps reports whether this node is a keeper of account.
 func (k *Keeper) keeps(account string) bool {
 	return slices.Contains(k.keepers(account), k.self)
 }
 
-// Forget drops the parts that have been idle for so long that nothing depends
-// on them. Call it every few seconds.
+// Forget discards the state of parts whose lease ended so long ago that a new
+// entry would behave the same. Call it every few seconds.
 func (k *Keeper) Forget(now time.Time) {
-	k.rates.forget(now, k.settings.Burst)
-	k.runs.forget(now, 0)
+	k.rates.removeExpired(now, k.settings.Burst)
+	k.runs.removeExpired(now, 0)
 }
 
-// partTable is the parts of one kind that are leased, or were lately.
+// partTable holds the parts of one kind (rates or run slots) that are leased or
+// whose lease ended recently, by account.
 type partTable struct {
 	lease time.Duration
-	// ready is when no lease by an earlier incarnation can be left.
-	ready time.Time
-	parts map[string]*keptPart
+	// readyAt is the time by which all leases of an earlier incarnation have
+	// expired.
+	readyAt time.Time
+	parts   map[string]*leasedPart
 }
 
-// keptPart is a part that was leased to holder until a time.
-type keptPart struct {
+// leasedPart is a part that is or was leased to holder until the given time.
+type leasedPart struct {
 	holder Process
 	seq    uint64
 	until  time.Time
 }
 
 func newPartTable(now time.Time, lease time.Duration) partTable {
-	return partTable{lease: lease, ready: now.Add(lease), parts: map[string]*keptPart{}}
+	return partTable{lease: lease, readyAt: now.Add(lease), parts: map[string]*leasedPart{}}
 }
 
-// acquire leases or renews one part, and returns how long nobody held it.
+// acquire leases one part to the sender of req or renews its lease. It returns
+// how long the part was not leased before. ok is false if the keeper has not
+// been running for one lease, another lender holds the part, or req is older
+// than the latest request of the holder.
 func (t *partTable) acquire(now time.Time, account string, req PartRequest) (idle time.Duration, ok bool) {
-	if now.Before(t.ready) {
+	if now.Before(t.readyAt) {
 		return 0, false
 	}
 	part, known := t.parts[account]
 	if !known {
-		part = &keptPart{until: t.ready}
+		part = &leasedPart{until: t.readyAt}
 		t.parts[account] = part
 	}
 	if now.Before(part.until) && part.holder != req.From {
@@ -110,7 +117,8 @@
 	return idle, true
 }
 
-// release ends the lease of one part, unless the holder renewed it since.
+// release ends the lease of one part, unless the holder renewed the lease after
+// it sent req.
 func (t *partTable) release(now time.Time, account string, req PartRequest) {
 	part, known := t.parts[account]
 	if !known || part.holder != req.From || req.Seq <= part.seq || !now.Before(part.until) {
@@ -120,8 +128,9 @@
 	part.until = now
 }
 
-// forget drops the parts that ended longer ago than a lease and the given time.
-func (t *partTable) forget(now time.Time, after time.Duration) {
+// removeExpired removes the parts whose lease ended more than one lease plus
+// after ago.
+func (t *partTable) removeExpired(now time.Time, after time.Duration) {
 	for account, part := range t.parts {
 		if now.Sub(part.until) > after+t.lease {
 			delete(t.parts, account)
--- a/coord/limit/lender.go
+++ b/coord/limit/lender.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// partRetry is how soon a borrower should ask again when the lender has no
-// part yet.
+// partRetry is the minimum time after which a borrower retries when the lender
+// holds no part yet.
 const partRetry = 50 * time.Millisecond
 
-// Lender lends shares of the accounts that this node is asked for. It is not
-// safe for concurrent use.
+// Lender acquires parts of the accounts' pools from keepers and lends their
+// amounts and run slots to borrowers. It is not safe for concurrent use.
 type Lender struct {
 	cfg      LenderConfig
 	seq      uint64
 	accounts map[string]*pool
 }
 
-// LenderConfig is what a lender needs to know. The functions must be quick and
-// must not call the lender.
+// LenderConfig configures a Lender. The functions must return quickly and must
+// not call the lender.
 type LenderConfig struct {
 	Settings Settings
 	Self     Process
 	// Limits returns an account's limit, and false for an unknown account.
 	Limits func(account string) (Limit, bool)
-	// Owner returns the account's owner in this node's present view. A lender
-	// that is not the owner serves on, but gives its parts back.
+	// Owner returns the node that this node currently considers the account's
+	// owner. A lender that is no longer the owner still answers borrowers, but
+	// releases its parts.
 	Owner func(account string) NodeID
-	// Keepers is as for NewKeeper.
+	// Keepers returns the keepers of an account; see NewKeeper.
 	Keepers func(account string) []NodeID
 }
 
@@ -37,10 +38,11 @@
 	return &Lender{cfg: cfg, accounts: map[string]*pool{}}
 }
 
-// Accounts is the number of accounts that hold memory.
+// Accounts returns the number of accounts whose state is held in memory.
 func (l *Lender) Accounts() int { return len(l.accounts) }
 
-// Handle answers a borrower. Repeated or overtaken asks are left out.
+// Handle processes a borrower's request and returns the grant. Asks of repeated
+// or superseded requests and of unknown accounts get no share.
 func (l *Lender) Handle(now time.Time, req Request) Grant {
 	grant := Grant{Seq: req.Seq}
 	for i := range req.Asks {
@@ -54,13 +56,14 @@
 			continue
 		}
 		b.seq = req.Seq
-		b.asked = now
-		grant.Shares = append(grant.Shares, l.share(now, p, b, ask))
+		b.lastAskAt = now
+		grant.Shares = append(grant.Shares, l.allocate(now, p, b, ask))
 	}
 	return grant
 }
 
-// pool returns the state of an account, or nil for an unknown account.
+// pool returns the state of an account, creating it on first use. It returns
+// nil for an unknown account.
 func (l *Lender) pool(now time.Time, account string) *pool {
 	limit, known := l.cfg.Limits(account)
 	if !known {
@@ -72,31 +75,32 @@
 		l.accounts[account] = p
 	}
 	p.setLimit(now, limit)
-	p.asked = now
+	p.lastAskAt = now
 	return p
 }
 
-// share decides on one ask.
-func (l *Lender) share(now time.Time, p *pool, b *borrowing, ask *Ask) Share {
+// allocate returns the share granted for one ask and deducts it from the pool.
+func (l *Lender) allocate(now time.Time, p *pool, b *borrowerState, ask *Ask) Share {
 	p.refill(now)
-	p.level = p.level.minus(ask.Owed).plus(ask.Returned).atMost(p.depth(now))
+	p.level = p.level.sub(ask.Debt).add(ask.Refund).minWith(p.depth(now))
 	share := Share{Account: ask.Account}
 	share.Amount, share.Wait = p.lend(now, ask)
 	share.Runs = p.lendRuns(now, b, ask.Runs)
 	if share.Runs < ask.Runs {
-		share.Wait = max(share.Wait, p.bareWait(now, p.runParts))
+		share.Wait = max(share.Wait, p.partWait(now, p.runParts))
 	}
 	return share
 }
 
-// Next returns the calls to keepers that are due: parts to acquire or renew
-// before they stop covering a lease, and parts to give back. Call it every
-// Lease/10 or so, and after Handle answered with a Wait.
+// Next returns the requests to send to keepers now: to acquire missing parts, to
+// renew parts before the rest of their lease gets shorter than a lease to a
+// borrower, and to release parts. Call it about every Lease/10, and after Handle
+// returned a share with a Wait.
 func (l *Lender) Next(now time.Time) []PartCall {
 	l.seq++
 	calls := map[NodeID]*PartRequest{}
 	for account, p := range l.accounts {
-		if p.forget(now) {
+		if p.removeExpired(now) {
 			delete(l.accounts, account)
 			continue
 		}
@@ -104,30 +108,31 @@
 			l.release(now, calls, account, p)
 			continue
 		}
-		if now.Sub(p.asked) <= l.cfg.Settings.RunLease {
+		if now.Sub(p.lastAskAt) <= l.cfg.Settings.RunLease {
 			l.acquire(now, calls, account, p)
 		}
 	}
 	return partCalls(calls)
 }
 
-// acquire adds the calls for the parts that are missing or about to end.
+// acquire adds requests for the parts that are missing or need renewal.
 func (l *Lender) acquire(now time.Time, calls map[NodeID]*PartRequest, account string, p *pool) {
 	for _, keeper := range l.cfg.Keepers(account) {
-		if p.parts.due(now, keeper) {
+		if p.parts.shouldRequest(now, keeper) {
 			req := l.request(calls, keeper)
-			p.parts.asked(now, keeper, req.Seq)
+			p.parts.recordRequest(now, keeper, req.Seq)
 			req.Acquire = append(req.Acquire, account)
 		}
-		if p.limit.Runs > 0 && p.runParts.due(now, keeper) {
+		if p.limit.Runs > 0 && p.runParts.shouldRequest(now, keeper) {
 			req := l.request(calls, keeper)
-			p.runParts.asked(now, keeper, req.Seq)
+			p.runParts.recordRequest(now, keeper, req.Seq)
 			req.AcquireRuns = append(req.AcquireRuns, account)
 		}
 	}
 }
 
-// release adds the calls that give parts back, once no run slot rests on them.
+// release adds requests that release all parts of the account, unless lent run
+// slots that depend on them are still valid.
 func (l *Lender) release(now time.Time, calls map[NodeID]*PartRequest, account string, p *pool) {
 	p.refill(now)
 	if p.runsInForce(now, nil) > 0 {
@@ -141,7 +146,7 @@
 	clear(p.runParts.held)
 }
 
-// request returns the request to keeper that is being put together.
+// request returns the pending request to keeper, creating it if absent.
 func (l *Lender) request(calls map[NodeID]*PartRequest, keeper NodeID) *PartRequest {
 	req, ok := calls[keeper]
 	if !ok {
@@ -151,7 +156,7 @@
 	return req
 }
 
-// partCalls lists the requests in the order of names.
+// partCalls returns the requests sorted by keeper, each with sorted accounts.
 func partCalls(requests map[NodeID]*PartRequest) []PartCall {
 	calls := make([]PartCall, 0, len(requests))
 	for _, keeper := range slices.Sorted(maps.Keys(requests)) {
@@ -164,8 +169,7 @@
 	return calls
 }
 
-// Receive takes a keeper's answer. Late answers to overtaken requests are
-// ignored.
+// Receive applies a keeper's grant. Grants for superseded requests are ignored.
 func (l *Lender) Receive(now time.Time, grant PartGrant) {
 	for _, granted := range grant.Parts {
 		p, ok := l.accounts[granted.Account]
@@ -173,13 +177,13 @@
 			continue
 		}
 		p.refill(now)
-		if p.parts.granted(grant.From, grant.Seq) {
-			p.credit(now, granted.Idle.Duration())
+		if p.parts.recordGrant(grant.From, grant.Seq) {
+			p.creditIdleTime(now, granted.Idle.Duration())
 		}
 	}
 	for _, account := range grant.RunParts {
 		if p, ok := l.accounts[account]; ok {
-			p.runParts.granted(grant.From, grant.Seq)
+			p.runParts.recordGrant(grant.From, grant.Seq)
 		}
 	}
 }
--- a/coord/limit/message.go
+++ b/coord/limit/message.go
@@ -2,81 +2,85 @@
 
 import "time"
 
-// Process names one start of a node. Incarnation is random per start.
+// Process identifies one start of a node's process. Incarnation is a random
+// number chosen at each start.
 type Process struct {
 	Node        NodeID `json:"n"`
 	Incarnation uint64 `json:"i"`
 }
 
-// Millis is a duration in milliseconds, as sent.
+// Millis is a duration in milliseconds, as encoded in messages.
 type Millis int64
 
 func millis(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Duration converts m.
+// Duration returns m as a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Request asks a lender for shares of the accounts that it owns. It is sent
-// once: a repeated one is ignored. A lost one is followed by a new one.
+// Request is a borrower's request for shares of the accounts that the lender
+// owns. It is sent once: a lender ignores duplicates, and the borrower replaces
+// a lost request by a new one with a higher Seq.
 type Request struct {
 	From Process `json:"f"`
 	Seq  uint64  `json:"s"`
 	Asks []Ask   `json:"a"`
 }
 
-// Ask concerns one account.
+// Ask is the part of a Request that concerns one account.
 type Ask struct {
 	Account string `json:"a"`
-	// Want is the amount that the node can use during a lease.
-	Want Amount `json:"w,omitzero"`
-	// Least is the smallest amount that is of use.
-	Least Amount `json:"l,omitzero"`
-	// Owed is what was used beyond what was lent.
-	Owed Amount `json:"o,omitzero"`
-	// Returned was lent and paid for, but turned out not to be needed.
-	Returned Amount `json:"b,omitzero"`
-	// Runs is the number of run slots wanted in all, beyond the static ones.
+	// Amount is the amount that the node can use during one lease.
+	Amount Amount `json:"w,omitzero"`
+	// MinAmount is the smallest useful amount. If the lender has less, it lends
+	// nothing.
+	MinAmount Amount `json:"l,omitzero"`
+	// Debt is the amount used in excess of what was borrowed.
+	Debt Amount `json:"o,omitzero"`
+	// Refund is the amount that was charged but not used.
+	Refund Amount `json:"b,omitzero"`
+	// Runs is the total number of run slots requested beyond the static ones.
 	Runs int `json:"r,omitempty"`
 }
 
-// Grant answers a Request.
+// Grant is a lender's answer to a Request.
 type Grant struct {
 	Seq    uint64  `json:"s"`
 	Shares []Share `json:"l"`
 }
 
-// Share is what is lent of one account. Amount may be used until one
-// Settings.Lease after the borrower asked.
+// Share is what the lender lends of one account. Amount may be used until one
+// Settings.Lease after the borrower sent the request.
 type Share struct {
 	Account string `json:"a"`
 	Amount  Amount `json:"m,omitzero"`
-	// Runs replaces the number of run slots lent before. They are lent until
-	// one Settings.RunLease after the borrower asked.
+	// Runs replaces the number of run slots lent before. They are valid until
+	// one Settings.RunLease after the borrower sent the request.
 	Runs int `json:"r,omitempty"`
-	// Wait is the time until more can be had, if Amount or Runs fell short.
+	// Wait is the time until more is expected to be available, if Amount or
+	// Runs is less than requested.
 	Wait Millis `json:"w,omitempty"`
 }
 
-// PartRequest asks a keeper to lease its parts of accounts to a lender, or
-// gives them back.
+// PartRequest is a lender's request to a keeper to lease, renew or release the
+// keeper's parts of accounts.
 type PartRequest struct {
 	From Process `json:"f"`
 	Seq  uint64  `json:"s"`
-	// Acquire lists the accounts whose part of the rates is asked for.
+	// Acquire lists the accounts whose part of the rates is requested.
 	Acquire []string `json:"a,omitempty"`
-	// AcquireRuns lists those whose part of the run slots is asked for.
+	// AcquireRuns lists the accounts whose part of the run slots is requested.
 	AcquireRuns []string `json:"q,omitempty"`
-	// Release lists those whose parts are given back.
+	// Release lists the accounts whose parts, of both kinds, are released.
 	Release []string `json:"r,omitempty"`
 }
 
-// PartGrant answers a PartRequest with the parts that were leased or renewed,
-// from when the lender asked until one Settings.PartLease or RunPartLease
-// later.
+// PartGrant is a keeper's answer to a PartRequest. It lists the parts that were
+// leased or renewed, until one Settings.PartLease or Settings.RunPartLease
+// after the lender sent the request.
 type PartGrant struct {
 	From NodeID `json:"f"`
 	Seq  uint64 `json:"s"`
-	// Parts are those of the rates.
+	// Parts are the leased parts of the rates.
 	Parts []Part `json:"p,omitempty"`
 	// RunParts are the accounts whose part of the run slots was leased.
 	RunParts []string `json:"q,omitempty"`
@@ -85,18 +89,18 @@
 // Part is one leased part of an account's rates.
 type Part struct {
 	Account string `json:"a"`
-	// Idle is how long nobody held the part, up to Settings.Burst. It is zero
-	// on a renewal.
+	// Idle is how long the part was not leased, up to Settings.Burst. It is
+	// zero on a renewal.
 	Idle Millis `json:"i,omitempty"`
 }
 
-// LeaseCall is a Request to be carried to a lender.
+// LeaseCall is a Request to send to the lender of node To.
 type LeaseCall struct {
 	To      NodeID
 	Request Request
 }
 
-// PartCall is a PartRequest to be carried to a keeper.
+// PartCall is a PartRequest to send to the keeper of node To.
 type PartCall struct {
 	To      NodeID
 	Request PartRequest
--- a/coord/limit/part.go
+++ b/coord/limit/part.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// heldParts are the parts of one kind that a lender holds of an account, by
-// keeper.
+// heldParts holds the parts of one account and kind (rates or run slots) that a
+// lender has leased or requested, by keeper.
 type heldParts struct {
-	// lease is what the lender gives to borrowers, and partLease what keepers
-	// give to the lender.
+	// lease is the duration of a lease from the lender to a borrower, and
+	// partLease that of a lease from a keeper to the lender.
 	lease, partLease, drift time.Duration
 	held                    map[NodeID]*heldPart
 }
 
-// heldPart is a part that the lender holds or asks for.
+// heldPart is a part that the lender has leased or requested.
 type heldPart struct {
 	until   time.Time
 	askedAt time.Time
-	// seq is the number of the unanswered request, or zero.
+	// seq is the number of the pending request, or zero if none is pending.
 	seq uint64
 }
 
-// covers is the time until which a part allows leases to be given.
-func (h *heldParts) covers(part *heldPart) time.Time {
+// coversUntil returns the time until which the lender may grant leases from the
+// part: they must end before the lease of the part does.
+func (h *heldParts) coversUntil(part *heldPart) time.Time {
 	return part.until.Add(-h.lease - h.drift)
 }
 
-// count is the number of parts that cover a lease given now.
-func (h *heldParts) count(now time.Time) int {
+// countCovering returns the number of parts that cover a lease granted now.
+func (h *heldParts) countCovering(now time.Time) int {
 	var n int
 	for _, part := range h.held {
-		if now.Before(h.covers(part)) {
+		if now.Before(h.coversUntil(part)) {
 			n++
 		}
 	}
 	return n
 }
 
-// covered sums the time, between since and now, for which each part covered
-// leases.
-func (h *heldParts) covered(since, now time.Time) time.Duration {
+// coveredTime returns the sum over all parts of the time between since and now
+// during which the part covered leases.
+func (h *heldParts) coveredTime(since, now time.Time) time.Duration {
 	var sum time.Duration
 	for _, part := range h.held {
-		end := h.covers(part)
+		end := h.coversUntil(part)
 		if now.Before(end) {
 			end = now
 		}
@@ -49,8 +50,9 @@
 	return sum
 }
 
-// due reports whether the part of keeper should be asked for now.
-func (h *heldParts) due(now time.Time, keeper NodeID) bool {
+// shouldRequest reports whether to request the part of keeper now: it is missing
+// or will stop covering leases within half a lease, and no request is pending.
+func (h *heldParts) shouldRequest(now time.Time, keeper NodeID) bool {
 	part, ok := h.held[keeper]
 	if !ok {
 		return true
@@ -58,11 +60,11 @@
 	if part.seq != 0 && now.Sub(part.askedAt) < grantTimeout {
 		return false
 	}
-	return now.Add(h.lease / 2).After(h.covers(part))
+	return now.Add(h.lease / 2).After(h.coversUntil(part))
 }
 
-// asked records that the part of keeper is being asked for.
-func (h *heldParts) asked(now time.Time, keeper NodeID, seq uint64) {
+// recordRequest records that request seq for the part of keeper is being sent.
+func (h *heldParts) recordRequest(now time.Time, keeper NodeID, seq uint64) {
 	part, ok := h.held[keeper]
 	if !ok {
 		part = &heldPart{}
@@ -72,9 +74,9 @@
 	part.seq = seq
 }
 
-// granted records that keeper granted request seq. It reports false for an
-// overtaken request.
-func (h *heldParts) granted(keeper NodeID, seq uint64) bool {
+// recordGrant records that keeper granted request seq. It returns false if seq
+// is not the pending request.
+func (h *heldParts) recordGrant(keeper NodeID, seq uint64) bool {
 	part, ok := h.held[keeper]
 	if !ok || part.seq != seq {
 		return false
@@ -84,8 +86,9 @@
 	return true
 }
 
-// forget drops the parts that ended, and reports whether none is left.
-func (h *heldParts) forget(now time.Time) (empty bool) {
+// removeExpired removes the parts whose lease has expired, and reports whether
+// none is left.
+func (h *heldParts) removeExpired(now time.Time) (empty bool) {
 	for keeper, part := range h.held {
 		if now.After(part.until) && now.Sub(part.askedAt) > h.partLease {
 			delete(h.held, keeper)
--- a/coord/limit/property_test.go
+++ b/coord/limit/property_test.go
@@ -20,42 +20,42 @@
 	os.Exit(m.Run())
 }
 
-// chaos runs a world through random faults and returns it.
-func chaos(t *rapid.T, f fault) *world {
+// runRandomFaults runs a simulation with random faults and returns it.
+func runRandomFaults(t *rapid.T, f fault) *simulation {
 	settings := DefaultSettings(5)
 	settings.Parts = 3
 	limits := map[string]Limit{
 		"rates": {Requests: 20, Tokens: 900},
 		"runs":  {Runs: 12, Requests: 50},
 	}
-	w := newWorld(settings, rapid.Uint64().Draw(t, "seed"), limits)
+	w := newSimulation(settings, rapid.Uint64().Draw(t, "seed"), limits)
 	w.fault = f
-	last := len(w.nodes) - 1
+	lastNode := len(w.nodes) - 1
 	between := func(low, high int) int { return low + w.random.IntN(high-low+1) }
-	millis := func(most int) time.Duration { return time.Duration(between(1, most)) * time.Millisecond }
+	millis := func(limit int) time.Duration { return time.Duration(between(1, limit)) * time.Millisecond }
 	for _, n := range w.nodes {
 		n.demand["rates"], n.demand["runs"], n.runFor = 30, 10, 2*time.Second
 	}
 	for range 40 {
-		n := w.nodes[between(0, last)]
+		n := w.nodes[between(0, lastNode)]
 		switch rapid.IntRange(0, 9).Draw(t, "event") {
 		case 0, 1:
 			for _, account := range w.accounts {
-				n.view[account] = between(-1, last)
+				n.ownerIndex[account] = between(-1, lastNode)
 			}
 		case 2, 3:
-			w.cut[[2]int{n.index, between(0, last)}] = true
+			w.disconnected[[2]int{n.index, between(0, lastNode)}] = true
 		case 4:
-			clear(w.cut)
+			clear(w.disconnected)
 			for _, other := range w.nodes {
-				clear(other.view)
+				clear(other.ownerIndex)
 			}
 		case 5:
 			w.restart(n)
 		case 6:
 			n.paused = w.now.Add(millis(8000))
 		case 7:
-			w.slow = millis(4000) * time.Duration(between(0, 1))
+			w.maxDelay = millis(4000) * time.Duration(between(0, 1))
 		default:
 			n.tokens = float64(between(1, 200))
 			n.runFor = millis(9000)
@@ -67,29 +67,30 @@
 	return w
 }
 
-// TestBounds checks that no fault makes the nodes grant too much.
+// TestBounds checks that random faults (changed owners, partitions, restarts,
+// pauses, delays) never make the nodes exceed the documented bounds.
 func TestBounds(t *testing.T) {
-	var most Amount
+	var maxExcess Amount
 	var admitted int
 	rapid.Check(t, func(t *rapid.T) {
-		w := chaos(t, faultNone)
-		must.NoError(t, w.broken)
-		most = most.atLeast(w.most["rates"])
+		w := runRandomFaults(t, faultNone)
+		must.NoError(t, w.violation)
+		maxExcess = maxExcess.maxWith(w.maxExcess["rates"])
 		admitted += w.admitted["rates"] + w.admitted["runs"]
 	})
-	t.Logf("most excess %v, %d admitted", most, admitted)
+	t.Logf("maximum excess %v, %d admitted", maxExcess, admitted)
 	must.Greater(t, 1000, admitted)
 }
 
-// TestBoundsCatch checks that the same faults expose a lender that needs no
-// keepers.
-func TestBoundsCatch(t *testing.T) {
-	var caught int
+// TestBoundsDetectsMissingKeepers checks that the faults of TestBounds make the
+// bounds fail if lenders use parts without a grant from the keepers.
+func TestBoundsDetectsMissingKeepers(t *testing.T) {
+	var detected int
 	rapid.Check(t, func(t *rapid.T) {
-		if chaos(t, faultNoKeepers).broken != nil {
-			caught++
+		if runRandomFaults(t, faultNoKeepers).violation != nil {
+			detected++
 		}
 	})
-	t.Logf("caught in %d runs of 40", caught)
-	must.GreaterEq(t, 20, caught)
+	t.Logf("detected in %d runs of 40", detected)
+	must.GreaterEq(t, 20, detected)
 }
--- a/coord/limit/settings.go
+++ b/coord/limit/settings.go
@@ -5,65 +5,70 @@
 	"time"
 )
 
-// NodeID names a node as the roster does.
+// NodeID is the ID of a node in the roster, the list of member nodes.
 type NodeID string
 
 // Limit is an account's limit. A zero field is unlimited.
 type Limit struct {
-	// Requests are requests per second.
+	// Requests is the number of requests per second.
 	Requests float64
-	// Tokens are tokens per second, in the prompt and the answer.
+	// Tokens is the number of tokens per second, prompt and answer together.
 	Tokens float64
-	// Runs is the number of requests that may run at once.
+	// Runs is the maximum number of requests that run at the same time.
 	Runs int
 }
 
-// Amount is a quantity of what a Limit bounds by rate.
+// Amount is a quantity of requests and tokens, the resources that a Limit bounds
+// by rate.
 type Amount struct {
 	Requests float64 `json:"r,omitempty"`
 	Tokens   float64 `json:"t,omitempty"`
 }
 
-func (a Amount) plus(b Amount) Amount {
+func (a Amount) add(b Amount) Amount {
 	return Amount{a.Requests + b.Requests, a.Tokens + b.Tokens}
 }
 
-func (a Amount) minus(b Amount) Amount {
+func (a Amount) sub(b Amount) Amount {
 	return Amount{a.Requests - b.Requests, a.Tokens - b.Tokens}
 }
 
-func (a Amount) times(f float64) Amount {
+func (a Amount) scale(f float64) Amount {
 	return Amount{a.Requests * f, a.Tokens * f}
 }
 
-func (a Amount) atMost(b Amount) Amount {
+// minWith returns the field-wise minimum of a and b.
+func (a Amount) minWith(b Amount) Amount {
 	return Amount{min(a.Requests, b.Requests), min(a.Tokens, b.Tokens)}
 }
 
-func (a Amount) atLeast(b Amount) Amount {
+// maxWith returns the field-wise maximum of a and b.
+func (a Amount) maxWith(b Amount) Amount {
 	return Amount{max(a.Requests, b.Requests), max(a.Tokens, b.Tokens)}
 }
 
-// whole rounds a up, which keeps messages short.
-func (a Amount) whole() Amount {
+// ceil returns a rounded up to integers, which keeps messages short.
+func (a Amount) ceil() Amount {
 	return Amount{math.Ceil(a.Requests), math.Ceil(a.Tokens)}
 }
 
-// covers reports whether a is enough for b.
+// covers reports whether both fields of a are at least those of b.
 func (a Amount) covers(b Amount) bool {
 	return a.Requests >= b.Requests && a.Tokens >= b.Tokens
 }
 
-// lacking is the reason for refusing b where a is not enough for it.
-func (a Amount) lacking(b Amount) Reason {
+// shortfallReason returns the reason to refuse the charge b when the available
+// amount a does not cover it.
+func (a Amount) shortfallReason(b Amount) Reason {
 	if a.Requests < b.Requests {
 		return RequestsReached
 	}
 	return TokensReached
 }
 
-// seconds is how long it takes to earn a at rate: infinite if it never comes.
-func (a Amount) seconds(rate Amount) float64 {
+// secondsToEarn returns the time in seconds to earn a at rate per second. It is
+// infinite if the rate of a needed field is zero.
+func (a Amount) secondsToEarn(rate Amount) float64 {
 	var longest float64
 	if a.Requests > 0 {
 		longest = a.Requests / rate.Requests
@@ -74,11 +79,12 @@
 	return longest
 }
 
-// rate is the limit per second.
+// rate returns the limit's amount per second.
 func (l Limit) rate() Amount { return Amount{l.Requests, l.Tokens} }
 
-// bounded zeroes the fields of a that the limit leaves unlimited.
-func (l Limit) bounded(a Amount) Amount {
+// dropUnlimited returns a with the fields set to zero that the limit leaves
+// unlimited.
+func (l Limit) dropUnlimited(a Amount) Amount {
 	if l.Requests == 0 {
 		a.Requests = 0
 	}
@@ -88,7 +94,7 @@
 	return a
 }
 
-// clamp lowers the fields of a that the limit bounds to its rate.
+// clamp returns a with each limited field reduced to at most the limit's rate.
 func (l Limit) clamp(a Amount) Amount {
 	if l.Requests > 0 {
 		a.Requests = min(a.Requests, l.Requests)
@@ -99,32 +105,35 @@
 	return a
 }
 
-// Settings must be the same on all nodes; while they differ the bounds hold
-// for the most generous ones.
+// Settings configures the division of the limits. It must be the same on all
+// nodes; while it differs, the bounds hold only for the most permissive of the
+// settings in use.
 type Settings struct {
-	// Nodes is the most nodes that run at once.
+	// Nodes is the maximum number of nodes that run at the same time.
 	Nodes int
-	// Parts is the number of keepers of each account's pool. A dead keeper
-	// costs 1/Parts of the pool until the roster drops it.
+	// Parts is the number of keepers of each account's pool. While a keeper is
+	// dead and still in the roster, 1/Parts of the pool is unavailable.
 	Parts int
-	// StaticShare is the fraction of each limit that is spread evenly.
+	// StaticShare is the fraction of each limit that is divided evenly among
+	// the nodes.
 	StaticShare float64
-	// Lease is how long an amount that was lent may be used.
+	// Lease is how long a borrowed amount may be used.
 	Lease time.Duration
-	// RunLease is how long run slots that were lent may be used before they
-	// are renewed. A longer one costs fewer messages, and more time until a
-	// lender that takes over can lend run slots.
+	// RunLease is how long borrowed run slots may be used without renewal. A
+	// longer lease needs fewer messages, but delays the time from which a lender
+	// that takes over an account can lend run slots.
 	RunLease time.Duration
-	// Burst is how much of the pool can be saved up.
+	// Burst is the maximum time for which an unused pool accrues.
 	Burst time.Duration
-	// StaticBurst is how much of a static share can be saved up. On large
-	// fleets it decides whether a share is ever enough for one request.
+	// StaticBurst is the maximum time for which an unused static share accrues.
+	// On large fleets it determines whether a share ever covers one request.
 	StaticBurst time.Duration
-	// Drift is the most that a clock gains or loses during a part lease.
+	// Drift is the maximum that a clock gains or loses during a part lease.
 	Drift time.Duration
 }
 
-// DefaultSettings suit a fleet of the given size.
+// DefaultSettings returns settings for a fleet of at most the given number of
+// nodes.
 func DefaultSettings(nodes int) Settings {
 	return Settings{
 		Nodes:       nodes,
@@ -138,50 +147,53 @@
 	}
 }
 
-// PartLease is how long a keeper leases a part of the rates to a lender, and
-// RunPartLease a part of the run slots. A lender uses a part only while it
-// covers a whole lease to a borrower.
+// PartLease returns how long a keeper leases a part of the rates to a lender.
+// The lender uses the part only while the rest of this lease covers a whole
+// lease to a borrower.
 func (s Settings) PartLease() time.Duration { return 2 * s.Lease }
 
-// RunPartLease is described at PartLease.
+// RunPartLease returns how long a keeper leases a part of the run slots to a
+// lender. It corresponds to PartLease.
 func (s Settings) RunPartLease() time.Duration { return 2 * s.RunLease }
 
-// Excess is the most by which admissions in any window pass rate*window.
+// Excess returns the maximum by which the admitted amount in any time window
+// exceeds rate*window.
 func (s Settings) Excess(rate float64) float64 {
 	lent := (1 - s.StaticShare) * (s.Lease + s.Burst).Seconds()
 	static := s.StaticShare * s.StaticBurst.Seconds()
 	return rate * (lent + static)
 }
 
-// staticRate is what one node may always use.
+// staticRate returns the amount per second that one node may always use.
 func (s Settings) staticRate(l Limit) Amount {
-	return l.rate().times(s.StaticShare / float64(s.Nodes))
+	return l.rate().scale(s.StaticShare / float64(s.Nodes))
 }
 
-// staticDepth is the most that a static share can hold.
+// staticDepth returns the maximum amount that a static share accrues.
 func (s Settings) staticDepth(l Limit) Amount {
-	return s.staticRate(l).times(s.StaticBurst.Seconds())
+	return s.staticRate(l).scale(s.StaticBurst.Seconds())
 }
 
-// staticRuns is the number of runs that one node may always hold.
+// staticRuns returns the number of run slots that one node may always use.
 func (s Settings) staticRuns(l Limit) int {
 	return int(s.StaticShare * float64(l.Runs) / float64(s.Nodes))
 }
 
-// partRate is the rate that one part allows.
+// partRate returns the amount per second of one part of the pool.
 func (s Settings) partRate(l Limit) Amount {
-	return l.rate().times((1 - s.StaticShare) / float64(s.Parts))
+	return l.rate().scale((1 - s.StaticShare) / float64(s.Parts))
 }
 
-// poolRuns is the number of runs that a lender with the given number of parts
-// may lend.
+// poolRuns returns the number of run slots that a lender with the given number
+// of parts may lend.
 func (s Settings) poolRuns(l Limit, parts int) int {
 	pool := l.Runs - s.Nodes*s.staticRuns(l)
 	return pool * min(parts, s.Parts) / s.Parts
 }
 
-// maxCharge is the most that is asked for in advance of one request; what it
-// costs beyond that is owed. It fits a lender that holds half of the parts.
+// maxCharge returns the maximum that is charged to one request on admission; the
+// rest of its cost becomes debt. It is at most what a lender with half of the
+// parts can hold, so that one can lend it.
 func (s Settings) maxCharge(l Limit) Amount {
-	return l.rate().times((1 - s.StaticShare) * s.Burst.Seconds() / 2)
+	return l.rate().scale((1 - s.StaticShare) * s.Burst.Seconds() / 2)
 }
