--- a/coord/ticket/answers.go
+++ b/coord/ticket/answers.go
@@ -6,121 +6,126 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// answerOverhead is the memory of a kept answer besides its bytes.
+// answerOverhead is the estimated memory in bytes of a cached answer in addition
+// to its content.
 const answerOverhead = 192
 
-// owner is one account of one incarnation.
-type owner struct {
+// answerOwner identifies the cached answers of one account's tickets from one
+// incarnation.
+type answerOwner struct {
 	executor Incarnation
 	account  string
 }
 
-// keptAnswer is an answer that a retry gets again.
-type keptAnswer struct {
+// cachedAnswer is the answer of a finished call, kept for retries.
+type cachedAnswer struct {
 	fingerprint Fingerprint
 	answer      Answer
-	at          time.Time // with monotonic reading
+	storedAt    time.Time // with monotonic clock reading
 }
 
-func (k keptAnswer) cost() int { return len(k.answer) + answerOverhead }
+func (k cachedAnswer) size() int { return len(k.answer) + answerOverhead }
 
-// shelf holds the answers of one owner, oldest first.
-type shelf struct {
-	answers *simplelru.LRU[uint64, keptAnswer]
+// accountAnswers holds the cached answers of one owner, oldest first.
+type accountAnswers struct {
+	answers *simplelru.LRU[uint64, cachedAnswer]
 	bytes   int
 }
 
-// answerCache is bounded by count for each owner and by bytes in total. When
-// the bytes run out the owner that holds most gives up its oldest answers, so a
-// large account can't push out those of a small one.
+// answerCache caches answers, with a maximum number of answers per owner and a
+// maximum total size in bytes. When the total is exceeded, the oldest answers of
+// the owner with the most bytes are evicted, so that a large account cannot
+// evict the answers of a small one.
 type answerCache struct {
-	perOwner int
-	maxBytes int
-	keepFor  time.Duration
-	bytes    int
-	shelves  map[owner]*shelf
+	maxPerOwner int
+	maxBytes    int
+	ttl         time.Duration
+	bytes       int
+	byOwner     map[answerOwner]*accountAnswers
 }
 
-func newAnswerCache(perOwner, maxBytes int, keepFor time.Duration) *answerCache {
+func newAnswerCache(maxPerOwner, maxBytes int, ttl time.Duration) *answerCache {
 	return &answerCache{
-		perOwner: perOwner,
-		maxBytes: maxBytes,
-		keepFor:  keepFor,
-		shelves:  make(map[owner]*shelf),
+		maxPerOwner: maxPerOwner,
+		maxBytes:    maxBytes,
+		ttl:         ttl,
+		byOwner:     make(map[answerOwner]*accountAnswers),
 	}
 }
 
-func (c *answerCache) get(o owner, serial uint64) (keptAnswer, bool) {
-	s := c.shelves[o]
+func (c *answerCache) get(o answerOwner, serial uint64) (cachedAnswer, bool) {
+	s := c.byOwner[o]
 	if s == nil {
-		return keptAnswer{}, false
+		return cachedAnswer{}, false
 	}
-	c.dropAged(o, s)
+	c.removeExpired(o, s)
 	return s.answers.Peek(serial)
 }
 
-func (c *answerCache) put(o owner, serial uint64, k keptAnswer) {
-	s := c.shelves[o]
+func (c *answerCache) put(o answerOwner, serial uint64, k cachedAnswer) {
+	s := c.byOwner[o]
 	if s == nil {
-		s = c.newShelf(o)
+		s = c.newAccountAnswers(o)
 	}
-	c.dropAged(o, s)
-	c.shelves[o] = s
-	s.bytes += k.cost()
-	c.bytes += k.cost()
+	c.removeExpired(o, s)
+	c.byOwner[o] = s
+	s.bytes += k.size()
+	c.bytes += k.size()
 	s.answers.Add(serial, k)
 	for c.bytes > c.maxBytes {
-		c.dropOldest(c.largest())
+		c.removeOldest(c.largestOwner())
 	}
 }
 
-func (c *answerCache) newShelf(o owner) *shelf {
-	s := &shelf{}
-	forget := func(_ uint64, k keptAnswer) {
-		s.bytes -= k.cost()
-		c.bytes -= k.cost()
+func (c *answerCache) newAccountAnswers(o answerOwner) *accountAnswers {
+	s := &accountAnswers{}
+	onEvict := func(_ uint64, k cachedAnswer) {
+		s.bytes -= k.size()
+		c.bytes -= k.size()
 	}
-	// The size is checked by Config, the only cause of an error.
-	s.answers, _ = simplelru.NewLRU(c.perOwner, forget)
+	// NewLRU fails only if the size is not positive, which Config.validate
+	// excludes.
+	s.answers, _ = simplelru.NewLRU(c.maxPerOwner, onEvict)
 	return s
 }
 
-// dropAged removes the answers whose time has passed.
-func (c *answerCache) dropAged(o owner, s *shelf) {
+// removeExpired removes the owner's answers that are older than the TTL.
+func (c *answerCache) removeExpired(o answerOwner, s *accountAnswers) {
 	for {
 		_, k, ok := s.answers.GetOldest()
-		if !ok || time.Since(k.at) <= c.keepFor {
+		if !ok || time.Since(k.storedAt) <= c.ttl {
 			return
 		}
-		c.dropOldest(o)
+		c.removeOldest(o)
 	}
 }
 
-func (c *answerCache) dropOldest(o owner) {
-	s := c.shelves[o]
+func (c *answerCache) removeOldest(o answerOwner) {
+	s := c.byOwner[o]
 	s.answers.RemoveOldest()
 	if s.answers.Len() == 0 {
-		delete(c.shelves, o)
+		delete(c.byOwner, o)
 	}
 }
 
-// drop removes all answers of an incarnation.
-func (c *answerCache) drop(executor Incarnation) {
-	for o, s := range c.shelves {
+// removeIncarnation removes all answers of an incarnation's tickets.
+func (c *answerCache) removeIncarnation(executor Incarnation) {
+	for o, s := range c.byOwner {
 		if o.executor == executor {
 			c.bytes -= s.bytes
-			delete(c.shelves, o)
+			delete(c.byOwner, o)
 		}
 	}
 }
 
-func (c *answerCache) largest() owner {
-	var most owner
+// largestOwner returns the owner whose answers use the most bytes.
+func (c *answerCache) largestOwner() answerOwner {
+	var largest answerOwner
 	bytes := -1
-	for o, s := range c.shelves {
+	for o, s := range c.byOwner {
 		if s.bytes > bytes {
-			most, bytes = o, s.bytes
+			largest, bytes = o, s.bytes
 		}
 	}
-	return most
+	return largest
 }
--- a/coord/ticket/cluster_test.go
+++ b/coord/ticket/cluster_test.go
@@ -17,7 +17,7 @@
 	"github.com/cherryward/cherryward/coord/ticket"
 )
 
-// The property runs with a fixed seed unless a flag asks for another.
+// The property tests use a fixed seed unless a flag sets another one.
 func init() { flag.Set("rapid.seed", "1") }
 
 var key = ticket.Key(bytes.Repeat([]byte{7}, ticket.KeyBytes))
@@ -29,33 +29,33 @@
 	}
 }
 
-// fault is a deliberately broken variant that the invariants must catch.
+// fault is a deliberate defect that the invariant checks must detect.
 type fault int
 
 const (
-	sound            fault = iota
-	reuseIncarnation       // a restart forgets the window and keeps the incarnation
-	retryElsewhere         // a lost answer is retried by the entry node itself
-	readdress              // a restarted successor accepts the old handover
+	faultNone              fault = iota
+	faultReuseIncarnation        // a restart loses the window but keeps the incarnation
+	faultRetryElsewhere          // after a lost answer the call runs again, bypassing the executor
+	faultReaddressHandover       // a node accepts a handover to another incarnation
 )
 
-// cluster is a set of nodes before one service, with the callers' side of each
-// ticket. It runs in a synctest bubble; pick chooses what happens.
+// cluster simulates nodes in front of one service, and the callers with their
+// tickets. It runs in a synctest bubble; pick makes the random choices.
 type cluster struct {
-	broken  fault
-	pick    func(n int) int
-	starts  uint64
-	nodes   []*process
-	tickets []*issued
-	records []*ticket.Handover
+	injectedFault fault
+	pick          func(n int) int
+	startCount    uint64
+	nodes         []*process
+	tickets       []*issuedTicket
+	handovers     []*ticket.Handover
 
-	mu     sync.Mutex // guards what calls in flight write
-	faults []string
+	mu         sync.Mutex // protects the state that in-flight calls modify
+	violations []string
 }
 
-// source returns a choice of its own for one call, so that calls in flight
-// don't change each other's.
-func (c *cluster) source() func(int) int {
+// newPick returns a separate random source for one call, so that concurrent calls
+// do not affect each other's choices.
+func (c *cluster) newPick() func(int) int {
 	random := rand.New(rand.NewPCG(uint64(c.pick(1<<30)), 2))
 	var mu sync.Mutex
 	return func(n int) int {
@@ -71,15 +71,15 @@
 	dead atomic.Bool
 }
 
-type issued struct {
+type issuedTicket struct {
 	text       string
-	presented  int
+	attempts   int
 	executions int
-	notRun     bool // the caller was told so and gave the ticket up
+	notRun     bool // the caller received not_run and does not retry
 }
 
-func newCluster(broken fault, pick func(int) int) *cluster {
-	c := &cluster{broken: broken, pick: pick}
+func newCluster(injectedFault fault, pick func(int) int) *cluster {
+	c := &cluster{injectedFault: injectedFault, pick: pick}
 	for i := range 3 {
 		c.nodes = append(c.nodes, nil)
 		c.start(i)
@@ -88,9 +88,9 @@
 }
 
 func (c *cluster) start(i int) {
-	c.starts++
-	run := c.starts
-	if c.broken == reuseIncarnation {
+	c.startCount++
+	run := c.startCount
+	if c.injectedFault == faultReuseIncarnation {
 		run = 1
 	}
 	self := ticket.Incarnation{Node: strconv.Itoa(i), Run: run}
@@ -102,53 +102,55 @@
 		c.nodes[i].dead.Store(true)
 	}
 	c.nodes[i] = &process{self: self, exec: exec}
-	if c.broken == reuseIncarnation {
+	if c.injectedFault == faultReuseIncarnation {
 		exec.Issue("acme", 32)
 	}
 }
 
 func (c *cluster) check(ok bool, format string, args ...any) {
 	if !ok {
-		c.faults = append(c.faults, fmt.Sprintf(format, args...))
+		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-func (c *cluster) view() []*process {
+func (c *cluster) currentNodes() []*process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.nodes)
 }
 
-// present counts a caller's attempt, unless it gave the ticket up.
-func (c *cluster) present(k int) (call ticket.Call, ok bool) {
+// recordAttempt counts an attempt and returns its call. ok is false if the caller
+// no longer uses the ticket because it received not_run.
+func (c *cluster) recordAttempt(k int) (call ticket.Call, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tickets[k]
-	t.presented++
-	return ticket.Call{Ticket: t.text, Account: "acme", First: t.presented == 1}, !t.notRun
+	t.attempts++
+	return ticket.Call{Ticket: t.text, Account: "acme", First: t.attempts == 1}, !t.notRun
 }
 
 func (c *cluster) redeem(i, k int) {
 	p, t := c.nodes[i], c.tickets[k]
-	call, ok := c.present(k)
+	call, ok := c.recordAttempt(k)
 	if !ok {
 		return
 	}
-	pick := c.source()
+	pick := c.newPick()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+pick(8))*time.Second)
 		defer cancel()
 		lookup := func(inc ticket.Incarnation) ticket.Presence { return c.lookup(pick, inc) }
-		r := ticket.Redeemer{Executor: p.exec, Lookup: lookup, Forwarder: link{c, pick, k}}
+		r := ticket.Redeemer{Executor: p.exec, Lookup: lookup, Forwarder: faultyLink{c, pick, k}}
 		answer, err := r.Redeem(ctx, call, c.run(p, pick, k))
 		if !p.dead.Load() {
-			c.judge(t, k, call.First, answer, err)
+			c.checkAnswer(t, k, call.First, answer, err)
 		}
 	}()
 }
 
-// judge holds an answer against what the service saw.
-func (c *cluster) judge(t *issued, k int, first bool, answer ticket.Answer, err error) {
+// checkAnswer checks an answer or error against the executions that the service
+// counted.
+func (c *cluster) checkAnswer(t *issuedTicket, k int, first bool, answer ticket.Answer, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := &ticket.Error{}
@@ -158,8 +160,8 @@
 		c.check(t.executions == 1, "ticket %d: ran, with %d executions", k, t.executions)
 		c.check(err != nil || string(answer) == strconv.Itoa(k), "ticket %d: answer %q", k, answer)
 	case ticket.NotRun:
-		c.check(first || final, "ticket %d: not_run without knowledge: %v", k, err)
-		if final || t.presented == 1 {
+		c.check(first || final, "ticket %d: non-final not_run for a retry: %v", k, err)
+		if final || t.attempts == 1 {
 			c.check(t.executions == 0, "ticket %d: not_run, with %d executions", k, t.executions)
 			t.notRun = true
 		}
@@ -173,25 +175,26 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil && !p.dead.Load() {
-		c.records = append(c.records, h)
+		c.handovers = append(c.handovers, h)
 	}
 }
 
-// deliver brings any handover record to any node, late or again.
-func (c *cluster) deliver(to int) {
+// deliverHandover delivers a random handover record, possibly late or repeated,
+// to the given node, which need not be its receiver.
+func (c *cluster) deliverHandover(to int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.records) == 0 {
+	if len(c.handovers) == 0 {
 		return
 	}
-	record := *c.records[c.pick(len(c.records))]
-	if c.broken == readdress {
+	record := *c.handovers[c.pick(len(c.handovers))]
+	if c.injectedFault == faultReaddressHandover {
 		record.To = c.nodes[to].self
 	}
 	c.nodes[to].exec.Adopt(&record)
 }
 
-func (c *cluster) add(t *issued) {
+func (c *cluster) addTicket(t *issuedTicket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tickets = append(c.tickets, t)
@@ -203,7 +206,7 @@
 	case 0, 1:
 		batch, _ := c.nodes[i].exec.Issue("acme", 2)
 		for _, text := range batch {
-			c.add(&issued{text: text})
+			c.addTicket(&issuedTicket{text: text})
 		}
 	case 2:
 		c.start(i)
@@ -212,7 +215,7 @@
 			go c.handOver(c.nodes[i], c.nodes[j], time.Duration(c.pick(5))*time.Second)
 		}
 	case 4, 5:
-		c.deliver(j)
+		c.deliverHandover(j)
 	case 6:
 		time.Sleep(time.Duration(c.pick(6)) * time.Second)
 	default:
@@ -224,8 +227,8 @@
 	synctest.Wait()
 }
 
-// settle lets all calls, delayed copies and drains end.
-func (c *cluster) settle() {
+// waitForCalls waits until all calls, delayed duplicates and drains have ended.
+func (c *cluster) waitForCalls() {
 	time.Sleep(time.Hour)
 	synctest.Wait()
 }
--- a/coord/ticket/doc.go
+++ b/coord/ticket/doc.go
@@ -1,24 +1,26 @@
-// Package ticket runs non-idempotent calls at most once without a shared
-// store, agreement or clocks that are compared between nodes.
+// Package ticket runs non-idempotent calls at most once. It needs no shared
+// store, no consensus and no synchronised clocks.
 //
-// A ticket names the one process incarnation that may run the call. A client
-// account takes tickets in batches, sends one with each non-idempotent call to
-// any node, and repeats the call with the same ticket when the answer is lost.
-// Whichever node receives it forwards it to the named incarnation, which keeps
-// two bits for each serial that it issued and, for a bounded time, the answer.
+// A ticket names the single process incarnation, its executor, that may run the
+// call. A client account requests tickets in batches, sends one with each
+// non-idempotent call to any node, and retries the call with the same ticket if
+// the answer is lost. The node that receives the call forwards it to the
+// executor, which stores two bits for each serial that it issued and, for a
+// limited time, the answer.
 //
-// Guarantees, whatever is lost, repeated, delayed or killed:
+// The following guarantees hold if messages are lost, duplicated or delayed and
+// if processes are killed:
 //
-//   - A ticket's call begins at most once. When its executor is gone, nobody
-//     runs it; the caller gets [MayHaveRun].
-//   - An answer of [NotRun] is true: the call did not run, and will not unless
-//     the caller itself presents the ticket again. When the executor has begun
-//     a call and the service said that nothing was executed, the ticket is
-//     spent: a copy delayed on the way can't run after the refusal.
-//   - A retry gets the same answer while that is kept, then [Ran] or
+//   - A ticket's call is started at most once. If its executor is gone, the call
+//     is not run, and the caller gets [MayHaveRun].
+//   - [NotRun] is reliable: the call did not run, and will not unless the caller
+//     presents the ticket again. If the executor started the call and the
+//     service reported that nothing was executed, the ticket is used up, so that
+//     a delayed duplicate of the call cannot run after the refusal.
+//   - A retry gets the same answer while it is cached, and afterwards [Ran] or
 //     [MayHaveRun] without an answer.
-//   - A ticket is of use only to the account that it was issued to.
+//   - A ticket is valid only for the account that it was issued to.
 //
-// The guarantee rests on incarnations: each start of a process takes a new
-// random one with [NewIncarnation] and never restores an earlier one.
+// The guarantees depend on unique incarnations: each start of a process must
+// create a new one with [NewIncarnation] and never restore an earlier one.
 package ticket
--- a/coord/ticket/error.go
+++ b/coord/ticket/error.go
@@ -5,20 +5,21 @@
 	"fmt"
 )
 
-// RunState tells whether a call reached execution. The zero value is the one
-// that promises nothing.
+// RunState tells whether a call was executed. The zero value, MayHaveRun, is the
+// one without a guarantee.
 type RunState uint8
 
 // The run states.
 const (
-	MayHaveRun RunState = iota // nobody can tell; never repeat the call under another ticket
-	NotRun                     // it did not run
-	Ran                        // it ran to its end
+	MayHaveRun RunState = iota // unknown; never retry the call with another ticket
+	NotRun                     // the call did not run
+	Ran                        // the call ran to completion
 )
 
 var runStateNames = [...]string{MayHaveRun: "may_have_run", NotRun: "not_run", Ran: "ran"}
 
-// String returns the state's name in messages.
+// String returns the state's name as used in messages. It returns the name of
+// MayHaveRun for an invalid state.
 func (s RunState) String() string {
 	if int(s) < len(runStateNames) {
 		return runStateNames[s]
@@ -29,7 +30,8 @@
 // MarshalText encodes the state by its name.
 func (s RunState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText decodes a state; a name that is not known is MayHaveRun.
+// UnmarshalText decodes a state. It decodes an unknown name as MayHaveRun and
+// never fails.
 func (s *RunState) UnmarshalText(text []byte) error {
 	*s = MayHaveRun
 	for state, name := range runStateNames {
@@ -43,34 +45,34 @@
 // Reason is the cause of an [Error].
 type Reason string
 
-// The reasons. Each names the run state it comes with.
+// The reasons, each with its description and the run state reported with it.
 const (
 	ReasonMalformed        Reason = "malformed"         // not a ticket; not_run
 	ReasonForged           Reason = "forged"            // wrong authentication code; not_run
 	ReasonOtherAccount     Reason = "other_account"     // issued to another account; not_run
-	ReasonDifferentRequest Reason = "different_request" // ticket is bound to another request; this one is not_run
-	ReasonCancelled        Reason = "cancelled"         // caller gave up before the call began; not_run
-	ReasonRefused          Reason = "refused"           // the service executed nothing, the ticket is spent; not_run
-	ReasonUnreachable      Reason = "unreachable"       // no byte reached the executor; not_run
-	ReasonMoved            Reason = "moved"             // handed to Error.Successor; not_run here
+	ReasonDifferentRequest Reason = "different_request" // ticket is bound to another request; this request is not_run
+	ReasonCancelled        Reason = "cancelled"         // caller cancelled before the call started; not_run
+	ReasonRefused          Reason = "refused"           // the service executed nothing, the ticket is used up; not_run
+	ReasonUnreachable      Reason = "unreachable"       // nothing was sent to the executor; not_run
+	ReasonMoved            Reason = "moved"             // handed over to Error.Successor; not_run here
 	ReasonExpired          Reason = "expired"           // older than the executor's window; may_have_run
-	ReasonUnissued         Reason = "unissued"          // the executor does not know the serial; may_have_run
+	ReasonUnissued         Reason = "unissued"          // the executor has no record of issuing the serial; may_have_run
 	ReasonNotExecutor      Reason = "not_executor"      // this node does not serve the incarnation; may_have_run
 	ReasonExecutorGone     Reason = "executor_gone"     // the incarnation has ended; may_have_run
-	ReasonAnswerLost       Reason = "answer_lost"       // sent to the executor, no answer; may_have_run
-	ReasonWaitEnded        Reason = "wait_ended"        // caller gave up during the run; may_have_run
-	ReasonOutcomeUnknown   Reason = "outcome_unknown"   // the run broke midway; may_have_run
-	ReasonAnswerGone       Reason = "answer_gone"       // it ran, the answer is no longer kept; ran
+	ReasonAnswerLost       Reason = "answer_lost"       // sent to the executor, but no answer received; may_have_run
+	ReasonWaitEnded        Reason = "wait_ended"        // caller's context ended during the run; may_have_run
+	ReasonOutcomeUnknown   Reason = "outcome_unknown"   // the run failed or was interrupted; may_have_run
+	ReasonAnswerGone       Reason = "answer_gone"       // the call ran, but no answer is available; ran
 )
 
-// Error is the failure of a redemption. It can be encoded as JSON, so that a
-// [Forwarder] carries the executor's own word back unchanged.
+// Error is the error of a failed redemption. It can be encoded as JSON, so that
+// a [Forwarder] can return the executor's error unchanged.
 type Error struct {
 	Reason Reason   `json:"reason"`
 	State  RunState `json:"state"`
-	// Final means that State holds for the ticket, not just for this attempt,
-	// and that presenting the ticket again cannot change it. Where it is false
-	// a retry with the same ticket is safe and may do better.
+	// Final means that State applies to the ticket, not just to this attempt,
+	// and that presenting the ticket again cannot change it. If Final is false,
+	// a retry with the same ticket is safe and may have a better result.
 	Final bool `json:"final,omitempty"`
 	// Successor is set with ReasonMoved.
 	Successor *Incarnation `json:"successor,omitempty"`
@@ -80,7 +82,7 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// Error describes the failure.
+// Error returns a text with the reason, the run state and the detail, if any.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("ticket: %s (%s)", e.Reason, e.State)
 	if e.Detail != "" {
@@ -92,8 +94,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// StateOf returns the run state that err tells of: Ran for nil, MayHaveRun for
-// an error that is no *Error.
+// StateOf returns the run state reported by err: Ran for nil, and MayHaveRun for
+// an error that is not an *Error.
 func StateOf(err error) RunState {
 	if err == nil {
 		return Ran
@@ -104,7 +106,7 @@
 	return MayHaveRun
 }
 
-// ReasonOf returns the reason of err, or "" if it is no *Error.
+// ReasonOf returns the reason of err, or "" if err is not an *Error.
 func ReasonOf(err error) Reason {
 	if e, ok := errors.AsType[*Error](err); ok {
 		return e.Reason
@@ -112,14 +114,15 @@
 	return ""
 }
 
-// Refused wraps the error of a run function that is certain that nothing was
-// executed: the failure came before the first byte, or the service said so.
+// Refused wraps the error of a run function when it is certain that nothing was
+// executed: the call failed before its first byte was sent, or the service
+// reported so.
 func Refused(cause error) error {
-	return newError(ReasonRefused, NotRun, cause)
+	return attemptError(ReasonRefused, NotRun, cause)
 }
 
-// newError returns an error that speaks of this attempt only.
-func newError(reason Reason, state RunState, cause error) *Error {
+// attemptError returns an error whose state applies to this attempt only.
+func attemptError(reason Reason, state RunState, cause error) *Error {
 	e := &Error{Reason: reason, State: state, Cause: cause}
 	if cause != nil {
 		e.Detail = cause.Error()
@@ -127,9 +130,9 @@
 	return e
 }
 
-// finalError returns an error that speaks of the ticket.
-func finalError(reason Reason, state RunState, cause error) *Error {
-	e := newError(reason, state, cause)
+// ticketError returns a final error, whose state applies to the ticket.
+func ticketError(reason Reason, state RunState, cause error) *Error {
+	e := attemptError(reason, state, cause)
 	e.Final = true
 	return e
 }
--- a/coord/ticket/executor.go
+++ b/coord/ticket/executor.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Answer is the encoded answer of a call, opaque to this package. It is shared
-// between retries and must not be modified.
+// Answer is the encoded answer of a call, opaque to this package. Retries return
+// the same slice, which must not be modified.
 type Answer []byte
 
-// RunFunc makes the call. A nil error means that it ran and Answer is its
-// result, be it a service's own error. An error of [Refused] means that nothing
-// was executed; any other leaves the outcome unknown and the call is never
-// begun again. Attempts at several endpoints, where the first refused for
-// certain, belong inside one RunFunc.
+// RunFunc executes the call. A nil error means that the call ran and that Answer
+// is its result, which may be an error response of the service. An error from
+// [Refused] means that nothing was executed. After any other error the outcome
+// is unknown, and the call is never started again. A RunFunc may try several
+// endpoints, as long as each previous one certainly executed nothing.
 //
-// Its context has the values of the first caller, but ends neither with that
-// caller nor at its deadline: others may wait for the same run, or ask for its
-// answer later. It ends with the cause context.DeadlineExceeded, Config.RunOn
-// after the last deadline of those who waited.
+// The context has the values of the first caller's context, but not its
+// cancellation and deadline, because other callers may wait for the same run or
+// request its answer later. It is cancelled with the cause
+// context.DeadlineExceeded when Config.RunOn has passed since the latest
+// deadline of the callers, and never if one of them has no deadline.
 type RunFunc func(ctx context.Context) (Answer, error)
 
 // Executor issues tickets that name this process and runs them at most once. It
@@ -31,58 +32,59 @@
 
 	mu        sync.Mutex
 	ledgers   map[Incarnation]*ledger
-	retired   map[Incarnation]bool // adopted once, served no more
+	retired   map[Incarnation]bool // formerly adopted, no longer served
 	answers   *answerCache
 	successor *Incarnation // set when draining; never cleared
 	handover  *Handover
 }
 
-// ledger is what is known of one incarnation's tickets.
+// ledger holds the state of the tickets issued by one incarnation.
 type ledger struct {
-	accounts map[string]*account
-	adopted  time.Time // zero for the executor's own
+	accounts  map[string]*accountState
+	adoptedAt time.Time // time of the first handover; zero for the executor's own ledger
 }
 
-// account is one account's part of a ledger.
-type account struct {
+// accountState holds the state of one account's tickets in a ledger.
+type accountState struct {
 	window  window
 	running map[uint64]*execution
 }
 
-// execution is a run that has begun and not ended.
+// execution is a run of a call, in progress or finished.
 type execution struct {
 	fingerprint Fingerprint
 	done        chan struct{}
-	answer      Answer // once done is closed
+	answer      Answer // answer and err are valid once done is closed
 	err         error
 
-	until  time.Time   // when the run is given up; zero for never
-	giveUp *time.Timer // at until; nil for never
-	cancel context.CancelCauseFunc
+	cancelAt    time.Time   // when the run is cancelled; zero for never
+	cancelTimer *time.Timer // fires at cancelAt; nil for never
+	cancel      context.CancelCauseFunc
 }
 
-// New returns an executor for this process's incarnation.
+// New returns an executor for this process's incarnation. It fails if the
+// configuration is invalid.
 func New(config Config) (*Executor, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	return &Executor{
 		config:  config,
-		ledgers: map[Incarnation]*ledger{config.Self: {accounts: make(map[string]*account)}},
+		ledgers: map[Incarnation]*ledger{config.Self: {accounts: make(map[string]*accountState)}},
 		retired: make(map[Incarnation]bool),
 		answers: newAnswerCache(config.KeepAnswers, config.KeepBytes, config.KeepFor),
 	}, nil
 }
 
-// Do redeems a parsed ticket presented by the account with the request of the
-// fingerprint. The first redemption runs the call; one that comes during the
-// run waits for its end; a later one gets the kept answer. It fails with an
-// *Error; presenting the ticket again is always safe.
+// Do redeems a parsed ticket that the account presented with the request
+// identified by fp. The first redemption runs the call, one during the run waits
+// for its end, and a later one gets the cached answer. It fails with an *Error;
+// presenting the ticket again is always safe.
 func (e *Executor) Do(ctx context.Context, t Ticket, accountID string, fp Fingerprint, run RunFunc) (Answer, error) {
 	if t.Account != accountID {
-		return nil, newError(ReasonOtherAccount, NotRun, nil)
+		return nil, attemptError(ReasonOtherAccount, NotRun, nil)
 	}
-	x, err := e.join(ctx, t, fp, run)
+	x, err := e.findOrStart(ctx, t, fp, run)
 	if err != nil {
 		return nil, err
 	}
@@ -90,12 +92,13 @@
 	case <-x.done:
 		return x.answer, x.err
 	case <-ctx.Done():
-		return nil, newError(ReasonWaitEnded, MayHaveRun, context.Cause(ctx))
+		return nil, attemptError(ReasonWaitEnded, MayHaveRun, context.Cause(ctx))
 	}
 }
 
-// join returns the ticket's execution, begun by this call or an earlier one.
-func (e *Executor) join(ctx context.Context, t Ticket, fp Fingerprint, run RunFunc) (*execution, error) {
+// findOrStart returns the ticket's execution, started now or by an earlier
+// redemption.
+func (e *Executor) findOrStart(ctx context.Context, t Ticket, fp Fingerprint, run RunFunc) (*execution, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a, err := e.lookup(t)
@@ -103,86 +106,91 @@
 		return nil, err
 	}
 	if x := a.running[t.Serial]; x != nil {
-		if err := sameRequest(x.fingerprint, fp); err != nil {
+		if err := checkFingerprint(x.fingerprint, fp); err != nil {
 			return nil, err
 		}
-		x.waitFor(ctx, e.config.RunOn)
+		x.extendCancelTimer(ctx, e.config.RunOn)
 		return x, nil
 	}
-	if k, ok := e.answers.get(owner{t.Executor, t.Account}, t.Serial); ok {
-		return ended(k.answer), sameRequest(k.fingerprint, fp)
+	if k, ok := e.answers.get(answerOwner{t.Executor, t.Account}, t.Serial); ok {
+		return finishedExecution(k.answer), checkFingerprint(k.fingerprint, fp)
 	}
 	if !a.window.contains(t.Serial) {
-		return nil, outside(&a.window, t.Serial)
+		return nil, outsideWindowError(&a.window, t.Serial)
 	}
-	if err := spent(a.window.outcome(t.Serial)); err != nil {
+	if err := outcomeError(a.window.outcome(t.Serial)); err != nil {
 		return nil, err
 	}
 	if e.successor != nil {
-		return nil, e.moved()
+		return nil, e.movedError()
 	}
 	if ctx.Err() != nil {
-		return nil, newError(ReasonCancelled, NotRun, context.Cause(ctx))
+		return nil, attemptError(ReasonCancelled, NotRun, context.Cause(ctx))
 	}
-	return e.begin(ctx, a, t, fp, run), nil
+	return e.start(ctx, a, t, fp, run), nil
 }
 
-// lookup finds the account's part of the ledger that the ticket belongs to.
-func (e *Executor) lookup(t Ticket) (*account, error) {
-	e.retireAged()
+// lookup returns the state of the account's tickets in the ledger of the
+// ticket's incarnation. It fails if this executor does not serve the incarnation
+// or has issued no ticket to the account.
+func (e *Executor) lookup(t Ticket) (*accountState, error) {
+	e.retireExpired()
 	l := e.ledgers[t.Executor]
 	if l == nil && e.retired[t.Executor] {
-		return nil, newError(ReasonExpired, MayHaveRun, nil)
+		return nil, attemptError(ReasonExpired, MayHaveRun, nil)
 	}
 	if l == nil {
-		return nil, newError(ReasonNotExecutor, MayHaveRun, nil)
+		return nil, attemptError(ReasonNotExecutor, MayHaveRun, nil)
 	}
 	a := l.accounts[t.Account]
 	if a == nil {
-		return nil, newError(ReasonUnissued, MayHaveRun, nil)
+		return nil, attemptError(ReasonUnissued, MayHaveRun, nil)
 	}
 	return a, nil
 }
 
-func (e *Executor) begin(ctx context.Context, a *account, t Ticket, fp Fingerprint, run RunFunc) *execution {
+func (e *Executor) start(ctx context.Context, a *accountState, t Ticket, fp Fingerprint, run RunFunc) *execution {
 	detached, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	x := &execution{fingerprint: fp, done: make(chan struct{}), cancel: cancel}
-	x.giveUpAfter(ctx, e.config.RunOn)
+	x.startCancelTimer(ctx, e.config.RunOn)
 	a.running[t.Serial] = x
-	a.window.record(t.Serial, begun)
+	a.window.record(t.Serial, outcomeStarted)
 	go e.execute(detached, a, t, x, run)
 	return x
 }
 
-// giveUpAfter bounds a run that begins by the deadline of its first caller.
-func (x *execution) giveUpAfter(ctx context.Context, runOn time.Duration) {
+// startCancelTimer schedules the cancellation of a new run, runOn after the
+// deadline of ctx. Without a deadline the run is not cancelled.
+func (x *execution) startCancelTimer(ctx context.Context, runOn time.Duration) {
 	deadline, limited := ctx.Deadline()
 	if !limited {
 		return
 	}
-	x.until = deadline.Add(runOn)
-	x.giveUp = time.AfterFunc(time.Until(x.until), func() { x.cancel(context.DeadlineExceeded) })
+	x.cancelAt = deadline.Add(runOn)
+	x.cancelTimer = time.AfterFunc(time.Until(x.cancelAt), func() { x.cancel(context.DeadlineExceeded) })
 }
 
-// waitFor has a bounded run go on for as long as one more caller waits for it.
-func (x *execution) waitFor(ctx context.Context, runOn time.Duration) {
-	if x.giveUp == nil {
+// extendCancelTimer postpones the cancellation of a run to runOn after the
+// deadline of another caller's ctx, if that is later, and stops the timer if
+// ctx has no deadline.
+func (x *execution) extendCancelTimer(ctx context.Context, runOn time.Duration) {
+	if x.cancelTimer == nil {
 		return
 	}
 	deadline, limited := ctx.Deadline()
 	switch {
 	case !limited:
-		x.giveUp.Stop()
-		x.giveUp = nil
-	case deadline.Add(runOn).After(x.until):
-		x.until = deadline.Add(runOn)
-		x.giveUp.Reset(time.Until(x.until))
+		x.cancelTimer.Stop()
+		x.cancelTimer = nil
+	case deadline.Add(runOn).After(x.cancelAt):
+		x.cancelAt = deadline.Add(runOn)
+		x.cancelTimer.Reset(time.Until(x.cancelAt))
 	}
 }
 
 var errPanicked = errors.New("run function panicked or exited")
 
-func (e *Executor) execute(ctx context.Context, a *account, t Ticket, x *execution, run RunFunc) {
+func (e *Executor) execute(ctx context.Context, a *accountState, t Ticket, x *execution, run RunFunc) {
 	var answer Answer
 	err := errPanicked
 	defer func() {
@@ -195,66 +203,69 @@
 	answer, err = run(ctx)
 }
 
-// finish records the outcome before any waiter learns of it.
-func (e *Executor) finish(a *account, t Ticket, x *execution, answer Answer, err error) {
+// finish records the outcome, and then notifies the callers that wait for it.
+func (e *Executor) finish(a *accountState, t Ticket, x *execution, answer Answer, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(a.running, t.Serial)
-	if x.giveUp != nil {
-		x.giveUp.Stop()
+	if x.cancelTimer != nil {
+		x.cancelTimer.Stop()
 	}
 	switch StateOf(err) {
 	case NotRun:
-		a.window.record(t.Serial, refused)
-		x.err = finalError(ReasonRefused, NotRun, err)
+		a.window.record(t.Serial, outcomeRefused)
+		x.err = ticketError(ReasonRefused, NotRun, err)
 	case Ran:
-		a.window.record(t.Serial, ran)
-		x.answer, x.err = e.keep(t, x.fingerprint, answer, err)
+		a.window.record(t.Serial, outcomeRan)
+		x.answer, x.err = e.storeAnswer(t, x.fingerprint, answer, err)
 	default:
-		x.err = finalError(ReasonOutcomeUnknown, MayHaveRun, err)
+		x.err = ticketError(ReasonOutcomeUnknown, MayHaveRun, err)
 	}
 	close(x.done)
 }
 
-// keep stores an answer. A run that ended without one has an error.
-func (e *Executor) keep(t Ticket, fp Fingerprint, answer Answer, err error) (Answer, error) {
+// storeAnswer caches and returns the answer of a call that ran. If the run
+// returned an error instead, it returns a final error.
+func (e *Executor) storeAnswer(t Ticket, fp Fingerprint, answer Answer, err error) (Answer, error) {
 	if err != nil {
-		return nil, finalError(ReasonAnswerGone, Ran, err)
+		return nil, ticketError(ReasonAnswerGone, Ran, err)
 	}
-	k := keptAnswer{fingerprint: fp, answer: answer, at: time.Now()}
-	e.answers.put(owner{t.Executor, t.Account}, t.Serial, k)
+	k := cachedAnswer{fingerprint: fp, answer: answer, storedAt: time.Now()}
+	e.answers.put(answerOwner{t.Executor, t.Account}, t.Serial, k)
 	return answer, nil
 }
 
-func ended(answer Answer) *execution {
+// finishedExecution returns an execution that has ended with answer.
+func finishedExecution(answer Answer) *execution {
 	x := &execution{answer: answer, done: make(chan struct{})}
 	close(x.done)
 	return x
 }
 
-func sameRequest(bound, presented Fingerprint) error {
+func checkFingerprint(bound, presented Fingerprint) error {
 	if bound == presented {
 		return nil
 	}
-	return newError(ReasonDifferentRequest, NotRun, nil)
+	return attemptError(ReasonDifferentRequest, NotRun, nil)
 }
 
-func outside(w *window, serial uint64) error {
-	if serial < w.low() {
-		return newError(ReasonExpired, MayHaveRun, nil)
+func outsideWindowError(w *window, serial uint64) error {
+	if serial < w.oldest() {
+		return attemptError(ReasonExpired, MayHaveRun, nil)
 	}
-	return newError(ReasonUnissued, MayHaveRun, nil)
+	return attemptError(ReasonUnissued, MayHaveRun, nil)
 }
 
-// spent returns the error of a ticket that can't be begun, nil if it can.
-func spent(o outcome) error {
+// outcomeError returns nil for an unused ticket, whose call can be started, and
+// otherwise the error to return for its outcome.
+func outcomeError(o outcome) error {
 	switch o {
-	case ran:
-		return finalError(ReasonAnswerGone, Ran, nil)
-	case begun:
-		return finalError(ReasonOutcomeUnknown, MayHaveRun, nil)
-	case refused:
-		return finalError(ReasonRefused, NotRun, nil)
+	case outcomeRan:
+		return ticketError(ReasonAnswerGone, Ran, nil)
+	case outcomeStarted:
+		return ticketError(ReasonOutcomeUnknown, MayHaveRun, nil)
+	case outcomeRefused:
+		return ticketError(ReasonRefused, NotRun, nil)
 	}
 	return nil
 }
--- a/coord/ticket/executor_test.go
+++ b/coord/ticket/executor_test.go
@@ -16,12 +16,12 @@
 )
 
 var (
-	self  = ticket.Incarnation{Node: "n1", Run: 11}
-	peer  = ticket.Incarnation{Node: "n2", Run: 22}
-	bound = ticket.FingerprintOf([]byte("file batch 7"))
+	self        = ticket.Incarnation{Node: "n1", Run: 11}
+	peer        = ticket.Incarnation{Node: "n2", Run: 22}
+	fingerprint = ticket.FingerprintOf([]byte("file batch 7"))
 )
 
-// service is a non-idempotent endpoint that counts what it executed.
+// service is a non-idempotent service that counts its executions.
 type service struct{ count atomic.Int64 }
 
 func (s *service) executions() int { return int(s.count.Load()) }
@@ -35,16 +35,16 @@
 	return s.file(ctx)
 }
 
-func (s *service) shed(context.Context) (ticket.Answer, error) {
+func (s *service) refuse(context.Context) (ticket.Answer, error) {
 	return nil, ticket.Refused(errors.New("queue full"))
 }
 
-func (s *service) breakOff(ctx context.Context) (ticket.Answer, error) {
+func (s *service) runAndFail(ctx context.Context) (ticket.Answer, error) {
 	s.file(ctx)
 	return nil, errors.New("connection reset")
 }
 
-func (s *service) panics(context.Context) (ticket.Answer, error) { panic("bug") }
+func (s *service) panicBeforeRun(context.Context) (ticket.Answer, error) { panic("bug") }
 
 func newExecutor(t *testing.T, self ticket.Incarnation) *ticket.Executor {
 	e, err := ticket.New(config(self))
@@ -63,7 +63,8 @@
 	return parsed
 }
 
-// TestRetry makes a first attempt, then a retry that must not run again.
+// TestRetry makes two attempts with one ticket and checks that the retry never
+// runs the call again and what it returns.
 func TestRetry(t *testing.T) {
 	tests := map[string]struct {
 		first      func(*service) ticket.RunFunc
@@ -78,18 +79,18 @@
 		"other account":     {account: "rival", wantReason: ticket.ReasonOtherAccount, wantState: ticket.NotRun, executions: 1},
 		"different request": {request: "file batch 8", wantReason: ticket.ReasonDifferentRequest, wantState: ticket.NotRun, executions: 1},
 		"refused": {
-			first:      func(s *service) ticket.RunFunc { return s.shed },
+			first:      func(s *service) ticket.RunFunc { return s.refuse },
 			wantReason: ticket.ReasonRefused, wantState: ticket.NotRun,
 		},
-		"broken off": {
-			first:      func(s *service) ticket.RunFunc { return s.breakOff },
+		"failed after execution": {
+			first:      func(s *service) ticket.RunFunc { return s.runAndFail },
 			wantReason: ticket.ReasonOutcomeUnknown, executions: 1,
 		},
 		"panicked": {
-			first:      func(s *service) ticket.RunFunc { return s.panics },
+			first:      func(s *service) ticket.RunFunc { return s.panicBeforeRun },
 			wantReason: ticket.ReasonOutcomeUnknown,
 		},
-		"answer aged": {
+		"answer expired": {
 			between:    func(*ticket.Executor) { time.Sleep(2 * time.Minute) },
 			wantReason: ticket.ReasonAnswerGone, wantState: ticket.Ran, executions: 1,
 		},
@@ -111,11 +112,11 @@
 				if tc.first != nil {
 					first = tc.first(s)
 				}
-				e.Do(t.Context(), one, "acme", bound, first)
+				e.Do(t.Context(), one, "acme", fingerprint, first)
 				if tc.between != nil {
 					tc.between(e)
 				}
-				account, fp := "acme", bound
+				account, fp := "acme", fingerprint
 				if tc.account != "" {
 					account = tc.account
 				}
@@ -134,20 +135,22 @@
 	}
 }
 
+// TestDuplicatesShareOneRun checks that concurrent redemptions wait for one run,
+// which continues when the caller that started it disconnects.
 func TestDuplicatesShareOneRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, s := newExecutor(t, self), &service{}
 		one := issue(t, e, 1)[0]
-		first, hangUp := context.WithTimeout(t.Context(), time.Hour)
+		first, cancelFirst := context.WithTimeout(t.Context(), time.Hour)
 		states := make(chan ticket.RunState, 3)
 		for _, ctx := range []context.Context{first, t.Context(), t.Context()} {
 			go func() {
-				_, err := e.Do(ctx, one, "acme", bound, s.slow)
+				_, err := e.Do(ctx, one, "acme", fingerprint, s.slow)
 				states <- ticket.StateOf(err)
 			}()
 			synctest.Wait()
 		}
-		hangUp()
+		cancelFirst()
 		test.Eq(t, ticket.MayHaveRun, <-states)
 		test.Eq(t, ticket.Ran, <-states)
 		test.Eq(t, ticket.Ran, <-states)
@@ -155,6 +158,8 @@
 	})
 }
 
+// TestAnswersAreBounded checks that the answer cache stays within its byte limit
+// and that a large account does not evict the answer of a small one.
 func TestAnswersAreBounded(t *testing.T) {
 	c := config(self)
 	c.KeepAnswers, c.KeepBytes = 4, 2000
@@ -162,32 +167,32 @@
 	must.NoError(t, err)
 	small := issue(t, e, 1)[0]
 	s := &service{}
-	e.Do(t.Context(), small, "acme", bound, s.file)
+	e.Do(t.Context(), small, "acme", fingerprint, s.file)
 	large, err := e.Issue("large", 9)
 	must.NoError(t, err)
 	kept := 0
 	for _, text := range large {
 		one, _ := ticket.Parse(key, text)
-		e.Do(t.Context(), one, "large", bound, func(context.Context) (ticket.Answer, error) { return make(ticket.Answer, 600), nil })
+		e.Do(t.Context(), one, "large", fingerprint, func(context.Context) (ticket.Answer, error) { return make(ticket.Answer, 600), nil })
 	}
 	for _, text := range large {
 		one, _ := ticket.Parse(key, text)
-		_, err := e.Do(t.Context(), one, "large", bound, s.file)
+		_, err := e.Do(t.Context(), one, "large", fingerprint, s.file)
 		if err == nil {
 			kept++
 		}
 	}
 	test.Eq(t, 2, kept)
-	_, err = e.Do(t.Context(), small, "acme", bound, s.file)
-	test.NoError(t, err, test.Sprint("a large account pushed out a small one's answer"))
+	_, err = e.Do(t.Context(), small, "acme", fingerprint, s.file)
+	test.NoError(t, err, test.Sprint("a large account evicted the answer of a small account"))
 	test.Eq(t, 1, s.executions())
 }
 
-// forwarder stands between two nodes and fails as told.
+// forwarder forwards calls to remote, with optional failures.
 type forwarder struct {
 	remote *ticket.Executor
 	run    ticket.RunFunc
-	before error // returned instead of sending
+	before error // returned without sending the call
 	after  error // returned instead of the answer
 }
 
@@ -204,6 +209,8 @@
 	return answer, err
 }
 
+// TestExecutorFaults checks the error of a call whose executor or connection
+// fails, and that a later retry never causes a second run.
 func TestExecutorFaults(t *testing.T) {
 	lost := errors.New("connection reset")
 	tests := map[string]struct {
@@ -213,16 +220,16 @@
 		reason   ticket.Reason
 		state    ticket.RunState
 		ran      int
-		after    ticket.RunState // of a retry once the executor is reachable again
+		after    ticket.RunState // state of a retry when the executor is reachable again
 	}{
-		"killed before the call":            {link: forwarder{before: ticket.ErrNotSent}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
-		"killed before a retry":             {link: forwarder{before: ticket.ErrNotSent}, retry: true, reason: ticket.ReasonUnreachable, after: ticket.Ran},
-		"killed during the call":            {link: forwarder{before: lost}, reason: ticket.ReasonAnswerLost, after: ticket.Ran},
-		"answer lost after the call":        {link: forwarder{after: lost}, reason: ticket.ReasonAnswerLost, ran: 1, after: ticket.Ran},
-		"paused, believed gone, then back":  {presence: ticket.Presence{Status: ticket.Gone}, reason: ticket.ReasonExecutorGone, after: ticket.Ran},
-		"no address known":                  {presence: ticket.Presence{Status: ticket.Unknown}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
-		"answered":                          {state: ticket.Ran, ran: 1, after: ticket.Ran},
-		"restarted, no window under the id": {link: forwarder{remote: newExecutor(t, ticket.Incarnation{Node: "n1", Run: 12})}, reason: ticket.ReasonNotExecutor, after: ticket.Ran},
+		"killed before the call":                  {link: forwarder{before: ticket.ErrNotSent}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
+		"killed before a retry":                   {link: forwarder{before: ticket.ErrNotSent}, retry: true, reason: ticket.ReasonUnreachable, after: ticket.Ran},
+		"killed during the call":                  {link: forwarder{before: lost}, reason: ticket.ReasonAnswerLost, after: ticket.Ran},
+		"answer lost after the call":              {link: forwarder{after: lost}, reason: ticket.ReasonAnswerLost, ran: 1, after: ticket.Ran},
+		"paused, considered gone, then reachable": {presence: ticket.Presence{Status: ticket.Gone}, reason: ticket.ReasonExecutorGone, after: ticket.Ran},
+		"no address known":                        {presence: ticket.Presence{Status: ticket.Unknown}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
+		"answered":                                {state: ticket.Ran, ran: 1, after: ticket.Ran},
+		"restarted, no window under the id":       {link: forwarder{remote: newExecutor(t, ticket.Incarnation{Node: "n1", Run: 12})}, reason: ticket.ReasonNotExecutor, after: ticket.Ran},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -234,8 +241,8 @@
 			if link.remote == nil {
 				link.remote = e
 			}
-			here := ticket.Presence{Status: ticket.Alive, Addr: "a"}
-			view := here
+			alive := ticket.Presence{Status: ticket.Alive, Addr: "a"}
+			view := alive
 			if tc.reason == ticket.ReasonExecutorGone || name == "no address known" {
 				view = tc.presence
 			}
@@ -244,13 +251,13 @@
 				Lookup:    func(ticket.Incarnation) ticket.Presence { return view },
 				Forwarder: &link,
 			}
-			call := ticket.Call{Ticket: batch[0], Account: "acme", Fingerprint: bound, First: !tc.retry}
+			call := ticket.Call{Ticket: batch[0], Account: "acme", Fingerprint: fingerprint, First: !tc.retry}
 			_, err = entry.Redeem(t.Context(), call, s.file)
 			test.Eq(t, tc.reason, ticket.ReasonOf(err))
 			test.Eq(t, tc.state, ticket.StateOf(err))
 			test.Eq(t, tc.ran, s.executions())
 
-			view, call.First = here, false
+			view, call.First = alive, false
 			link = forwarder{remote: e, run: s.file}
 			_, err = entry.Redeem(t.Context(), call, s.file)
 			test.Eq(t, tc.after, ticket.StateOf(err))
--- a/coord/ticket/handover.go
+++ b/coord/ticket/handover.go
@@ -9,51 +9,53 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Handover carries the windows of a leaving executor to one incarnation of a
-// peer. It is sent as JSON, any number of times, to that incarnation only.
+// Handover transfers the tickets of a draining executor to one incarnation of a
+// peer. It is sent as JSON, to that incarnation only, and may be sent repeatedly.
 type Handover struct {
 	From    Incarnation `json:"from"`
 	To      Incarnation `json:"to"`
 	Ledgers []Ledger    `json:"ledgers"`
 }
 
-// Ledger holds the tickets of one incarnation: the sender's own, or one that
-// was handed to it earlier.
+// Ledger holds the state of the tickets of one incarnation: the sender's own, or
+// one that was handed over to the sender earlier.
 type Ledger struct {
 	Executor Incarnation   `json:"executor"`
-	Age      time.Duration `json:"age_ns"` // since its first handover
+	Age      time.Duration `json:"age_ns"` // time since its first handover
 	Windows  []Window      `json:"windows"`
 }
 
-// Window holds one account's tickets: the last Size serials before Next, two
-// bits each, and the answers still kept.
+// Window holds the state of one account's tickets: two bits for each of the last
+// Size serials before Next, and the answers that are still cached.
 type Window struct {
-	Account string       `json:"account"`
-	Size    uint64       `json:"size"`
-	Next    uint64       `json:"next"`
-	Began   []uint64     `json:"began"`
-	Ended   []uint64     `json:"ended"`
-	Answers []KeptAnswer `json:"answers,omitempty"`
+	Account  string           `json:"account"`
+	Size     uint64           `json:"size"`
+	Next     uint64           `json:"next"`
+	Started  []uint64         `json:"began"`
+	Finished []uint64         `json:"ended"`
+	Answers  []HandoverAnswer `json:"answers,omitempty"`
 }
 
-// KeptAnswer is an answer that a retry gets again.
-type KeptAnswer struct {
+// HandoverAnswer is a cached answer in a Handover.
+type HandoverAnswer struct {
 	Serial      uint64        `json:"serial"`
 	Fingerprint Fingerprint   `json:"fingerprint"`
 	Answer      Answer        `json:"answer"`
 	Age         time.Duration `json:"age_ns"`
 }
 
-// ErrOtherSuccessor refuses to hand over twice: the first successor may have
-// adopted the tickets although its answer was lost.
+// ErrOtherSuccessor is returned by [Executor.Drain] if an earlier call named
+// another successor. That one may have adopted the tickets even if its response
+// was lost.
 var ErrOtherSuccessor = errors.New("ticket: already handed over to another incarnation")
 
-// Drain stops the executor for good: from its start no call begins and no
-// ticket is issued here. It waits for running calls to end, or for ctx; a call
-// that still runs then is handed over as may_have_run, while callers that wait
-// for it here still get its answer. It returns the record for the caller to
-// send until the successor's Adopt has answered. Drain can be repeated with the
-// same successor and returns the same record.
+// Drain permanently stops the executor: once called, no call is started and no
+// ticket is issued here. It waits until the running calls have ended or ctx is
+// done. A call that is then still running is handed over as may_have_run, but
+// callers that wait for it here still get its answer. Drain returns the record
+// that the caller must send until the successor's Adopt has succeeded. Repeated
+// calls with the same successor return the same record. Drain fails if the
+// successor is this incarnation or differs from the one of an earlier call.
 func (e *Executor) Drain(ctx context.Context, to Incarnation) (*Handover, error) {
 	pending, err := e.stop(to)
 	if err != nil {
@@ -68,18 +70,18 @@
 	return e.snapshot(to), nil
 }
 
-// stop sets the successor and returns the executions still running.
+// stop sets the successor and returns the executions that are still running.
 func (e *Executor) stop(to Incarnation) ([]*execution, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if to == e.config.Self {
-		return nil, errors.New("ticket: an executor can't succeed itself")
+		return nil, errors.New("ticket: an executor cannot hand over to itself")
 	}
 	if e.successor != nil && *e.successor != to {
 		return nil, ErrOtherSuccessor
 	}
 	e.successor = &to
-	e.retireAged()
+	e.retireExpired()
 	var pending []*execution
 	for _, l := range e.ledgers {
 		for _, a := range l.accounts {
@@ -101,41 +103,43 @@
 	for executor, l := range e.ledgers {
 		record := Ledger{Executor: executor, Age: l.age()}
 		for id, a := range l.accounts {
-			record.Windows = append(record.Windows, e.windowRecord(owner{executor, id}, a))
+			record.Windows = append(record.Windows, e.windowRecord(answerOwner{executor, id}, a))
 		}
 		e.handover.Ledgers = append(e.handover.Ledgers, record)
 	}
 	return e.handover
 }
 
-func (e *Executor) windowRecord(o owner, a *account) Window {
+func (e *Executor) windowRecord(o answerOwner, a *accountState) Window {
 	w := Window{
-		Account: o.account,
-		Size:    a.window.size,
-		Next:    a.window.next,
-		Began:   slices.Clone(a.window.began.Words()),
-		Ended:   slices.Clone(a.window.ended.Words()),
+		Account:  o.account,
+		Size:     a.window.size,
+		Next:     a.window.next,
+		Started:  slices.Clone(a.window.started.Words()),
+		Finished: slices.Clone(a.window.finished.Words()),
 	}
-	s := e.answers.shelves[o]
+	s := e.answers.byOwner[o]
 	if s == nil {
 		return w
 	}
-	e.answers.dropAged(o, s)
+	e.answers.removeExpired(o, s)
 	for _, serial := range s.answers.Keys() {
 		k, _ := s.answers.Peek(serial)
-		w.Answers = append(w.Answers, KeptAnswer{serial, k.fingerprint, k.answer, time.Since(k.at)})
+		w.Answers = append(w.Answers, HandoverAnswer{serial, k.fingerprint, k.answer, time.Since(k.storedAt)})
 	}
 	return w
 }
 
-// ErrNotSuccessor refuses a handover that names another incarnation, such as
-// one delayed until after this node's restart.
+// ErrNotSuccessor is returned by [Executor.Adopt] for a handover to another
+// incarnation, such as one that arrives after a restart of this node.
 var ErrNotSuccessor = errors.New("ticket: handover names another incarnation")
 
-// Adopt makes this executor the one of the handed-over incarnations. It is
-// idempotent: an incarnation that it has ever served keeps its live window. A
-// nil error means that the sender may exit; after a lost answer it sends the
-// same record again.
+// Adopt takes over the tickets of the handed-over incarnations. It is idempotent:
+// the state of an incarnation that this executor serves or has ever served is
+// not replaced. A nil error means that the sender may exit; if the response is
+// lost, the sender must send the same record again. Adopt fails if the handover
+// is invalid or names another incarnation, and with ErrDraining if this executor
+// is draining.
 func (e *Executor) Adopt(h *Handover) error {
 	if h.To != e.config.Self {
 		return ErrNotSuccessor
@@ -145,41 +149,41 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.retireAged()
-	if e.successor != nil && !e.servedAll(h) {
+	e.retireExpired()
+	if e.successor != nil && !e.everServedAll(h) {
 		return ErrDraining
 	}
 	for _, record := range h.Ledgers {
-		if !e.served(record.Executor) {
+		if !e.everServed(record.Executor) {
 			e.adopt(record)
 		}
 	}
 	return nil
 }
 
-func (e *Executor) served(executor Incarnation) bool {
+func (e *Executor) everServed(executor Incarnation) bool {
 	return e.ledgers[executor] != nil || e.retired[executor]
 }
 
-func (e *Executor) servedAll(h *Handover) bool {
-	return !slices.ContainsFunc(h.Ledgers, func(l Ledger) bool { return !e.served(l.Executor) })
+func (e *Executor) everServedAll(h *Handover) bool {
+	return !slices.ContainsFunc(h.Ledgers, func(l Ledger) bool { return !e.everServed(l.Executor) })
 }
 
 func (e *Executor) adopt(record Ledger) {
 	l := &ledger{
-		accounts: make(map[string]*account, len(record.Windows)),
-		adopted:  time.Now().Add(-record.Age),
+		accounts:  make(map[string]*accountState, len(record.Windows)),
+		adoptedAt: time.Now().Add(-record.Age),
 	}
 	for _, w := range record.Windows {
 		l.accounts[w.Account] = newAccount(window{
-			size:  w.Size,
-			next:  w.Next,
-			began: bitset.From(slices.Clone(w.Began)),
-			ended: bitset.From(slices.Clone(w.Ended)),
+			size:     w.Size,
+			next:     w.Next,
+			started:  bitset.From(slices.Clone(w.Started)),
+			finished: bitset.From(slices.Clone(w.Finished)),
 		})
-		o := owner{record.Executor, w.Account}
+		o := answerOwner{record.Executor, w.Account}
 		for _, k := range w.Answers {
-			e.answers.put(o, k.Serial, keptAnswer{k.Fingerprint, k.Answer, time.Now().Add(-k.Age)})
+			e.answers.put(o, k.Serial, cachedAnswer{k.Fingerprint, k.Answer, time.Now().Add(-k.Age)})
 		}
 	}
 	e.ledgers[record.Executor] = l
@@ -189,20 +193,21 @@
 	for _, l := range h.Ledgers {
 		for _, w := range l.Windows {
 			words := int(w.Size/64) + 1
-			if w.Size < 1 || w.Size > MaxWindow || len(w.Began) > words || len(w.Ended) > words {
-				return errors.New("ticket: handover holds a window of a wrong size")
+			if w.Size < 1 || w.Size > MaxWindow || len(w.Started) > words || len(w.Finished) > words {
+				return errors.New("ticket: handover contains a window of invalid size")
 			}
 		}
 	}
 	return nil
 }
 
-// Serving returns the incarnations whose tickets this executor redeems, for the
-// member metadata by which other nodes route to it; none once it drains.
+// Serving returns the incarnations whose tickets this executor redeems, to be
+// published in the member metadata that other nodes use for routing. It returns
+// none once the executor is draining.
 func (e *Executor) Serving() []Incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.retireAged()
+	e.retireExpired()
 	if e.successor != nil {
 		return nil
 	}
@@ -213,27 +218,29 @@
 	return serving
 }
 
-// retireAged ends the service of adopted incarnations whose time has passed.
-func (e *Executor) retireAged() {
+// retireExpired stops serving adopted incarnations whose first handover is longer
+// ago than Config.AdoptFor.
+func (e *Executor) retireExpired() {
 	for executor, l := range e.ledgers {
 		if l.age() > e.config.AdoptFor && executor != e.config.Self {
 			delete(e.ledgers, executor)
 			e.retired[executor] = true
-			e.answers.drop(executor)
+			e.answers.removeIncarnation(executor)
 		}
 	}
 }
 
-// age is the time since the ledger's first handover.
+// age returns the time since the ledger's first handover, or zero for the
+// executor's own ledger.
 func (l *ledger) age() time.Duration {
-	if l.adopted.IsZero() {
+	if l.adoptedAt.IsZero() {
 		return 0
 	}
-	return time.Since(l.adopted)
+	return time.Since(l.adoptedAt)
 }
 
-func (e *Executor) moved() *Error {
-	err := newError(ReasonMoved, NotRun, nil)
+func (e *Executor) movedError() *Error {
+	err := attemptError(ReasonMoved, NotRun, nil)
 	err.Successor = e.successor
 	return err
 }
--- a/coord/ticket/handover_test.go
+++ b/coord/ticket/handover_test.go
@@ -13,13 +13,16 @@
 	"github.com/cherryward/cherryward/coord/ticket"
 )
 
+// TestHandover checks that used, running and unused tickets keep their state
+// across a handover, and that repeated, misdirected and late handovers never
+// allow a second run.
 func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		old, next, s := newExecutor(t, self), newExecutor(t, peer), &service{}
 		batch := issue(t, old, 4)
 		answered, running, unused, late := batch[0], batch[1], batch[2], batch[3]
-		old.Do(t.Context(), answered, "acme", bound, s.file)
-		go old.Do(t.Context(), running, "acme", bound, s.slow)
+		old.Do(t.Context(), answered, "acme", fingerprint, s.file)
+		go old.Do(t.Context(), running, "acme", fingerprint, s.slow)
 		synctest.Wait()
 
 		short, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -28,7 +31,7 @@
 		must.NoError(t, err)
 		_, err = old.Issue("acme", 1)
 		test.ErrorIs(t, err, ticket.ErrDraining)
-		_, err = old.Do(t.Context(), unused, "acme", bound, s.file)
+		_, err = old.Do(t.Context(), unused, "acme", fingerprint, s.file)
 		test.Eq(t, ticket.ReasonMoved, ticket.ReasonOf(err))
 		_, err = old.Drain(t.Context(), ticket.Incarnation{Node: "n3"})
 		test.ErrorIs(t, err, ticket.ErrOtherSuccessor)
@@ -42,20 +45,20 @@
 		test.SliceEmpty(t, old.Serving())
 
 		state := func(one ticket.Ticket) ticket.RunState {
-			_, err := next.Do(t.Context(), one, "acme", bound, s.file)
+			_, err := next.Do(t.Context(), one, "acme", fingerprint, s.file)
 			return ticket.StateOf(err)
 		}
 		test.Eq(t, ticket.Ran, state(answered))
 		test.Eq(t, ticket.MayHaveRun, state(running))
 		test.Eq(t, ticket.Ran, state(unused))
-		must.NoError(t, next.Adopt(&received)) // its answer was lost, sent again
+		must.NoError(t, next.Adopt(&received)) // a repeated handover has no effect
 		test.Eq(t, ticket.Ran, state(unused))
 		restarted := newExecutor(t, ticket.Incarnation{Node: "n2", Run: 23})
 		test.ErrorIs(t, restarted.Adopt(&received), ticket.ErrNotSuccessor)
 
 		time.Sleep(2 * time.Hour)
 		test.Eq(t, ticket.MayHaveRun, state(late))
-		must.NoError(t, next.Adopt(&received)) // delayed beyond its service
+		must.NoError(t, next.Adopt(&received)) // a late handover does not restore an expired incarnation
 		test.Eq(t, ticket.MayHaveRun, state(late))
 		test.Eq(t, 3, s.executions())
 	})
--- a/coord/ticket/invariant_test.go
+++ b/coord/ticket/invariant_test.go
@@ -9,39 +9,43 @@
 	"pgregory.net/rapid"
 )
 
+// TestInvariantsHold runs random events (restarts, handovers, lost and delayed
+// messages) and checks that no ticket runs twice or after not_run.
 func TestInvariantsHold(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		steps := rapid.IntRange(20, 200).Draw(rt, "steps")
 		var c *cluster
-		synctest.Test(t, func(*testing.T) { c = simulate(sound, seed, steps) })
-		if len(c.faults) > 0 {
-			rt.Fatalf("%v", c.faults)
+		synctest.Test(t, func(*testing.T) { c = simulate(faultNone, seed, steps) })
+		if len(c.violations) > 0 {
+			rt.Fatalf("%v", c.violations)
 		}
 	})
 }
 
-func TestInvariantsCatchBrokenVariants(t *testing.T) {
-	for _, broken := range []fault{sound, reuseIncarnation, retryElsewhere, readdress} {
-		caught, tickets := 0, 0
+// TestInvariantsDetectFaults checks that the invariant checks detect each
+// injected fault, and report nothing without a fault.
+func TestInvariantsDetectFaults(t *testing.T) {
+	for _, injectedFault := range []fault{faultNone, faultReuseIncarnation, faultRetryElsewhere, faultReaddressHandover} {
+		detected, tickets := 0, 0
 		for seed := range uint64(200) {
 			synctest.Test(t, func(*testing.T) {
-				c := simulate(broken, seed, 80)
-				caught += min(1, len(c.faults))
+				c := simulate(injectedFault, seed, 80)
+				detected += min(1, len(c.violations))
 				tickets += len(c.tickets)
 			})
 		}
-		t.Logf("variant %d: caught in %d of 200 runs, %d tickets", broken, caught, tickets)
-		test.Eq(t, broken != sound, caught > 0)
+		t.Logf("variant %d: detected in %d of 200 runs, %d tickets", injectedFault, detected, tickets)
+		test.Eq(t, injectedFault != faultNone, detected > 0)
 	}
 }
 
-func simulate(broken fault, seed uint64, steps int) *cluster {
+func simulate(injectedFault fault, seed uint64, steps int) *cluster {
 	random := rand.New(rand.NewPCG(seed, 1))
-	c := newCluster(broken, random.IntN)
+	c := newCluster(injectedFault, random.IntN)
 	for range steps {
 		c.step()
 	}
-	c.settle()
+	c.waitForCalls()
 	return c
 }
--- a/coord/ticket/issue.go
+++ b/coord/ticket/issue.go
@@ -12,20 +12,22 @@
 
 var _ Issuer = (*Executor)(nil)
 
-// ErrDraining refuses new tickets and handovers on a leaving executor.
+// ErrDraining is returned by a draining executor for requests of new tickets and
+// for handovers to it.
 var ErrDraining = errors.New("ticket: executor is draining")
 
-// Issue returns n new tickets of the account, at most a window at a time. The
-// account's oldest tickets beyond the window expire by it; those of other
-// accounts don't.
+// Issue returns n new encoded tickets for the account. It fails if n is not
+// between 1 and Config.Window, if the account ID is empty or too long, and with
+// ErrDraining if the executor is draining. The account's oldest tickets expire as
+// they leave the window; those of other accounts are not affected.
 func (e *Executor) Issue(accountID string, n int) ([]string, error) {
 	if accountID == "" || len(accountID) > MaxNameBytes {
-		return nil, errors.New("ticket: account id is empty or too long")
+		return nil, errors.New("ticket: account ID is empty or too long")
 	}
 	if n < 1 || n > e.config.Window {
-		return nil, fmt.Errorf("ticket: batch is not within 1 to %d", e.config.Window)
+		return nil, fmt.Errorf("ticket: batch size is not between 1 and %d", e.config.Window)
 	}
-	first, err := e.take(accountID, n)
+	first, err := e.reserveSerials(accountID, n)
 	if err != nil {
 		return nil, err
 	}
@@ -37,8 +39,9 @@
 	return batch, nil
 }
 
-// take reserves n serials and returns the first.
-func (e *Executor) take(accountID string, n int) (uint64, error) {
+// reserveSerials reserves n consecutive serials of the account and returns the
+// first.
+func (e *Executor) reserveSerials(accountID string, n int) (uint64, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.successor != nil {
@@ -57,6 +60,6 @@
 	return first, nil
 }
 
-func newAccount(w window) *account {
-	return &account{window: w, running: make(map[uint64]*execution)}
+func newAccount(w window) *accountState {
+	return &accountState{window: w, running: make(map[uint64]*execution)}
 }
--- a/coord/ticket/network_test.go
+++ b/coord/ticket/network_test.go
@@ -11,12 +11,12 @@
 	"github.com/cherryward/cherryward/coord/ticket"
 )
 
-// lookup is the member view, wrong at one time in eight.
+// lookup simulates a member view that is wrong with probability 1/8.
 func (c *cluster) lookup(pick func(int) int, inc ticket.Incarnation) ticket.Presence {
 	if pick(8) == 0 {
 		return ticket.Presence{Status: ticket.Status(pick(3)), Addr: strconv.Itoa(pick(3))}
 	}
-	nodes := c.view()
+	nodes := c.currentNodes()
 	for i, p := range nodes {
 		for _, served := range p.exec.Serving() {
 			if served == inc && !p.dead.Load() {
@@ -34,23 +34,23 @@
 
 var errLost = errors.New("connection lost")
 
-// link forwards with losses and delayed copies.
-type link struct {
-	c    *cluster
-	pick func(int) int
-	k    int
+// faultyLink is a Forwarder that randomly loses or delays calls and answers.
+type faultyLink struct {
+	cluster     *cluster
+	pick        func(int) int
+	ticketIndex int
 }
 
-var _ ticket.Forwarder = link{}
+var _ ticket.Forwarder = faultyLink{}
 
-func (l link) Forward(ctx context.Context, addr string, call ticket.Call) (ticket.Answer, error) {
+func (l faultyLink) Forward(ctx context.Context, addr string, call ticket.Call) (ticket.Answer, error) {
 	i, _ := strconv.Atoi(addr)
-	p := l.c.view()[i]
-	mood := l.pick(6)
-	if p.dead.Load() || mood == 0 {
+	p := l.cluster.currentNodes()[i]
+	outcome := l.pick(6)
+	if p.dead.Load() || outcome == 0 {
 		return nil, fmt.Errorf("dial: %w", ticket.ErrNotSent)
 	}
-	if mood == 1 { // the request stays on the way and arrives after its caller gave up
+	if outcome == 1 { // the call fails for the caller but is delivered later
 		go func() {
 			time.Sleep(time.Duration(l.pick(9)) * time.Second)
 			l.deliver(ctx, p, call)
@@ -58,48 +58,49 @@
 		return nil, errLost
 	}
 	answer, err := l.deliver(ctx, p, call)
-	if mood != 2 && !p.dead.Load() {
+	if outcome != 2 && !p.dead.Load() {
 		return answer, err
 	}
-	if l.c.broken == retryElsewhere {
-		return l.c.run(p, l.pick, l.k)(ctx)
+	if l.cluster.injectedFault == faultRetryElsewhere {
+		return l.cluster.run(p, l.pick, l.ticketIndex)(ctx)
 	}
 	return nil, errLost
 }
 
-func (l link) deliver(ctx context.Context, p *process, call ticket.Call) (ticket.Answer, error) {
-	answer, err := p.exec.Serve(ctx, call, l.c.run(p, l.pick, l.k))
+func (l faultyLink) deliver(ctx context.Context, p *process, call ticket.Call) (ticket.Answer, error) {
+	answer, err := p.exec.Serve(ctx, call, l.cluster.run(p, l.pick, l.ticketIndex))
 	var sent *ticket.Error
 	if !errors.As(err, &sent) {
 		return answer, err
 	}
 	encoded, _ := json.Marshal(sent)
 	received := &ticket.Error{}
-	l.c.check(json.Unmarshal(encoded, received) == nil, "error %s is not decodable", encoded)
+	l.cluster.check(json.Unmarshal(encoded, received) == nil, "error %s is not decodable", encoded)
 	return nil, received
 }
 
-// run is the service call: it counts executions, refuses, breaks or answers.
+// run returns the service call, which counts executions and randomly refuses the
+// call, fails after executing it, or answers.
 func (c *cluster) run(p *process, pick func(int) int, k int) ticket.RunFunc {
 	return func(context.Context) (ticket.Answer, error) {
 		time.Sleep(time.Duration(pick(4)) * time.Second)
 		if p.dead.Load() {
 			return nil, errLost
 		}
-		mood := pick(4)
-		if mood == 0 {
+		outcome := pick(4)
+		if outcome == 0 {
 			return nil, ticket.Refused(errors.New("shed"))
 		}
-		c.execute(k)
+		c.recordExecution(k)
 		time.Sleep(time.Duration(pick(4)) * time.Second)
-		if mood == 1 {
+		if outcome == 1 {
 			return nil, errLost
 		}
 		return ticket.Answer(strconv.Itoa(k)), nil
 	}
 }
 
-func (c *cluster) execute(k int) {
+func (c *cluster) recordExecution(k int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tickets[k]
--- a/coord/ticket/route.go
+++ b/coord/ticket/route.go
@@ -5,64 +5,65 @@
 	"errors"
 )
 
-// Status is what a node believes of an incarnation.
+// Status is the status of an incarnation according to a node's member view.
 type Status uint8
 
 // The statuses.
 const (
 	Unknown Status = iota
 	Alive
-	Gone // that process has ended, or was replaced by a later start
+	Gone // the process has ended, or the node has been restarted since
 )
 
-// Presence is where an incarnation's tickets are redeemed.
+// Presence is the status of an incarnation and the address of the node that
+// redeems its tickets.
 type Presence struct {
 	Status Status
-	Addr   string // empty if not known
+	Addr   string // empty if unknown
 }
 
-// Lookup tells the presence of an incarnation from the member view. A member
-// that announces an incarnation in its [Executor.Serving] comes before the
-// incarnation's own entry. It may be wrong at any time; that costs answers,
-// never a second run.
+// Lookup returns the presence of an incarnation according to the member view. A
+// member that publishes the incarnation in its [Executor.Serving] takes
+// precedence over the incarnation's own entry. The result may be wrong at any
+// time: calls then fail, but never run twice.
 type Lookup func(Incarnation) Presence
 
-// Call is a ticketed call as a node received it.
+// Call is a call with a ticket, as received by a node.
 type Call struct {
 	Ticket      string      `json:"ticket"`
 	Account     string      `json:"account"` // authenticated by the receiving node
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Request     []byte      `json:"request"` // opaque to this package
-	// First is the caller's word that it never sent this ticket before. Only
-	// then can a node that didn't reach the executor say not_run.
+	// First is the caller's statement that it has not sent this ticket before.
+	// Only then can a node that does not reach the executor report not_run.
 	First bool `json:"first,omitempty"`
 }
 
-// ErrNotSent is wrapped by a [Forwarder] whose failure came before the first
-// byte of the call could leave, such as a refused connection.
+// ErrNotSent is wrapped by the error of a [Forwarder] that failed before sending
+// the first byte of the call, for example because the connection was refused.
 var ErrNotSent = errors.New("ticket: call was not sent")
 
-// Forwarder sends a call to the node at addr, which hands it to
-// [Executor.Serve]. It sends the call once, never retries, and returns the
-// executor's *Error as it was, an error that wraps ErrNotSent, or any other if
-// the answer was lost.
+// Forwarder sends a call to the node at addr, which passes it to
+// [Executor.Serve]. It must send the call once, without retries. On failure it
+// returns the executor's *Error unchanged, an error that wraps ErrNotSent if
+// nothing was sent, or any other error if the answer was lost.
 type Forwarder interface {
 	Forward(ctx context.Context, addr string, call Call) (Answer, error)
 }
 
-// Decision is where a ticket goes.
+// Decision is the result of Route.
 type Decision uint8
 
 // The decisions.
 const (
-	Local       Decision = iota // this node's executor
-	Forward                     // the returned address
-	GoneForever                 // nobody may run it
+	Local       Decision = iota // redeem at this node's executor
+	Forward                     // forward to the returned address
+	GoneForever                 // the incarnation has ended; no node may run its calls
 	Unreachable                 // no address is known; nothing can be sent
 )
 
-// Route decides where the tickets of an incarnation go, seen from the executor
-// of this node.
+// Route returns where to redeem the tickets of an incarnation, with an address
+// if the decision is Forward. local is the executor of this node.
 func Route(local *Executor, executor Incarnation, lookup Lookup) (Decision, string) {
 	if local.serves(executor) {
 		return Local, ""
@@ -77,45 +78,49 @@
 	return Forward, presence.Addr
 }
 
-// serves tells whether the executor has the incarnation's ledger. It has it
-// also while draining: kept answers are still given.
+// serves reports whether the executor has the incarnation's ledger. A draining
+// executor still has it and returns cached answers.
 func (e *Executor) serves(executor Incarnation) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.retireAged()
+	e.retireExpired()
 	return e.ledgers[executor] != nil
 }
 
-// Redeemer redeems tickets at any node.
+// Redeemer redeems tickets that any node of the system has issued, locally or by
+// forwarding the call.
 type Redeemer struct {
 	Executor  *Executor
 	Lookup    Lookup
 	Forwarder Forwarder
 }
 
-// maxMoves bounds the handovers that one redemption follows.
-const maxMoves = 3
+// maxExecutors is the maximum number of executors, the ticket's own and its
+// successors, that one redemption tries.
+const maxExecutors = 3
 
-// Redeem parses the call's ticket and has it run by its executor: here with
-// run, or through the forwarder. A call that was forwarded to this node goes to
-// [Executor.Serve] instead, so that it isn't forwarded on. It fails with an
-// *Error; presenting the ticket again is always safe.
+// Redeem parses the call's ticket and redeems it at its executor: with run if
+// that is the local one, otherwise through the forwarder. A call that another
+// node forwarded must be passed to [Executor.Serve] instead, so that it is not
+// forwarded again. Redeem fails with an *Error; presenting the ticket again is
+// always safe.
 func (r *Redeemer) Redeem(ctx context.Context, call Call, run RunFunc) (Answer, error) {
 	t, err := Parse(r.Executor.config.Key, call.Ticket)
 	if err != nil {
 		return nil, err
 	}
 	if t.Account != call.Account {
-		return nil, newError(ReasonOtherAccount, NotRun, nil)
+		return nil, attemptError(ReasonOtherAccount, NotRun, nil)
 	}
-	answer, err := r.follow(ctx, t, call, run)
-	return answer, forTicket(err, call.First)
+	answer, err := r.redeemFollowingMoves(ctx, t, call, run)
+	return answer, withEarlierAttempts(err, call.First)
 }
 
-// follow redeems at the executor, then at its successors.
-func (r *Redeemer) follow(ctx context.Context, t Ticket, call Call, run RunFunc) (Answer, error) {
+// redeemFollowingMoves redeems the ticket at its executor or, if that has handed
+// over its tickets, at the successors in turn.
+func (r *Redeemer) redeemFollowingMoves(ctx context.Context, t Ticket, call Call, run RunFunc) (Answer, error) {
 	at := t.Executor
-	for range maxMoves {
+	for range maxExecutors {
 		answer, err := r.redeemAt(ctx, at, t, call, run)
 		e, ok := errors.AsType[*Error](err)
 		if !ok || e.Reason != ReasonMoved || e.Successor == nil {
@@ -123,7 +128,7 @@
 		}
 		at = *e.Successor
 	}
-	return nil, newError(ReasonUnreachable, NotRun, nil)
+	return nil, attemptError(ReasonUnreachable, NotRun, nil)
 }
 
 func (r *Redeemer) redeemAt(ctx context.Context, at Incarnation, t Ticket, call Call, run RunFunc) (Answer, error) {
@@ -132,16 +137,16 @@
 	case Local:
 		return r.Executor.Do(ctx, t, call.Account, call.Fingerprint, run)
 	case GoneForever:
-		return nil, newError(ReasonExecutorGone, MayHaveRun, nil)
+		return nil, attemptError(ReasonExecutorGone, MayHaveRun, nil)
 	case Unreachable:
-		return nil, newError(ReasonUnreachable, NotRun, nil)
+		return nil, attemptError(ReasonUnreachable, NotRun, nil)
 	}
 	answer, err := r.Forwarder.Forward(ctx, addr, call)
-	return answer, classify(err)
+	return answer, forwardError(err)
 }
 
-// Serve redeems a call that another node forwarded here, as [Executor.Do] does.
-// The forwarding node has authenticated the account.
+// Serve redeems the ticket of a call that another node forwarded to this one; see
+// [Executor.Do]. The forwarding node must have authenticated the account.
 func (e *Executor) Serve(ctx context.Context, call Call, run RunFunc) (Answer, error) {
 	t, err := Parse(e.config.Key, call.Ticket)
 	if err != nil {
@@ -150,8 +155,8 @@
 	return e.Do(ctx, t, call.Account, call.Fingerprint, run)
 }
 
-// classify gives the failure of a forwarder its run state.
-func classify(err error) error {
+// forwardError converts the error of a Forwarder to an *Error with its run state.
+func forwardError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -159,19 +164,21 @@
 		return err
 	}
 	if errors.Is(err, ErrNotSent) {
-		return newError(ReasonUnreachable, NotRun, err)
+		return attemptError(ReasonUnreachable, NotRun, err)
 	}
-	return newError(ReasonAnswerLost, MayHaveRun, err)
+	return attemptError(ReasonAnswerLost, MayHaveRun, err)
 }
 
-// forTicket turns the state of one attempt into that of the ticket: an earlier
-// attempt may have run, unless the executor spoke or there was none.
-func forTicket(err error, first bool) error {
+// withEarlierAttempts converts the error of one attempt to an error for the
+// ticket. NotRun becomes MayHaveRun, because an earlier attempt may have run,
+// unless this is the first attempt, the error is final or the request differs
+// from the one that the ticket is bound to.
+func withEarlierAttempts(err error, first bool) error {
 	e, ok := errors.AsType[*Error](err)
 	if !ok || e.State != NotRun || e.Final || first || e.Reason == ReasonDifferentRequest {
 		return err
 	}
-	worst := *e
-	worst.State = MayHaveRun
-	return &worst
+	adjusted := *e
+	adjusted.State = MayHaveRun
+	return &adjusted
 }
--- /dev/null
+++ b/coord/ticket/run_deadline_test.go
@@ -0,0 +1,60 @@
+package ticket_test
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test"
+
+	"github.com/cherryward/cherryward/coord/ticket"
+)
+
+// runFor returns a run function that takes d and fails if its context ends
+// earlier.
+func (s *service) runFor(d time.Duration) ticket.RunFunc {
+	return func(ctx context.Context) (ticket.Answer, error) {
+		select {
+		case <-time.After(d):
+			return s.file(ctx)
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+}
+
+// TestRunContinuesAfterCallerDeadline checks that a run continues after the
+// deadline of the caller that started it, so that a retry gets the answer, but
+// only for a limited time if no other caller waits.
+func TestRunContinuesAfterCallerDeadline(t *testing.T) {
+	tests := map[string]struct {
+		runFor time.Duration
+		repeat time.Duration // time of the retry, counted from the start
+		state  ticket.RunState
+	}{
+		"ends in time":                      {runFor: time.Second / 2, repeat: time.Second, state: ticket.Ran},
+		"repeated during the run":           {runFor: 5 * time.Second, repeat: 2 * time.Second, state: ticket.Ran},
+		"repeated after the run":            {runFor: 5 * time.Second, repeat: 8 * time.Second, state: ticket.Ran},
+		"takes longer, a repeat waits":      {runFor: 40 * time.Second, repeat: 2 * time.Second, state: ticket.Ran},
+		"takes longer, nobody waits for it": {runFor: 40 * time.Second, repeat: 41 * time.Second, state: ticket.MayHaveRun},
+	}
+	for name, tc := range tests {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				e, s := newExecutor(t, self), &service{}
+				one := issue(t, e, 1)[0]
+				first, cancel := context.WithTimeout(t.Context(), time.Second)
+				defer cancel()
+				startedAt := time.Now()
+				_, _ = e.Do(first, one, "acme", fingerprint, s.runFor(tc.runFor)) // only the result of the retry is checked
+				time.Sleep(tc.repeat - time.Since(startedAt))
+				second, cancel := context.WithTimeout(t.Context(), time.Minute)
+				defer cancel()
+				_, err := e.Do(second, one, "acme", fingerprint, s.file)
+				test.Eq(t, tc.state, ticket.StateOf(err), test.Sprint(err))
+				test.LessEq(t, 1, s.executions())
+			})
+		})
+	}
+}
--- a/coord/ticket/ticket.go
+++ b/coord/ticket/ticket.go
@@ -11,47 +11,49 @@
 )
 
 const (
-	// KeyBytes is the least length of a Key.
+	// KeyBytes is the minimum length of a Key.
 	KeyBytes = 32
-	// MaxNameBytes bounds a node id and an account id.
+	// MaxNameBytes is the maximum length of a node ID and of an account ID.
 	MaxNameBytes = 255
 
-	version   = 1
-	macBytes  = 16
-	macLabel  = "cherryward execution ticket"
-	maxText   = 1024
-	headBytes = 1 + 8 + binary.MaxVarintLen64
+	version         = 1
+	macBytes        = 16
+	macLabel        = "cherryward execution ticket"
+	maxEncodedBytes = 1024
+	maxHeaderBytes  = 1 + 8 + binary.MaxVarintLen64
 )
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// Key authenticates tickets. All nodes of a system hold the same one.
+// Key is the secret key that authenticates tickets. All nodes of a system use
+// the same key.
 type Key []byte
 
-// Incarnation is one start of a node's process.
+// Incarnation identifies one start of a node's process.
 type Incarnation struct {
 	Node string `json:"node"`
-	Run  uint64 `json:"run"` // random, new at each start
+	Run  uint64 `json:"run"` // random number chosen at each start
 }
 
-// NewIncarnation returns a new incarnation of the node. It must be called once
-// in each process and its result never stored for a later one.
+// NewIncarnation returns a new incarnation of the node. Call it once in each
+// process, and never store the result for use by a later process.
 func NewIncarnation(node string) Incarnation {
 	var random [8]byte
 	crand.Read(random[:]) // never fails
 	return Incarnation{Node: node, Run: binary.BigEndian.Uint64(random[:])}
 }
 
-// Ticket is the right to have one call run once, by its executor.
+// Ticket authorises its executor to run one call at most once.
 type Ticket struct {
 	Executor Incarnation
-	Serial   uint64 // counted for each account of the executor
+	Serial   uint64 // numbered separately for each account of the executor
 	Account  string
 }
 
-// Encode returns the ticket as a string of URL-safe characters.
+// Encode returns the ticket with its authentication code, as a string of URL-safe
+// characters.
 func (t Ticket) Encode(key Key) string {
-	b := make([]byte, 0, headBytes+2+len(t.Executor.Node)+len(t.Account)+macBytes)
+	b := make([]byte, 0, maxHeaderBytes+2+len(t.Executor.Node)+len(t.Account)+macBytes)
 	b = append(b, version)
 	b = binary.BigEndian.AppendUint64(b, t.Executor.Run)
 	b = binary.AppendUvarint(b, t.Serial)
@@ -61,28 +63,27 @@
 	return encoding.EncodeToString(b)
 }
 
-// Parse decodes and authenticates a ticket. It fails with an *Error of
-// ReasonMalformed or ReasonForged. Any node that holds the key can do this;
-// whether the presenting account is the ticket's is for [Executor.Do] and
-// [Redeemer.Redeem] to check.
+// Parse decodes and authenticates a ticket, which any node with the key can do.
+// It fails with an *Error of ReasonMalformed or ReasonForged. It does not check
+// the account that presents the ticket; [Executor.Do] and [Redeemer.Redeem] do.
 func Parse(key Key, s string) (Ticket, error) {
-	if len(s) > maxText || strings.ContainsAny(s, "\r\n") {
-		return Ticket{}, newError(ReasonMalformed, NotRun, nil)
+	if len(s) > maxEncodedBytes || strings.ContainsAny(s, "\r\n") {
+		return Ticket{}, attemptError(ReasonMalformed, NotRun, nil)
 	}
 	raw, err := encoding.DecodeString(s)
 	if err != nil {
-		return Ticket{}, newError(ReasonMalformed, NotRun, err)
+		return Ticket{}, attemptError(ReasonMalformed, NotRun, err)
 	}
 	if len(raw) <= macBytes || raw[0] != version {
-		return Ticket{}, newError(ReasonMalformed, NotRun, errors.New("unknown form"))
+		return Ticket{}, attemptError(ReasonMalformed, NotRun, errors.New("too short or unknown version"))
 	}
 	body, tag := raw[:len(raw)-macBytes], raw[len(raw)-macBytes:]
 	if !hmac.Equal(tag, mac(key, body)) {
-		return Ticket{}, newError(ReasonForged, NotRun, nil)
+		return Ticket{}, attemptError(ReasonForged, NotRun, nil)
 	}
 	t, ok := decodeBody(body[1:])
 	if !ok {
-		return Ticket{}, newError(ReasonMalformed, NotRun, errors.New("truncated"))
+		return Ticket{}, attemptError(ReasonMalformed, NotRun, errors.New("truncated"))
 	}
 	return t, nil
 }
@@ -130,11 +131,12 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// Fingerprint identifies a request: a ticket is bound to the first request that
-// it is presented with.
+// Fingerprint is a hash that identifies a request. A ticket is bound to the first
+// request that it is presented with.
 type Fingerprint [sha256.Size]byte
 
-// FingerprintOf hashes the parts of a request, such as method, path and body.
+// FingerprintOf returns the hash of the parts of a request, such as its method,
+// path and body.
 func FingerprintOf(parts ...[]byte) Fingerprint {
 	h := sha256.New()
 	var size [8]byte
--- a/coord/ticket/ticket_test.go
+++ b/coord/ticket/ticket_test.go
@@ -102,7 +102,7 @@
 		}
 		one := ticket.Ticket{Executor: peer, Account: "acme"}
 		for range 2 {
-			e.Do(t.Context(), one, "acme", bound, func(context.Context) (ticket.Answer, error) { ran++; return nil, nil })
+			e.Do(t.Context(), one, "acme", fingerprint, func(context.Context) (ticket.Answer, error) { ran++; return nil, nil })
 		}
 		if ran > 1 {
 			t.Fatal("ran twice")
@@ -133,13 +133,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		e.Issue("acme", 1)
-		e.Do(context.Background(), one, "acme", bound, func(context.Context) (ticket.Answer, error) { return answer, nil })
+		e.Do(context.Background(), one, "acme", fingerprint, func(context.Context) (ticket.Answer, error) { return answer, nil })
 		one.Serial++
 	}
 }
 
-// TestTicketMemory bounds what an executor holds for accounts with one unused
-// ticket and with a window of used ones.
+// TestTicketMemory checks that the memory of an executor stays below a bound per
+// account, with one ticket per account and with a full window.
 func TestTicketMemory(t *testing.T) {
 	const accounts, window = 200, 1 << 11
 	c := config(self)
@@ -154,7 +154,7 @@
 			_, err := e.Issue(account, used)
 			must.NoError(t, err)
 			last := ticket.Ticket{Executor: self, Serial: uint64(used) - 1, Account: account}
-			_, err = e.Do(t.Context(), last, account, bound, (&service{}).file)
+			_, err = e.Do(t.Context(), last, account, fingerprint, (&service{}).file)
 			must.NoError(t, err)
 		}
 		perAccount := float64(heap()-before) / accounts
@@ -166,7 +166,7 @@
 
 func heap() int64 {
 	runtime.GC()
-	runtime.GC() // a second one empties the pools
+	runtime.GC() // the second collection releases objects cached in sync.Pools
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
--- a/coord/ticket/window.go
+++ b/coord/ticket/window.go
@@ -2,32 +2,33 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// outcome is what an executor knows of one serial.
+// outcome is the recorded outcome of the ticket with one serial.
 type outcome uint8
 
 const (
-	fresh   outcome = iota // never begun
-	begun                  // begun; running or its end unknown
-	refused                // spent without having run
-	ran                    // ran to its end
+	outcomeUnused  outcome = iota // the call was never started
+	outcomeStarted                // the call was started; it is running, or its outcome is unknown
+	outcomeRefused                // the service executed nothing, but the ticket is used up
+	outcomeRan                    // the call ran to completion
 )
 
-// window holds the outcome of the newest serials of one account in two bits
-// each: ended alone is refused, began alone is begun, both are ran. Serials
-// share positions modulo size; a serial that slid out is never run again.
+// window holds the outcomes of the newest size serials of one account, in two
+// bits each: only finished means outcomeRefused, only started outcomeStarted,
+// both outcomeRan, and neither outcomeUnused. A serial's bits are at its value
+// modulo size. A serial that has left the window is never run.
 type window struct {
-	size  uint64
-	next  uint64 // the first serial that was not issued
-	began *bitset.BitSet
-	ended *bitset.BitSet
+	size     uint64
+	next     uint64 // the next serial to issue
+	started  *bitset.BitSet
+	finished *bitset.BitSet
 }
 
 func newWindow(size uint64) window {
-	return window{size: size, began: bitset.New(0), ended: bitset.New(0)}
+	return window{size: size, started: bitset.New(0), finished: bitset.New(0)}
 }
 
-// low returns the oldest serial in the window.
-func (w *window) low() uint64 {
+// oldest returns the oldest serial in the window.
+func (w *window) oldest() uint64 {
 	if w.next <= w.size {
 		return 0
 	}
@@ -35,40 +36,40 @@
 }
 
 func (w *window) contains(serial uint64) bool {
-	return serial >= w.low() && serial < w.next
+	return serial >= w.oldest() && serial < w.next
 }
 
-// issue returns the next serial and lets the oldest slide out.
+// issue returns the next serial. In a full window it replaces the oldest one.
 func (w *window) issue() uint64 {
 	serial := w.next
 	w.next++
 	i := w.index(serial)
-	w.began.Clear(i)
-	w.ended.Clear(i)
+	w.started.Clear(i)
+	w.finished.Clear(i)
 	return serial
 }
 
 func (w *window) outcome(serial uint64) outcome {
 	i := w.index(serial)
 	switch {
-	case w.began.Test(i) && w.ended.Test(i):
-		return ran
-	case w.began.Test(i):
-		return begun
-	case w.ended.Test(i):
-		return refused
+	case w.started.Test(i) && w.finished.Test(i):
+		return outcomeRan
+	case w.started.Test(i):
+		return outcomeStarted
+	case w.finished.Test(i):
+		return outcomeRefused
 	}
-	return fresh
+	return outcomeUnused
 }
 
-// record stores the outcome, unless the serial slid out meanwhile.
+// record stores the outcome, unless the serial has left the window.
 func (w *window) record(serial uint64, o outcome) {
 	if !w.contains(serial) {
 		return
 	}
 	i := w.index(serial)
-	w.began.SetTo(i, o == begun || o == ran)
-	w.ended.SetTo(i, o == refused || o == ran)
+	w.started.SetTo(i, o == outcomeStarted || o == outcomeRan)
+	w.finished.SetTo(i, o == outcomeRefused || o == outcomeRan)
 }
 
 func (w *window) index(serial uint64) uint {
