--- a/coord/limit/control_test.go
+++ b/coord/limit/control_test.go
@@ -66,15 +66,15 @@
 		s.limits[name] = limit
 	}
 	lookup := func(account string) (Limit, bool) { l, ok := s.limits[account]; return l, ok }
-	owners, kept := map[string]NodeID{}, map[string][]NodeID{}
+	owners, keepersOf := map[string]NodeID{}, map[string][]NodeID{}
 	for i, name := range s.names {
 		owners[name] = nodeID(i * 7919 % nodes)
 		for part := range settings.Parts {
-			kept[name] = append(kept[name], NodeID(fmt.Sprint(owners[name], "-keeper-", part)))
+			keepersOf[name] = append(keepersOf[name], NodeID(fmt.Sprint(owners[name], "-keeper-", part)))
 		}
 	}
 	owner := func(account string) NodeID { return owners[account] }
-	keepers := func(account string) []NodeID { return kept[account] }
+	keepers := func(account string) []NodeID { return keepersOf[account] }
 	self := func(string) NodeID { return "sample" }
 	process := Process{Node: "sample", Incarnation: math.MaxUint64 / 3}
 	s.borrower = NewBorrower(epoch, BorrowerConfig{Settings: settings, Self: process, Limits: lookup, Owner: owner})
--- a/coord/limit/scenario_test.go
+++ b/coord/limit/scenario_test.go
@@ -58,11 +58,11 @@
 // faults.
 func TestUtilisation(t *testing.T) {
 	tests := []struct {
-		name   string
-		fault  func(w *simulation)
-		least  float64       // minimum fraction of the limit admitted in the ten seconds after the fault
-		usable float64       // fraction of the limit that is usable afterwards
-		after  time.Duration // maximum time until that fraction is usable
+		name         string
+		fault        func(w *simulation)
+		initialShare float64       // minimum fraction of the limit admitted in the ten seconds after the fault
+		usable       float64       // fraction of the limit that is usable afterwards
+		recoveryTime time.Duration // maximum time until that fraction is usable
 	}{
 		{"one busy node", func(*simulation) {}, 0.8, 0.8, 0},
 		{"without owner", func(w *simulation) { w.setOwner(-1, w.nodes...) }, 0.02, 0.02, 0},
@@ -97,7 +97,7 @@
 			w.nodes[1].demand[acct] = 150
 			w.run(20 * time.Second)
 			tc.fault(w)
-			least := w.admittedShare(10 * time.Second)
+			initialShare := w.admittedShare(10 * time.Second)
 			steady := w.admittedShare(10 * time.Second)
 			must.NoError(t, w.violation)
 
@@ -105,13 +105,13 @@
 			w.nodes[1].demand[acct] = 150
 			w.run(20 * time.Second)
 			tc.fault(w)
-			after := w.timeToReach(tc.usable)
+			recoveryTime := w.timeToReach(tc.usable)
 			t.Logf("%.0f%% in 10 s, then %.0f%%; %.0f%% after %s; maximum excess %.0f of %.0f",
-				100*least, 100*steady, 100*tc.usable, after, w.maxExcess[acct].Requests, w.settings.Excess(100))
+				100*initialShare, 100*steady, 100*tc.usable, recoveryTime, w.maxExcess[acct].Requests, w.settings.Excess(100))
 			must.NoError(t, w.violation)
-			must.GreaterEq(t, tc.least, least)
+			must.GreaterEq(t, tc.initialShare, initialShare)
 			must.GreaterEq(t, tc.usable, steady)
-			must.LessEq(t, tc.after, after)
+			must.LessEq(t, tc.recoveryTime, recoveryTime)
 		})
 	}
 }
--- a/coord/ticket/executor_test.go
+++ b/coord/ticket/executor_test.go
@@ -170,7 +170,7 @@
 	e.Do(t.Context(), small, "acme", fingerprint, s.file)
 	large, err := e.Issue("large", 9)
 	must.NoError(t, err)
-	kept := 0
+	cached := 0
 	for _, text := range large {
 		one, _ := ticket.Parse(key, text)
 		e.Do(t.Context(), one, "large", fingerprint, func(context.Context) (ticket.Answer, error) { return make(ticket.Answer, 600), nil })
@@ -179,10 +179,10 @@
 		one, _ := ticket.Parse(key, text)
 		_, err := e.Do(t.Context(), one, "large", fingerprint, s.file)
 		if err == nil {
-			kept++
+			cached++
 		}
 	}
-	test.Eq(t, 2, kept)
+	test.Eq(t, 2, cached)
 	_, err = e.Do(t.Context(), small, "acme", fingerprint, s.file)
 	test.NoError(t, err, test.Sprint("a large account evicted the answer of a small account"))
 	test.Eq(t, 1, s.executions())
--- a/coord/ticket/run_deadline_test.go
+++ b/coord/ticket/run_deadline_test.go
@@ -29,15 +29,15 @@
 // only for a limited time if no other caller waits.
 func TestRunContinuesAfterCallerDeadline(t *testing.T) {
 	tests := map[string]struct {
-		runFor time.Duration
-		repeat time.Duration // time of the retry, counted from the start
-		state  ticket.RunState
+		runFor     time.Duration
+		retryAfter time.Duration // time of the retry, counted from the start
+		state      ticket.RunState
 	}{
-		"ends in time":                      {runFor: time.Second / 2, repeat: time.Second, state: ticket.Ran},
-		"repeated during the run":           {runFor: 5 * time.Second, repeat: 2 * time.Second, state: ticket.Ran},
-		"repeated after the run":            {runFor: 5 * time.Second, repeat: 8 * time.Second, state: ticket.Ran},
-		"takes longer, a repeat waits":      {runFor: 40 * time.Second, repeat: 2 * time.Second, state: ticket.Ran},
-		"takes longer, nobody waits for it": {runFor: 40 * time.Second, repeat: 41 * time.Second, state: ticket.MayHaveRun},
+		"ends in time":                 {runFor: time.Second / 2, retryAfter: time.Second, state: ticket.Ran},
+		"retried during the run":       {runFor: 5 * time.Second, retryAfter: 2 * time.Second, state: ticket.Ran},
+		"retried after the run":        {runFor: 5 * time.Second, retryAfter: 8 * time.Second, state: ticket.Ran},
+		"takes longer, a retry waits":  {runFor: 40 * time.Second, retryAfter: 2 * time.Second, state: ticket.Ran},
+		"takes longer, no retry waits": {runFor: 40 * time.Second, retryAfter: 41 * time.Second, state: ticket.MayHaveRun},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 				defer cancel()
 				startedAt := time.Now()
 				_, _ = e.Do(first, one, "acme", fingerprint, s.runFor(tc.runFor)) // only the result of the retry is checked
-				time.Sleep(tc.repeat - time.Since(startedAt))
+				time.Sleep(tc.retryAfter - time.Since(startedAt))
 				second, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
 				_, err := e.Do(second, one, "acme", fingerprint, s.file)
