--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// ErrExpired is returned when a claim has not enough time left, or was
-// released.
+// ErrExpired is returned when the remaining time of a claim is too short for the operation,
+// when the claim was released, or when a later claim has replaced it.
 var ErrExpired = errors.New("claim: expired")
 
-// Claim is the right to give orders about a resource, until it expires.
+// Claim is the exclusive right to send orders for a resource until the claim expires or is
+// released.
 type Claim struct {
 	claimer  *Claimer
 	id       string
 	resource string
 	token    int64
-	expires  time.Duration // by the claimer's clock
+	expires  time.Duration // reading of the claimer's clock
 	released atomic.Bool
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -33,8 +34,9 @@
 	}
 }
 
-// watch ends the claim's context in time.
-func (c *Claim) watch() {
+// cancelBeforeExpiry creates the claim's context and cancels it when the remaining time falls
+// to the order timeout.
+func (c *Claim) cancelBeforeExpiry() {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	go func() {
 		defer c.cancel()
@@ -42,29 +44,30 @@
 	}()
 }
 
-// Token returns the fencing token. Tokens of a resource grow with each holder.
+// Token returns the fencing token. Each new claim of a resource has a higher token than the one
+// before.
 func (c *Claim) Token() int64 { return c.token }
 
 // Resource returns the name of the claimed resource or slot.
 func (c *Claim) Resource() string { return c.resource }
 
-// Remaining returns the time left, negative once it has passed.
+// Remaining returns the time until the claim expires; it is negative after that.
 func (c *Claim) Remaining() time.Duration {
 	return c.expires - c.claimer.config.Clock.Now()
 }
 
-// Valid tells whether the claim holds for at least margin from now.
+// Valid reports whether the claim was not released and expires more than margin from now.
 func (c *Claim) Valid(margin time.Duration) bool {
 	return !c.released.Load() && c.Remaining() > margin
 }
 
-// Context ends when the claim is released or its remaining time falls to the
-// order timeout: from then on no order may be begun. It doesn't end with the
-// context that the claim was acquired with.
+// Context returns a context that is canceled when the claim is released or its remaining time
+// falls to the order timeout; no order may start after that. It is independent of the context
+// passed to Acquire.
 func (c *Claim) Context() context.Context { return c.ctx }
 
-// Order returns the context for one order, ended by the order timeout and with
-// ctx. It fails with ErrExpired if the order might outlast the claim.
+// Order returns a context for one order, derived from ctx and limited by the order timeout. It
+// returns ErrExpired if the order could outlast the claim.
 func (c *Claim) Order(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	timeout := c.claimer.config.OrderTimeout
 	if !c.Valid(timeout) {
@@ -74,11 +77,11 @@
 	return bounded, cancel, nil
 }
 
-// Release ends the claim, so that others need not wait for its time. The
-// claim is invalid here from the call on, whatever the append's answer; after
-// an error it runs out by itself, and calling again is safe. A holder whose
-// last order has an uncertain outcome lets the claim run out instead, so that
-// the grace period protects the next holder.
+// Release ends the claim, so that other contenders need not wait until it expires. The claim is
+// invalid in this process from the call on, whether or not the append succeeds. After an error
+// the claim expires as usual, and Release may be called again. A holder whose last order has an
+// uncertain outcome should let the claim expire instead, so that the grace period protects the
+// next holder.
 func (c *Claim) Release(ctx context.Context) error {
 	c.released.Store(true)
 	c.cancel()
--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -42,36 +42,36 @@
 	// order <nil>
 	// after release: claim: expired
 	// next holder <nil>
-	// late order claim: token is older than one already seen: 0 after 2
+	// late order claim: token is lower than one already accepted: got 0, highest accepted is 2
 }
 
-// slowRead answers the first read only after a delay, as a long poll does.
-type slowRead struct {
+// delayedReadLog delays the response to the first read, as a long poll does.
+type delayedReadLog struct {
 	*memLog
 	delay time.Duration
 }
 
-func (l *slowRead) Read(ctx context.Context, from int64, limit int) ([]claim.Record, int64, error) {
+func (l *delayedReadLog) Read(ctx context.Context, from int64, limit int) ([]claim.Record, int64, error) {
 	delay := l.delay
 	l.delay = 0
 	time.Sleep(delay)
 	return l.memLog.Read(ctx, from, limit)
 }
 
-// TestContenderWaits gives a second node the claim and looks whether the first
-// still believed in its own, and how much longer than needed was waited.
+// TestContenderWaits lets a second node acquire the claim. The first node's claim must be
+// invalid by then, and the second node must not wait longer than necessary.
 func TestContenderWaits(t *testing.T) {
 	tests := map[string]struct {
 		holderRate, contenderRate float64
 		readDelay, grace          time.Duration
 		release                   bool
-		atMost                    time.Duration
+		maxWait                   time.Duration
 	}{
-		"released":          {holderRate: 1, contenderRate: 1, grace: 9 * time.Second, release: true, atMost: time.Second},
-		"ran out":           {holderRate: 1, contenderRate: 1, atMost: 21 * time.Second},
-		"grace":             {holderRate: 1, contenderRate: 1, grace: 9 * time.Second, atMost: 30 * time.Second},
-		"slow holder clock": {holderRate: 0.99, contenderRate: 1.01, atMost: 21 * time.Second},
-		"long poll":         {holderRate: 1, contenderRate: 1, readDelay: 15 * time.Second, atMost: 27 * time.Second},
+		"released":                {holderRate: 1, contenderRate: 1, grace: 9 * time.Second, release: true, maxWait: time.Second},
+		"expired without release": {holderRate: 1, contenderRate: 1, maxWait: 21 * time.Second},
+		"grace":                   {holderRate: 1, contenderRate: 1, grace: 9 * time.Second, maxWait: 30 * time.Second},
+		"slow holder clock":       {holderRate: 0.99, contenderRate: 1.01, maxWait: 21 * time.Second},
+		"long poll":               {holderRate: 1, contenderRate: 1, readDelay: 15 * time.Second, maxWait: 27 * time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 				log := &memLog{}
 				first := config(log, "a", rand.New(rand.NewPCG(1, 1)))
 				first.Clock = skewClock{time.Now(), tc.holderRate}
-				second := config(&slowRead{log, tc.readDelay}, "b", rand.New(rand.NewPCG(1, 2)))
+				second := config(&delayedReadLog{log, tc.readDelay}, "b", rand.New(rand.NewPCG(1, 2)))
 				second.Clock, second.Grace = skewClock{time.Now(), tc.contenderRate}, tc.grace
 				a, err := claim.New(first)
 				must.NoError(t, err)
@@ -92,7 +92,7 @@
 					test.NoError(t, err)
 					won <- held
 				}
-				if tc.readDelay > 0 { // the read begins before the claim exists
+				if tc.readDelay > 0 { // the read starts before the claim exists
 					go contend()
 					time.Sleep(tc.readDelay - 5*time.Second)
 				}
@@ -108,10 +108,10 @@
 				}
 				next := <-won
 				waited := time.Since(start)
-				test.False(t, held.Valid(0), test.Sprint("both hold the claim"))
+				test.False(t, held.Valid(0), test.Sprint("both holders find their claim valid"))
 				test.Error(t, held.Context().Err())
 				test.Greater(t, held.Token(), next.Token())
-				test.LessEq(t, tc.atMost, waited)
+				test.LessEq(t, tc.maxWait, waited)
 				test.True(t, tc.release || waited >= ttl+tc.grace)
 				time.Sleep(time.Minute)
 			})
@@ -119,7 +119,10 @@
 	}
 }
 
-func TestAppends(t *testing.T) {
+// TestClaimLifecycle checks that acquiring and releasing a free slot costs two appends, that
+// orders end with the order timeout before expiry, that slots limit the number of holders, and
+// that a failed release still invalidates the claim.
+func TestClaimLifecycle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memLog{}
 		c := newClaimer(t, log, "a")
@@ -164,9 +167,10 @@
 	})
 }
 
-// TestRecordsOfOthers ignores records that no contender writes, which would keep a resource from
-// all, and waits for one that a contender could have written.
-func TestRecordsOfOthers(t *testing.T) {
+// TestForeignRecords checks that records which no contender writes are ignored, since they
+// would block a resource for everybody, and that a record which a contender could have written
+// delays the claim.
+func TestForeignRecords(t *testing.T) {
 	for _, text := range []string{
 		"", "null", "7", `"claim"`, "{", "\xff", `{"kind":"lease","id":"x","resource":"r","ttl_ns":20000000000}`, `{"kind":7}`,
 		`{"kind":"claim","id":"x","resource":"r","ttl_ns":60000000001}`, `{"kind":"claim","id":"x","resource":"r","ttl_ns":9223372036854775807}`,
@@ -180,11 +184,11 @@
 			log.add([]byte(text))
 			c, err := claim.New(config(log, "a", rand.New(rand.NewPCG(1, 1))))
 			must.NoError(t, err)
-			begun := time.Now()
+			start := time.Now()
 			held, err := c.Acquire(t.Context(), "r", ttl)
 			must.NoError(t, err)
 			test.Eq(t, 1, held.Token(), test.Sprint(text))
-			test.Less(t, time.Second, time.Since(begun), test.Sprint(text))
+			test.Less(t, time.Second, time.Since(start), test.Sprint(text))
 			must.NoError(t, held.Release(t.Context()))
 		})
 	}
@@ -193,14 +197,15 @@
 		log.add([]byte(`{"kind":"claim","id":"x","resource":"r","ttl_ns":20000000000,"seen":0}`))
 		c, err := claim.New(config(log, "a", rand.New(rand.NewPCG(1, 1))))
 		must.NoError(t, err)
-		begun := time.Now()
+		start := time.Now()
 		held, err := c.Acquire(t.Context(), "r", ttl)
 		must.NoError(t, err)
-		test.Greater(t, 20*time.Second, time.Since(begun))
+		test.Greater(t, 20*time.Second, time.Since(start))
 		must.NoError(t, held.Release(t.Context()))
 	})
 }
 
+// FuzzRecords checks that no content of a record breaks the claims of other resources.
 func FuzzRecords(f *testing.F) {
 	f.Add([]byte(`{"kind":"claim","id":"x","resource":"r","ttl_ns":20000000000,"seen":0}`))
 	f.Add([]byte(`{"kind":"claim","id":"x","resource":"r","ttl_ns":9223372036854775807,"seen":-1}`))
@@ -221,7 +226,7 @@
 		defer cancel()
 		held, err := c.Acquire(ctx, "free", ttl)
 		if err == nil && (held.Token() != 1 || !held.Valid(orderTimeout)) {
-			t.Fatalf("token %d", held.Token())
+			t.Fatalf("claim of a free resource: token %d, want 1 and validity beyond the order timeout", held.Token())
 		}
 	})
 }
--- a/coord/claim/claimer.go
+++ b/coord/claim/claimer.go
@@ -12,39 +12,41 @@
 
 // Claimer acquires claims for one process. It is safe for concurrent use.
 type Claimer struct {
-	config Config
-	turn   chan struct{} // held to use view
-	view   view
+	config   Config
+	viewLock chan struct{} // has capacity 1; a send locks view, a receive unlocks it
+	view     view
 }
 
-// New returns a Claimer; the first Acquire reads the retained log.
+// New returns a Claimer. It fails if the configuration is invalid. The first Acquire reads the
+// retained log.
 func New(config Config) (*Claimer, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	return &Claimer{
-		config: config,
-		turn:   make(chan struct{}, 1),
+		config:   config,
+		viewLock: make(chan struct{}, 1),
 		view: view{
 			log:       config.Log,
 			clock:     config.Clock,
 			grace:     config.Grace,
 			maxTTL:    config.MaxTTL,
-			resources: make(map[string]*resource),
+			resources: make(map[string]*resourceState),
 		},
 	}, nil
 }
 
-// Acquire claims the resource for ttl, waiting until it is free or ctx ends. A
-// free resource costs one append. After an error, of ctx or for a wrong ttl, a
-// record may have been appended: it keeps others waiting for ttl, no more.
+// Acquire claims the resource for ttl. It waits until the resource is free and returns the
+// cause of the end of ctx if that comes first. Claiming a free resource costs one append. It
+// returns an error for a ttl outside OrderTimeout to MaxTTL. If ctx ends first, a record may
+// already have been appended; it blocks other contenders no longer than a claim for ttl would.
 func (c *Claimer) Acquire(ctx context.Context, resource string, ttl time.Duration) (*Claim, error) {
 	return c.acquire(ctx, []string{resource}, ttl)
 }
 
-// AcquireAny claims one of the numbered slots of the resource, so that at most
-// that many holders exist. All contenders use the same number; when it is
-// lowered, holders of slots above keep them for their ttl.
+// AcquireAny claims one of the numbered slots of the resource, which limits the number of
+// holders to slots. All contenders must use the same number. After the number is lowered,
+// holders of slots above it keep them until their claims expire.
 func (c *Claimer) AcquireAny(ctx context.Context, resource string, slots int, ttl time.Duration) (*Claim, error) {
 	names := make([]string, slots)
 	for i := range names {
@@ -53,59 +55,59 @@
 	return c.acquire(ctx, names, ttl)
 }
 
-// attempt is a record that was sent, whatever became of it.
+// attempt is a claim record that this process sent; it may or may not have reached the log.
 type attempt struct {
 	id       string
 	resource string
-	start    time.Duration // before the read that it is based on
+	start    time.Duration // clock reading before the log read that the record is based on
 }
 
-// state is where one acquire stands after a read.
-type state struct {
-	won    *Claim
-	free   string // a resource to claim; empty if none is free
-	freeAt time.Duration
-	seen   int64
+// acquireState is what one pass over the log yields for a call to acquire.
+type acquireState struct {
+	wonClaim   *Claim
+	free       string // a resource that can be claimed now; empty if none is free
+	freeAt     time.Duration
+	readOffset int64
 }
 
 func (c *Claimer) acquire(ctx context.Context, names []string, ttl time.Duration) (*Claim, error) {
 	if ttl <= c.config.OrderTimeout || ttl > c.config.MaxTTL {
-		return nil, fmt.Errorf("claim: ttl %v is not within %v to %v", ttl, c.config.OrderTimeout, c.config.MaxTTL)
+		return nil, fmt.Errorf("claim: acquire: ttl %v must be greater than %v and at most %v", ttl, c.config.OrderTimeout, c.config.MaxTTL)
 	}
 	if len(names) == 0 {
-		return nil, errors.New("claim: no slots")
+		return nil, errors.New("claim: acquire: number of slots must be positive")
 	}
 	var attempts []attempt
-	var settled int64 // offsets below must be read before the next append
-	spread := false
+	var minReadOffset int64 // the next append waits until the log was read up to this offset
+	delayAppend := false
 	for ctx.Err() == nil {
 		start := c.config.Clock.Now()
-		s, err := c.look(ctx, names, attempts, ttl)
+		s, err := c.readState(ctx, names, attempts, ttl)
 		switch {
-		case s.won != nil:
-			return s.won, nil
-		case err != nil || s.seen < settled:
+		case s.wonClaim != nil:
+			return s.wonClaim, nil
+		case err != nil || s.readOffset < minReadOffset:
 			c.config.Clock.Sleep(ctx, c.config.Poll)
 		case s.free == "":
-			spread = true
+			delayAppend = true
 			c.config.Clock.Sleep(ctx, min(c.config.Poll, s.freeAt-start))
-		case spread:
-			spread = false
+		case delayAppend:
+			delayAppend = false
 			c.config.Clock.Sleep(ctx, time.Duration(c.config.Random(int64(c.config.Poll))))
 		default:
 			a := attempt{id: rand.Text(), resource: s.free, start: start}
 			attempts = append(attempts, a)
-			settled = c.append(ctx, a, s.seen, ttl) + 1
-			spread = true
+			minReadOffset = c.append(ctx, a, s.readOffset, ttl) + 1
+			delayAppend = true
 		}
 	}
 	return nil, context.Cause(ctx)
 }
 
-// append sends a claim record. A lost answer is as good as none: the record is
-// looked for in the log.
-func (c *Claimer) append(ctx context.Context, a attempt, seen int64, ttl time.Duration) int64 {
-	e := entry{Kind: kindClaim, ID: a.id, Resource: a.resource, Holder: c.config.Holder, TTL: ttl, Seen: seen}
+// append appends a claim record and returns its offset, or -1 after an error. An error does not
+// show whether the record was added; later reads of the log show it.
+func (c *Claimer) append(ctx context.Context, a attempt, readOffset int64, ttl time.Duration) int64 {
+	e := entry{Kind: kindClaim, ID: a.id, Resource: a.resource, Holder: c.config.Holder, TTL: ttl, ReadOffset: readOffset}
 	offset, err := c.config.Log.Append(ctx, e.encode())
 	if err != nil {
 		c.config.Clock.Sleep(ctx, c.config.Poll)
@@ -114,15 +116,15 @@
 	return offset
 }
 
-// read brings the view up to date with the log and calls use on it, while no
-// other call of this process uses it.
-func (c *Claimer) read(ctx context.Context, use func()) error {
+// withCurrentView reads the log to its end and then calls use while holding the lock of the
+// view. It returns an error if ctx ends or the read fails.
+func (c *Claimer) withCurrentView(ctx context.Context, use func()) error {
 	select {
-	case c.turn <- struct{}{}:
+	case c.viewLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-c.turn }()
+	defer func() { <-c.viewLock }()
 	if err := c.view.sync(ctx); err != nil {
 		return err
 	}
@@ -130,67 +132,69 @@
 	return nil
 }
 
-// look reads the log and tells what it says for the acquire.
-func (c *Claimer) look(ctx context.Context, names []string, attempts []attempt, ttl time.Duration) (state, error) {
-	var s state
-	err := c.read(ctx, func() {
-		s.won = c.won(attempts, ttl)
-		s.seen = c.view.position
-		s.free, s.freeAt = c.choose(names)
+// readState reads the log and returns the state of a call to acquire.
+func (c *Claimer) readState(ctx context.Context, names []string, attempts []attempt, ttl time.Duration) (acquireState, error) {
+	var s acquireState
+	err := c.withCurrentView(ctx, func() {
+		s.wonClaim = c.wonClaim(attempts, ttl)
+		s.readOffset = c.view.position
+		s.free, s.freeAt = c.chooseResource(names)
 	})
 	return s, err
 }
 
-// won returns the claim of the attempt that took effect, if time is left.
-func (c *Claimer) won(attempts []attempt, ttl time.Duration) *Claim {
+// wonClaim returns the claim of the attempt that took effect, or nil if none did or its
+// remaining time is at most the order timeout.
+func (c *Claimer) wonClaim(attempts []attempt, ttl time.Duration) *Claim {
 	for _, a := range attempts {
 		h := c.view.resource(a.resource).current
 		if h == nil || h.id != a.id {
 			continue
 		}
-		won := newClaim(c, a, h.offset, ttl)
-		if won.Valid(c.config.OrderTimeout) {
-			won.watch()
-			return won
+		wonClaim := newClaim(c, a, h.offset, ttl)
+		if wonClaim.Valid(c.config.OrderTimeout) {
+			wonClaim.cancelBeforeExpiry()
+			return wonClaim
 		}
 	}
 	return nil
 }
 
-// choose picks a random free resource, or tells when the first gets free.
-func (c *Claimer) choose(names []string) (string, time.Duration) {
+// chooseResource returns a random free resource, or an empty name if none is free, and the
+// earliest time at which one becomes free.
+func (c *Claimer) chooseResource(names []string) (string, time.Duration) {
 	now := c.config.Clock.Now()
 	var free []string
-	first := now + c.config.MaxTTL
+	earliest := now + c.config.MaxTTL
 	for _, name := range names {
 		at := c.view.freeAt(name)
-		first = min(first, at)
+		earliest = min(earliest, at)
 		if at <= now {
 			free = append(free, name)
 		}
 	}
 	if len(free) == 0 {
-		return "", first
+		return "", earliest
 	}
-	return free[c.config.Random(int64(len(free)))], first
+	return free[c.config.Random(int64(len(free)))], earliest
 }
 
-// Holding is a claim in effect, as the log tells.
+// Holding is a claim in effect, as derived from the log.
 type Holding struct {
 	Resource string
 	Holder   string
 	Token    int64
-	FreeIn   time.Duration // until a contender may follow
-	// Unsure marks records of which this node can't tell whether they took
-	// effect, since retention dropped what they rest on. They are waited for.
+	FreeIn   time.Duration // time until another contender can claim the resource
+	// Unsure marks claim records whose outcome this node cannot determine, because log
+	// retention removed the records that they are based on. Contenders wait for them to expire.
 	Unsure bool
 }
 
-// Holdings reads the log and returns the claims that are neither released nor
-// over, sorted by resource, for operators.
+// Holdings reads the log and returns the claims that were not released and have not expired,
+// sorted by resource. It is meant for display to operators.
 func (c *Claimer) Holdings(ctx context.Context) ([]Holding, error) {
 	var all []Holding
-	err := c.read(ctx, func() { all = c.holdings() })
+	err := c.withCurrentView(ctx, func() { all = c.holdings() })
 	return all, err
 }
 
@@ -198,11 +202,11 @@
 	now := c.config.Clock.Now()
 	var all []Holding
 	for name, r := range c.view.resources {
-		if h := r.current; h != nil && !h.released && h.until > now {
-			all = append(all, Holding{Resource: name, Holder: h.holder, Token: h.offset, FreeIn: h.until - now})
+		if h := r.current; h != nil && !h.released && h.freeAt > now {
+			all = append(all, Holding{Resource: name, Holder: h.holder, Token: h.offset, FreeIn: h.freeAt - now})
 		}
-		if r.unsureUntil > now {
-			all = append(all, Holding{Resource: name, Token: r.unsureThrough, FreeIn: r.unsureUntil - now, Unsure: true})
+		if r.uncertainUntil > now {
+			all = append(all, Holding{Resource: name, Token: r.uncertainThrough, FreeIn: r.uncertainUntil - now, Unsure: true})
 		}
 	}
 	slices.SortFunc(all, func(a, b Holding) int { return strings.Compare(a.Resource, b.Resource) })
--- a/coord/claim/invariant_test.go
+++ b/coord/claim/invariant_test.go
@@ -20,91 +20,96 @@
 	"github.com/cherryward/cherryward/coord/claim"
 )
 
-// The property runs with a fixed seed and count unless flags ask for more.
+// The property test runs with a fixed seed and number of checks; command-line flags override
+// them.
 func init() {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", "50")
 }
 
-// fault is a deliberately broken variant that the checker must catch.
-type fault int
+// simVariant selects the correct implementation or a deliberately broken one that the checker
+// must detect.
+type simVariant int
 
 const (
-	sound       fault = iota
-	countLate         // the holder counts from after the append and read
-	fastClocks        // rates differ by more than the margin covers
-	blindToRace       // a contender doesn't see a claim that came just before its own
+	correct               simVariant = iota
+	countsTTLFromGrant               // the holder starts the TTL after the append and read
+	excessiveSkew                    // clock rates differ by more than the margin allows
+	missesConcurrentClaim            // a contender does not read a claim appended just before its own
 )
 
-// belief is the time in which a holder finds its claim valid.
-type belief struct {
-	resource   string
-	token      int64
-	from, till time.Time
+// validPeriod is a period in which a holder finds its claim valid.
+type validPeriod struct {
+	resource    string
+	token       int64
+	from, until time.Time
 }
 
-// check returns the first violation: two holders at once, or a token that
-// doesn't grow.
-func check(beliefs []belief) error {
-	slices.SortFunc(beliefs, func(a, b belief) int {
+// checkExclusive returns an error for the first violation: two holders at the same time, or a
+// token that does not increase.
+func checkExclusive(periods []validPeriod) error {
+	slices.SortFunc(periods, func(a, b validPeriod) int {
 		return cmp.Or(cmp.Compare(a.resource, b.resource), a.from.Compare(b.from))
 	})
-	for i, b := range beliefs[:max(0, len(beliefs)-1)] {
-		next := beliefs[i+1]
+	for i, b := range periods[:max(0, len(periods)-1)] {
+		next := periods[i+1]
 		if next.resource != b.resource {
 			continue
 		}
-		if next.from.Before(b.till) {
-			return fmt.Errorf("%s: tokens %d and %d valid at once for %v", b.resource, b.token, next.token, b.till.Sub(next.from))
+		if next.from.Before(b.until) {
+			return fmt.Errorf("%s: tokens %d and %d valid at once for %v", b.resource, b.token, next.token, b.until.Sub(next.from))
 		}
 		if next.token <= b.token {
-			return fmt.Errorf("%s: token %d after %d", b.resource, next.token, b.token)
+			return fmt.Errorf("%s: token %d after %d, want a higher one", b.resource, next.token, b.token)
 		}
 	}
 	return nil
 }
 
-// blindLog hides the records between a contender's last read and its append.
-type blindLog struct {
+// hidingLog hides the claim records between a contender's last read and its append.
+type hidingLog struct {
 	*memLog
-	read int64
-	from int64
-	to   int64
+	readOffset int64
+	hiddenFrom int64
+	hiddenTo   int64
 }
 
-func (l *blindLog) Append(ctx context.Context, data []byte) (int64, error) {
+func (l *hidingLog) Append(ctx context.Context, data []byte) (int64, error) {
 	offset, err := l.memLog.Append(ctx, data)
 	if err == nil {
-		l.from, l.to = l.read, offset
+		l.hiddenFrom, l.hiddenTo = l.readOffset, offset
 	}
 	return offset, err
 }
 
-func (l *blindLog) Read(ctx context.Context, from int64, limit int) ([]claim.Record, int64, error) {
+func (l *hidingLog) Read(ctx context.Context, from int64, limit int) ([]claim.Record, int64, error) {
 	records, next, err := l.memLog.Read(ctx, from, limit)
 	for i, r := range records {
-		if r.Offset >= l.from && r.Offset < l.to && !bytes.Contains(r.Data, []byte("release")) {
+		if r.Offset >= l.hiddenFrom && r.Offset < l.hiddenTo && !bytes.Contains(r.Data, []byte("release")) {
 			records[i].Data = nil
 		}
 	}
-	l.read = max(l.read, next)
+	l.readOffset = max(l.readOffset, next)
 	return records, next, err
 }
 
+// simulation runs contenders against an unreliable log and records when each found its claim
+// valid.
 type simulation struct {
-	broken fault
-	log    *memLog
-	end    time.Time
-	slots  int
+	variant simVariant
+	log     *memLog
+	end     time.Time
+	slots   int
 
 	mu      sync.Mutex
-	beliefs []belief
+	periods []validPeriod
 }
 
-// contend acquires, holds, pauses, releases and restarts until the end.
+// contend acquires, holds and releases claims, with random pauses and restarts, until the
+// simulation ends.
 func (s *simulation) contend(t *testing.T, name string, random *rand.Rand) {
 	skew := 0.01
-	if s.broken == fastClocks {
+	if s.variant == excessiveSkew {
 		skew = 0.2
 	}
 	clock := skewClock{time.Now(), 1 - skew + 2*skew*random.Float64()}
@@ -119,14 +124,14 @@
 		if err != nil {
 			continue
 		}
-		s.hold(held, clock, random)
+		s.holdClaim(held, clock, random)
 	}
 }
 
 func (s *simulation) start(t *testing.T, name string, clock claim.Clock, random *rand.Rand) *claim.Claimer {
 	var log claim.Log = s.log
-	if s.broken == blindToRace {
-		log = &blindLog{memLog: s.log}
+	if s.variant == missesConcurrentClaim {
+		log = &hidingLog{memLog: s.log}
 	}
 	conf := config(log, name, random)
 	conf.Clock = clock
@@ -135,24 +140,24 @@
 	return c
 }
 
-func (s *simulation) hold(held *claim.Claim, clock skewClock, random *rand.Rand) {
-	left := held.Remaining()
-	if s.broken == countLate {
-		left = ttl
+func (s *simulation) holdClaim(held *claim.Claim, clock skewClock, random *rand.Rand) {
+	remaining := held.Remaining()
+	if s.variant == countsTTLFromGrant {
+		remaining = ttl
 	}
-	b := belief{held.Resource(), held.Token(), time.Now(), time.Now().Add(clock.real(left))}
+	b := validPeriod{held.Resource(), held.Token(), time.Now(), time.Now().Add(clock.real(remaining))}
 	time.Sleep(time.Duration(random.IntN(30)) * time.Second)
 	if random.IntN(2) == 0 && held.Valid(0) {
-		b.till = time.Now()
+		b.until = time.Now()
 		held.Release(context.Background())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.beliefs = append(s.beliefs, b)
+	s.periods = append(s.periods, b)
 }
 
-func simulate(t *testing.T, broken fault, seed uint64, slots int) *simulation {
-	s := &simulation{broken: broken, slots: slots, end: time.Now().Add(15 * time.Minute)}
+func simulate(t *testing.T, variant simVariant, seed uint64, slots int) *simulation {
+	s := &simulation{variant: variant, slots: slots, end: time.Now().Add(15 * time.Minute)}
 	s.log = &memLog{random: rand.New(rand.NewPCG(seed, 0)), retain: 3 * time.Minute}
 	var nodes sync.WaitGroup
 	for i := range 4 {
@@ -166,7 +171,7 @@
 		s.log.mu.Unlock()
 	}
 	nodes.Wait()
-	time.Sleep(time.Hour) // delayed appends arrive, claims end
+	time.Sleep(time.Hour) // delayed appends arrive, claims expire
 	return s
 }
 
@@ -175,8 +180,8 @@
 		seed := rapid.Uint64().Draw(rt, "seed")
 		slots := rapid.IntRange(1, 2).Draw(rt, "slots")
 		var s *simulation
-		synctest.Test(t, func(t *testing.T) { s = simulate(t, sound, seed, slots) })
-		if err := check(s.beliefs); err != nil {
+		synctest.Test(t, func(t *testing.T) { s = simulate(t, correct, seed, slots) })
+		if err := checkExclusive(s.periods); err != nil {
 			rt.Fatal(err)
 		}
 	})
@@ -184,20 +189,20 @@
 
 func TestCheckerCatchesBrokenVariants(t *testing.T) {
 	const runs = 20
-	for _, broken := range []fault{sound, countLate, fastClocks, blindToRace} {
+	for _, variant := range []simVariant{correct, countsTTLFromGrant, excessiveSkew, missesConcurrentClaim} {
 		caught, claims, appends := 0, 0, 0
 		for seed := range uint64(runs) {
 			synctest.Test(t, func(t *testing.T) {
-				s := simulate(t, broken, seed, 1)
-				claims += len(s.beliefs)
+				s := simulate(t, variant, seed, 1)
+				claims += len(s.periods)
 				appends += s.log.appends
-				if check(s.beliefs) != nil {
+				if checkExclusive(s.periods) != nil {
 					caught++
 				}
 			})
 		}
-		t.Logf("variant %d: caught in %d of %d runs, %d claims, %d appends", broken, caught, runs, claims, appends)
-		test.Eq(t, broken != sound, caught > 0)
+		t.Logf("variant %d: caught in %d of %d runs, %d claims, %d appends", variant, caught, runs, claims, appends)
+		test.Eq(t, variant != correct, caught > 0)
 		test.Greater(t, runs*5, claims)
 	}
 }
--- a/coord/claim/log.go
+++ b/coord/claim/log.go
@@ -11,23 +11,23 @@
 	Data   []byte
 }
 
-// Log is one stream of an append-only log, used for claims alone. The offsets
-// of its records have no holes.
+// Log is one stream of an append-only log, used only for claims. The offsets of its records are
+// contiguous.
 type Log interface {
-	// Append adds a record and returns its offset. After an error the record
-	// may have been added all the same, at once or later.
+	// Append adds a record and returns its offset. After an error the record may still have
+	// been added, or may be added later.
 	Append(ctx context.Context, data []byte) (offset int64, err error)
-	// Read returns up to limit records from an offset on, or from the oldest
-	// retained one if that is later, in order, and the offset to read from next.
-	// It may lag behind appends.
+	// Read returns, in order, up to limit records starting at offset from, or at the oldest
+	// retained record if that is later, and the offset to read from next. Recent appends may be
+	// missing from the result.
 	Read(ctx context.Context, from int64, limit int) (records []Record, next int64, err error)
 }
 
-// Clock is a monotonic clock, compared with no other.
+// Clock is a monotonic clock. Its readings are never compared with those of another clock.
 type Clock interface {
-	// Now returns the time since a fixed moment.
+	// Now returns the time since a fixed instant.
 	Now() time.Duration
-	// Sleep returns after d, or with the context's error when that ends.
+	// Sleep returns after d, or with the error of ctx if ctx ends first.
 	Sleep(ctx context.Context, d time.Duration) error
 }
 
@@ -36,13 +36,13 @@
 
 var _ Clock = (*SystemClock)(nil)
 
-// NewSystemClock returns a clock that starts at zero.
+// NewSystemClock returns a clock that reads zero at the time of the call.
 func NewSystemClock() *SystemClock { return &SystemClock{origin: time.Now()} }
 
-// Now returns the time since the clock was made.
+// Now returns the time since the clock was created.
 func (c *SystemClock) Now() time.Duration { return time.Since(c.origin) }
 
-// Sleep waits for d or the end of ctx.
+// Sleep returns after d, or with the error of ctx if ctx ends first.
 func (c *SystemClock) Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/coord/claim/log_test.go
+++ b/coord/claim/log_test.go
@@ -18,19 +18,19 @@
 	errDown = errors.New("log unavailable")
 )
 
-// memLog is a log with latency, losses, outages, lagging reads and retention.
-// Without a random source it is perfect.
+// memLog is an in-memory log with latency, lost responses, outages, lagging reads and
+// retention. Without a random source it has none of these faults.
 type memLog struct {
 	mu      sync.Mutex
-	records []logged
-	oldest  int // the first record retained
+	records []storedRecord
+	oldest  int // index of the oldest retained record
 	random  *rand.Rand
 	retain  time.Duration
 	down    bool
 	appends int
 }
 
-type logged struct {
+type storedRecord struct {
 	at   time.Time
 	data []byte
 }
@@ -46,16 +46,16 @@
 	return l.random.IntN(n)
 }
 
-func (l *memLog) delay(most time.Duration) {
+func (l *memLog) delay(maxDelay time.Duration) {
 	if l.random != nil {
-		time.Sleep(time.Duration(l.intN(int(most))))
+		time.Sleep(time.Duration(l.intN(int(maxDelay))))
 	}
 }
 
 func (l *memLog) add(data []byte) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.records = append(l.records, logged{time.Now(), data})
+	l.records = append(l.records, storedRecord{time.Now(), data})
 	return int64(len(l.records) - 1)
 }
 
@@ -79,7 +79,7 @@
 	case 1:
 		l.add(data)
 		return 0, errLost
-	case 2: // on the way for longer than retention at most
+	case 2: // arrives after up to 5 minutes, which may exceed the retention time
 		go func() {
 			l.delay(5 * time.Minute)
 			l.add(data)
@@ -97,7 +97,7 @@
 	}
 	l.delay(time.Second)
 	_, end := l.state()
-	if l.intN(4) == 0 { // a lagging replica
+	if l.intN(4) == 0 { // the read is served by a lagging replica
 		end -= min(end, 2)
 	}
 	if l.intN(9) == 0 {
@@ -117,7 +117,7 @@
 	return records, int64(end), nil
 }
 
-// skewClock runs at a rate of its own against the virtual time.
+// skewClock runs at its own rate relative to the virtual time.
 type skewClock struct {
 	origin time.Time
 	rate   float64
@@ -130,9 +130,10 @@
 }
 
 func (c skewClock) Sleep(ctx context.Context, d time.Duration) error {
-	return claim.NewSystemClock().Sleep(ctx, c.real(d)+1) // never shorter than d
+	return claim.NewSystemClock().Sleep(ctx, c.real(d)+1) // rounded up, never shorter than d
 }
 
+// real converts a duration on this clock to virtual time.
 func (c skewClock) real(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / c.rate)
 }
--- a/coord/claim/reconciler.go
+++ b/coord/claim/reconciler.go
@@ -6,39 +6,38 @@
 	"time"
 )
 
-// Endpoint is the control interface of an endpoint with states S, which takes
-// orders O. Orders are idempotent: each names the state wanted.
+// Endpoint is the control interface of an endpoint with states S, which accepts orders O.
+// Orders are idempotent: each one names the desired state.
 type Endpoint[S, O any] interface {
-	// Observe returns the present state.
+	// Observe returns the current state.
 	Observe(ctx context.Context) (S, error)
-	// Order gives an order. An error that wraps ErrStale means that the endpoint
-	// refused the token; after any other the order may have taken effect, or may
-	// still.
+	// Order sends an order. An error that wraps ErrStale means that the endpoint rejected the
+	// token; after any other error the order may have taken effect, or may still take effect.
 	Order(ctx context.Context, token int64, order O) error
 }
 
-// Diff returns the next order that brings the observed state closer to the
-// desired one, and false if there is nothing to order. It is pure. For an
-// endpoint that is busy with an order it returns false as well.
+// Diff returns the next order that brings the observed state closer to the desired state, or
+// false if no order is needed or the endpoint is still executing one. It must not have side
+// effects.
 type Diff[S, O any] func(desired, observed S) (O, bool)
 
 // Pending is an order whose outcome is uncertain.
 type Pending struct {
 	Uncertain bool
-	Until     time.Duration // when it can't take effect any more
+	Until     time.Duration // when the order can no longer take effect
 }
 
-// Step is the outcome of Next.
+// Step is the decision of Next.
 type Step uint8
 
-// The steps.
+// The possible steps.
 const (
-	Settled Step = iota // the endpoint is as desired, or busy
+	Settled Step = iota // no order is needed, or the endpoint is executing one
 	Wait                // an uncertain order may still take effect
-	Act                 // give the returned order
+	Act                 // send the returned order
 )
 
-// Next decides what follows an observation made at now. It is pure.
+// Next decides what to do after an observation made at now. It has no side effects.
 func Next[S, O any](diff Diff[S, O], desired, observed S, pending Pending, now time.Duration) (Step, O) {
 	order, differs := diff(desired, observed)
 	switch {
@@ -50,45 +49,44 @@
 	return Act, order
 }
 
-// Reconciler keeps one endpoint at the desired state. Any number of nodes may
-// run one for the same endpoint: only the holder of its claim gives orders. Each
-// order follows an observation, so the outcome of an uncertain one is read back,
-// and whatever a late order of an earlier holder does is corrected within
-// Interval, the time of a claim and one order. The context's end stops it; all
-// fields are required.
+// Reconciler keeps one endpoint in the desired state. Any number of nodes may run one for the
+// same endpoint: only the holder of the claim sends orders. An observation precedes each order
+// and shows the outcome of an earlier uncertain order. The effect of a late order of an earlier
+// holder is corrected within Interval plus the duration of a claim and of one order. All fields
+// are required.
 type Reconciler[S, O any] struct {
 	Claimer  *Claimer
 	Resource string
 	TTL      time.Duration // of each claim
 	Endpoint Endpoint[S, O]
-	// Desired returns the state wanted by the newest accepted configuration that
-	// this node knows, and false if it knows none.
+	// Desired returns the state required by the newest accepted configuration known to this
+	// node, or false if no configuration is known.
 	Desired func() (S, bool)
 	Diff    Diff[S, O]
 	// Interval is the time between observations.
 	Interval time.Duration
-	// Settle is the longest time in which an order with an uncertain answer can
-	// still take effect; the next order waits for it.
+	// Settle is the longest time in which an order with an uncertain outcome can still take
+	// effect; no further order is sent before that time has passed.
 	Settle time.Duration
 
 	claim   *Claim
 	pending Pending
 }
 
-// Run observes and corrects until ctx ends, and returns its error.
+// Run observes and corrects the endpoint until ctx ends, and returns the cause.
 func (r *Reconciler[S, O]) Run(ctx context.Context) error {
-	defer r.letGo()
+	defer r.releaseClaim()
 	for ctx.Err() == nil {
-		if !r.pass(ctx) {
+		if !r.reconcileOnce(ctx) {
 			r.Claimer.config.Clock.Sleep(ctx, r.Interval)
 		}
 	}
 	return context.Cause(ctx)
 }
 
-// pass observes once and acts on it. It returns true if the next observation
-// should follow at once.
-func (r *Reconciler[S, O]) pass(ctx context.Context) bool {
+// reconcileOnce makes one observation and sends an order or acquires the claim if needed. It
+// returns true if the next observation should follow immediately.
+func (r *Reconciler[S, O]) reconcileOnce(ctx context.Context) bool {
 	desired, known := r.Desired()
 	if !known {
 		return false
@@ -100,7 +98,7 @@
 	step, order := Next(r.Diff, desired, observed, r.pending, r.Claimer.config.Clock.Now())
 	switch step {
 	case Settled:
-		r.letGo()
+		r.releaseClaim()
 		return false
 	case Wait:
 		return false
@@ -117,8 +115,9 @@
 	return r.Endpoint.Observe(bounded)
 }
 
-// acquire gets the claim; what was observed before may be out of date then. It
-// doesn't wait for long, since the holder may bring about what is desired.
+// acquire tries to acquire the claim and returns true if it did. The earlier observation may
+// then be out of date. It waits for at most the order timeout, since the current holder may
+// establish the desired state.
 func (r *Reconciler[S, O]) acquire(ctx context.Context) bool {
 	bounded, cancel := context.WithTimeout(ctx, r.Claimer.config.OrderTimeout)
 	defer cancel()
@@ -127,6 +126,8 @@
 	return err == nil
 }
 
+// order sends an order under the claim. It returns true if the claim expires too soon and a new
+// one is needed.
 func (r *Reconciler[S, O]) order(ctx context.Context, order O) bool {
 	bounded, cancel, err := r.claim.Order(ctx)
 	if err != nil {
@@ -146,8 +147,9 @@
 	return false
 }
 
-// letGo releases the claim, unless an order may still take effect.
-func (r *Reconciler[S, O]) letGo() {
+// releaseClaim releases the claim unless an order with an uncertain outcome may still take
+// effect.
+func (r *Reconciler[S, O]) releaseClaim() {
 	now := r.Claimer.config.Clock.Now()
 	if r.claim == nil || r.pending.Uncertain && now < r.pending.Until {
 		return
@@ -155,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), r.Claimer.config.OrderTimeout)
 	defer cancel()
 	if r.claim.Valid(0) {
-		r.claim.Release(ctx) // runs out by itself if this fails
+		r.claim.Release(ctx) // expires if the release fails
 	}
 	r.claim = nil
 }
--- a/coord/claim/renew.go
+++ b/coord/claim/renew.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// Renew claims the resource of a held claim once more, before that runs out, and
-// returns the new claim with a higher token. The old one stays valid for its own
-// time. It fails with ErrExpired where another claim took effect since, and with
-// ctx's error where the log doesn't tell in time; then the old claim still holds,
-// and calling again may find the new one lost to an own record of the first call.
+// Renew acquires a new claim of the resource before the held claim expires, and returns it. Its
+// token is higher. The held claim stays valid until its own expiry. Renew returns ErrExpired if
+// the held claim was released, expired or was replaced by another claim. It returns the cause
+// of the end of ctx if the outcome could not be read from the log in time; the held claim is
+// then still in effect, but a second call may return ErrExpired because a record of the first
+// call took effect.
 //
-// Only the holder may renew: the record is based on having seen the own claim,
-// which no contender may do before that claim is over.
+// Only the holder can renew: the new record is based on a read that includes the held claim,
+// which contenders may use only after that claim has expired.
 func (c *Claimer) Renew(ctx context.Context, held *Claim, ttl time.Duration) (*Claim, error) {
 	if !held.Valid(0) {
 		return nil, ErrExpired
 	}
 	a := attempt{id: rand.Text(), resource: held.resource, start: c.config.Clock.Now()}
-	seen, err := c.seenOwn(ctx, held)
+	readOffset, err := c.confirmNewest(ctx, held)
 	if err != nil {
 		return nil, err
 	}
-	c.append(ctx, a, seen, ttl)
+	c.append(ctx, a, readOffset, ttl)
 	for ctx.Err() == nil {
-		var won *Claim
+		var wonClaim *Claim
 		current := ""
-		err := c.read(ctx, func() {
-			won = c.won([]attempt{a}, ttl)
+		err := c.withCurrentView(ctx, func() {
+			wonClaim = c.wonClaim([]attempt{a}, ttl)
 			current = c.view.resource(held.resource).current.id
 		})
 		switch {
-		case won != nil:
-			return won, nil
+		case wonClaim != nil:
+			return wonClaim, nil
 		case err == nil && current != held.id:
 			return nil, ErrExpired
 		}
@@ -42,21 +43,21 @@
 	return nil, context.Cause(ctx)
 }
 
-// seenOwn returns the offset up to which the log was read, if the held claim is
-// still the newest.
-func (c *Claimer) seenOwn(ctx context.Context, held *Claim) (int64, error) {
-	seen := int64(-1)
-	err := c.read(ctx, func() {
+// confirmNewest reads the log and returns the offset up to which it was read. It returns
+// ErrExpired if the held claim was released or is no longer the newest claim of its resource.
+func (c *Claimer) confirmNewest(ctx context.Context, held *Claim) (int64, error) {
+	readOffset := int64(-1)
+	err := c.withCurrentView(ctx, func() {
 		r := c.view.resource(held.resource)
 		if r.current != nil && r.current.id == held.id && !r.current.released {
-			seen = c.view.position
+			readOffset = c.view.position
 		}
 	})
 	if err != nil {
 		return 0, err
 	}
-	if seen < 0 {
+	if readOffset < 0 {
 		return 0, ErrExpired
 	}
-	return seen, nil
+	return readOffset, nil
 }
--- a/coord/claim/renew_test.go
+++ b/coord/claim/renew_test.go
@@ -28,9 +28,10 @@
 	return c
 }
 
-// TestRenewKeepsOthersOut holds a claim for several of its times; a contender that
-// waits all the while gets it only after the last renewal and the grace period.
-func TestRenewKeepsOthersOut(t *testing.T) {
+// TestRenewKeepsClaimExclusive renews a claim several times. A contender that waits from the
+// start acquires the resource only after the last renewal has expired and the grace period has
+// passed.
+func TestRenewKeepsClaimExclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memLog{}
 		a, b := renewClaimer(t, log, "a"), renewClaimer(t, log, "b")
@@ -55,12 +56,13 @@
 		got := <-won
 		test.GreaterEq(t, renewTTL+renewGrace, got.Sub(last))
 		test.Greater(t, held.Token(), <-tokens)
-		time.Sleep(renewTTL) // ends the claims' own watches
+		time.Sleep(renewTTL) // the goroutines that cancel the claims' contexts end
 	})
 }
 
-// TestRenewLost fails where the claim ran out, was released, or passed on.
-func TestRenewLost(t *testing.T) {
+// TestRenewFailsAfterClaimEnded checks that a claim that expired or was released cannot be
+// renewed.
+func TestRenewFailsAfterClaimEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memLog{}
 		a, b := renewClaimer(t, log, "a"), renewClaimer(t, log, "b")
@@ -78,8 +80,8 @@
 	})
 }
 
-// TestRenewWithoutLog leaves the old claim as it was.
-func TestRenewWithoutLog(t *testing.T) {
+// TestRenewWithLogUnavailable checks that a failed renewal leaves the held claim valid.
+func TestRenewWithLogUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memLog{}
 		a := renewClaimer(t, log, "a")
--- a/coord/claim/view.go
+++ b/coord/claim/view.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// SkewDivisor sets the margin for clock rates: a contender waits 1/SkewDivisor
-// longer than a claim lasts. With rates off by e at both, 2e/(1-e) is needed;
-// 1/40 covers 1%.
+// SkewDivisor sets the margin for differing clock rates: a contender waits 1/SkewDivisor longer
+// than the duration of a claim. If the rates of both clocks are off by a fraction e, a margin
+// of 2e/(1-e) is needed; 1/40 is sufficient for 1%.
 const SkewDivisor = 40
 
-// readLimit is the number of records asked for in one read.
+// readLimit is the maximum number of records requested in one read.
 const readLimit = 512
 
 type entryKind string
@@ -21,15 +21,16 @@
 	kindRelease entryKind = "release"
 )
 
-// entry is the content of a record.
+// entry is the JSON content of a log record.
 type entry struct {
 	Kind     entryKind     `json:"kind"`
-	ID       string        `json:"id"` // of the claim, unique
+	ID       string        `json:"id"` // unique ID of the claim
 	Resource string        `json:"resource"`
 	Holder   string        `json:"holder"`
 	TTL      time.Duration `json:"ttl_ns,omitempty"`
-	// Seen is the offset up to which the claim's writer had read.
-	Seen int64 `json:"seen,omitempty"`
+	// ReadOffset is the offset up to which the writer had read the log before it appended the
+	// claim.
+	ReadOffset int64 `json:"seen,omitempty"`
 }
 
 func (e entry) encode() []byte {
@@ -40,45 +41,45 @@
 	return data
 }
 
-// holding is a claim that took effect.
-type holding struct {
+// grantedClaim is a claim that took effect.
+type grantedClaim struct {
 	offset   int64
 	id       string
 	holder   string
-	until    time.Duration // when a contender may regard it as over
+	freeAt   time.Duration // when other contenders can claim the resource
 	released bool
 }
 
-// resource is what the log says of one resource.
-type resource struct {
-	current *holding // the newest claim that took effect, over or not
-	// Claims that were based on records no longer retained may or may not have
-	// taken effect: they are waited for, up to this offset and time.
-	unsureThrough int64
-	unsureUntil   time.Duration
+// resourceState is the state of one resource as derived from the log.
+type resourceState struct {
+	current *grantedClaim // the newest claim that took effect; it may have expired
+	// Claims based on records that are no longer retained may or may not have taken effect.
+	// Contenders wait for those up to this offset until this time.
+	uncertainThrough int64
+	uncertainUntil   time.Duration
 }
 
-// view is the log's content, as read so far. Each reader derives the same
-// holdings from it.
+// view is the content of the log that has been read so far. All readers of the log derive the
+// same granted claims from it.
 type view struct {
-	log       Log
-	clock     Clock
-	grace     time.Duration
-	maxTTL    time.Duration // of claims that are believed
-	first     int64         // everything from here to position was read
-	position  int64
-	resources map[string]*resource
+	log            Log
+	clock          Clock
+	grace          time.Duration
+	maxTTL         time.Duration // claims with a longer TTL are ignored
+	contiguousFrom int64         // all records from here up to position were read
+	position       int64
+	resources      map[string]*resourceState
 }
 
-// sync reads to the end of the log, as far as the log shows it.
+// sync reads to the end of the log. The log may not yet return the most recent appends.
 func (v *view) sync(ctx context.Context) error {
 	for {
 		records, next, err := v.log.Read(ctx, v.position, readLimit)
 		if err != nil {
 			return err
 		}
-		// A claim's time counts from here, after the read, since it may have
-		// been appended at any moment before.
+		// The waiting time starts after the read, since the claim may have been appended at any
+		// time before.
 		now := v.clock.Now()
 		for _, r := range records {
 			v.apply(r, now)
@@ -90,13 +91,15 @@
 	}
 }
 
-// skipTo moves on to the next offset; what lies between was not retained.
+// skipTo advances to a later offset; the records in between are no longer retained.
 func (v *view) skipTo(offset int64) {
 	if offset > v.position {
-		v.first, v.position = offset, offset
+		v.contiguousFrom, v.position = offset, offset
 	}
 }
 
+// apply adds one record to the view. Records of other formats or with invalid values are
+// ignored.
 func (v *view) apply(r Record, now time.Duration) {
 	if r.Offset < v.position {
 		return
@@ -109,51 +112,53 @@
 	}
 	switch e.Kind {
 	case kindClaim:
-		// Who writes a claim has read no further than to where it comes to stand.
-		if e.ID == "" || e.TTL <= 0 || e.TTL > v.maxTTL || e.Seen < 0 || e.Seen > r.Offset {
+		// A writer cannot have read beyond the offset at which its own record is appended.
+		if e.ID == "" || e.TTL <= 0 || e.TTL > v.maxTTL || e.ReadOffset < 0 || e.ReadOffset > r.Offset {
 			return
 		}
-		v.claim(r.Offset, e, now)
+		v.applyClaim(r.Offset, e, now)
 	case kindRelease:
-		v.release(e)
+		v.applyRelease(e)
 	}
 }
 
-func (v *view) claim(offset int64, e entry, now time.Duration) {
+func (v *view) applyClaim(offset int64, e entry, now time.Duration) {
 	r := v.resource(e.Resource)
-	if r.current != nil && r.current.offset >= e.Seen {
-		return // another claim came first
+	if r.current != nil && r.current.offset >= e.ReadOffset {
+		return // another claim took effect after the writer's read
 	}
-	until := now + e.TTL + e.TTL/SkewDivisor + v.grace
-	if e.Seen < v.first || e.Seen <= r.unsureThrough {
-		r.unsureThrough = offset
-		r.unsureUntil = max(r.unsureUntil, until)
+	freeAt := now + e.TTL + e.TTL/SkewDivisor + v.grace
+	if e.ReadOffset < v.contiguousFrom || e.ReadOffset <= r.uncertainThrough {
+		r.uncertainThrough = offset
+		r.uncertainUntil = max(r.uncertainUntil, freeAt)
 		return
 	}
-	r.current = &holding{offset: offset, id: e.ID, holder: e.Holder, until: until}
+	r.current = &grantedClaim{offset: offset, id: e.ID, holder: e.Holder, freeAt: freeAt}
 }
 
-func (v *view) release(e entry) {
+func (v *view) applyRelease(e entry) {
 	r := v.resource(e.Resource)
 	if r.current != nil && r.current.id == e.ID {
 		r.current.released = true
 	}
 }
 
-func (v *view) resource(name string) *resource {
+// resource returns the state of the resource and creates it if needed.
+func (v *view) resource(name string) *resourceState {
 	r := v.resources[name]
 	if r == nil {
-		r = &resource{unsureThrough: -1}
+		r = &resourceState{uncertainThrough: -1}
 		v.resources[name] = r
 	}
 	return r
 }
 
-// freeAt returns when the resource can be claimed, in the past if it can now.
+// freeAt returns the time at which the resource can be claimed; it is in the past if it can be
+// claimed now.
 func (v *view) freeAt(name string) time.Duration {
 	r := v.resource(name)
 	if r.current == nil || r.current.released {
-		return r.unsureUntil
+		return r.uncertainUntil
 	}
-	return max(r.current.until, r.unsureUntil)
+	return max(r.current.freeAt, r.uncertainUntil)
 }
