--- a/coord/fairqueue/bench_test.go
+++ b/coord/fairqueue/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkPushPop holds ten items per account and replaces one a round.
+// BenchmarkPushPop pops and pushes one item per iteration, with ten items queued per account.
 func BenchmarkPushPop(b *testing.B) {
 	for _, accounts := range []int{10, 100, 1300} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkExpire looks for late items where none is late.
+// BenchmarkExpire searches for expired items where there are none.
 func BenchmarkExpire(b *testing.B) {
 	for _, accounts := range []int{10, 100, 1300} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -37,9 +37,9 @@
 	}
 }
 
-// BenchmarkExpireClose looks through items that are all about to be late, which
-// is the worst case.
-func BenchmarkExpireClose(b *testing.B) {
+// BenchmarkExpireNearDeadline searches items that are all close to expiry, which is the worst
+// case.
+func BenchmarkExpireNearDeadline(b *testing.B) {
 	for _, items := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("items=%d", items), func(b *testing.B) {
 			q := New[int](epoch, Config{Classes: []Class{{4}, {1}}, MaxLen: 1 << 20, Rate: 1000})
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkCharge corrects accounts in turn.
+// BenchmarkCharge charges one account and refunds it in each iteration.
 func BenchmarkCharge(b *testing.B) {
 	for _, accounts := range []int{10, 100, 1300} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
--- a/coord/fairqueue/class.go
+++ b/coord/fairqueue/class.go
@@ -2,45 +2,47 @@
 
 import "container/heap"
 
-// account is the state of a client account with something queued or owed.
+// account is the state of a client account that has items queued or a finish tag above the
+// virtual time of its class.
 type account struct {
 	id string
-	// finish is the tag at which all accepted cost will have been served.
-	finish float64
-	// lastStart is the start tag of the newest item, so that a refund never
-	// puts a later item before an earlier one.
-	lastStart float64
-	queued    int
-	// index is the place in the idle heap, or notIdle.
-	index int
+	// finishTag is the virtual time at which the total cost accepted from the account will have
+	// been served.
+	finishTag float64
+	// lastStartTag is the start tag of the newest item. It is a lower bound for the next one,
+	// so that a refund never places a later item before an earlier one.
+	lastStartTag float64
+	queued       int
+	// heapIndex is the position in the idle heap, or notInHeap.
+	heapIndex int
 }
 
-const notIdle = -1
+const notInHeap = -1
 
 // class is the state of one priority class.
 type class[V any] struct {
 	weight float64
-	// start is the class's own start tag while it is backlogged, and its
-	// finish tag while it is not.
-	start float64
-	// virtual is the start tag of the item popped last.
-	virtual  float64
-	root     *entry[V]
-	accounts map[string]*account
-	idle     idleHeap
+	// startTag is the start tag of the class among all classes while items are queued, and its
+	// finish tag otherwise.
+	startTag float64
+	// virtualTime is the start tag of the item that was popped last.
+	virtualTime float64
+	root        *entry[V]
+	accounts    map[string]*account
+	idle        idleHeap
 }
 
-// startTag is the tag that a new item of account a would get.
-func (c *class[V]) startTag(id string) float64 {
+// nextStartTag returns the start tag that a new item of account id would get.
+func (c *class[V]) nextStartTag(id string) float64 {
 	a, ok := c.accounts[id]
 	if !ok {
-		return c.virtual
+		return c.virtualTime
 	}
-	return max(c.virtual, a.finish, a.lastStart)
+	return max(c.virtualTime, a.finishTag, a.lastStartTag)
 }
 
-// queuedBy is the number of items that account id has queued.
-func (c *class[V]) queuedBy(id string) int {
+// queuedItems returns the number of items that account id has queued.
+func (c *class[V]) queuedItems(id string) int {
 	a, ok := c.accounts[id]
 	if !ok {
 		return 0
@@ -48,43 +50,43 @@
 	return a.queued
 }
 
-// add queues e, whose start tag is set, for its account.
-func (c *class[V]) add(e *entry[V]) {
+// enqueue inserts e, whose start tag is set, and updates the state of its account.
+func (c *class[V]) enqueue(e *entry[V]) {
 	a := c.account(e.item.Account.ID)
-	if a.index != notIdle {
-		heap.Remove(&c.idle, a.index)
+	if a.heapIndex != notInHeap {
+		heap.Remove(&c.idle, a.heapIndex)
 	}
 	a.queued++
-	a.lastStart = e.start
-	a.finish = e.start + e.item.Cost/e.item.Account.Weight
-	e.acct = a
+	a.lastStartTag = e.startTag
+	a.finishTag = e.startTag + e.item.Cost/e.item.Account.Weight
+	e.owner = a
 	c.root = insert(c.root, e)
 }
 
-// take removes e from the tree and from its account's count.
-func (c *class[V]) take(e *entry[V]) {
+// dequeue removes e from the tree and from the item count of its account.
+func (c *class[V]) dequeue(e *entry[V]) {
 	c.root = remove(c.root, e)
-	e.acct.queued--
-	if e.acct.queued == 0 {
-		heap.Push(&c.idle, e.acct)
+	e.owner.queued--
+	if e.owner.queued == 0 {
+		heap.Push(&c.idle, e.owner)
 	}
-	e.acct = nil
+	e.owner = nil
 	e.queued = false
 }
 
-// charge moves the finish tag of account id by delta, in units of virtual time.
+// charge adds delta, in units of virtual time, to the finish tag of account id.
 func (c *class[V]) charge(id string, delta float64) {
 	a := c.account(id)
-	a.finish = max(a.finish, c.virtual) + delta
-	if a.index != notIdle {
-		heap.Fix(&c.idle, a.index)
+	a.finishTag = max(a.finishTag, c.virtualTime) + delta
+	if a.heapIndex != notInHeap {
+		heap.Fix(&c.idle, a.heapIndex)
 	} else if a.queued == 0 {
 		heap.Push(&c.idle, a)
 	}
-	c.forget()
+	c.evictIdleAccounts()
 }
 
-// account returns the state of account id, made if it is absent.
+// account returns the state of account id and creates it if needed.
 func (c *class[V]) account(id string) *account {
 	a, ok := c.accounts[id]
 	if ok {
@@ -93,44 +95,45 @@
 	if c.accounts == nil {
 		c.accounts = make(map[string]*account)
 	}
-	a = &account{id: id, finish: c.virtual, lastStart: c.virtual, index: notIdle}
+	a = &account{id: id, finishTag: c.virtualTime, lastStartTag: c.virtualTime, heapIndex: notInHeap}
 	c.accounts[id] = a
 	return a
 }
 
-// forget drops the accounts with nothing queued and nothing owed. A class
-// without backlog owes nobody: all debts are forgiven, because nobody waits.
-func (c *class[V]) forget() {
+// evictIdleAccounts removes the accounts without queued items whose finish tag has been
+// reached. If the class has no queued items, it removes all accounts, since no account is
+// waiting for its fair share.
+func (c *class[V]) evictIdleAccounts() {
 	if c.root == nil {
 		c.accounts = nil
 		c.idle = nil
-		c.virtual = 0
+		c.virtualTime = 0
 		return
 	}
-	for len(c.idle) > 0 && c.idle[0].finish <= c.virtual {
+	for len(c.idle) > 0 && c.idle[0].finishTag <= c.virtualTime {
 		a := heap.Pop(&c.idle).(*account)
 		delete(c.accounts, a.id)
 	}
 }
 
-// idleHeap holds the accounts with nothing queued, by finish tag.
+// idleHeap is a heap of the accounts without queued items, ordered by finish tag.
 type idleHeap []*account
 
 var _ heap.Interface = (*idleHeap)(nil)
 
 func (h idleHeap) Len() int           { return len(h) }
-func (h idleHeap) Less(i, j int) bool { return h[i].finish < h[j].finish }
+func (h idleHeap) Less(i, j int) bool { return h[i].finishTag < h[j].finishTag }
 
 func (h idleHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *idleHeap) Push(x any) {
 	a := x.(*account)
-	a.index = len(*h)
+	a.heapIndex = len(*h)
 	*h = append(*h, a)
 }
 
@@ -140,6 +143,6 @@
 	a := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	a.index = notIdle
+	a.heapIndex = notInHeap
 	return a
 }
--- a/coord/fairqueue/item.go
+++ b/coord/fairqueue/item.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Account names who pays for an item.
+// Account identifies the client account that an item is charged to.
 type Account struct {
-	// ID is the client account.
+	// ID identifies the client account.
 	ID string
 	// Class is an index into Config.Classes. The same client account is
 	// scheduled separately in each class.
 	Class int
-	// Weight is the account's share relative to others of its class. It must
-	// be positive.
+	// Weight is the account's share relative to the other accounts of its class. It must be
+	// positive.
 	Weight float64
 }
 
@@ -22,26 +22,25 @@
 	Account Account
 	// Cost is the estimated cost, for example in tokens. It must be positive.
 	Cost float64
-	// Deadline is the latest time at which starting the item is still of use:
-	// the caller's deadline less the time that the item takes to run. Zero
-	// means none.
+	// Deadline is the latest useful start time of the item: the caller's deadline minus the
+	// execution time. Zero means no deadline.
 	Deadline time.Time
-	// Value is the caller's own.
+	// Value is set by the caller and is not used by the queue.
 	Value V
 }
 
-// Handle refers to an accepted item. The zero Handle refers to none.
+// Handle refers to an accepted item. The zero Handle refers to no item.
 type Handle[V any] struct {
 	entry *entry[V]
 }
 
-// Reason says why an item was refused.
+// Reason is the reason why an item was rejected.
 type Reason int
 
 const (
-	// QueueFull means that the account may not queue more at present.
+	// QueueFull means that the account cannot queue more items at present.
 	QueueFull Reason = iota + 1
-	// DeadlineUnmeetable means that the predicted wait passes the deadline.
+	// DeadlineUnmeetable means that the predicted start time is after the deadline.
 	DeadlineUnmeetable
 )
 
@@ -57,14 +56,14 @@
 	}
 }
 
-// RefusedError is returned by Push. The item was not queued and did not run; a
-// retry after RetryAfter is safe.
+// RefusedError is returned by Push for a rejected item. The item was not queued or executed;
+// pushing it again after RetryAfter is safe.
 type RefusedError struct {
 	Reason Reason
 	// Wait is the predicted time until the item would have been popped.
 	Wait time.Duration
-	// RetryAfter is the time after which the same request is expected to be
-	// accepted, if no more work arrives meanwhile. It is always positive.
+	// RetryAfter is the time after which the same item is expected to be accepted, provided
+	// that no other items are pushed until then. It is always positive.
 	RetryAfter time.Duration
 }
 
--- a/coord/fairqueue/property_test.go
+++ b/coord/fairqueue/property_test.go
@@ -21,26 +21,27 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// order is what the fairness checker needs of a queue.
-type order interface {
+// scheduler is the part of a queue that the fairness checker uses.
+type scheduler interface {
 	push(Item[int])
 	pop() (Item[int], bool)
 }
 
-type fair struct{ q *Queue[int] }
+// fairScheduler adapts a Queue.
+type fairScheduler struct{ q *Queue[int] }
 
-func (f fair) push(it Item[int]) {
+func (f fairScheduler) push(it Item[int]) {
 	if _, err := f.q.Push(epoch, it); err != nil {
 		panic(err)
 	}
 }
-func (f fair) pop() (Item[int], bool) { return f.q.Pop() }
+func (f fairScheduler) pop() (Item[int], bool) { return f.q.Pop() }
 
-// fifo is a broken variant: it serves in order of arrival.
-type fifo struct{ items []Item[int] }
+// fifoScheduler is a broken variant that serves items in order of arrival.
+type fifoScheduler struct{ items []Item[int] }
 
-func (f *fifo) push(it Item[int]) { f.items = append(f.items, it) }
-func (f *fifo) pop() (Item[int], bool) {
+func (f *fifoScheduler) push(it Item[int]) { f.items = append(f.items, it) }
+func (f *fifoScheduler) pop() (Item[int], bool) {
 	if len(f.items) == 0 {
 		return Item[int]{}, false
 	}
@@ -49,34 +50,35 @@
 	return it, true
 }
 
-// span follows how far two accounts drift apart while both are backlogged.
-type span struct{ diff, least, most float64 }
+// serviceGap tracks the difference in normalized service between two accounts while both have
+// items queued.
+type serviceGap struct{ diff, minDiff, maxDiff float64 }
 
-// checker verifies the package's bound between each pair of accounts, that an
-// item leaves once, and that pop never comes back empty-handed.
+// checker verifies the bound stated in the package comment for each pair of accounts, that an
+// item leaves exactly once, and that pop returns an item whenever one is queued.
 type checker struct {
 	accounts []Account
 	queued   []int
 	maxCost  []float64
-	spans    map[[2]int]*span
-	waiting  map[int]int // item to account
+	gaps     map[[2]int]*serviceGap
+	waiting  map[int]int // account index by item value
 }
 
 func newChecker(accounts []Account) *checker {
 	n := len(accounts)
-	return &checker{accounts, make([]int, n), make([]float64, n), map[[2]int]*span{}, map[int]int{}}
+	return &checker{accounts, make([]int, n), make([]float64, n), map[[2]int]*serviceGap{}, map[int]int{}}
 }
 
-func (c *checker) pushed(a int, it Item[int]) {
+func (c *checker) recordPush(a int, it Item[int]) {
 	c.queued[a]++
 	c.maxCost[a] = max(c.maxCost[a], it.Cost)
 	c.waiting[it.Value] = a
 }
 
-func (c *checker) popped(it Item[int], ok bool) error {
+func (c *checker) recordPop(it Item[int], ok bool) error {
 	if !ok {
 		if len(c.waiting) > 0 {
-			return fmt.Errorf("not work conserving: %d waiting", len(c.waiting))
+			return fmt.Errorf("pop returned no item although %d are queued", len(c.waiting))
 		}
 		return nil
 	}
@@ -85,20 +87,21 @@
 		return fmt.Errorf("item %d popped twice or never pushed", it.Value)
 	}
 	delete(c.waiting, it.Value)
-	if err := c.served(a, it.Cost/c.accounts[a].Weight); err != nil {
+	if err := c.recordService(a, it.Cost/c.accounts[a].Weight); err != nil {
 		return err
 	}
 	c.queued[a]--
-	for pair := range c.spans {
+	for pair := range c.gaps {
 		if c.queued[pair[0]] == 0 || c.queued[pair[1]] == 0 {
-			delete(c.spans, pair)
+			delete(c.gaps, pair)
 		}
 	}
 	return nil
 }
 
-// served adds normalized service to the spans of account a.
-func (c *checker) served(a int, service float64) error {
+// recordService adds normalized service to the gaps of account a and returns an error if one
+// exceeds its bound.
+func (c *checker) recordService(a int, service float64) error {
 	for b := range c.accounts {
 		if b == a || c.queued[b] == 0 || c.accounts[a].Class != c.accounts[b].Class {
 			continue
@@ -107,23 +110,24 @@
 		if b < a {
 			pair, sign = [2]int{b, a}, -1.0
 		}
-		s, ok := c.spans[pair]
+		s, ok := c.gaps[pair]
 		if !ok {
-			s = &span{}
-			c.spans[pair] = s
+			s = &serviceGap{}
+			c.gaps[pair] = s
 		}
 		s.diff += sign * service
-		s.least, s.most = min(s.least, s.diff), max(s.most, s.diff)
+		s.minDiff, s.maxDiff = min(s.minDiff, s.diff), max(s.maxDiff, s.diff)
 		bound := c.maxCost[a]/c.accounts[a].Weight + c.maxCost[b]/c.accounts[b].Weight
-		if s.most-s.least > bound+1e-6 {
-			return fmt.Errorf("accounts %d and %d differ by %.1f, bound %.1f", a, b, s.most-s.least, bound)
+		if s.maxDiff-s.minDiff > bound+1e-6 {
+			return fmt.Errorf("accounts %d and %d differ by %.1f, bound %.1f", a, b, s.maxDiff-s.minDiff, bound)
 		}
 	}
 	return nil
 }
 
-// churn pushes bursts and pops at random, and returns the first violation.
-func churn(t *rapid.T, o order) error {
+// runRandomOperations pushes bursts of items and pops items at random. It returns the first
+// violation.
+func runRandomOperations(t *rapid.T, o scheduler) error {
 	accounts := make([]Account, 5)
 	costs := make([]float64, len(accounts))
 	for i := range accounts {
@@ -140,54 +144,58 @@
 			it.Cost = costs[a] * rapid.Float64Range(0.1, 1).Draw(t, "cost")
 			serial++
 			o.push(it)
-			c.pushed(a, it)
+			c.recordPush(a, it)
 		}
 		for range rapid.IntRange(0, 8).Draw(t, "pops") {
-			if err := c.popped(o.pop()); err != nil {
+			if err := c.recordPop(o.pop()); err != nil {
 				return err
 			}
 		}
 	}
 	for len(c.waiting) > 0 {
-		if err := c.popped(o.pop()); err != nil {
+		if err := c.recordPop(o.pop()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func newFair(maxLen int) *Queue[int] {
+func newTestQueue(maxLen int) *Queue[int] {
 	return New[int](epoch, Config{Classes: []Class{{Weight: 4}, {Weight: 1}}, MaxLen: maxLen})
 }
 
-func TestLagBound(t *testing.T) {
+// TestFairnessBound checks the bound on the service difference between accounts and that no
+// account state remains once the queue is empty.
+func TestFairnessBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := newFair(100000)
-		must.NoError(t, churn(t, fair{q}))
+		q := newTestQueue(100000)
+		must.NoError(t, runRandomOperations(t, fairScheduler{q}))
 		must.Eq(t, 0, q.Len())
 		must.Eq(t, 0, q.Accounts())
 	})
 }
 
+// TestCheckerCatchesFIFO checks that the checker detects an unfair order.
 func TestCheckerCatchesFIFO(t *testing.T) {
 	var caught int
 	rapid.Check(t, func(t *rapid.T) {
-		if churn(t, &fifo{}) != nil {
+		if runRandomOperations(t, &fifoScheduler{}) != nil {
 			caught++
 		}
 	})
-	must.Greater(t, 90, caught, must.Sprint("of 100 runs"))
+	must.Greater(t, 90, caught, must.Sprint("violations caught in 100 runs"))
 }
 
-// TestConservation mixes all operations; each item must leave exactly once.
+// TestConservation performs all operations in random order; each accepted item must leave
+// exactly once.
 func TestConservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int](epoch, Config{Classes: []Class{{4}, {1}, {1}}, MaxLen: 40, Rate: 10})
 		now := epoch
 		handles := map[int]Handle[int]{}
-		left := func(it Item[int]) {
+		recordRemoval := func(it Item[int]) {
 			_, ok := handles[it.Value]
-			must.True(t, ok, must.Sprintf("item %d left twice", it.Value))
+			must.True(t, ok, must.Sprintf("item %d was removed twice", it.Value))
 			delete(handles, it.Value)
 		}
 		for serial := range 150 {
@@ -208,11 +216,11 @@
 				it, ok := q.Pop()
 				must.Eq(t, len(handles) > 0, ok)
 				if ok {
-					left(it)
+					recordRemoval(it)
 				}
 			case 4:
 				for _, h := range handles {
-					left(h.entry.item)
+					recordRemoval(h.entry.item)
 					must.True(t, q.Cancel(h))
 					must.False(t, q.Cancel(h))
 					break
@@ -220,14 +228,14 @@
 			case 5:
 				q.Charge(account, rapid.Float64Range(-30, 30).Draw(t, "delta"))
 				for _, it := range q.Expire(now) {
-					left(it)
+					recordRemoval(it)
 				}
 				must.SliceEmpty(t, q.Expire(now))
 			}
 			must.Eq(t, len(handles), q.Len())
 		}
 		for it, ok := q.Pop(); ok; it, ok = q.Pop() {
-			left(it)
+			recordRemoval(it)
 		}
 		must.MapEmpty(t, handles)
 		must.Eq(t, 0, q.Accounts())
--- a/coord/fairqueue/queue.go
+++ b/coord/fairqueue/queue.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// minRetryAfter is the shortest time that a refused client is told to wait.
+// minRetryAfter is the minimum of RefusedError.RetryAfter.
 const minRetryAfter = 100 * time.Millisecond
 
-// noDeadline sorts after every deadline.
+// noDeadline is later than any deadline.
 const noDeadline = time.Duration(math.MaxInt64)
 
-// Errors of misuse; a retry cannot succeed.
+// Errors for invalid items. Pushing the same item again cannot succeed.
 var (
 	ErrNoClass = errors.New("fairqueue: no such class")
 	ErrBadItem = errors.New("fairqueue: cost and weight must be positive")
@@ -21,44 +21,44 @@
 
 // Class is a priority class.
 type Class struct {
-	// Weight is the class's share of the service while others are backlogged.
+	// Weight is the class's share of the service relative to the other classes that have items
+	// queued.
 	Weight float64
 }
 
-// Config sizes a Queue.
+// Config configures a Queue.
 type Config struct {
 	// Classes are the priority classes; items refer to them by index.
 	Classes []Class
-	// MaxLen bounds the number of items queued. One account alone can use at
-	// most half of it.
+	// MaxLen is the maximum number of queued items. A single account can use at most half of
+	// it.
 	MaxLen int
-	// Rate is the service rate in cost units per second, until SetRate.
-	// Zero means unknown: waits are then predicted as zero.
+	// Rate is the initial service rate in cost units per second; SetRate changes it. Zero means
+	// unknown: predicted waits are then zero.
 	Rate float64
 }
 
 // Queue is a fair queue. See the package comment for its guarantees.
 type Queue[V any] struct {
-	classes []class[V]
-	maxLen  int
-	rate    float64
-	epoch   time.Time
-	random  *rand.PCG
-	virtual float64
-	len     int
-	seq     uint64
+	classes     []class[V]
+	maxLen      int
+	rate        float64
+	epoch       time.Time
+	random      *rand.PCG
+	virtualTime float64
+	len         int
+	seq         uint64
 }
 
-// New returns an empty queue. Times given to its methods should come from the
-// same clock as now.
+// New returns an empty queue. Times passed to its methods must come from the same clock as now.
 func New[V any](now time.Time, cfg Config) *Queue[V] {
 	q := &Queue[V]{
 		classes: make([]class[V], len(cfg.Classes)),
 		maxLen:  cfg.MaxLen,
 		rate:    cfg.Rate,
 		epoch:   now,
-		// The treap's shape is all that depends on this, so a constant seed
-		// serves and keeps runs repeatable.
+		// The random numbers determine only the shape of the treap. A constant seed is
+		// sufficient and makes runs reproducible.
 		random: rand.NewPCG(1, 2),
 	}
 	for i := range cfg.Classes {
@@ -67,10 +67,10 @@
 	return q
 }
 
-// Len is the number of items queued.
+// Len returns the number of queued items.
 func (q *Queue[V]) Len() int { return q.len }
 
-// Accounts is the number of accounts that hold memory, over all classes.
+// Accounts returns the number of accounts whose state is kept, over all classes.
 func (q *Queue[V]) Accounts() int {
 	var n int
 	for i := range q.classes {
@@ -82,8 +82,9 @@
 // SetRate sets the measured service rate in cost units per second.
 func (q *Queue[V]) SetRate(rate float64) { q.rate = rate }
 
-// Push queues item, or refuses it at once with a *RefusedError. A refused item
-// leaves no trace.
+// Push queues item. It returns a *RefusedError if the account cannot queue more items at
+// present or the predicted start is after the deadline, and another error for an unknown class
+// or for a cost or weight that is not positive. A rejected item does not change the queue.
 func (q *Queue[V]) Push(now time.Time, item Item[V]) (Handle[V], error) {
 	if item.Account.Class < 0 || item.Account.Class >= len(q.classes) {
 		return Handle[V]{}, ErrNoClass
@@ -92,107 +93,109 @@
 		return Handle[V]{}, ErrBadItem
 	}
 	c := &q.classes[item.Account.Class]
-	start := c.startTag(item.Account.ID)
-	if err := q.admit(now, &item, start); err != nil {
+	startTag := c.nextStartTag(item.Account.ID)
+	if err := q.admit(now, &item, startTag); err != nil {
 		return Handle[V]{}, err
 	}
-	e := &entry[V]{item: item, start: start, seq: q.seq, due: q.due(item.Deadline), queued: true}
+	e := &entry[V]{item: item, startTag: startTag, seq: q.seq, deadlineOffset: q.deadlineOffset(item.Deadline), queued: true}
 	e.priority = q.random.Uint64()
 	if c.root == nil {
-		c.start = max(c.start, q.virtual)
+		c.startTag = max(c.startTag, q.virtualTime)
 	}
-	c.add(e)
+	c.enqueue(e)
 	q.seq++
 	q.len++
 	return Handle[V]{entry: e}, nil
 }
 
-// admit returns a *RefusedError if item, with the given start tag, has no room
-// or cannot start in time.
-func (q *Queue[V]) admit(now time.Time, item *Item[V], start float64) error {
+// admit returns a *RefusedError if the account of item may not queue more items, or if item,
+// with the given start tag, is predicted to start after its deadline.
+func (q *Queue[V]) admit(now time.Time, item *Item[V], startTag float64) error {
 	c := &q.classes[item.Account.Class]
-	wait := q.wait(item.Account.Class, workBefore(c.root, start))
-	if c.queuedBy(item.Account.ID) >= q.maxLen-q.len {
+	wait := q.predictWait(item.Account.Class, costThrough(c.root, startTag))
+	if c.queuedItems(item.Account.ID) >= q.maxLen-q.len {
 		return &RefusedError{Reason: QueueFull, Wait: wait, RetryAfter: max(wait, minRetryAfter)}
 	}
 	if item.Deadline.IsZero() {
 		return nil
 	}
-	left := item.Deadline.Sub(now)
-	if wait <= left {
+	remaining := item.Deadline.Sub(now)
+	if wait <= remaining {
 		return nil
 	}
-	late := wait - max(left, 0)
-	return &RefusedError{Reason: DeadlineUnmeetable, Wait: wait, RetryAfter: max(late, minRetryAfter)}
+	excess := wait - max(remaining, 0)
+	return &RefusedError{Reason: DeadlineUnmeetable, Wait: wait, RetryAfter: max(excess, minRetryAfter)}
 }
 
-// Pop takes the next item in the fair order. It reports false if the queue is
-// empty. It never drops items: callers run Expire first.
+// Pop removes and returns the next item in fair order, or returns false if the queue is empty.
+// It also returns items whose deadline has passed; callers should call Expire first.
 func (q *Queue[V]) Pop() (Item[V], bool) {
-	c := q.next()
+	c := q.nextClass()
 	if c == nil {
 		return Item[V]{}, false
 	}
-	e := first(c.root)
-	c.virtual = e.start
-	q.virtual = c.start
-	c.start += e.item.Cost / c.weight
-	q.drop(c, e)
+	e := firstEntry(c.root)
+	c.virtualTime = e.startTag
+	q.virtualTime = c.startTag
+	c.startTag += e.item.Cost / c.weight
+	q.removeEntry(c, e)
 	return e.item, true
 }
 
-// next is the backlogged class with the least start tag, or nil.
-func (q *Queue[V]) next() *class[V] {
-	var least *class[V]
+// nextClass returns the class with the lowest start tag among those that have items queued, or
+// nil if there is none.
+func (q *Queue[V]) nextClass() *class[V] {
+	var lowest *class[V]
 	for i := range q.classes {
 		c := &q.classes[i]
 		if c.root == nil {
 			continue
 		}
-		if least == nil || c.start < least.start {
-			least = c
+		if lowest == nil || c.startTag < lowest.startTag {
+			lowest = c
 		}
 	}
-	return least
+	return lowest
 }
 
-// Cancel takes an item out before it is popped, returning its cost to the
-// account as far as the order of the account's later items allows. It reports
-// false if the item has left already; repeating it is safe.
+// Cancel removes a queued item and refunds its cost to the account, as far as the order of the
+// account's later items allows. It returns false if the item is no longer queued; calling it
+// again is safe.
 func (q *Queue[V]) Cancel(h Handle[V]) bool {
 	e := h.entry
 	if e == nil || !e.queued {
 		return false
 	}
-	q.withdraw(e)
+	q.removeUnserved(e)
 	return true
 }
 
-// withdraw takes e out unserved and returns its cost to the account.
-func (q *Queue[V]) withdraw(e *entry[V]) {
+// removeUnserved removes an entry that was not served and refunds its cost to the account.
+func (q *Queue[V]) removeUnserved(e *entry[V]) {
 	c := &q.classes[e.item.Account.Class]
-	e.acct.finish -= e.item.Cost / e.item.Account.Weight
-	q.drop(c, e)
+	e.owner.finishTag -= e.item.Cost / e.item.Account.Weight
+	q.removeEntry(c, e)
 }
 
-// drop removes e from class c.
-func (q *Queue[V]) drop(c *class[V], e *entry[V]) {
-	c.take(e)
-	c.forget()
+// removeEntry removes e from class c. If the queue is then empty, it resets the virtual time
+// and the start tags of all classes.
+func (q *Queue[V]) removeEntry(c *class[V], e *entry[V]) {
+	c.dequeue(e)
+	c.evictIdleAccounts()
 	q.len--
 	if q.len > 0 {
 		return
 	}
-	q.virtual = 0
+	q.virtualTime = 0
 	for i := range q.classes {
-		q.classes[i].start = 0
+		q.classes[i].startTag = 0
 	}
 }
 
-// Charge corrects what an account has paid once the actual cost of a popped
-// item is known: delta is the actual less the estimated cost. It moves the
-// account's next items; those queued already keep their place. In a class with
-// nothing queued it has no effect, as nobody waits.
+// Charge corrects the cost charged to an account once the actual cost of a popped item is
+// known: delta is the actual minus the estimated cost. It affects only items that the account
+// pushes later; queued items keep their position. It has no effect for a class without queued
+// items, since no account is waiting for its share, or if the class or weight is invalid.
 func (q *Queue[V]) Charge(account Account, delta float64) {
 	if account.Class < 0 || account.Class >= len(q.classes) || account.Weight <= 0 {
 		return
@@ -202,11 +205,12 @@
 		return
 	}
 	c.charge(account.ID, delta/account.Weight)
-	c.start = max(q.virtual, c.start+delta/c.weight)
+	c.startTag = max(q.virtualTime, c.startTag+delta/c.weight)
 }
 
-// due is a deadline as time since the queue's epoch.
-func (q *Queue[V]) due(deadline time.Time) time.Duration {
+// deadlineOffset converts a deadline to the time since the queue's epoch; noDeadline if the
+// deadline is zero.
+func (q *Queue[V]) deadlineOffset(deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return noDeadline
 	}
--- a/coord/fairqueue/queue_test.go
+++ b/coord/fairqueue/queue_test.go
@@ -28,9 +28,10 @@
 	return h
 }
 
-// TestNewcomer shows that a small account waits for one item of each other.
-func TestNewcomer(t *testing.T) {
-	q := newFair(10000)
+// TestNewAccountWait checks that an account with its first item waits for at most one item of
+// each other account.
+func TestNewAccountWait(t *testing.T) {
+	q := newTestQueue(10000)
 	for i := range 5 {
 		push(t, q, 200, item(fmt.Sprint("large", i), 0, 10, 0))
 	}
@@ -46,7 +47,7 @@
 }
 
 func TestClassShares(t *testing.T) {
-	q := newFair(10000)
+	q := newTestQueue(10000)
 	push(t, q, 500, item("a", 0, 10, 0))
 	push(t, q, 500, item("b", 1, 10, 0))
 	counts := map[string]int{}
@@ -71,10 +72,10 @@
 		wait   time.Duration
 		retry  time.Duration
 	}{
-		{"a newcomer waits for one item, and a third by class", item("c", 0, 10, 1334*time.Millisecond), 0, 0, 0},
-		{"a newcomer just too late", item("c", 0, 10, 1333*time.Millisecond), DeadlineUnmeetable, 1333 * time.Millisecond, 100 * time.Millisecond},
-		{"behind the own queue and a third of it by class", item("a", 0, 10, 10*time.Second), DeadlineUnmeetable, 13333 * time.Millisecond, 3333 * time.Millisecond},
-		{"the other class drains first", item("b", 1, 10, 5*time.Second), DeadlineUnmeetable, 20 * time.Second, 15 * time.Second},
+		{"a new account waits for one item and a third of it for the other class", item("c", 0, 10, 1334*time.Millisecond), 0, 0, 0},
+		{"a new account just too late", item("c", 0, 10, 1333*time.Millisecond), DeadlineUnmeetable, 1333 * time.Millisecond, 100 * time.Millisecond},
+		{"behind its own items and a third of them for the other class", item("a", 0, 10, 10*time.Second), DeadlineUnmeetable, 13333 * time.Millisecond, 3333 * time.Millisecond},
+		{"the other class empties first", item("b", 1, 10, 5*time.Second), DeadlineUnmeetable, 20 * time.Second, 15 * time.Second},
 		{"past", item("a", 0, 10, 1), DeadlineUnmeetable, 13333 * time.Millisecond, 13333 * time.Millisecond},
 		{"in time", item("a", 0, 10, 14*time.Second), 0, 0, 0},
 	}
@@ -100,9 +101,10 @@
 	must.ErrorIs(t, err, ErrBadItem)
 }
 
-// TestRoom fills the queue from one account; others still find room.
-func TestRoom(t *testing.T) {
-	q := newFair(1000)
+// TestOneAccountCannotFillQueue pushes items of one account until they are rejected; other
+// accounts can still push.
+func TestOneAccountCannotFillQueue(t *testing.T) {
+	q := newTestQueue(1000)
 	var err error
 	for err == nil {
 		_, err = q.Push(epoch, item("large", 0, 1, 0))
@@ -117,7 +119,8 @@
 	}
 }
 
-// TestExpire compares the pruned search with the prediction that Push makes.
+// TestExpire checks that Expire, which skips subtrees, returns the items whose predicted wait
+// exceeds the deadline.
 func TestExpire(t *testing.T) {
 	q := New[int](epoch, Config{Classes: []Class{{1}}, MaxLen: 1000, Rate: 10})
 	for i := range 20 {
@@ -126,7 +129,7 @@
 		push(t, q, 1, it)
 	}
 	must.SliceEmpty(t, q.Expire(epoch))
-	q.SetRate(5) // each now takes 2 s; dropping one lets the next start earlier
+	q.SetRate(5) // each item now takes 2 s; removing one lets the next start earlier
 	var values []int
 	for _, it := range q.Expire(epoch) {
 		values = append(values, it.Value)
@@ -136,11 +139,11 @@
 	must.Eq(t, 0, q.Accounts())
 }
 
-// TestChargeShares has one account cost four times its estimate. With the
-// correction it gets a fair share of the real work; without, twice as much.
-func TestChargeShares(t *testing.T) {
+// TestChargeCorrectsShares has one account whose items cost four times the estimate. With
+// Charge it receives an equal share of the actual service; without, four times as much.
+func TestChargeCorrectsShares(t *testing.T) {
 	for _, charged := range []bool{true, false} {
-		q := newFair(10000)
+		q := newTestQueue(10000)
 		work := map[string]float64{}
 		push(t, q, 2, item("liar", 0, 10, 0))
 		push(t, q, 2, item("honest", 0, 10, 0))
--- a/coord/fairqueue/tree.go
+++ b/coord/fairqueue/tree.go
@@ -2,51 +2,50 @@
 
 import "time"
 
-// entry is a queued item and a node of its class's treap, which is ordered by
-// start tag and then by arrival. Each node sums the cost of its subtree and
-// knows its earliest deadline.
+// entry is a queued item and a node of its class's treap, which is ordered by start tag and
+// then by arrival. Each node holds the total cost and the earliest deadline of its subtree.
 type entry[V any] struct {
-	item  Item[V]
-	acct  *account
-	start float64
-	seq   uint64
-	// due is the deadline as time since the queue's epoch.
-	due    time.Duration
-	queued bool
+	item     Item[V]
+	owner    *account
+	startTag float64
+	seq      uint64
+	// deadlineOffset is the deadline as time since the queue's epoch.
+	deadlineOffset time.Duration
+	queued         bool
 
-	priority    uint64
-	left, right *entry[V]
-	work        float64
-	earliest    time.Duration
+	priority         uint64
+	left, right      *entry[V]
+	subtreeCost      float64
+	earliestDeadline time.Duration
 }
 
 // before reports whether e is popped before o.
 func (e *entry[V]) before(o *entry[V]) bool {
-	if e.start != o.start {
-		return e.start < o.start
+	if e.startTag != o.startTag {
+		return e.startTag < o.startTag
 	}
 	return e.seq < o.seq
 }
 
-// update restores the sums of e from its children.
+// update recomputes the total cost and the earliest deadline of e from its children.
 func (e *entry[V]) update() {
-	e.work = e.item.Cost
-	e.earliest = e.due
+	e.subtreeCost = e.item.Cost
+	e.earliestDeadline = e.deadlineOffset
 	for _, child := range [2]*entry[V]{e.left, e.right} {
 		if child == nil {
 			continue
 		}
-		e.work += child.work
-		e.earliest = min(e.earliest, child.earliest)
+		e.subtreeCost += child.subtreeCost
+		e.earliestDeadline = min(e.earliestDeadline, child.earliestDeadline)
 	}
 }
 
-// totalWork is the summed cost of the subtree.
-func (e *entry[V]) totalWork() float64 {
+// totalCost returns the total cost of the subtree; e may be nil.
+func (e *entry[V]) totalCost() float64 {
 	if e == nil {
 		return 0
 	}
-	return e.work
+	return e.subtreeCost
 }
 
 // insert adds e to the subtree root and returns the new root.
@@ -65,8 +64,7 @@
 	return root
 }
 
-// remove takes e out of the subtree root, which must hold it, and returns the
-// new root.
+// remove removes e from the subtree root, which must contain it, and returns the new root.
 func remove[V any](root, e *entry[V]) *entry[V] {
 	if root == e {
 		rest := merge(e.left, e.right)
@@ -82,29 +80,29 @@
 	return root
 }
 
-// first returns the entry that is popped next.
-func first[V any](root *entry[V]) *entry[V] {
+// firstEntry returns the entry that is popped next.
+func firstEntry[V any](root *entry[V]) *entry[V] {
 	for root.left != nil {
 		root = root.left
 	}
 	return root
 }
 
-// workBefore sums the cost of the entries with a start tag of at most start.
-func workBefore[V any](root *entry[V], start float64) float64 {
+// costThrough returns the total cost of the entries whose start tag is at most startTag.
+func costThrough[V any](root *entry[V], startTag float64) float64 {
 	var sum float64
 	for root != nil {
-		if root.start > start {
+		if root.startTag > startTag {
 			root = root.left
 			continue
 		}
-		sum += root.left.totalWork() + root.item.Cost
+		sum += root.left.totalCost() + root.item.Cost
 		root = root.right
 	}
 	return sum
 }
 
-// split divides the subtree root into what comes before and after e.
+// split divides the subtree root into the entries before and after e.
 func split[V any](root, e *entry[V]) (before, after *entry[V]) {
 	if root == nil {
 		return nil, nil
@@ -119,7 +117,7 @@
 	return before, root
 }
 
-// merge joins two subtrees; all of a comes before all of b.
+// merge joins two subtrees; all entries of a must come before all entries of b.
 func merge[V any](a, b *entry[V]) *entry[V] {
 	if a == nil {
 		return b
