--- a/coord/rendezvous/example_test.go
+++ b/coord/rendezvous/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/cherryward/cherryward/coord/rendezvous"
 )
 
-// Every process that knows the same nodes finds the same owner, and the loss of a node
-// moves only its own keys.
+// Every process that uses the same nodes finds the same owner, and the loss of a node moves
+// only the keys that it owned.
 func Example() {
 	nodes := []rendezvous.Node{{ID: "n1", Weight: 1}, {ID: "n2", Weight: 1}, {ID: "n3", Weight: 2}}
 	for _, key := range []string{"melt-1", "melt-2", "melt-3"} {
--- a/coord/rendezvous/rendezvous_test.go
+++ b/coord/rendezvous/rendezvous_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func fleet(n int) []Node {
+func makeNodes(n int) []Node {
 	nodes := make([]Node, n)
 	for i := range nodes {
 		nodes[i] = Node{ID: fmt.Sprintf("node-%05d", i), Weight: float64(1 + i%3)}
@@ -29,37 +29,37 @@
 	return nodes
 }
 
-// TestDisruption removes one node: each other node keeps its place in every
-// result, for all three forms, which agree with each other.
-func TestDisruption(t *testing.T) {
+// TestMinimalDisruption removes one node and checks that the other nodes keep their order in
+// every result, and that Top, Set and Slots agree.
+func TestMinimalDisruption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
 		k := rapid.IntRange(1, 20).Draw(t, "k")
-		gone := rapid.IntRange(0, len(nodes)-1).Draw(t, "gone")
-		left := slices.Delete(slices.Clone(nodes), gone, gone+1)
-		before, after := NewSet(nodes), NewSet(left)
+		removed := rapid.IntRange(0, len(nodes)-1).Draw(t, "gone")
+		remaining := slices.Delete(slices.Clone(nodes), removed, removed+1)
+		before, after := NewSet(nodes), NewSet(remaining)
 		slotsBefore, slotsAfter := NewSlots(before, 64, k+1), NewSlots(after, 64, k)
 		for i := range 20 {
 			key := fmt.Sprint("key", i)
-			want := slices.DeleteFunc(Top(k+1, key, nodes), func(id string) bool { return id == nodes[gone].ID })
+			want := slices.DeleteFunc(Top(k+1, key, nodes), func(id string) bool { return id == nodes[removed].ID })
 			want = want[:min(k, len(want))]
-			must.Eq(t, want, Top(k, key, left))
+			must.Eq(t, want, Top(k, key, remaining))
 			must.Eq(t, want, after.AppendTop(nil, k, key))
 			owner, ok := before.Owner(key)
 			must.True(t, ok)
 			must.Eq(t, Top(1, key, nodes)[0], owner)
 			plain, _ := Owner(key, nodes)
 			must.Eq(t, owner, plain)
-			slot := slices.DeleteFunc(slices.Clone(slotsBefore.Top(key)), func(id string) bool { return id == nodes[gone].ID })
+			slot := slices.DeleteFunc(slices.Clone(slotsBefore.Top(key)), func(id string) bool { return id == nodes[removed].ID })
 			must.Eq(t, slot[:min(k, len(slot))], slotsAfter.Top(key))
 		}
 	})
 }
 
-// TestShares bounds the deviation of each node's share from its weight.
-func TestShares(t *testing.T) {
+// TestSharesMatchWeights bounds the deviation of each node's share of the keys from its weight.
+func TestSharesMatchWeights(t *testing.T) {
 	const keys = 60_000
-	nodes := fleet(9)
+	nodes := makeNodes(9)
 	set := NewSet(nodes)
 	slots := NewSlots(set, 1<<14, 1)
 	direct, slotted := map[string]int{}, map[string]int{}
@@ -83,13 +83,13 @@
 	_, ok = NewSet(nodes).Owner("key")
 	test.False(t, ok)
 	test.Eq(t, []string{"e"}, Top(3, "key", append(nodes, Node{"e", 1})))
-	test.Len(t, 0, Top(0, "key", fleet(3)))
+	test.Len(t, 0, Top(0, "key", makeNodes(3)))
 	test.Eq(t, 2, NewSet([]Node{{"a", 1}, {"a", 2}, {"b", 1}}).Len())
 	test.Len(t, 0, NewSlots(NewSet(nil), 1, 4).Top("key"))
 }
 
 func TestAllocations(t *testing.T) {
-	nodes := fleet(1000)
+	nodes := makeNodes(1000)
 	set := NewSet(nodes)
 	slots := NewSlots(set, 1024, 8)
 	slots.Top("key")
@@ -103,7 +103,7 @@
 
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{9, 100, 1000, 12000} {
-		nodes := fleet(n)
+		nodes := makeNodes(n)
 		set := NewSet(nodes)
 		slots := NewSlots(set, 1024, 8)
 		dst := make([]string, 0, 8)
--- a/coord/rendezvous/slots.go
+++ b/coord/rendezvous/slots.go
@@ -7,16 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Slots maps keys to a fixed number of slots and each slot to its first k
-// nodes by rendezvous hashing. A slot is filled on its first use and kept, so
-// a lookup costs one hash of the key whatever the size of the set. A change of
-// nodes needs a new Slots. Disruption stays minimal, since a slot is a
-// rendezvous key. It may be used by several goroutines at once.
+// Slots maps keys to a fixed number of slots and each slot to its first k nodes by rendezvous
+// hashing. The result for a slot is computed on first use and cached, so a lookup costs one
+// hash of the key regardless of the size of the set. A change of the node set requires a new
+// Slots. Disruption stays minimal, since a slot is a rendezvous key. Slots is safe for
+// concurrent use.
 //
-// The slot count must be the same in every process and must not follow the
-// number of nodes. A node's share of the keys deviates from its weight by about
-// sqrt(nodes/(slots*k)) relative to its expectation; keep slots*k at 16 times
-// the nodes or more.
+// The number of slots must be the same in every process and must not depend on the number of
+// nodes. A node's share of the keys deviates from its weight by about sqrt(nodes/(slots*k))
+// relative to its expectation; slots*k should be at least 16 times the number of nodes.
 type Slots struct {
 	set   *Set
 	k     int
@@ -24,8 +23,8 @@
 	top   []atomic.Pointer[[]string]
 }
 
-// NewSlots returns an empty table over set with count slots, rounded up to a
-// power of two, of k nodes each.
+// NewSlots returns a table over set with count slots, rounded up to a power of two, of k nodes
+// each. No slot is computed yet.
 func NewSlots(set *Set, count, k int) *Slots {
 	width := bits.Len(uint(max(count, 1) - 1))
 	return &Slots{
@@ -36,9 +35,8 @@
 	}
 }
 
-// Top returns the IDs of the first k nodes for the slot of key, best first.
-// The result is shared: the caller must not change it. It allocates only on
-// the first use of a slot.
+// Top returns the IDs of the first k nodes for the slot of key, best first. The result is
+// shared, so the caller must not modify it. It allocates only on the first use of a slot.
 func (s *Slots) Top(key string) []string {
 	slot := xxhash.Sum64String(key) >> s.shift
 	if top := s.top[slot].Load(); top != nil {
--- a/coord/rendezvous/table.go
+++ b/coord/rendezvous/table.go
@@ -2,56 +2,56 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Table keeps the owner of each tracked key while nodes come and go. Its owners
-// are always those of the present Set.
+// Table maintains the owners of a set of tracked keys while the node set changes. The owners
+// are always those of the current Set.
 //
-// A change of nodes costs one hash of 16 bytes for each key and added node, and
-// one look-up in the whole set for each key whose owner was removed. Owner costs
-// a map look-up. A Table is not safe for concurrent use.
+// A change of the node set costs one hash of 16 bytes for each pair of key and added node, and
+// one lookup in the whole set for each key whose owner was removed. Owner costs a map lookup. A
+// Table is not safe for concurrent use.
 type Table struct {
 	set     *Set
 	weights map[string]float64 // of the set's nodes
-	places  map[string]int     // of the keys in keys
-	keys    []tracked
+	indexes map[string]int     // positions of the keys in keys
+	keys    []trackedKey
 }
 
-// tracked is a key with its owner, if there is one.
-type tracked struct {
-	key    string
-	hash   uint64
-	owned  bool
-	weight float64 // of the owner
-	owner  candidate
+// trackedKey is a key and its owner, if it has one.
+type trackedKey struct {
+	key      string
+	hash     uint64
+	hasOwner bool
+	weight   float64 // of the owner
+	owner    candidate
 }
 
-// Move is a change of one key's owner. From or To is empty where the key had,
-// or has, no owner.
+// Move is a change of a key's owner. From is empty if the key had no owner before, To if it has
+// none now.
 type Move struct{ Key, From, To string }
 
-// NewTable returns a table over set that tracks no key.
+// NewTable returns a table over set that tracks no keys.
 func NewTable(set *Set) *Table {
-	return &Table{set: set, weights: set.weights(), places: make(map[string]int)}
+	return &Table{set: set, weights: set.weights(), indexes: make(map[string]int)}
 }
 
 // Len returns the number of tracked keys.
 func (t *Table) Len() int { return len(t.keys) }
 
-// Owner returns the ID of the node that owns key, or false if the key is not
-// tracked or the set is empty. It does not allocate.
+// Owner returns the ID of the node that owns key, or false if the key is not tracked or the set
+// is empty. It does not allocate.
 func (t *Table) Owner(key string) (string, bool) {
-	i, ok := t.places[key]
+	i, ok := t.indexes[key]
 	if !ok {
 		return "", false
 	}
-	return t.keys[i].owner.id, t.keys[i].owned
+	return t.keys[i].owner.id, t.keys[i].hasOwner
 }
 
-// Add tracks a key and returns its owner as Owner does. It is idempotent.
+// Add starts tracking a key and returns its owner as Owner does. It is idempotent.
 func (t *Table) Add(key string) (string, bool) {
-	if _, ok := t.places[key]; !ok {
-		k := tracked{key: key, hash: xxhash.Sum64String(key)}
-		k.lookUp(t.set)
-		t.places[key] = len(t.keys)
+	if _, ok := t.indexes[key]; !ok {
+		k := trackedKey{key: key, hash: xxhash.Sum64String(key)}
+		k.findOwner(t.set)
+		t.indexes[key] = len(t.keys)
 		t.keys = append(t.keys, k)
 	}
 	return t.Owner(key)
@@ -59,16 +59,16 @@
 
 // Remove stops tracking a key. It is idempotent.
 func (t *Table) Remove(key string) {
-	i, ok := t.places[key]
+	i, ok := t.indexes[key]
 	if !ok {
 		return
 	}
 	last := len(t.keys) - 1
 	t.keys[i] = t.keys[last]
-	t.places[t.keys[i].key] = i
-	t.keys[last] = tracked{}
+	t.indexes[t.keys[i].key] = i
+	t.keys[last] = trackedKey{}
 	t.keys = t.keys[:last]
-	delete(t.places, key)
+	delete(t.indexes, key)
 }
 
 // Update replaces the set and calls moved for each key whose owner has changed.
@@ -76,29 +76,29 @@
 	if set == t.set {
 		return
 	}
-	added, gone := t.replace(set)
+	added, removed := t.replaceSet(set)
 	for i := range t.keys {
 		k := &t.keys[i]
 		before := *k
-		if !k.owned || gone[k.owner.id] {
-			k.lookUp(set)
+		if !k.hasOwner || removed[k.owner.id] {
+			k.findOwner(set)
 		} else {
-			k.challenge(added)
+			k.updateOwner(added)
 		}
-		if k.owned != before.owned || k.owner.id != before.owner.id {
+		if k.hasOwner != before.hasOwner || k.owner.id != before.owner.id {
 			moved(Move{Key: k.key, From: before.owner.id, To: k.owner.id})
 		}
 	}
 }
 
-// replace stores the set and returns what it differs in. A node of another
-// weight is both gone and added.
-func (t *Table) replace(set *Set) (added *Set, gone map[string]bool) {
+// replaceSet stores the set and returns the difference from the previous one. A node whose
+// weight has changed is both removed and added.
+func (t *Table) replaceSet(set *Set) (added *Set, removed map[string]bool) {
 	weights := set.weights()
-	gone = make(map[string]bool)
+	removed = make(map[string]bool)
 	for id, w := range t.weights {
 		if weights[id] != w {
-			gone[id] = true
+			removed[id] = true
 		}
 	}
 	var nodes []Node
@@ -108,18 +108,18 @@
 		}
 	}
 	t.set, t.weights = set, weights
-	return NewSet(nodes), gone
+	return NewSet(nodes), removed
 }
 
-// lookUp finds the owner among all nodes.
-func (k *tracked) lookUp(set *Set) {
-	k.owned, k.weight, k.owner = false, 0, candidate{}
-	k.challenge(set)
+// findOwner selects the owner among all nodes of the set.
+func (k *trackedKey) findOwner(set *Set) {
+	k.hasOwner, k.weight, k.owner = false, 0, candidate{}
+	k.updateOwner(set)
 }
 
-// challenge lets each node of the set win against the owner. Within one weight
-// the order by hash is the order by cost.
-func (k *tracked) challenge(set *Set) {
+// updateOwner replaces the owner if a node of the set ranks above it. Among nodes of the same
+// weight, the order by hash is the order by cost, so lower hashes are skipped.
+func (k *trackedKey) updateOwner(set *Set) {
 	for i := range set.classes {
 		c := &set.classes[i]
 		for j, node := range c.hashes {
@@ -128,8 +128,8 @@
 				continue
 			}
 			next := candidate{id: c.ids[j], hash: h, cost: cost(h, c.weight)}
-			if !k.owned || next.before(k.owner) {
-				k.owned, k.weight, k.owner = true, c.weight, next
+			if !k.hasOwner || next.before(k.owner) {
+				k.hasOwner, k.weight, k.owner = true, c.weight, next
 			}
 		}
 	}
--- a/coord/rendezvous/table_test.go
+++ b/coord/rendezvous/table_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTableEqualsSet changes nodes, weights and keys at random: the table names
-// the owners of the set and reports each move once.
+// TestTableEqualsSet changes nodes, weights and keys at random and checks that the table
+// returns the same owners as the set and reports each move once.
 func TestTableEqualsSet(t *testing.T) {
 	node := rapid.Custom(func(t *rapid.T) Node {
 		return Node{
@@ -20,7 +20,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := NewSet(nil)
 		table := NewTable(set)
-		owners := map[string]string{} // of the tracked keys, from Add and the moves
+		owners := map[string]string{} // owners of the tracked keys, as reported by Add and the moves
 		for range 30 {
 			key := fmt.Sprint("key", rapid.IntRange(0, 40).Draw(t, "key"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
