--- a/coord/retry/budget.go
+++ b/coord/retry/budget.go
@@ -5,71 +5,70 @@
 	"time"
 )
 
-// BudgetConfig sizes a Budget.
+// BudgetConfig configures a Budget.
 type BudgetConfig struct {
-	// Ratio is the number of retries that each successful first attempt earns.
+	// Ratio is the number of retries that each successful first attempt adds.
 	Ratio float64
-	// Reserve is the most retries that can be saved up.
+	// Reserve is the capacity of the bucket in retries.
 	Reserve float64
-	// MinPerSecond is earned without traffic, so that a rarely used target
-	// still gets a retry now and then.
+	// MinPerSecond is the number of retries added per second regardless of traffic, so that
+	// calls to a rarely used target can occasionally be retried.
 	MinPerSecond float64
 }
 
-// DefaultBudget keeps the load amplification under 1.1.
+// DefaultBudget limits the load amplification to less than 1.1.
 var DefaultBudget = BudgetConfig{Ratio: 0.1, Reserve: 10, MinPerSecond: 0.1}
 
-// Budget is a token bucket of retries, filled by successes. It starts empty: a
-// process that restarts during a brownout adds no burst. It is safe for
-// concurrent use.
+// Budget is a token bucket of retries that is filled by successful calls. It starts empty, so
+// that a process that restarts during a brownout does not add a burst of retries. It is safe
+// for concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	cfg   BudgetConfig
-	level float64
-	last  time.Time
+	mu         sync.Mutex
+	cfg        BudgetConfig
+	tokens     float64
+	lastRefill time.Time
 }
 
 // NewBudget returns an empty budget.
 func NewBudget(now time.Time, cfg BudgetConfig) *Budget {
-	return &Budget{cfg: cfg, last: now}
+	return &Budget{cfg: cfg, lastRefill: now}
 }
 
-// Deposit counts a first attempt that succeeded.
+// Deposit adds Ratio retries for a first attempt that succeeded, up to the capacity.
 func (b *Budget) Deposit(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	b.level = min(b.level+b.cfg.Ratio, b.cfg.Reserve)
+	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Reserve)
 }
 
-// Withdraw takes one retry. It reports false, and takes nothing, if there is
-// none.
+// Withdraw takes one retry. It returns false and takes nothing if less than one is available.
 func (b *Budget) Withdraw(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	if b.level < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	return true
 }
 
-// SetReserve changes the most retries that can be saved up. What was saved beyond it is
-// lost, and nothing is given for a larger one.
+// SetReserve changes the capacity of the bucket. Retries beyond a lower capacity are discarded;
+// a higher capacity adds none.
 func (b *Budget) SetReserve(reserve float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cfg.Reserve = reserve
-	b.level = min(b.level, reserve)
+	b.tokens = min(b.tokens, reserve)
 }
 
-// refill adds what time has earned.
+// refill adds the retries for the time since the last refill.
 func (b *Budget) refill(now time.Time) {
-	passed := now.Sub(b.last).Seconds()
-	if passed <= 0 {
+	elapsed := now.Sub(b.lastRefill).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	b.last = now
-	b.level = min(b.level+passed*b.cfg.MinPerSecond, b.cfg.Reserve)
+	b.lastRefill = now
+	b.tokens = min(b.tokens+elapsed*b.cfg.MinPerSecond, b.cfg.Reserve)
 }
--- a/coord/retry/errors.go
+++ b/coord/retry/errors.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// RunState says whether a failed attempt had an effect.
+// RunState describes whether a failed attempt had an effect.
 type RunState int
 
 const (
-	// MayHaveRun means that nobody knows. It is the state of errors that are
-	// not an *AttemptError.
+	// MayHaveRun means that it is unknown whether the attempt had an effect. It is the state of
+	// errors that are not an *AttemptError.
 	MayHaveRun RunState = iota
-	// NotRun means that the attempt certainly had no effect.
+	// NotRun means that the attempt definitely had no effect.
 	NotRun
-	// Ran means that the attempt took effect but its answer was lost.
+	// Ran means that the attempt took effect but its response was lost.
 	Ran
 )
 
@@ -31,13 +31,13 @@
 	}
 }
 
-// AttemptError is how an attempt reports what it knows of its failure.
+// AttemptError describes the failure of an attempt.
 type AttemptError struct {
 	State RunState
-	// Permanent means that the same call would fail again, as for a malformed
-	// request.
+	// Permanent means that the same call would fail again, for example because the request is
+	// malformed.
 	Permanent bool
-	// RetryAfter is the shortest wait that the other side asked for, or zero.
+	// RetryAfter is the minimum wait requested by the server, or zero.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -48,7 +48,7 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// Reason says why a failed call was not repeated.
+// Reason is the reason why a failed call was not repeated.
 type Reason int
 
 const (
@@ -56,41 +56,41 @@
 	NotRepeatable Reason = iota + 1
 	// Permanent means that the same call would fail again.
 	Permanent
-	// Downstream means that a hop nearer to the caller owns the retries.
+	// Downstream means that a hop nearer to the caller is responsible for retries.
 	Downstream
-	// AttemptsSpent means that the call had its most attempts.
+	// AttemptsSpent means that the maximum number of attempts was made.
 	AttemptsSpent
-	// DeadlineTooClose means that a retry could not finish in time.
+	// DeadlineTooClose means that a retry could not finish before the deadline.
 	DeadlineTooClose
 	// BudgetSpent means that the budget has no retry left.
 	BudgetSpent
-	// Canceled means that the caller's context ended during the wait.
+	// Canceled means that the context ended during the wait for a retry.
 	Canceled
 )
 
 var reasonNames = map[Reason]string{
-	NotRepeatable:    "not repeatable",
+	NotRepeatable:    "call may have run and is not idempotent",
 	Permanent:        "permanent failure",
-	Downstream:       "retries belong to the upstream hop",
-	AttemptsSpent:    "attempts spent",
-	DeadlineTooClose: "deadline too close",
-	BudgetSpent:      "retry budget spent",
+	Downstream:       "upstream hop is responsible for retries",
+	AttemptsSpent:    "maximum number of attempts reached",
+	DeadlineTooClose: "retry cannot finish before the deadline",
+	BudgetSpent:      "retry budget exhausted",
 	Canceled:         "canceled",
 }
 
 // String implements fmt.Stringer.
 func (r Reason) String() string { return reasonNames[r] }
 
-// GaveUpError is the final answer to a call that failed.
+// GaveUpError is the error of a call that failed and is not retried.
 type GaveUpError struct {
 	Reason Reason
 	// Attempts is the number of attempts made.
 	Attempts int
-	// State is the most that any attempt may have done: repeating the call is
-	// safe only if it is NotRun or the call is idempotent.
+	// State is the least repeatable state of all attempts. Repeating the call is safe only if
+	// it is NotRun or the call is idempotent.
 	State RunState
-	// RetryAfter is the time after which the caller may repeat the call. It is
-	// zero where repeating it is unsafe or of no use.
+	// RetryAfter is the time after which the caller may repeat the call. It is zero if
+	// repeating the call is unsafe or would not help.
 	RetryAfter time.Duration
 	// Err is the error of the last attempt.
 	Err error
@@ -109,8 +109,8 @@
 	_ error = (*GaveUpError)(nil)
 )
 
-// classify returns the *AttemptError in err, or one that assumes the worst.
-func classify(err error) *AttemptError {
+// asAttemptError returns the *AttemptError that err wraps, or one with state MayHaveRun.
+func asAttemptError(err error) *AttemptError {
 	var failure *AttemptError
 	if errors.As(err, &failure) {
 		return failure
@@ -118,8 +118,8 @@
 	return &AttemptError{State: MayHaveRun, Err: err}
 }
 
-// worse is the less repeatable of two states.
-func worse(a, b RunState) RunState {
+// lessRepeatable returns the less repeatable of two states.
+func lessRepeatable(a, b RunState) RunState {
 	if a == Ran || b == Ran {
 		return Ran
 	}
--- a/coord/retry/policy.go
+++ b/coord/retry/policy.go
@@ -7,7 +7,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// maxAttempts bounds the attempts of one call, the first included.
+// maxAttempts limits the attempts of one call, including the first.
 const maxAttempts = 4
 
 // Intervals are the limits of the jittered exponential backoff.
@@ -21,42 +21,42 @@
 
 // Call describes a call that may be repeated.
 type Call struct {
-	// Deadline is the caller's. Zero means none.
+	// Deadline is the deadline of the caller. Zero means no deadline.
 	Deadline time.Time
 	// MinTime is the shortest time in which an attempt can finish.
 	MinTime time.Duration
-	// Idempotent declares that repeating the call is harmless even if it ran.
+	// Idempotent means that repeating the call is harmless even if it ran.
 	Idempotent bool
-	// Downstream says that a hop nearer to the caller owns the retries.
+	// Downstream means that a hop nearer to the caller is responsible for retries.
 	Downstream bool
 }
 
-// Attempt describes one try. What it holds is meant to be sent along with the
-// call; the receiver sets Call.Downstream and its own deadline from it.
+// Attempt describes one attempt. Its content is intended to be sent with the call; the receiver
+// sets Call.Downstream and its own deadline from it.
 type Attempt struct {
-	// Number counts from 1.
+	// Number starts at 1.
 	Number int
-	// Left is the time until the caller's deadline, or zero without one. It is
-	// a duration, so that it needs no agreement of clocks.
+	// Left is the time until the caller's deadline, or zero if there is none. It is a duration,
+	// so that the clocks of caller and receiver need not agree.
 	Left time.Duration
-	// Downstream is always true: the receiver is one hop further down.
+	// Downstream is always true, since the receiver is one hop further from the caller.
 	Downstream bool
 }
 
-// Policy decides on retries to one kind of target, for example a model. It is
-// safe for concurrent use.
+// Policy decides on retries of calls to one kind of target, for example a model. It is safe for
+// concurrent use.
 type Policy struct {
 	budget    *Budget
 	intervals Intervals
 }
 
-// NewPolicy returns a policy that draws on budget.
+// NewPolicy returns a policy that takes its retries from budget.
 func NewPolicy(budget *Budget, intervals Intervals) *Policy {
 	return &Policy{budget: budget, intervals: intervals}
 }
 
-// Sequence is the series of attempts at one call. It does no I/O and reads no
-// clock. It is not safe for concurrent use.
+// Sequence is the series of attempts of one call. It does no I/O and reads no clock. It is not
+// safe for concurrent use.
 type Sequence struct {
 	policy   *Policy
 	call     Call
@@ -65,12 +65,12 @@
 	backoff  *backoff.ExponentialBackOff
 }
 
-// Start begins the attempts at call.
+// Start returns a Sequence for a call, without an attempt yet.
 func (p *Policy) Start(call Call) *Sequence {
 	return &Sequence{policy: p, call: call, state: NotRun}
 }
 
-// Attempt counts and describes the attempt that begins now.
+// Attempt counts the attempt that starts now and returns its description.
 func (s *Sequence) Attempt(now time.Time) Attempt {
 	s.attempts++
 	a := Attempt{Number: s.attempts, Downstream: true}
@@ -87,12 +87,12 @@
 	}
 }
 
-// Failed records that the latest attempt failed with err. It returns how long
-// to wait before the next attempt, or the final answer. A retry that is granted
-// is paid for already.
+// Failed records that the latest attempt failed with err. It returns the wait before the next
+// attempt, or the error to return if no attempt follows. The budget has already been charged
+// for a granted retry.
 func (s *Sequence) Failed(now time.Time, err error) (time.Duration, *GaveUpError) {
-	failure := classify(err)
-	s.state = worse(s.state, failure.State)
+	failure := asAttemptError(err)
+	s.state = lessRepeatable(s.state, failure.State)
 	if failure.State != NotRun && !s.call.Idempotent {
 		return 0, s.giveUp(NotRepeatable, 0, err)
 	}
@@ -106,7 +106,7 @@
 	if s.attempts >= maxAttempts {
 		return 0, s.giveUp(AttemptsSpent, wait, err)
 	}
-	if !s.fits(now, wait) {
+	if !s.fitsDeadline(now, wait) {
 		return 0, s.giveUp(DeadlineTooClose, wait, err)
 	}
 	if !s.policy.budget.Withdraw(now) {
@@ -115,8 +115,9 @@
 	return wait, nil
 }
 
-// fits reports whether an attempt after wait can finish before the deadline.
-func (s *Sequence) fits(now time.Time, wait time.Duration) bool {
+// fitsDeadline reports whether an attempt that starts after wait can finish before the
+// deadline.
+func (s *Sequence) fitsDeadline(now time.Time, wait time.Duration) bool {
 	if s.call.Deadline.IsZero() {
 		return true
 	}
@@ -124,7 +125,7 @@
 	return !done.After(s.call.Deadline)
 }
 
-// nextInterval is the next jittered backoff.
+// nextInterval returns the next jittered backoff interval.
 func (s *Sequence) nextInterval() time.Duration {
 	if s.backoff == nil {
 		s.backoff = backoff.NewExponentialBackOff()
@@ -134,14 +135,14 @@
 	return s.backoff.NextBackOff()
 }
 
-// giveUp is the final answer.
+// giveUp returns the error for a call that is not retried; after is its RetryAfter.
 func (s *Sequence) giveUp(reason Reason, after time.Duration, err error) *GaveUpError {
 	return &GaveUpError{Reason: reason, Attempts: s.attempts, State: s.state, RetryAfter: after, Err: err}
 }
 
-// Do runs attempt until it succeeds or the policy gives up, and then returns a
-// *GaveUpError at once. The context given to attempt ends at the deadline. Do
-// itself must not be repeated unless the error says that this is safe.
+// Do calls attempt until it succeeds or the policy allows no further attempt, and then returns
+// a *GaveUpError without waiting. The context passed to attempt ends at the call's deadline. Do
+// must not be repeated unless the error shows that this is safe.
 func (p *Policy) Do(ctx context.Context, call Call, attempt func(context.Context, Attempt) error) error {
 	if !call.Deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -165,8 +166,8 @@
 	}
 }
 
-// Sleep waits and reports whether the context outlived the wait. A wait that is over before it
-// begins makes no timer.
+// Sleep waits and returns true, or returns false if ctx ends first. For a wait that is not
+// positive it starts no timer.
 func Sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -11,11 +11,11 @@
 )
 
 var (
-	epoch    = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	errProbe = errors.New("probe")
+	epoch   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	errTest = errors.New("probe")
 )
 
-// fullBudget has n retries saved up and earns none.
+// fullBudget returns a budget with n retries available that earns no more without deposits.
 func fullBudget(now time.Time, n float64) *Budget {
 	b := NewBudget(now, BudgetConfig{Ratio: n, Reserve: n})
 	b.Deposit(now)
@@ -23,21 +23,21 @@
 }
 
 func TestFailed(t *testing.T) {
-	notRun := &AttemptError{State: NotRun, Err: errProbe}
-	lost := &AttemptError{State: Ran, Err: errProbe}
+	notRun := &AttemptError{State: NotRun, Err: errTest}
+	lost := &AttemptError{State: Ran, Err: errTest}
 	soon := epoch.Add(time.Second)
 	tests := []struct {
 		name   string
 		call   Call
 		err    error
 		budget float64
-		reason Reason // zero: retried
+		reason Reason // zero if the attempt is retried
 	}{
 		{"not run", Call{}, notRun, 1, 0},
 		{"wrapped", Call{}, errors.Join(notRun), 1, 0},
-		{"may have run", Call{}, errProbe, 1, NotRepeatable},
+		{"may have run", Call{}, errTest, 1, NotRepeatable},
 		{"ran", Call{}, lost, 1, NotRepeatable},
-		{"idempotent, may have run", Call{Idempotent: true}, errProbe, 1, 0},
+		{"idempotent, may have run", Call{Idempotent: true}, errTest, 1, 0},
 		{"idempotent, ran", Call{Idempotent: true}, lost, 1, 0},
 		{"permanent", Call{}, &AttemptError{State: NotRun, Permanent: true}, 1, Permanent},
 		{"downstream", Call{Downstream: true}, notRun, 1, Downstream},
@@ -59,7 +59,7 @@
 				return
 			}
 			must.Eq(t, tc.reason, gaveUp.Reason)
-			must.Eq(t, classify(tc.err).State, gaveUp.State)
+			must.Eq(t, asAttemptError(tc.err).State, gaveUp.State)
 			safe := tc.reason != NotRepeatable && tc.reason != Permanent && tc.reason != Downstream
 			must.Eq(t, safe, gaveUp.RetryAfter > 0)
 			must.Eq(t, tc.budget >= 1, budget.Withdraw(epoch), must.Sprint("giving up costs no budget"))
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestDo runs in virtual time: the answer comes at once, the time left shrinks.
+// TestDo checks in virtual time that Do returns without a wait after the last attempt or the
+// end of the context, and that the time left shrinks with each attempt.
 func TestDo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
@@ -80,12 +81,12 @@
 			must.Eq(t, time.Until(call.Deadline), a.Left)
 			left = append(left, a.Left)
 			time.Sleep(time.Second)
-			return &AttemptError{State: NotRun, RetryAfter: 10 * time.Second, Err: errProbe}
+			return &AttemptError{State: NotRun, RetryAfter: 10 * time.Second, Err: errTest}
 		}
 		err := policy.Do(t.Context(), call, run)
 		var gaveUp *GaveUpError
 		must.True(t, errors.As(err, &gaveUp))
-		must.ErrorIs(t, err, errProbe)
+		must.ErrorIs(t, err, errTest)
 		must.Eq(t, AttemptsSpent, gaveUp.Reason)
 		must.Eq(t, maxAttempts, gaveUp.Attempts)
 		must.Eq(t, 34*time.Second, time.Since(begin))
@@ -112,7 +113,7 @@
 			taken++
 		}
 	}
-	must.Eq(t, 104, taken) // 0.1 * 1000 + 0.5 * 10 s, less the rest
+	must.Eq(t, 104, taken) // 0.1 * 1000 + 0.5 * 10 s, minus the fraction that remains
 	now := epoch.Add(time.Hour)
 	for range 5 {
 		must.True(t, b.Withdraw(now))
