--- a/coord/changelog/bench_test.go
+++ b/coord/changelog/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/coord/changelog/logtest"
 )
 
-// objectCount is the expected number of objects in the state: 12,000 endpoints and
-// the other kinds.
+// objectCount is the expected number of objects in the state of a production system,
+// of which 12,000 are endpoints.
 const objectCount = 15000
 
 // newFilledStore returns a store with objectCount objects of about 350 bytes each.
@@ -30,7 +30,7 @@
 }
 
 // BenchmarkApply applies segments of one change each, the usual case. The time
-// includes encoding the record, a few hundred nanoseconds.
+// includes formatting the record.
 func BenchmarkApply(b *testing.B) {
 	s := newFilledStore(b)
 	note := strings.Repeat("y", noteLen)
@@ -83,8 +83,8 @@
 	must.NoError(t, s.Restore(image))
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	held := float64(after.HeapAlloc) - float64(before.HeapAlloc)
-	t.Logf("%d objects of %d bytes: %.0f bytes each, window of %d ids included", s.Snapshot().Len(), noteLen+25, held/objectCount, 2*4096)
-	must.Less(t, 2000, held/objectCount)
+	heapBytes := float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	t.Logf("%d objects of %d bytes use %.0f heap bytes each, including the window of %d ids", s.Snapshot().Len(), noteLen+25, heapBytes/objectCount, 2*4096)
+	must.Less(t, 2000, heapBytes/objectCount)
 	runtime.KeepAlive(s)
 }
--- a/coord/changelog/checker.go
+++ b/coord/changelog/checker.go
@@ -7,16 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Checker verifies the package's guarantees on observed states and outcomes, for
-// tests and scenarios:
+// Checker verifies the package's guarantees on recorded states and outcomes, for
+// tests:
 //   - all nodes have the same state at the same offset;
-//   - the applied offset of a node does not decrease;
-//   - at most one of the changes based on the same revision is accepted;
-//   - every later state contains an accepted change or a later revision of the
-//     object, unless a delete of the object was proposed;
+//   - the applied offset of a node does not decrease, except by a restart;
+//   - at most one of the changes based on the same revision is accepted, or, if a
+//     delete of the object was proposed, several based on revision 0;
+//   - a state at or above the offset of an accepted change contains that change or
+//     a later revision of its object, unless a delete of the object was proposed;
 //   - a conflict reports a revision other than the one the change was based on.
 //
-// It keeps all observations in memory. It is safe for concurrent use.
+// It keeps all recorded states (as digests) and outcomes in memory. It is safe for
+// concurrent use.
 type Checker[V any] struct {
 	mu             sync.Mutex
 	digests        map[int64]uint64        // by offset
@@ -44,7 +46,8 @@
 	}
 }
 
-// Proposing records a change. Call it before the change is proposed.
+// Proposing records a proposed delete; it ignores other changes. Call it before
+// the change is proposed.
 func (c *Checker[V]) Proposing(ch Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +57,7 @@
 }
 
 // Decided checks the outcome that Propose returned for a change, and records it
-// if the change was accepted.
+// if the change was accepted. It returns an error if a guarantee is violated.
 func (c *Checker[V]) Decided(ch Change, o Outcome) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +87,8 @@
 	delete(c.applied, node)
 }
 
-// Observe checks the state of a node against all earlier observations.
+// Observe records the state of a node and checks it against all states and
+// outcomes recorded earlier. It returns an error if a guarantee is violated.
 func (c *Checker[V]) Observe(node string, s *Snapshot[V]) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,14 +98,14 @@
 	c.applied[node] = s.applied
 	digest := s.Digest()
 	if d, ok := c.digests[s.applied]; ok && d != digest {
-		return fmt.Errorf("%s has another state at offset %d than observed before", node, s.applied)
+		return fmt.Errorf("%s has another state at offset %d than recorded before", node, s.applied)
 	}
 	c.digests[s.applied] = digest
 	return c.checkNothingLost(node, s)
 }
 
-// checkNothingLost checks that the state contains all changes accepted up to its
-// offset.
+// checkNothingLost checks that the state contains the changes accepted up to its
+// offset, or later revisions of their objects.
 func (c *Checker[V]) checkNothingLost(node string, s *Snapshot[V]) error {
 	for name, a := range c.accepted {
 		o, ok := s.Get(name.Kind, name.Key)
@@ -116,7 +120,7 @@
 }
 
 // Digest returns a hash of all objects with their revisions and values. Equal
-// states have equal digests, independent of the iteration order.
+// states have equal digests; the iteration order does not matter.
 func (s *Snapshot[V]) Digest() uint64 {
 	var sum uint64
 	for o := range s.All() {
--- a/coord/changelog/checker_test.go
+++ b/coord/changelog/checker_test.go
@@ -51,8 +51,8 @@
 			o, _ := broken.Snapshot().Get(c.Kind, c.Key)
 			c.BasedOn = o.Revision
 		}})
-		right := newEmptyStore(log)
-		for name, s := range map[string]*changelog.Store[limit]{"broken": broken, "right": right} {
+		correct := newEmptyStore(log)
+		for name, s := range map[string]*changelog.Store[limit]{"broken": broken, "right": correct} {
 			check := changelog.NewChecker[limit]()
 			base := s.Snapshot()
 			var err error
@@ -68,7 +68,7 @@
 
 // The checker must detect a state that is overwritten by an older image, and one
 // whose content does not match its offset. Restore must ignore an older image.
-func TestCheckerFindsOldCheckpoint(t *testing.T) {
+func TestCheckerFindsOldImage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEmptyStore(&logtest.Log{})
 		check := changelog.NewChecker[limit]()
@@ -97,8 +97,9 @@
 	})
 }
 
-// A late retry of a create, after its id has left the deduplication window, must
-// not recreate a deleted object. A node restored from an image must reject it too.
+// A late retry of a create, after its id was evicted from the deduplication window,
+// must not recreate a deleted object. A node restored from an image must reject it
+// too.
 func TestLateRetryExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &logtest.Log{}
--- a/coord/changelog/checkpoint.go
+++ b/coord/changelog/checkpoint.go
@@ -16,8 +16,9 @@
 	Interval time.Duration
 }
 
-// takeoverDelay is the additional time that each live node waits, compared with
-// the node ranked before it, before it takes over a checkpoint that is due.
+// takeoverDelay is how much longer each live node waits than the node ranked
+// before it, before it writes to a checkpoint. A node also pauses for this time
+// after it wrote parts or failed to write a mark.
 const takeoverDelay = 20 * time.Second
 
 // partInterval is the pause after each part of a checkpoint, which leaves log
@@ -31,53 +32,56 @@
 	store  *Store[V]
 	policy CheckpointPolicy
 	// rank returns this node's position among the live nodes in the order that
-	// the number determines; the node at 0 writes first.
-	rank func(number uint64) int
-	// dueSince is when this node first found the checkpoint that follows the one
-	// with mark dueAfterMark to be due; zero if none is due.
-	dueSince     time.Time
-	dueAfterMark int64
-	// lastWrite is when this node last started to write a mark or finished a part;
-	// zero right after a mark, so that its parts can follow without delay.
+	// the seed determines; the node at 0 writes first.
+	rank func(seed uint64) int
+	// neededSince is when this node first found that a checkpoint after the one at
+	// neededAfterMark is needed; zero if none is needed.
+	neededSince     time.Time
+	neededAfterMark int64
+	// lastWrite is when this node last started to write a mark or parts, or finished
+	// a part. It is zero after a mark was written, so that the parts of that mark
+	// can follow without delay.
 	lastWrite time.Time
 }
 
-// checkpointStatus is a node's view of the next checkpoint.
+// checkpointStatus describes the next checkpoint as far as this node has read the
+// log.
 type checkpointStatus[V any] struct {
-	latestMark int64           // mark of the newest complete checkpoint
-	due        bool            // a checkpoint is due
-	mark       *markedState[V] // newest mark if above latestMark, else nil
+	completeMark int64           // mark of the newest complete checkpoint
+	needed       bool            // whether a mark or parts must be written
+	mark         *markedState[V] // state at the newest mark if that is above completeMark, else nil
 }
 
-// tick writes the missing mark or the missing parts of a checkpoint that is due,
-// if it is this node's turn.
+// tick writes the missing mark or the missing parts of the next checkpoint, if one
+// is needed and it is this node's turn.
 func (c *checkpointer[V]) tick(ctx context.Context) error {
-	status := c.store.state.checkpointStatus(c.policy)
+	status := c.store.state.nextCheckpoint(c.policy)
 	now := time.Now()
-	if !status.due {
-		c.dueSince = time.Time{}
+	if !status.needed {
+		c.neededSince = time.Time{}
 		return nil
 	}
-	if c.dueSince.IsZero() || c.dueAfterMark != status.latestMark {
-		c.dueSince, c.dueAfterMark = now, status.latestMark
+	if c.neededSince.IsZero() || c.neededAfterMark != status.completeMark {
+		c.neededSince, c.neededAfterMark = now, status.completeMark
 	}
 	if now.Sub(c.lastWrite) < takeoverDelay {
 		return nil
 	}
 	if status.mark == nil {
-		return c.writeMark(ctx, status.latestMark)
+		return c.writeMark(ctx, status.completeMark)
 	}
 	return c.writeParts(ctx, status.mark)
 }
 
-// isTurn reports whether this node's takeover delay, counted from since, is over.
-func (c *checkpointer[V]) isTurn(number int64, since time.Time) bool {
-	wait := time.Duration(c.rank(uint64(number))) * takeoverDelay
+// isTurn reports whether this node's wait of rank times takeoverDelay, counted from
+// since, is over.
+func (c *checkpointer[V]) isTurn(seed int64, since time.Time) bool {
+	wait := time.Duration(c.rank(uint64(seed))) * takeoverDelay
 	return time.Since(since) >= wait
 }
 
-func (c *checkpointer[V]) writeMark(ctx context.Context, latestMark int64) error {
-	if !c.isTurn(latestMark, c.dueSince) {
+func (c *checkpointer[V]) writeMark(ctx context.Context, completeMark int64) error {
+	if !c.isTurn(completeMark, c.neededSince) {
 		return nil
 	}
 	data, err := encode(envelope{Version: recordVersion, Type: typeMark})
@@ -92,10 +96,10 @@
 	return c.store.Poll(ctx)
 }
 
-// writeParts writes the parts of the checkpoint at a mark that no node has written
-// yet.
+// writeParts writes those parts of the checkpoint at a mark that this node has not
+// read from the log yet.
 func (c *checkpointer[V]) writeParts(ctx context.Context, m *markedState[V]) error {
-	if !c.isTurn(m.offset, m.seen) {
+	if !c.isTurn(m.offset, m.seenAt) {
 		return nil
 	}
 	c.lastWrite = time.Now()
@@ -131,17 +135,17 @@
 	}
 }
 
-// checkpointStatus returns whether a checkpoint is due, and its mark if one exists.
-func (s *state[V]) checkpointStatus(p CheckpointPolicy) checkpointStatus[V] {
+// nextCheckpoint returns the status of the next checkpoint.
+func (s *state[V]) nextCheckpoint(p CheckpointPolicy) checkpointStatus[V] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	status := checkpointStatus[V]{latestMark: s.latestCheckpoint}
-	if s.mark != nil && s.mark.offset > s.latestCheckpoint {
+	status := checkpointStatus[V]{completeMark: s.completeMark}
+	if s.mark != nil && s.mark.offset > s.completeMark {
 		status.mark = s.mark
-		status.due = true
+		status.needed = true
 		return status
 	}
-	status.due = s.changesSinceCheckpoint >= p.Changes || time.Since(s.checkpointSeenAt) >= p.Interval
+	status.needed = s.changesSinceCheckpoint >= p.Changes || time.Since(s.checkpointSeenAt) >= p.Interval
 	return status
 }
 
@@ -153,9 +157,9 @@
 	return set != nil && set.seen.Test(uint(p.Index))
 }
 
-// checkpointMark returns the mark of the newest complete checkpoint, 0 for none.
-func (s *state[V]) checkpointMark() int64 {
+// latestCompleteMark returns the mark of the newest complete checkpoint, 0 for none.
+func (s *state[V]) latestCompleteMark() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.latestCheckpoint
+	return s.completeMark
 }
--- a/coord/changelog/checkpoint_test.go
+++ b/coord/changelog/checkpoint_test.go
@@ -13,34 +13,35 @@
 	"github.com/cherryward/cherryward/coord/changelog"
 )
 
-// If the writer of a checkpoint dies after its mark and the nodes ranked next are
-// dead too, the first live node in rank must write the parts after its takeover
-// delay. A new node must be able to load the resulting checkpoint.
-func TestCheckpointWriterDies(t *testing.T) {
+// If the writer of a checkpoint stops after writing the mark, and the nodes ranked
+// next have stopped too, the first live node in rank must write the parts after its
+// wait of rank times takeoverDelay. A new node must be able to load the resulting
+// checkpoint.
+func TestCheckpointWriterStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5)
 		c.waitReady(time.Minute)
 		o := c.put(c.node(0), "acct", 1)
 		c.converge(o.Offset, time.Minute)
-		for _, n := range c.live() {
+		for _, n := range c.connected() {
 			if n.follower.Rank(uint64(o.Offset+1)) < 3 {
 				c.kill(n, false)
 			}
 		}
-		left := c.live()
-		must.Len(t, 2, left)
-		must.NoError(t, left[0].store.WriteCheckpoint(t.Context(), 0)) // a mark without parts
+		remaining := c.connected()
+		must.Len(t, 2, remaining)
+		must.NoError(t, remaining[0].store.WriteCheckpoint(t.Context(), 0)) // a mark without parts
 		time.Sleep(55 * time.Second)
-		must.Eq(t, 0, left[0].follower.Status().Checkpoint)
+		must.Eq(t, 0, remaining[0].follower.Status().Checkpoint)
 		time.Sleep(30 * time.Second)
-		must.Eq(t, o.Offset+1, left[0].follower.Status().Checkpoint)
+		must.Eq(t, o.Offset+1, remaining[0].follower.Status().Checkpoint)
 		must.Eq(t, 3, len(c.log.Records()), must.Sprint("one part must be written exactly once"))
 		c.log.Retain(1)
-		cold := changelog.NewStore(c.log, limits{}, 0)
-		must.NoError(t, cold.LoadFromLog(t.Context()))
-		must.NoError(t, c.check.Observe("cold", cold.Snapshot()))
+		newStore := changelog.NewStore(c.log, limits{}, 0)
+		must.NoError(t, newStore.LoadFromLog(t.Context()))
+		must.NoError(t, c.check.Observe("cold", newStore.Snapshot()))
 		time.Sleep(2 * time.Hour)
-		must.Greater(t, o.Offset+1, left[0].follower.Status().Checkpoint)
+		must.Greater(t, o.Offset+1, remaining[0].follower.Status().Checkpoint)
 	})
 }
 
@@ -70,9 +71,9 @@
 		must.Eq(t, last.Offset+1, c.node(6).follower.Status().Checkpoint)
 		must.Greater(t, 100<<10, c.log.Traffic().WriteBytes-log.WriteBytes)
 		must.Less(t, 100<<10, c.usage(before).bytes, must.Sprint("bytes sent and received by all nodes"))
-		cold := changelog.NewStore(c.log, limits{}, 0)
+		newStore := changelog.NewStore(c.log, limits{}, 0)
 		c.log.Retain(8)
-		must.NoError(t, cold.LoadFromLog(t.Context()))
-		must.NoError(t, c.check.Observe("cold", cold.Snapshot()))
+		must.NoError(t, newStore.LoadFromLog(t.Context()))
+		must.NoError(t, c.check.Observe("cold", newStore.Snapshot()))
 	})
 }
--- a/coord/changelog/cluster_test.go
+++ b/coord/changelog/cluster_test.go
@@ -53,7 +53,7 @@
 	follower *changelog.Follower[limit]
 	stop     context.CancelFunc
 	done     chan struct{}
-	isolated bool // exchanges no messages with peers
+	isolated bool // exchanges no messages with peers; also set for a stopped node
 	side     int  // of a network partition; the log is reachable on side 0
 	sent     int  // notices, pulls and responses sent
 	bytes    int  // sent and received
@@ -121,7 +121,7 @@
 	return n
 }
 
-// partitionedLog fails the reads of a node that is not on the side of the log.
+// partitionedLog fails the reads of a node that is not on side 0 of the partition.
 type partitionedLog struct {
 	changelog.Log
 	c *cluster
@@ -145,7 +145,7 @@
 	n.isolated = isolated
 }
 
-// kill stops a node. With removed, it is also removed from the member list.
+// kill stops a node and, if removed is true, removes it from the member list.
 func (c *cluster) kill(n *node, removed bool) {
 	c.mu.Lock()
 	n.isolated = true
@@ -168,8 +168,8 @@
 
 func (c *cluster) node(i int) *node { return c.nodes[fmt.Sprintf("node-%04d", i)] }
 
-// live returns the nodes that are not isolated, sorted by name.
-func (c *cluster) live() (list []*node) {
+// connected returns the members that are not isolated, sorted by name.
+func (c *cluster) connected() (list []*node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range c.names {
@@ -192,33 +192,33 @@
 	return o, err
 }
 
-// put sets a limit, based on the snapshot of the node; it must be accepted.
+// put sets a limit, based on the snapshot of the node. The change must be accepted.
 func (c *cluster) put(n *node, key string, perSecond int) changelog.Outcome {
 	o, err := c.propose(n, n.store.Snapshot().Put("limit", key, value(perSecond)), time.Minute)
 	must.NoError(c.t, err)
 	return o
 }
 
-// converge waits until all live nodes have applied the offset, and checks their
+// converge waits until all connected nodes have applied the offset, and checks their
 // states. It returns the time that each node took.
-func (c *cluster) converge(offset int64, within time.Duration) (took []time.Duration) {
+func (c *cluster) converge(offset int64, within time.Duration) (elapsed []time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	start := time.Now()
-	for _, n := range c.live() {
+	for _, n := range c.connected() {
 		must.NoError(c.t, n.store.WaitApplied(ctx, offset), must.Sprintf("%s: %+v", n.name, n.follower.Status()))
-		took = append(took, time.Since(start))
+		elapsed = append(elapsed, time.Since(start))
 	}
-	for _, n := range c.live() {
+	for _, n := range c.connected() {
 		must.NoError(c.t, c.check.Observe(n.name, n.store.Snapshot()))
 	}
-	return took
+	return elapsed
 }
 
-// waitReady waits until all live nodes are waitReady.
+// waitReady waits until all connected nodes are ready.
 func (c *cluster) waitReady(within time.Duration) {
 	deadline := time.Now().Add(within)
-	for _, n := range c.live() {
+	for _, n := range c.connected() {
 		for !n.store.Ready() {
 			must.True(c.t, time.Now().Before(deadline), must.Sprintf("%s is not ready", n.name))
 			time.Sleep(10 * time.Millisecond)
@@ -240,7 +240,7 @@
 	return l.c.names
 }
 
-// transmit sends size bytes to a peer. It fails if they are lost or cannot arrive.
+// transmit sends size bytes to a peer. It fails on loss or if the peer is unreachable.
 func (l *peerLink) transmit(ctx context.Context, to string, size int) (*node, error) {
 	select {
 	case <-time.After(l.c.delay()):
--- a/coord/changelog/collector.go
+++ b/coord/changelog/collector.go
@@ -14,7 +14,7 @@
 	sum   string
 }
 
-// partSet records which parts of a set were seen.
+// partSet records which parts of a set were read.
 type partSet struct {
 	partSetID
 	seen *bitset.BitSet
@@ -23,9 +23,9 @@
 
 func (s *partSet) complete() bool { return s.seen.Count() == uint(s.total) }
 
-// Limits on the part sets that a collector tracks at once. At the limit, the set
-// with the lowest mark is evicted for one with a higher mark. A search reads the
-// log backwards and finds newer incomplete sets first, so it needs a higher limit.
+// Maximum numbers of part sets that a collector tracks at once. At the maximum, the
+// set with the lowest mark is evicted to add one with a higher mark. A search reads
+// the log backwards and finds newer incomplete sets first, so its maximum is higher.
 const (
 	maxFollowedSets = 4
 	maxSearchedSets = 256
@@ -68,7 +68,7 @@
 }
 
 // findOrAdd returns the set with the given id, tracking it if it is new. It
-// returns nil if the limit is reached and no set has a lower mark.
+// returns nil if maxSets sets are tracked and none has a lower mark.
 func (c *collector) findOrAdd(id partSetID) *partSet {
 	if s := c.find(id); s != nil {
 		return s
@@ -84,7 +84,7 @@
 	return s
 }
 
-// evict drops the set with the lowest mark if that is below the given mark, and
+// evict removes the set with the lowest mark if that is below the given mark, and
 // reports whether it did.
 func (c *collector) evict(mark int64) bool {
 	lowest := 0
@@ -104,5 +104,5 @@
 // match the checksum.
 func (s *partSet) assemble() (data []byte, ok bool) {
 	data = bytes.Join(s.data, nil)
-	return data, imageDigest(data) == s.sum
+	return data, imageChecksum(data) == s.sum
 }
--- a/coord/changelog/export_test.go
+++ b/coord/changelog/export_test.go
@@ -5,28 +5,29 @@
 // IsReader exports isReader for tests.
 func (f *Follower[V]) IsReader() bool { return f.isReader() }
 
-// SetLog replaces the log of a store that is not in use.
+// SetLog replaces the log of a store. No call to the store may be in progress.
 func (s *Store[V]) SetLog(log Log) { s.log = log }
 
 // StartEmpty makes a store ready with the empty state.
 func (s *Store[V]) StartEmpty() { s.state.startEmpty() }
 
-// CheckpointMark returns the mark of the newest complete checkpoint seen.
-func (s *Store[V]) CheckpointMark() int64 { return s.state.checkpointMark() }
+// CompleteMark returns the mark of the newest complete checkpoint that the store has
+// read.
+func (s *Store[V]) CompleteMark() int64 { return s.state.latestCompleteMark() }
 
 // WriteCheckpoint writes a mark if there is none after the newest complete
 // checkpoint, else at most the given number of the parts missing for that mark.
 func (s *Store[V]) WriteCheckpoint(ctx context.Context, parts int) error {
 	c := checkpointer[V]{store: s, rank: func(uint64) int { return 0 }}
-	n := s.state.checkpointStatus(CheckpointPolicy{})
-	if n.mark == nil {
-		return c.writeMark(ctx, n.latestMark)
+	status := s.state.nextCheckpoint(CheckpointPolicy{})
+	if status.mark == nil {
+		return c.writeMark(ctx, status.completeMark)
 	}
-	image, err := encodeImage(n.mark.snapshot, n.mark.window)
+	image, err := encodeImage(status.mark.snapshot, status.mark.window)
 	if err != nil {
 		return err
 	}
-	for _, p := range splitImage(n.mark.offset, image, s.maxRecord) {
+	for _, p := range splitImage(status.mark.offset, image, s.maxRecord) {
 		if parts == 0 {
 			break
 		}
@@ -59,14 +60,14 @@
 	s.state.publish()
 }
 
-// ApplySegment applies records as if they came from the log.
+// ApplySegment applies the records of a segment as if they were read from the log.
 func (s *Store[V]) ApplySegment(seg Segment) error {
 	_, err := s.state.apply(seg)
 	return err
 }
 
 // Rank exports rank for tests.
-func (f *Follower[V]) Rank(number uint64) int { return f.rank(number) }
+func (f *Follower[V]) Rank(seed uint64) int { return f.rank(seed) }
 
 // DropImage discards the cached image, so that the next Image encodes the state.
 func (s *Store[V]) DropImage() { s.state.image = nil }
--- a/coord/changelog/fault_test.go
+++ b/coord/changelog/fault_test.go
@@ -49,9 +49,10 @@
 	})
 }
 
-// A change whose append response is lost must not be appended or applied twice,
-// also when it is proposed again through another node.
-func TestAppendAnswerLost(t *testing.T) {
+// A change whose append response is lost must be applied only once, also when it is
+// proposed again through another node. It must not be appended again once it was
+// read back.
+func TestAppendResponseLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
 		c.waitReady(time.Minute)
@@ -80,9 +81,10 @@
 	})
 }
 
-// During an outage of the log nodes must keep their state and start from peers. A
-// node must become stale when it is isolated, and all nodes after MaxStale.
-func TestLogDownForAnHour(t *testing.T) {
+// During an outage of the log, nodes must keep their state, and new nodes must load
+// their state from peers. A node must become stale when it is isolated, and all
+// nodes after MaxStale.
+func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 7)
 		c.waitReady(time.Minute)
@@ -93,24 +95,24 @@
 		_, err := c.propose(c.node(0), ch, 10*time.Second)
 		must.ErrorIs(t, err, changelog.ErrUnknownOutcome)
 		c.kill(c.node(3), true)
-		fresh := c.start("node-0003")
+		replacement := c.start("node-0003")
 		c.waitReady(10 * time.Second)
-		must.Eq(t, o.Offset, fresh.store.Snapshot().Applied())
+		must.Eq(t, o.Offset, replacement.store.Snapshot().Applied())
 		time.Sleep(time.Hour)
-		for _, n := range c.live() {
+		for _, n := range c.connected() {
 			s := n.follower.Status()
 			must.False(t, s.Stale)
 			must.Greater(t, 55*time.Minute, s.LogAge)
 			must.Less(t, 10*time.Second, s.Silence)
 		}
-		alone := c.node(5)
-		c.setIsolated(alone, true)
+		isolated := c.node(5)
+		c.setIsolated(isolated, true)
 		time.Sleep(31 * time.Second)
-		must.True(t, alone.follower.Status().Stale)
+		must.True(t, isolated.follower.Status().Stale)
 		time.Sleep(time.Hour)
 		must.True(t, c.node(0).follower.Status().Stale)
 		c.log.SetDown(false)
-		c.setIsolated(alone, false)
+		c.setIsolated(isolated, false)
 		_, err = c.propose(c.node(0), ch, time.Minute)
 		must.NoError(t, err)
 		c.converge(2, 6*time.Second)
@@ -120,7 +122,7 @@
 
 // A node whose next records are no longer retained must load a checkpoint. Without
 // a complete checkpoint in the log, a node without a state must not become ready.
-func TestSlowNodeFallsBehindRetention(t *testing.T) {
+func TestPausedNodeLoadsCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5)
 		c.policy.Changes = 50
@@ -129,10 +131,10 @@
 			c.start(c.names[i])
 		}
 		c.waitReady(time.Minute)
-		slow := c.node(4)
-		c.setIsolated(slow, true)
-		slow.stop() // the state stays unchanged, as in a paused process
-		<-slow.done
+		paused := c.node(4)
+		c.setIsolated(paused, true)
+		paused.stop() // the state stays unchanged, as in a paused process
+		<-paused.done
 		var last changelog.Outcome
 		for i := range 120 {
 			last = c.put(c.node(0), "acct", i)
@@ -141,26 +143,26 @@
 		must.Greater(t, 0, c.node(0).follower.Status().Checkpoint)
 		last = c.put(c.node(0), "acct", 1000)
 		c.log.Retain(90)
-		must.ErrorIs(t, slow.store.Poll(context.Background()), changelog.ErrCompacted)
-		must.NoError(t, slow.store.LoadFromLog(context.Background()))
-		must.NoError(t, slow.store.Poll(context.Background()))
-		must.NoError(t, c.check.Observe(slow.name, slow.store.Snapshot()))
-		must.GreaterEq(t, last.Offset, slow.store.Snapshot().Applied())
-		// A node without peers must be able to start from the log alone.
-		cold := changelog.NewStore(c.log, limits{}, 0)
-		must.NoError(t, cold.LoadFromLog(context.Background()))
-		must.NoError(t, cold.Poll(context.Background()))
-		must.NoError(t, c.check.Observe("cold", cold.Snapshot()))
+		must.ErrorIs(t, paused.store.Poll(context.Background()), changelog.ErrCompacted)
+		must.NoError(t, paused.store.LoadFromLog(context.Background()))
+		must.NoError(t, paused.store.Poll(context.Background()))
+		must.NoError(t, c.check.Observe(paused.name, paused.store.Snapshot()))
+		must.GreaterEq(t, last.Offset, paused.store.Snapshot().Applied())
+		// A new node without peers must be able to load the state from the log.
+		newStore := changelog.NewStore(c.log, limits{}, 0)
+		must.NoError(t, newStore.LoadFromLog(context.Background()))
+		must.NoError(t, newStore.Poll(context.Background()))
+		must.NoError(t, c.check.Observe("cold", newStore.Snapshot()))
 		// Without a retained checkpoint a node must not become ready.
 		c.log.Retain(1)
-		lost := changelog.NewStore(c.log, limits{}, 0)
-		must.ErrorIs(t, lost.LoadFromLog(context.Background()), changelog.ErrNoCheckpoint)
-		must.False(t, lost.Ready())
+		emptyStore := changelog.NewStore(c.log, limits{}, 0)
+		must.ErrorIs(t, emptyStore.LoadFromLog(context.Background()), changelog.ErrNoCheckpoint)
+		must.False(t, emptyStore.Ready())
 	})
 }
 
 // If a node is replaced between the append of a change and its read-back, its
-// successor must return the outcome of the first record.
+// replacement must return the outcome of the first record.
 func TestNodeReplacedMidWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5)
@@ -182,8 +184,8 @@
 	})
 }
 
-// Reads from a lagging replica must not move a node back, and nodes must converge
-// once the lag ends.
+// Reads from a lagging replica must not lower a node's applied offset, and nodes
+// must converge once the lag ends.
 func TestLaggingReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5)
@@ -192,7 +194,7 @@
 			o := c.put(c.node(i%5), "acct", i)
 			c.log.SetLag(int64(i % 7))
 			time.Sleep(1500 * time.Millisecond)
-			for _, n := range c.live() {
+			for _, n := range c.connected() {
 				must.NoError(t, c.check.Observe(n.name, n.store.Snapshot()))
 			}
 			c.log.SetLag(0)
@@ -201,17 +203,17 @@
 	})
 }
 
-// If all readers die and stay in the member list, other nodes must poll the log.
-func TestOtherNodesPollAfterReadersDie(t *testing.T) {
+// If all readers stop and stay in the member list, other nodes must poll the log.
+func TestOtherNodesPollAfterReadersStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 100)
 		c.waitReady(time.Minute)
-		for _, n := range c.live() {
+		for _, n := range c.connected() {
 			if n.follower.IsReader() {
 				c.kill(n, false)
 			}
 		}
-		must.Eq(t, 96, len(c.live()))
+		must.Eq(t, 96, len(c.connected()))
 		writer := changelog.NewStore(c.log, limits{}, 0) // not a member
 		must.NoError(t, writer.LoadFromLog(context.Background()))
 		o := c.put(&node{store: writer}, "acct", 1)
@@ -223,14 +225,15 @@
 // the log, while the member list still contains all nodes. After the partition
 // heals, the nodes must converge.
 //
-// Notices in flight at the time of the partition are still delivered, and ages do
-// not include their network delay. So the half without the log may report a read
-// after the partition began, but by at most the delay of the hops.
+// Notices in flight when the partition begins are still delivered, and ages do not
+// include their network delay. So the half without the log may report a log read
+// that seems to be later than the start of the partition, by at most the network
+// delay of the hops.
 func TestNetworkPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 20)
 		c.waitReady(time.Minute)
-		side := func(i int) {
+		setSide := func(i int) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			for _, n := range c.names[10:] {
@@ -239,8 +242,8 @@
 		}
 		before := c.put(c.node(0), "acct", 1)
 		c.converge(before.Offset, 6*time.Second)
-		side(1)
-		cutAt := time.Now()
+		setSide(1)
+		partitionedAt := time.Now()
 		var last changelog.Outcome
 		for i := range 5 {
 			last = c.put(c.node(0), "acct", 2+i)
@@ -248,9 +251,9 @@
 			must.Eq(t, before.Offset, c.node(15).store.Snapshot().Applied())
 		}
 		const hops = 2 // maximum for 20 members at a fanout of 4
-		must.GreaterEq(t, time.Since(cutAt)-hops*maxDelay, c.node(15).follower.Status().LogAge)
+		must.GreaterEq(t, time.Since(partitionedAt)-hops*maxDelay, c.node(15).follower.Status().LogAge)
 		must.Less(t, 10*time.Second, c.node(5).follower.Status().LogAge)
-		side(0)
+		setSide(0)
 		c.converge(last.Offset, 6*time.Second)
 		time.Sleep(5 * time.Second)
 		must.Less(t, 10*time.Second, c.node(15).follower.Status().LogAge)
--- a/coord/changelog/follower.go
+++ b/coord/changelog/follower.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Parameters of polling, exchange and loading. Intervals get a jitter of 10%.
+// Parameters of polling, pulling and loading. Intervals get a jitter of 10%.
 const (
-	readerCount         = 4                      // nodes that poll the log
+	readerCount         = 4                      // nodes that poll the log regularly
 	pollInterval        = time.Second            // between polls of one reader
 	heartbeatInterval   = 2 * time.Second        // maximum time between notices
-	fallbackAfter       = 4 * time.Second        // age of the last known log read at which other nodes poll
-	fallbackSpacing     = 50 * time.Millisecond  // per member: the time over which these polls are spread
-	minFallbackInterval = 5 * time.Second        // minimum time between these polls of one node
-	exchangeAfter       = 3 * time.Second        // time without a notice after which a node pulls from a peer
-	exchangeInterval    = 2 * time.Second        // between these pulls
+	fallbackAfter       = 4 * time.Second        // age of the last known log read at which non-readers poll
+	fallbackSpacing     = 50 * time.Millisecond  // time per member over which fallback polls are spread
+	minFallbackInterval = 5 * time.Second        // minimum time between fallback polls of one node
+	pullAfter           = 3 * time.Second        // time without a notice after which a node pulls from a peer
+	pullInterval        = 2 * time.Second        // between these pulls
 	tickInterval        = 500 * time.Millisecond // maximum time between checks of the schedule
-	gapRetryDelay       = 50 * time.Millisecond  // initial delay before missing records are pulled; doubles
-	maxGapPulls         = 5                      // pulls for the gap before one notice
+	gapPullDelay        = 50 * time.Millisecond  // initial delay before missing records are pulled; doubles
+	maxGapPulls         = 5                      // maximum pulls to fill the gap before one notice
 	loadRetryInterval   = time.Second            // between attempts to load the initial state
 	maxLoadPeers        = 3                      // peers tried for a state in one attempt
 	maxPullBytes        = 256 << 10              // approximate record bytes in one response to a pull
@@ -33,12 +33,12 @@
 	// Self is the name of this node in Peers.Members.
 	Self       string
 	Checkpoint CheckpointPolicy
-	// MaxStale is the age of the last known read of the log, by this node or one
-	// whose notices reached it, at which Status.Stale becomes true. Set it above
-	// the longest log outage during which nodes should keep serving.
+	// MaxStale limits FollowerStatus.LogAge, the age of the last known read of the
+	// log: from this age on, FollowerStatus.Stale is true. Set it above the longest
+	// log outage during which nodes should keep serving.
 	MaxStale time.Duration
-	// MaxIsolated is the time since the last contact with the log or any peer at
-	// which Status.Stale becomes true.
+	// MaxIsolated limits the time since the last contact with the log or any peer:
+	// from this time on, FollowerStatus.Stale is true.
 	MaxIsolated time.Duration
 	// Rand is the source of jitter and of random peers. Only Run uses it, from one
 	// goroutine.
@@ -46,24 +46,25 @@
 }
 
 // Follower keeps a Store up to date. A few followers, the readers, poll the log
-// and send new records to all others along a tree of notices; after every
-// readerTermOffsets offsets other followers become readers. A follower that
-// receives no notices pulls from a peer, and polls the log itself if the last
-// known read is too old. Only records that were read from the log are forwarded.
+// and send notices with new records to all others; each notice is forwarded along
+// a tree of members. After every readerTermOffsets offsets other followers become
+// readers. A follower that receives no notices pulls from a peer, and polls the log
+// itself if the last known read is too old. Only records that were read from the
+// log are forwarded.
 type Follower[V any] struct {
-	store        *Store[V]
-	peers        Peers
-	opts         Options
-	checkpointer *checkpointer[V]
-	spreads      *spreadTracker
-	mu           sync.Mutex
-	runCtx       context.Context // of Run; nil before Run starts and after it ends
-	tasks        sync.WaitGroup
+	store          *Store[V]
+	peers          Peers
+	opts           Options
+	checkpointer   *checkpointer[V]
+	forwardTracker *forwardTracker
+	mu             sync.Mutex
+	runCtx         context.Context // of Run; nil before Run starts and after it ends
+	tasks          sync.WaitGroup
 }
 
 // NewFollower returns a follower of the store. Call Run to start it.
 func NewFollower[V any](store *Store[V], peers Peers, opts Options) *Follower[V] {
-	f := &Follower[V]{store: store, peers: peers, opts: opts, spreads: newSpreadTracker()}
+	f := &Follower[V]{store: store, peers: peers, opts: opts, forwardTracker: newForwardTracker()}
 	f.checkpointer = &checkpointer[V]{store: store, policy: opts.Checkpoint, rank: f.rank}
 	store.onRead = f.onRead
 	return f
@@ -72,9 +73,9 @@
 // Run loads an initial state, then keeps the store up to date until the context
 // ends.
 func (f *Follower[V]) Run(ctx context.Context) {
-	f.open(ctx)
+	f.allowTasks(ctx)
 	defer f.tasks.Wait()
-	defer f.close()
+	defer f.refuseTasks()
 	if !f.loadInitialState(ctx) {
 		return
 	}
@@ -82,15 +83,15 @@
 	f.follow(ctx)
 }
 
-// open allows background tasks, under the given context.
-func (f *Follower[V]) open(ctx context.Context) {
+// allowTasks lets runInBackground start tasks, with the given context.
+func (f *Follower[V]) allowTasks(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.runCtx = ctx
 }
 
-// close prevents further background tasks.
-func (f *Follower[V]) close() {
+// refuseTasks prevents runInBackground from starting further tasks.
+func (f *Follower[V]) refuseTasks() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.runCtx = nil
@@ -110,65 +111,65 @@
 
 // schedule holds the times of a follower's next actions.
 type schedule struct {
-	poll     time.Time // next poll as a reader
-	fallback time.Time // next poll as a non-reader; zero while the last known read is recent
-	exchange time.Time // next pull from a random peer
+	nextPoll     time.Time // next poll as a reader
+	nextFallback time.Time // next poll as a non-reader; zero while the last known read is recent
+	nextPull     time.Time // next pull from a random peer
 }
 
 // untilNext returns the time to sleep until the schedule is checked again.
 func (s schedule) untilNext(now time.Time) time.Duration {
-	return max(time.Millisecond, min(tickInterval, s.poll.Sub(now)))
+	return max(time.Millisecond, min(tickInterval, s.nextPoll.Sub(now)))
 }
 
 // follow polls the log and pulls from peers until the context ends.
 func (f *Follower[V]) follow(ctx context.Context) {
 	now := time.Now()
-	next := schedule{poll: now.Add(f.randomUpTo(pollInterval)), exchange: now}
-	for f.sleep(ctx, next.untilNext(time.Now())) {
-		f.exchangeIfDue(ctx, &next)
+	sched := schedule{nextPoll: now.Add(f.randomUpTo(pollInterval)), nextPull: now}
+	for f.sleep(ctx, sched.untilNext(time.Now())) {
+		f.pullIfNoNotice(ctx, &sched)
 		if f.isReader() {
-			f.pollIfDue(ctx, &next)
+			f.pollIfDue(ctx, &sched)
 			continue
 		}
-		next.poll = time.Now().Add(tickInterval)
-		f.fallbackIfDue(ctx, &next)
+		sched.nextPoll = time.Now().Add(tickInterval)
+		f.fallbackIfDue(ctx, &sched)
 	}
 }
 
-func (f *Follower[V]) exchangeIfDue(ctx context.Context, next *schedule) {
-	if time.Now().Before(next.exchange) || f.store.freshness.sinceNotice() < exchangeAfter {
+func (f *Follower[V]) pullIfNoNotice(ctx context.Context, sched *schedule) {
+	if time.Now().Before(sched.nextPull) || f.store.freshness.sinceNotice() < pullAfter {
 		return
 	}
-	f.exchange(ctx)
-	next.exchange = time.Now().Add(f.jitter(exchangeInterval))
+	f.pullFromRandomPeer(ctx)
+	sched.nextPull = time.Now().Add(f.jitter(pullInterval))
 }
 
-func (f *Follower[V]) pollIfDue(ctx context.Context, next *schedule) {
-	if time.Now().Before(next.poll) {
+func (f *Follower[V]) pollIfDue(ctx context.Context, sched *schedule) {
+	if time.Now().Before(sched.nextPoll) {
 		return
 	}
-	next.poll = time.Now().Add(f.jitter(pollInterval))
+	sched.nextPoll = time.Now().Add(f.jitter(pollInterval))
 	f.poll(ctx)
 }
 
 // fallbackIfDue polls the log from a non-reader when the last known read is older
 // than fallbackAfter. The nodes start at random times within fallbackSpan.
-func (f *Follower[V]) fallbackIfDue(ctx context.Context, next *schedule) {
+func (f *Follower[V]) fallbackIfDue(ctx context.Context, sched *schedule) {
 	age, _, _ := f.store.freshness.ages()
 	span := f.fallbackSpan()
 	switch {
 	case age < fallbackAfter:
-		next.fallback = time.Time{}
-	case next.fallback.IsZero():
-		next.fallback = time.Now().Add(f.randomUpTo(span))
-	case !time.Now().Before(next.fallback):
-		next.fallback = time.Now().Add(minFallbackInterval + f.randomUpTo(span))
+		sched.nextFallback = time.Time{}
+	case sched.nextFallback.IsZero():
+		sched.nextFallback = time.Now().Add(f.randomUpTo(span))
+	case !time.Now().Before(sched.nextFallback):
+		sched.nextFallback = time.Now().Add(minFallbackInterval + f.randomUpTo(span))
 		f.poll(ctx)
 	}
 }
 
-// fallbackSpan returns the time over which the nodes spread their fallback polls;
-// it is proportional to the number of members.
+// fallbackSpan returns the time over which the fallback polls of all nodes are
+// distributed. It is proportional to the number of members.
 func (f *Follower[V]) fallbackSpan() time.Duration {
 	return time.Duration(len(f.peers.Members())) * fallbackSpacing
 }
@@ -176,7 +177,7 @@
 // readerTermOffsets is the number of offsets after which the readers change.
 const readerTermOffsets = 4096
 
-// isReader reports whether this node currently polls the log.
+// isReader reports whether this node is currently one of the readers.
 func (f *Follower[V]) isReader() bool {
 	term := uint64(f.store.state.applied() / readerTermOffsets)
 	return rank(f.peers.Members(), term, f.opts.Self, readerCount) < readerCount
@@ -187,8 +188,8 @@
 	return time.Duration(f.opts.Rand.Float64() * float64(d))
 }
 
-// poll reads the log, and loads a newer state if retention has passed the applied
-// offset. Other errors are left to the next poll.
+// poll reads the log, and loads a newer state if the next records are no longer
+// retained. After any other error the next poll retries.
 func (f *Follower[V]) poll(ctx context.Context) {
 	if err := f.store.Poll(ctx); errors.Is(err, ErrCompacted) {
 		f.reload(ctx)
@@ -204,7 +205,7 @@
 	}
 	seed := uint64(seg.To)
 	if len(seg.Records) == 0 {
-		seed = uint64(time.Now().UnixNano()) // a new tree for each heartbeat
+		seed = uint64(time.Now().UnixNano()) // each heartbeat uses a new tree
 	}
 	if seg.size() > maxPullBytes {
 		seg = seg.withoutRecords() // receivers pull the records in pieces
@@ -222,22 +223,23 @@
 }
 
 // forwardNotice sends a notice to this node's share of the members in the
-// background, except those that it has already sent it to.
+// background, except members to which it already forwarded a notice with the same
+// seed.
 func (f *Follower[V]) forwardNotice(n Notice) {
 	f.store.freshness.recordNoticeTime()
 	end := shareEnd(n.Seed, f.opts.Self, n.Until)
-	done := f.spreads.advance(n.Seed, end)
-	if done >= end {
+	start := f.forwardTracker.advance(n.Seed, end)
+	if start >= end {
 		return
 	}
-	f.runInBackground(func(ctx context.Context) { spreadNotice(ctx, f.peers, f.opts.Self, n, done) })
+	f.runInBackground(func(ctx context.Context) { sendToShare(ctx, f.peers, f.opts.Self, n, start) })
 }
 
 // rank returns this node's position among the live nodes in the order that the
-// number determines.
-func (f *Follower[V]) rank(number uint64) int {
+// seed determines.
+func (f *Follower[V]) rank(seed uint64) int {
 	members := f.peers.Members()
-	return rank(members, number, f.opts.Self, len(members))
+	return rank(members, seed, f.opts.Self, len(members))
 }
 
 // otherMembers returns the live nodes except this one.
@@ -261,8 +263,8 @@
 	}
 }
 
-// runCheckpointer checks about once a second whether this node must write to a
-// checkpoint.
+// runCheckpointer checks about once a second whether this node must write a mark or
+// parts of a checkpoint.
 func (f *Follower[V]) runCheckpointer(ctx context.Context) {
 	for {
 		f.checkpointer.tick(ctx) // after an error, a later tick on this or another node retries
--- a/coord/changelog/spread.go
+++ b/coord/changelog/forward.go
@@ -16,18 +16,18 @@
 // forwards it to its share of the rest. 1,000 members are reached in 5 hops.
 const fanout = 4
 
-// noticeTimeout is the timeout of one delivery attempt. It is short so that a dead
-// member delays the members behind it only a little.
+// noticeTimeout is the timeout of one delivery attempt. It is short so that an
+// unreachable member delays the members after it only a little.
 const noticeTimeout = 500 * time.Millisecond
 
 // maxDeliveryAttempts is the maximum number of attempts to deliver a notice to a
-// run of members. The attempts go to one member after the other, starting over at
-// the end of the run.
+// group of members (see splitGroups). The attempts go to one member after the other,
+// starting over at the end of the group.
 const maxDeliveryAttempts = 5
 
-// score returns the position of a member in the order that the seed determines.
-// Each seed gives a different order, so the nodes near the root of the tree and
-// the first in rank vary.
+// score returns the hash of a member by which the seed orders the members. Each
+// seed gives a different order, so the nodes near the root of the tree and the
+// first in rank vary.
 func score(member string, seed uint64) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(seed)
@@ -51,10 +51,10 @@
 	return n
 }
 
-// shareEnd returns the distance on the ring of scores, which wraps by integer
-// overflow, up to which self forwards a notice: the distance to the member until.
-// For the node that sends the notice first, until is self, and the share is the
-// whole ring.
+// shareEnd returns the distance from self to the member named by until. self
+// forwards a notice to the members nearer than that. Distances are differences of
+// scores modulo 2^64, so the scores form a ring. For the node that sends the notice
+// first, until is self, and the share is the whole ring.
 func shareEnd(seed uint64, self, until string) uint64 {
 	if d := score(until, seed) - score(self, seed); d > 0 {
 		return d
@@ -84,28 +84,29 @@
 	return names
 }
 
-// maxTrackedSpreads is the number of seeds for which a node tracks its progress.
-const maxTrackedSpreads = 64
+// maxTrackedSeeds is the number of seeds for which a node tracks how far it has
+// forwarded notices.
+const maxTrackedSeeds = 64
 
-// spreadTracker tracks, by seed, the distance on the ring up to which this node has
-// forwarded notices. Notices of the same records share a seed, so they are not
-// forwarded to the same members twice.
-type spreadTracker struct {
+// forwardTracker tracks, by seed, the distance on the ring up to which this node has
+// forwarded notices. Except for heartbeats, notices whose segments end at the same
+// offset share a seed, so a node forwards only one of them to each member.
+type forwardTracker struct {
 	mu      sync.Mutex
 	reached *lru.Cache[uint64, uint64]
 }
 
-func newSpreadTracker() *spreadTracker {
-	reached, err := lru.New[uint64, uint64](maxTrackedSpreads)
+func newForwardTracker() *forwardTracker {
+	reached, err := lru.New[uint64, uint64](maxTrackedSeeds)
 	if err != nil {
 		panic(err) // not reached: the size is positive
 	}
-	return &spreadTracker{reached: reached}
+	return &forwardTracker{reached: reached}
 }
 
-// advance records that this node forwards notices with the seed up to end, and
-// returns the distance reached before.
-func (t *spreadTracker) advance(seed, end uint64) (before uint64) {
+// advance records that this node forwards notices with the seed up to the distance
+// end, and returns the distance recorded before, 0 for none.
+func (t *forwardTracker) advance(seed, end uint64) (before uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before, _ = t.reached.Get(seed)
@@ -113,8 +114,8 @@
 	return before
 }
 
-// splitRuns splits members into at most fanout runs of about equal length.
-func splitRuns(members []string) [][]string {
+// splitGroups splits members into at most fanout groups of about equal length.
+func splitGroups(members []string) [][]string {
 	if len(members) == 0 {
 		return nil
 	}
@@ -122,29 +123,30 @@
 	return slices.Collect(slices.Chunk(members, size))
 }
 
-// spreadNotice delivers a notice to the members of self's share at or beyond the
-// distance done. The first member of each run that accepts the notice forwards it
-// to the members after it in the run.
-func spreadNotice(ctx context.Context, peers Peers, self string, n Notice, done uint64) {
+// sendToShare delivers a notice to the members of self's share that are not nearer
+// than start. The first member of each group that accepts the notice forwards it to
+// the members after it in the group.
+func sendToShare(ctx context.Context, peers Peers, self string, n Notice, start uint64) {
 	var wg sync.WaitGroup
-	runs := splitRuns(membersBetween(peers.Members(), n.Seed, self, done, shareEnd(n.Seed, self, n.Until)))
-	for i, run := range runs {
+	groups := splitGroups(membersBetween(peers.Members(), n.Seed, self, start, shareEnd(n.Seed, self, n.Until)))
+	for i, group := range groups {
 		end := n.Until
-		if i+1 < len(runs) {
-			end = runs[i+1][0]
+		if i+1 < len(groups) {
+			end = groups[i+1][0]
 		}
-		wg.Go(func() { deliverToRun(ctx, peers, run, end, n) })
+		wg.Go(func() { deliverToGroup(ctx, peers, group, end, n) })
 	}
 	wg.Wait()
 }
 
-// deliverToRun sends a notice to one member after the other until one accepts it.
-// The age of the notice includes the time of the failed attempts.
-func deliverToRun(ctx context.Context, peers Peers, run []string, until string, n Notice) {
+// deliverToGroup sends a notice to one member after the other until one accepts it
+// or maxDeliveryAttempts is reached. The age of the notice includes the time of the
+// failed attempts.
+func deliverToGroup(ctx context.Context, peers Peers, group []string, until string, n Notice) {
 	n.Until = until
 	started := time.Now()
 	for attempt := range maxDeliveryAttempts {
-		if sendNotice(ctx, peers, run[attempt%len(run)], n.withAddedAge(time.Since(started))) == nil {
+		if sendNotice(ctx, peers, group[attempt%len(group)], n.withAddedAge(time.Since(started))) == nil {
 			return
 		}
 	}
--- a/coord/changelog/freshness.go
+++ b/coord/changelog/freshness.go
@@ -6,15 +6,15 @@
 )
 
 // freshness tracks how long ago the log was last read, by this node or by a node
-// whose notices reached it. Nodes exchange ages instead of timestamps, so their
-// clocks need not be synchronized. An age grows while a node holds it, during
-// failed attempts to deliver a notice, and by the full duration of a pull. The
-// only time not counted is the network delay of a delivered notice: at most
-// noticeTimeout per hop, once per read of the log.
+// whose notices reached it. Nodes report ages instead of timestamps, so their
+// clocks need not be synchronized. The age includes the time at each node, the time
+// of failed deliveries, and the full duration of a pull. It does not include the
+// network delay of a delivered notice, which is at most noticeTimeout per hop and
+// is not added up over several reads of the log.
 type freshness struct {
 	mu           sync.Mutex
-	lastLogRead  time.Time // when any node last read the log, as far as known
-	lastContact  time.Time // when the log or a peer last responded or sent a notice
+	lastLogRead  time.Time // when any node last read the log, as far as reported to this node
+	lastContact  time.Time // start of the last successful read of the log, or last message from a peer
 	lastNotice   time.Time // when a notice was last sent or received
 	newestKnown  int64     // newest offset reported by the log or a peer
 	logReadKnown bool      // whether a read of the log was ever recorded
@@ -62,7 +62,7 @@
 	return time.Since(f.lastNotice)
 }
 
-// ageUnknown is the age that a node reports if it knows of no read of the log.
+// ageUnknown is the age that a node reports if no read of the log was recorded.
 const ageUnknown = time.Duration(-1)
 
 // logAge returns the age of the last known read of the log, as reported to peers,
--- a/coord/changelog/history.go
+++ b/coord/changelog/history.go
@@ -12,8 +12,9 @@
 	Op Op
 }
 
-// Limits on the newest records that a node keeps for its peers and watchers. At
-// either limit, older records are dropped until half of both is used.
+// Limits on the newest records that a node keeps for its peers and for callers of
+// Watch. Above either limit, the oldest records are dropped until at most half of
+// each limit is used.
 const (
 	maxHistoryRecords = 2048
 	maxHistoryBytes   = 2 << 20
@@ -21,7 +22,7 @@
 
 // history holds the newest records, and the events of their changes.
 type history struct {
-	firstOffset int64 // all records from this offset on are held
+	firstOffset int64 // no record at or above this offset was dropped
 	bytes       int
 	records     []Record
 	events      []Event
@@ -40,8 +41,8 @@
 	}
 }
 
-// trim drops older records until at most half of each limit is used, and their
-// events.
+// trim drops the oldest records, with their events, until at most half of each
+// limit is used.
 func (h *history) trim() {
 	cut := 0
 	for cut < len(h.records) && (len(h.records)-cut > maxHistoryRecords/2 || h.bytes > maxHistoryBytes/2) {
@@ -56,9 +57,9 @@
 
 func (h *history) addEvent(e Event) { h.events = append(h.events, e) }
 
-// eventsSince returns the events at and above an offset. ok is false if some of
+// eventsFrom returns the events at and above an offset. ok is false if some of
 // them were dropped.
-func (h *history) eventsSince(from int64) (events []Event, ok bool) {
+func (h *history) eventsFrom(from int64) (events []Event, ok bool) {
 	if from < h.firstOffset {
 		return nil, false
 	}
@@ -67,8 +68,8 @@
 }
 
 // segment returns the records in [from, to). If they exceed maxBytes, the segment
-// ends early, but holds at least one record. It returns ErrCompacted if records at
-// from were dropped.
+// ends early, but holds at least one record if there is any. It returns
+// ErrCompacted if records at offset from were dropped.
 func (h *history) segment(from, to int64, maxBytes int) (Segment, error) {
 	if from < h.firstOffset {
 		return Segment{}, ErrCompacted
--- a/coord/changelog/image.go
+++ b/coord/changelog/image.go
@@ -13,15 +13,15 @@
 	"strings"
 )
 
-// image is the encoded form of a complete state, in checkpoints and between peers.
-// It includes the deduplication window, since the reducer depends on it.
-type image struct {
-	Applied   int64          `json:"applied"`
-	Floor     int64          `json:"floor,omitempty"`
-	OldNewest int64          `json:"old_newest,omitempty"`
-	Objects   []imageObject  `json:"objects"`
-	Young     []imageOutcome `json:"young"`
-	Old       []imageOutcome `json:"old,omitempty"`
+// imageContent is a complete state as encoded in checkpoints and in responses to
+// peers. It includes the deduplication window, since the reducer depends on it.
+type imageContent struct {
+	Applied      int64          `json:"applied"`
+	EvictedUpTo  int64          `json:"floor,omitempty"`
+	MaxOldOffset int64          `json:"old_newest,omitempty"`
+	Objects      []imageObject  `json:"objects"`
+	Young        []imageOutcome `json:"young"`
+	Old          []imageOutcome `json:"old,omitempty"`
 }
 
 type imageObject struct {
@@ -42,16 +42,16 @@
 
 var errDamagedImage = errors.New("state image is damaged")
 
-// encodeImage returns the image of a state. For the same state, all nodes that run
-// the same release return the same bytes.
+// encodeImage returns the image of a state: its imageContent as compressed JSON.
+// For the same state, all nodes that run the same release return the same bytes.
 func encodeImage[V any](s *Snapshot[V], w *dedupWindow) ([]byte, error) {
-	im := image{
-		Applied:   s.applied,
-		Floor:     w.evictedUpTo,
-		OldNewest: w.oldNewestOffset,
-		Objects:   imageObjects(s),
-		Young:     imageOutcomes(w.young),
-		Old:       imageOutcomes(w.old),
+	im := imageContent{
+		Applied:      s.applied,
+		EvictedUpTo:  w.evictedUpTo,
+		MaxOldOffset: w.maxOldOffset,
+		Objects:      imageObjects(s),
+		Young:        imageOutcomes(w.young),
+		Old:          imageOutcomes(w.old),
 	}
 	plain, err := encode(im)
 	if err != nil {
@@ -102,8 +102,8 @@
 		r.draft.put(Object[V]{Name{o.Kind, o.Key}, o.Revision, o.Created, value, o.Value})
 	}
 	r.draft.applied = im.Applied
-	r.window.evictedUpTo = im.Floor
-	r.window.oldNewestOffset = im.OldNewest
+	r.window.evictedUpTo = im.EvictedUpTo
+	r.window.maxOldOffset = im.MaxOldOffset
 	for _, o := range im.Young {
 		r.window.young[o.ID] = o.Outcome
 	}
@@ -113,7 +113,7 @@
 	return r, nil
 }
 
-func unpackImage(data []byte) (im image, err error) {
+func unpackImage(data []byte) (im imageContent, err error) {
 	gz, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return im, err
@@ -129,7 +129,7 @@
 	return im, err
 }
 
-func imageDigest(data []byte) string {
+func imageChecksum(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
@@ -142,7 +142,7 @@
 // bytes.
 func splitImage(mark int64, data []byte, maxRecord int) []part {
 	chunk := (maxRecord - partOverhead) / 4 * 3 // the record holds the data in base64
-	sum := imageDigest(data)
+	sum := imageChecksum(data)
 	var parts []part
 	for piece := range slices.Chunk(data, chunk) {
 		parts = append(parts, part{Mark: mark, Index: len(parts), Sum: sum, Data: piece})
--- a/coord/changelog/load.go
+++ b/coord/changelog/load.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// ErrNoCheckpoint reports that the log has dropped records and holds no complete
-// checkpoint, so the state cannot be reconstructed from the log.
+// ErrNoCheckpoint reports that the log no longer retains its first record and holds
+// no complete checkpoint, so the state cannot be reconstructed from the log.
 var ErrNoCheckpoint = errors.New("the log holds no complete checkpoint")
 
-// scanBatchRecords is the range of offsets that a search for a checkpoint reads at
-// a time.
-const scanBatchRecords = 512
+// searchStep is the number of offsets that a search for a checkpoint reads at a
+// time.
+const searchStep = 512
 
 // LoadFromLog loads the newest complete checkpoint in the log, searching backwards
 // from the end. Without a checkpoint it starts from the empty state if the log
@@ -42,7 +42,7 @@
 func (s *Store[V]) findCheckpoint(ctx context.Context, first, next int64) ([]byte, error) {
 	parts := newSearchCollector()
 	for to := next; to > first; {
-		from := max(first, to-scanBatchRecords)
+		from := max(first, to-searchStep)
 		records, err := s.readRange(ctx, from, to)
 		if err != nil {
 			return nil, err
@@ -71,8 +71,9 @@
 	return set.assemble()
 }
 
-// readRange returns the records in [from, to). It returns ErrCompacted (wrapped) if
-// retention passes from during the read.
+// readRange returns the records in [from, to), or fewer if the replica that responds
+// lags behind. It returns ErrCompacted (wrapped) if a record to be read is no longer
+// retained.
 func (s *Store[V]) readRange(ctx context.Context, from, to int64) ([]Record, error) {
 	var all []Record
 	for from < to {
--- a/coord/changelog/log.go
+++ b/coord/changelog/log.go
@@ -26,9 +26,9 @@
 	// Append adds a record and returns its offset. After an error the record may
 	// or may not be in the log.
 	Append(ctx context.Context, data []byte) (offset int64, err error)
-	// Read returns at most max records at or above an offset. The replica that
-	// responds may lag behind, so a later call can return an older tail. If from
-	// is below Batch.First, the records in between are no longer retained.
+	// Read returns at most max records at or above from. The replica that responds
+	// may lag behind, so a later call may return fewer records, with a lower Next.
+	// If from is below Batch.First, the records in between are no longer retained.
 	Read(ctx context.Context, from int64, max int) (Batch, error)
 }
 
@@ -54,7 +54,8 @@
 func (s Segment) withoutRecords() Segment { return Segment{From: s.To, To: s.To} }
 
 // segmentFromBatch returns the segment that a read from the given offset covers. ok
-// is false if the batch is empty or retention has passed from.
+// is false if the batch is empty or the record at offset from may no longer be
+// retained.
 func segmentFromBatch(from int64, b Batch) (seg Segment, ok bool) {
 	if len(b.Records) == 0 || b.First > from {
 		return Segment{}, false
--- a/coord/changelog/notice_test.go
+++ b/coord/changelog/notice_test.go
@@ -15,7 +15,7 @@
 
 // unresponsivePeer is a single peer that does not respond to the first notices.
 type unresponsivePeer struct {
-	unanswered int // notices left without a response
+	unanswered int // number of further notices to leave without a response
 	received   chan changelog.Notice
 }
 
@@ -40,11 +40,10 @@
 	return nil, errUnreachable
 }
 
-// Guards against a notice that is resent after failed delivery attempts with the
-// age of the first attempt. The receiver then understates the time since the last
-// read of the log: by 6 ms in a partition test that allowed 90 ms of network delay
-// (96 ms were observed), and by up to 2 s if only the last attempt is answered.
-func TestNoticeAgesDuringFailedDelivery(t *testing.T) {
+// The age in a notice must include the time of failed deliveries. Otherwise the
+// receiver understates the time since the last read of the log, by up to 2 s if only
+// the last attempt succeeds.
+func TestNoticeAgeIncludesFailedDeliveries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const failedAttempts = 4
 		log := &logtest.Log{Delay: 5 * time.Millisecond}
--- a/coord/changelog/outcome.go
+++ b/coord/changelog/outcome.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// Status is the final status of a change.
+// Status is Accepted or the reason why a change was rejected.
 type Status string
 
-// Statuses of a change. All nodes determine the same one.
+// Statuses of a change. All nodes determine the same status for a change.
 const (
 	// Accepted: the change was applied.
 	Accepted Status = "accepted"
@@ -16,14 +16,16 @@
 	Conflict Status = "conflict"
 	// Invalid: the schema rejected the change.
 	Invalid Status = "invalid"
-	// Expired: the change is older than the oldest change id still tracked.
+	// Expired: the change was made before a change whose id is no longer tracked, so
+	// it may be a retry of a change that was applied before.
 	Expired Status = "expired"
 )
 
 // Outcome is the result of a change.
 type Outcome struct {
 	Status Status `json:"s"`
-	// Offset is the offset of the first record of the change.
+	// Offset is the offset of the first record of the change; for Expired, of the
+	// record that was rejected.
 	Offset int64 `json:"o"`
 	// Revision is the revision of the object right after that record, 0 if the
 	// object does not exist then.
@@ -47,8 +49,8 @@
 }
 
 // ConflictError reports that another change to the object was applied first.
-// Proposing the same Change again returns the same error; make a new change from
-// the newest snapshot.
+// Proposing the same Change again returns the same error while its id is tracked,
+// then ErrExpired. To retry, make a new change from the newest snapshot.
 type ConflictError struct {
 	// Revision is the revision of the object when the change was rejected, 0 if
 	// the object did not exist.
@@ -71,9 +73,9 @@
 	// back from the log. The change may still be accepted. Proposing the same
 	// Change again is safe.
 	ErrUnknownOutcome = errors.New("outcome of the change is not known yet")
-	// ErrExpired reports that the change is older than the oldest change id still
-	// tracked, so it is unknown whether it was applied before. Read the object
-	// again, then make a new change.
+	// ErrExpired reports that the change was made before a change whose id is no
+	// longer tracked, so it is unknown whether it was applied before. Read the
+	// object again, then make a new change.
 	ErrExpired = errors.New("change is too old to be applied")
 	// ErrTooLarge reports that the record would exceed the maxRecord given to
 	// NewStore. Nothing was appended.
--- a/coord/changelog/peers.go
+++ b/coord/changelog/peers.go
@@ -6,7 +6,9 @@
 )
 
 // Notice is a message between nodes: new records, and the age of the sender's
-// information. A heartbeat or the response to a pull may have no records.
+// information. Heartbeats have no records, nor do notices whose records exceed
+// maxPullBytes or were already applied when the notice was forwarded; the response
+// to a pull may have none.
 type Notice struct {
 	// Sender is the node from which the receiver can pull missing records.
 	Sender string `json:"sender"`
@@ -16,10 +18,10 @@
 	// Seed determines the order of the members, and so the tree along which the
 	// notice is forwarded.
 	Seed uint64 `json:"seed,omitempty"`
-	// Known is the newest offset that the sender knows of.
+	// Known is the newest offset reported by the log or a peer to the sender.
 	Known int64 `json:"known"`
-	// Age is the time since the last read of the log that the sender knows of, by
-	// itself or another node, in nanoseconds; negative if it knows of none.
+	// Age is the time since the last read of the log by any node, as far as reported
+	// to the sender, in nanoseconds; negative if none was reported.
 	Age     time.Duration `json:"age"`
 	Segment Segment       `json:"segment"`
 }
@@ -34,7 +36,7 @@
 }
 
 // Peers sends messages to the other nodes. Implementations set their own timeouts,
-// shorter than the context's. All calls may be retried.
+// shorter than the context's. The receiver must accept repeated calls.
 type Peers interface {
 	// Members returns the sorted names of the live nodes, including this one. The
 	// list may be temporarily wrong, which costs only extra messages and delay.
--- a/coord/changelog/propagation_test.go
+++ b/coord/changelog/propagation_test.go
@@ -23,14 +23,14 @@
 	noteLen        = 300
 )
 
-var spreadSpan = flag.Duration("spread", 0, "virtual duration of each measurement of TestSpread; longer ones vary less")
+var spreadSpan = flag.Duration("spread", 0, "virtual duration of each measurement of TestSpread; a longer duration gives steadier results")
 
 // delays collects the time from the append of each change until each node applied
 // it.
 type delays struct {
 	mu       sync.Mutex
 	appended map[int64]time.Time
-	took     []time.Duration
+	elapsed  []time.Duration
 }
 
 func (d *delays) add(at time.Time, events []changelog.Event) {
@@ -38,7 +38,7 @@
 	defer d.mu.Unlock()
 	for _, e := range events {
 		if start, ok := d.appended[e.Offset]; ok {
-			d.took = append(d.took, at.Sub(start))
+			d.elapsed = append(d.elapsed, at.Sub(start))
 		}
 	}
 }
@@ -58,9 +58,9 @@
 	return offset, err
 }
 
-// recordDelays watches all live nodes and collects the delay of each change.
+// recordDelays watches all connected nodes and collects the delay of each change.
 func (c *cluster) recordDelays(ctx context.Context, wg *sync.WaitGroup, d *delays) {
-	for _, n := range c.live() {
+	for _, n := range c.connected() {
 		wg.Go(func() {
 			after := n.store.Snapshot().Applied()
 			for {
@@ -75,7 +75,8 @@
 	}
 }
 
-// writeChanges proposes changes at the expected rate through a store for a time.
+// writeChanges proposes changes at the expected rate through a store, until span has
+// passed.
 func writeChanges(t *testing.T, s *changelog.Store[limit], rng *rand.Rand, span time.Duration) {
 	note := strings.Repeat("x", noteLen)
 	for end := time.Now().Add(span); time.Now().Before(end); {
@@ -87,13 +88,16 @@
 	}
 }
 
-// usage is the traffic during a span of virtual time.
+// usage is the traffic during a period of virtual time.
 type usage struct {
 	reads, appends  int
 	messages, bytes int
 	maxNodeBytes    int // of the busiest node
 }
 
+// usage returns the messages and bytes since the counters in before. Its counts of
+// log reads and appends are those since the creation of the log; callers subtract
+// the earlier ones.
 func (c *cluster) usage(before map[string]node) (u usage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,8 +123,8 @@
 	return m
 }
 
-// measureSpan logs the traffic while work runs, and checks its limits.
-func (c *cluster) measureSpan(what string, d time.Duration, work func()) usage {
+// measureSpan logs and returns the traffic while work runs, and checks its limits.
+func (c *cluster) measureSpan(label string, _ time.Duration, work func()) usage {
 	before, log := c.counters(), c.log.Traffic()
 	start := time.Now()
 	work()
@@ -130,7 +134,7 @@
 	u.appends -= log.Appends
 	nodes := float64(len(before))
 	c.t.Logf("%-22s n=%4d %3.0fs: log %5.2f reads/s %4.2f appends/s; a node %5.2f messages/s, %5.0f B/s in and out (busiest %5.0f)",
-		what, len(before), sec, float64(u.reads)/sec, float64(u.appends)/sec,
+		label, len(before), sec, float64(u.reads)/sec, float64(u.appends)/sec,
 		float64(u.messages)/sec/nodes, float64(u.bytes)/sec/nodes, float64(u.maxNodeBytes)/sec)
 	must.Less(c.t, 12, float64(u.reads)/sec)
 	must.Less(c.t, 5000, float64(u.maxNodeBytes)/sec)
@@ -193,9 +197,9 @@
 	cancel()
 	wg.Wait()
 	c.measureSpan("idle", span, func() { time.Sleep(span) })
-	slices.Sort(d.took)
-	must.Eq(t, len(d.appended)*nodes, len(d.took), must.Sprint("each change must reach each node"))
-	t.Logf("%d changes applied on all nodes: p50 %v, p99 %v, max %v", len(d.appended), quantile(d.took, 0.5), quantile(d.took, 0.99), quantile(d.took, 1))
-	must.Less(t, 6*time.Second, quantile(d.took, 1))
+	slices.Sort(d.elapsed)
+	must.Eq(t, len(d.appended)*nodes, len(d.elapsed), must.Sprint("each change must reach each node"))
+	t.Logf("%d changes applied on all nodes: p50 %v, p99 %v, max %v", len(d.appended), quantile(d.elapsed, 0.5), quantile(d.elapsed, 0.99), quantile(d.elapsed, 1))
+	must.Less(t, 6*time.Second, quantile(d.elapsed, 1))
 	c.converge(writer.Snapshot().Applied(), 6*time.Second)
 }
--- a/coord/changelog/property_test.go
+++ b/coord/changelog/property_test.go
@@ -40,16 +40,17 @@
 	return m
 }
 
-func (m *model) pick(t *rapid.T) (string, *changelog.Store[limit]) {
+func (m *model) pickStore(t *rapid.T) (string, *changelog.Store[limit]) {
 	i := rapid.IntRange(0, len(m.stores)-1).Draw(t, "store")
 	return string(rune('a' + i)), m.stores[i]
 }
 
 // propose proposes a change, sometimes one based on an older revision or one
-// proposed before. The append, its response or the read-back may fail.
+// proposed before. The append may fail, its response may be lost, and the read-back
+// may lag behind.
 func (m *model) propose(t *rapid.T) {
-	_, s := m.pick(t)
-	ch := m.draw(t, s)
+	_, s := m.pickStore(t)
+	ch := m.drawChange(t, s)
 	m.check.Proposing(ch)
 	m.log.LoseAnswers(rapid.IntRange(0, 1).Draw(t, "lost answers"))
 	m.log.SetDown(rapid.IntRange(0, 5).Draw(t, "down") == 0)
@@ -71,16 +72,16 @@
 	must.NoError(t, m.check.Decided(ch, o))
 }
 
-// draw returns a new change or one proposed before.
-func (m *model) draw(t *rapid.T, s *changelog.Store[limit]) changelog.Change {
+// drawChange returns a new change or one proposed before.
+func (m *model) drawChange(t *rapid.T, s *changelog.Store[limit]) changelog.Change {
 	if len(m.changes) > 0 && rapid.IntRange(0, 3).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(m.changes).Draw(t, "change")
 	}
-	_, seenBy := m.pick(t) // its snapshot may be outdated
+	_, source := m.pickStore(t) // its snapshot may be outdated
 	key := rapid.SampledFrom([]string{"a", "b", "c<&>"}).Draw(t, "key")
-	ch := seenBy.Snapshot().Put("limit", key, value(rapid.IntRange(-1, 9).Draw(t, "value")))
+	ch := source.Snapshot().Put("limit", key, value(rapid.IntRange(-1, 9).Draw(t, "value")))
 	if rapid.IntRange(0, 4).Draw(t, "delete") == 0 {
-		ch = seenBy.Snapshot().Delete("limit", key)
+		ch = source.Snapshot().Delete("limit", key)
 	}
 	ch.ID = fmt.Sprintf("change-%d", len(m.changes))
 	m.changes = append(m.changes, ch)
@@ -89,15 +90,15 @@
 
 // poll reads the log, possibly from a lagging replica.
 func (m *model) poll(t *rapid.T) {
-	name, s := m.pick(t)
+	name, s := m.pickStore(t)
 	lag := rapid.Int64Range(0, 3).Draw(t, "lag")
 	m.log.SetLag(lag)
 	defer m.log.SetLag(0)
 	m.catchUp(t, name, s, lag > 0)
 }
 
-// catchUp polls, and loads a checkpoint if retention has passed the store. With a
-// lagging replica, the checkpoint may not be found.
+// catchUp polls, and loads a checkpoint if the next records are no longer retained.
+// With a lagging replica, the checkpoint may not be found.
 func (m *model) catchUp(t *rapid.T, name string, s *changelog.Store[limit], lags bool) {
 	if err := s.Poll(t.Context()); err != nil {
 		must.ErrorIs(t, err, changelog.ErrCompacted)
@@ -114,7 +115,7 @@
 	i := rapid.IntRange(0, len(m.stores)-1).Draw(t, "store")
 	s := changelog.NewStore(m.log, limits{}, smallRecord)
 	if rapid.Bool().Draw(t, "from peer") {
-		_, peer := m.pick(t)
+		_, peer := m.pickStore(t)
 		image, err := peer.Image()
 		must.NoError(t, err)
 		must.NoError(t, s.Restore(image))
@@ -129,12 +130,12 @@
 
 // checkpoint writes the mark or some of the missing parts of a checkpoint.
 func (m *model) checkpoint(t *rapid.T) {
-	_, s := m.pick(t)
+	_, s := m.pickStore(t)
 	parts := rapid.IntRange(0, 3).Draw(t, "parts")
 	if err := s.WriteCheckpoint(t.Context(), parts); err != nil {
 		must.ErrorIs(t, err, changelog.ErrCompacted)
 	}
-	m.completeMark = max(m.completeMark, s.CheckpointMark())
+	m.completeMark = max(m.completeMark, s.CompleteMark())
 }
 
 // retain drops records up to the mark of the newest complete checkpoint.
--- a/coord/changelog/receive.go
+++ b/coord/changelog/receive.go
@@ -28,7 +28,7 @@
 // fillGap obtains the records that are missing before those of a notice. Usually
 // another notice in flight delivers them, so fillGap waits before it pulls.
 func (f *Follower[V]) fillGap(ctx context.Context, n Notice) {
-	pause := gapRetryDelay
+	pause := gapPullDelay
 	for range maxGapPulls {
 		select {
 		case <-time.After(pause):
@@ -44,7 +44,8 @@
 }
 
 // Records returns the response to a peer's pull: the records at and above an
-// offset, possibly cut short. It returns ErrCompacted if they are no longer held.
+// offset, of at most about maxPullBytes. It returns ErrCompacted if this node no
+// longer holds them, and ErrNotReady if no state is loaded.
 func (f *Follower[V]) Records(from int64) (Notice, error) {
 	seg, err := f.store.state.segment(from, maxPullBytes)
 	if err != nil {
@@ -57,8 +58,8 @@
 // if no state is loaded.
 func (f *Follower[V]) Image() ([]byte, error) { return f.store.Image() }
 
-// exchange pulls new records from a random peer.
-func (f *Follower[V]) exchange(ctx context.Context) {
+// pullFromRandomPeer pulls new records from a random peer.
+func (f *Follower[V]) pullFromRandomPeer(ctx context.Context) {
 	others := f.otherMembers()
 	if len(others) == 0 {
 		return
@@ -72,7 +73,7 @@
 	for range maxPullRounds {
 		n, err := f.pullOnce(ctx, peer)
 		if errors.Is(err, ErrCompacted) {
-			f.loadFromPeer(ctx, peer) // after an error, the next exchange retries
+			f.loadFromPeer(ctx, peer) // after an error, the next pull retries
 			return
 		}
 		if err != nil {
@@ -106,25 +107,27 @@
 	// LogAge is the time since the last known read of the log, by this node or one
 	// whose notices reached it; the time since the start if none is known.
 	LogAge time.Duration
-	// Silence is the time since the last contact with the log or any peer.
+	// Silence is the time since the last contact with the log or any peer, counted
+	// from the start if there was none.
 	Silence time.Duration
-	// Checkpoint is the mark of the newest complete checkpoint seen, 0 for none.
+	// Checkpoint is the mark of the newest complete checkpoint that this node has
+	// read, 0 for none.
 	Checkpoint int64
 	// Stale reports that LogAge or Silence has reached its limit in Options. A
 	// stale node should accept no new work.
 	Stale bool
 }
 
-// Status returns the current status.
+// Status returns how up to date this node is.
 func (f *Follower[V]) Status() FollowerStatus {
-	logAge, silence, newestKnown := f.store.freshness.ages()
+	logAge, contactAge, newestKnown := f.store.freshness.ages()
 	return FollowerStatus{
 		Ready:       f.store.Ready(),
 		Applied:     f.store.state.applied(),
 		NewestKnown: newestKnown,
 		LogAge:      logAge,
-		Silence:     silence,
-		Checkpoint:  f.store.state.checkpointMark(),
-		Stale:       logAge >= f.opts.MaxStale || silence >= f.opts.MaxIsolated,
+		Silence:     contactAge,
+		Checkpoint:  f.store.state.latestCompleteMark(),
+		Stale:       logAge >= f.opts.MaxStale || contactAge >= f.opts.MaxIsolated,
 	}
 }
--- a/coord/changelog/record.go
+++ b/coord/changelog/record.go
@@ -11,14 +11,14 @@
 // Op is the operation of a change.
 type Op string
 
-// The operations.
+// Operations of a change: replace or create an object, and delete it.
 const (
 	OpPut    Op = "put"
 	OpDelete Op = "delete"
 )
 
-// Change is a request to replace or delete one object. Create it with Snapshot.Put
-// or Snapshot.Delete, and do not modify it between retries.
+// Change is a request to create, replace or delete one object. Make it with
+// Snapshot.Put or Snapshot.Delete, and do not modify it between retries.
 type Change struct {
 	// ID identifies the change. All records of one change have the same ID.
 	ID string `json:"id"`
@@ -29,8 +29,8 @@
 	// object did not exist.
 	BasedOn int64 `json:"based_on,omitempty"`
 	// Since is the offset that the proposer had applied when it made the change.
-	// A change is rejected as expired once change ids from that offset on are no
-	// longer tracked, so that a late retry cannot be applied twice.
+	// A change is rejected as expired once the id of any change after that offset
+	// is no longer tracked, so that a late retry cannot be applied twice.
 	Since int64 `json:"since,omitempty"`
 	// Op is OpPut or OpDelete.
 	Op Op `json:"op"`
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// encode returns v as JSON without escaping HTML characters, so that raw values
-// inside it stay unchanged.
+// encode returns v as JSON without escaping HTML characters, so that compact raw
+// values inside it stay unchanged.
 func encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
--- a/coord/changelog/reducer.go
+++ b/coord/changelog/reducer.go
@@ -3,10 +3,11 @@
 import "encoding/json"
 
 // Schema decodes and validates the values of the state. Both methods must be
-// deterministic: their results depend only on their arguments, and are the same on
-// every node and, for records already written, in every release.
+// deterministic: their results must depend only on their arguments. A new release
+// must return the same results for records already written.
 type Schema[V any] interface {
-	// Decode decodes the value of an object of a kind. An error rejects the change.
+	// Decode returns the value of an object of the given kind. An error rejects the
+	// change.
 	// Snapshots share the returned value, so it must not be modified.
 	Decode(kind string, raw json.RawMessage) (V, error)
 	// Validate returns an error to reject a change. The snapshot is the state right
@@ -26,8 +27,8 @@
 }
 
 // applyChange applies the record of a change and returns its outcome. repeated
-// reports that the change id was seen before; then the state does not change and
-// the outcome is that of the first record.
+// reports that the change id is tracked; then the state does not change and the
+// outcome is that of the first record.
 func (r *reducer[V]) applyChange(offset int64, c Change) (o Outcome, repeated bool) {
 	if first, ok := r.window.get(c.ID); ok {
 		return first, true
@@ -39,7 +40,7 @@
 	return o, false
 }
 
-// decide applies a change whose id was not seen before, or rejects it.
+// decide applies or rejects a change whose id is not tracked.
 func (r *reducer[V]) decide(offset int64, c Change) Outcome {
 	current, _ := r.draft.Get(c.Kind, c.Key)
 	if r.window.expired(c.Since) {
--- a/coord/changelog/snapshot.go
+++ b/coord/changelog/snapshot.go
@@ -23,8 +23,8 @@
 	Name
 	// Revision is the offset of the change that wrote this value.
 	Revision int64
-	// Created is the offset of the change that created the object. It differs after
-	// the object was deleted and created again.
+	// Created is the offset of the change that created the object. It changes if
+	// the object is deleted and created again.
 	Created int64
 	Value   V
 	raw     json.RawMessage
@@ -35,7 +35,8 @@
 func (o Object[V]) Raw() json.RawMessage { return o.raw }
 
 // shardCount is the number of shards of a snapshot. A higher number makes the copy
-// of the shard list per batch larger and the copy of one shard per change smaller.
+// of the shard list per applied segment larger, and the copy of one shard per change
+// smaller.
 const shardCount = 512
 
 type shard[V any] map[Name]Object[V]
@@ -128,27 +129,27 @@
 // freeze, so that frozen snapshots do not change.
 type draft[V any] struct {
 	Snapshot[V]
-	owned [shardCount]bool // shards copied since the last freeze
+	copied [shardCount]bool // shards copied since the last freeze
 }
 
 func newDraft[V any](s *Snapshot[V]) *draft[V] {
 	d := &draft[V]{Snapshot: *s}
-	d.disownShards()
+	d.shareShards()
 	return d
 }
 
-// disownShards copies the shard list and marks all shards as shared with a frozen
+// shareShards copies the shard list and marks all shards as shared with a frozen
 // snapshot.
-func (d *draft[V]) disownShards() {
+func (d *draft[V]) shareShards() {
 	shards := *d.shards
 	d.shards = &shards
-	clear(d.owned[:])
+	clear(d.copied[:])
 }
 
 // freeze returns the current state as an immutable snapshot.
 func (d *draft[V]) freeze() *Snapshot[V] {
 	s := d.Snapshot
-	d.disownShards()
+	d.shareShards()
 	return &s
 }
 
@@ -156,8 +157,8 @@
 // frozen snapshot.
 func (d *draft[V]) writableShard(n Name) shard[V] {
 	i := shardOf(n)
-	if !d.owned[i] {
-		d.owned[i] = true
+	if !d.copied[i] {
+		d.copied[i] = true
 		d.shards[i] = maps.Clone(d.shards[i])
 	}
 	if d.shards[i] == nil {
--- a/coord/changelog/state.go
+++ b/coord/changelog/state.go
@@ -10,30 +10,31 @@
 // markedState is the state at a mark record, from which a checkpoint is written.
 type markedState[V any] struct {
 	offset   int64
-	seen     time.Time
+	seenAt   time.Time
 	snapshot *Snapshot[V]
 	window   *dedupWindow
 }
 
-// state is the replica of one node: the reducer, and what is updated with each
-// applied segment. It does no I/O.
+// state is one node's copy of the state, with the data derived from applied
+// records. It does no I/O.
 type state[V any] struct {
 	snapshot    atomic.Pointer[Snapshot[V]]
 	mu          sync.Mutex
 	ready       bool
 	reducer     *reducer[V]
 	history     history
-	changed     chan struct{}             // closed and replaced when the applied offset grows
+	progress    chan struct{}             // closed and replaced when the applied offset grows
 	waiters     map[string][]chan Outcome // by change id
 	mark        *markedState[V]           // state at the newest mark record, nil if none
 	parts       collector
 	imageMu     sync.Mutex // guards image and imageOffset
 	image       []byte
 	imageOffset int64
-	// latestCheckpoint is the mark of the newest complete checkpoint,
-	// checkpointSeenAt the time when this node saw it completed, and
-	// changesSinceCheckpoint the number of changes applied since its mark.
-	latestCheckpoint       int64
+	// completeMark is the mark of the newest complete checkpoint, checkpointSeenAt
+	// the time when this node read its last part, and changesSinceCheckpoint the
+	// number of changes read since its mark, whether accepted or rejected, without
+	// repeated records.
+	completeMark           int64
 	checkpointSeenAt       time.Time
 	changesSinceCheckpoint int
 	// changesBeforeMark is the number of these changes before the newest mark.
@@ -43,7 +44,7 @@
 func newState[V any](schema Schema[V]) *state[V] {
 	s := &state[V]{
 		reducer:          newReducer(schema),
-		changed:          make(chan struct{}),
+		progress:         make(chan struct{}),
 		waiters:          make(map[string][]chan Outcome),
 		checkpointSeenAt: time.Now(),
 		parts:            newFollowCollector(),
@@ -90,7 +91,7 @@
 func (s *state[V]) applyRecord(r Record) {
 	e, err := decodeRecord(r.Data)
 	if err != nil {
-		return // all nodes skip the record
+		return // all nodes skip records that cannot be decoded
 	}
 	s.reducer.draft.applied = r.Offset
 	switch e.Type {
@@ -99,7 +100,7 @@
 	case typeMark:
 		s.setMark(r.Offset)
 	case typePart:
-		s.part(*e.Part)
+		s.addPart(*e.Part)
 	}
 }
 
@@ -115,25 +116,26 @@
 	}
 }
 
-// setMark keeps the state at a mark record for the parts of its checkpoint.
+// setMark stores the state at a mark record, from which the parts of the checkpoint
+// are written.
 func (s *state[V]) setMark(offset int64) {
 	s.mark = &markedState[V]{
 		offset:   offset,
-		seen:     time.Now(),
+		seenAt:   time.Now(),
 		snapshot: s.reducer.draft.freeze(),
 		window:   s.reducer.window.clone(),
 	}
 	s.changesBeforeMark = s.changesSinceCheckpoint
 }
 
-// part records a checkpoint part. If it completes a newer checkpoint, the counts
-// for the next one restart at its mark.
-func (s *state[V]) part(p part) {
+// addPart records a checkpoint part. If it completes a newer checkpoint, changes are
+// counted from that checkpoint's mark.
+func (s *state[V]) addPart(p part) {
 	set := s.parts.add(p)
-	if set == nil || set.mark <= s.latestCheckpoint {
+	if set == nil || set.mark <= s.completeMark {
 		return
 	}
-	s.latestCheckpoint = set.mark
+	s.completeMark = set.mark
 	s.checkpointSeenAt = time.Now()
 	s.changesSinceCheckpoint -= s.changesBeforeMark
 	s.changesBeforeMark = 0
@@ -161,8 +163,8 @@
 	return nil
 }
 
-// startEmpty makes a node without a state ready with the empty state before the
-// first record.
+// startEmpty sets the empty state before the first record, if the node has no state
+// yet, and makes the node ready.
 func (s *state[V]) startEmpty() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,11 +175,11 @@
 	s.history.firstOffset = 1
 }
 
-// publish makes the draft the current snapshot and wakes the waiters for progress.
+// publish makes the draft the current snapshot and closes the progress channel.
 func (s *state[V]) publish() {
 	s.snapshot.Store(s.reducer.draft.freeze())
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.progress)
+	s.progress = make(chan struct{})
 }
 
 // currentImage returns the image of the current state. The last image is cached,
@@ -233,12 +235,12 @@
 func (s *state[V]) cancelAwait(id string, ch <-chan Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := slices.DeleteFunc(s.waiters[id], func(c chan Outcome) bool { return c == ch })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(s.waiters[id], func(c chan Outcome) bool { return c == ch })
+	if len(remaining) == 0 {
 		delete(s.waiters, id)
 		return
 	}
-	s.waiters[id] = left
+	s.waiters[id] = remaining
 }
 
 // resolve sends the outcome of a change to its waiters.
@@ -259,18 +261,18 @@
 	}
 }
 
-// progressed returns a channel that is closed the next time that the applied
+// awaitProgress returns a channel that is closed the next time that the applied
 // offset grows.
-func (s *state[V]) progressed() <-chan struct{} {
+func (s *state[V]) awaitProgress() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changed
+	return s.progress
 }
 
-// updateSince returns the accepted changes after an offset.
+// updateSince returns the current state and the events after an offset.
 func (s *state[V]) updateSince(after int64) Update[V] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	events, ok := s.history.eventsSince(after + 1)
+	events, ok := s.history.eventsFrom(after + 1)
 	return Update[V]{Snapshot: s.snapshot.Load(), Events: events, Reset: !ok}
 }
--- a/coord/changelog/store.go
+++ b/coord/changelog/store.go
@@ -15,14 +15,14 @@
 // Limits and delays of reads and retries.
 const (
 	maxReadRecords      = 512                    // requested in one read
-	callTimeout         = 2 * time.Second        // of one call to the log or a pull from a peer
+	callTimeout         = 2 * time.Second        // of one call to the log or request to a peer
 	minReadBackDelay    = 10 * time.Millisecond  // initial delay between reads for an outcome
 	maxReadBackDelay    = 500 * time.Millisecond // maximum of that delay
 	minAppendRetryDelay = 2 * time.Second        // initial delay before a failed append is retried
 	maxAppendRetryDelay = 30 * time.Second       // maximum of that delay
 )
 
-// Store is one node's replica of the state and proposes changes to it. A Follower
+// Store holds one node's copy of the state and proposes changes to it. A Follower
 // keeps it up to date. It is safe for concurrent use.
 type Store[V any] struct {
 	log       Log
@@ -61,12 +61,12 @@
 // context's error if the context ends first.
 func (s *Store[V]) WaitApplied(ctx context.Context, offset int64) error {
 	for {
-		progressed := s.state.progressed()
+		progress := s.state.awaitProgress()
 		if s.state.applied() >= offset {
 			return nil
 		}
 		select {
-		case <-progressed:
+		case <-progress:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -77,16 +77,18 @@
 type Update[V any] struct {
 	// Snapshot is the current state.
 	Snapshot *Snapshot[V]
-	// Events are the accepted changes after the offset, in order.
+	// Events are all accepted changes after the offset, in order, unless Reset is
+	// set.
 	Events []Event
-	// Reset reports that events after the offset are missing from Events, so the
-	// caller must compare the complete Snapshot.
+	// Reset reports that this node no longer holds all events after the offset.
+	// Events is then empty, and the caller must process the complete Snapshot.
 	Reset bool
 }
 
 // Watch blocks until the log is applied beyond the offset and returns the update.
-// Call it again with the offset of the returned Snapshot; no change between the
-// calls is missed. It returns the context's error if the context ends first.
+// Call it again with the offset of the returned Snapshot; Events then has all
+// changes between the calls unless Reset is set. It returns the context's error if
+// the context ends first.
 func (s *Store[V]) Watch(ctx context.Context, after int64) (Update[V], error) {
 	if err := s.WaitApplied(ctx, after+1); err != nil {
 		return Update[V]{}, err
@@ -100,7 +102,7 @@
 // first (proposing the same Change again is safe). With any other error, nothing
 // was appended.
 func (s *Store[V]) Propose(ctx context.Context, c Change) (Outcome, error) {
-	data, err := s.encodeChange(ctx, c)
+	data, err := s.prepareChange(ctx, c)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -124,7 +126,7 @@
 	}
 }
 
-func (s *Store[V]) encodeChange(ctx context.Context, c Change) ([]byte, error) {
+func (s *Store[V]) prepareChange(ctx context.Context, c Change) ([]byte, error) {
 	if !s.Ready() {
 		return nil, ErrNotReady
 	}
@@ -183,7 +185,7 @@
 }
 
 // Poll reads the log from the applied offset to its end and applies the new
-// records. It returns ErrCompacted if retention has passed the applied offset; then
+// records. It returns ErrCompacted if the next records are no longer retained; then
 // a newer state must be loaded.
 func (s *Store[V]) Poll(ctx context.Context) error {
 	select {
--- a/coord/changelog/window.go
+++ b/coord/changelog/window.go
@@ -2,20 +2,20 @@
 
 import "maps"
 
-// windowSize is the number of change ids in one generation of the window. Two
-// generations are kept, so at least the last windowSize ids are tracked. The value
-// affects the outcomes of changes, so it must be the same on all nodes.
-const windowSize = 4096
+// generationSize is the number of change ids in one generation of the window. Two
+// generations are kept, so at least the last generationSize ids are tracked. The
+// value affects the outcomes of changes, so it must be the same on all nodes.
+const generationSize = 4096
 
 // dedupWindow holds the outcomes of recent changes by id, to detect repeated
 // records. Its contents depend only on the log.
 type dedupWindow struct {
 	// evictedUpTo is the offset of the newest change whose id was evicted.
 	evictedUpTo int64
-	// oldNewestOffset is the highest offset in old.
-	oldNewestOffset int64
-	// young holds the ids added since the last change of generation, old those of
-	// the generation before.
+	// maxOldOffset is the highest offset in old.
+	maxOldOffset int64
+	// young holds the ids of the current generation, old those of the generation
+	// before it.
 	young, old map[string]Outcome
 }
 
@@ -33,17 +33,17 @@
 
 // add adds an outcome. If the young generation is full, the old one is evicted.
 func (w *dedupWindow) add(id string, o Outcome) {
-	if len(w.young) >= windowSize {
-		w.evictedUpTo = w.oldNewestOffset
+	if len(w.young) >= generationSize {
+		w.evictedUpTo = w.maxOldOffset
 		w.old = w.young
-		w.oldNewestOffset = w.newestOldOffset()
+		w.maxOldOffset = w.findMaxOldOffset()
 		w.young = make(map[string]Outcome)
 	}
 	w.young[id] = o
 }
 
-// newestOldOffset returns the highest offset in the old generation.
-func (w *dedupWindow) newestOldOffset() int64 {
+// findMaxOldOffset returns the highest offset in the old generation.
+func (w *dedupWindow) findMaxOldOffset() int64 {
 	var top int64
 	for _, o := range w.old {
 		top = max(top, o.Offset)
