--- a/coord/changelog/logtest/log.go
+++ b/coord/changelog/logtest/log.go
@@ -27,17 +27,17 @@
 	// Delay is the duration of each call. Set it before use.
 	Delay time.Duration
 
-	mu            sync.Mutex
-	records       []changelog.Record
-	next          int64
-	first         int64
-	down          bool
-	answersToLose int
-	lag           int64
-	reads         int
-	appends       int
-	readBytes     int
-	writeBytes    int
+	mu              sync.Mutex
+	records         []changelog.Record
+	next            int64
+	first           int64
+	down            bool
+	responsesToLose int
+	lag             int64
+	reads           int
+	appends         int
+	readBytes       int
+	writeBytes      int
 }
 
 // SetDown starts or ends an outage, during which all calls return ErrDown without
@@ -46,7 +46,7 @@
 
 // LoseAnswers makes the next n appends add their records but return
 // ErrAnswerLost.
-func (l *Log) LoseAnswers(n int) { l.withLock(func() { l.answersToLose = n }) }
+func (l *Log) LoseAnswers(n int) { l.withLock(func() { l.responsesToLose = n }) }
 
 // SetLag hides the newest n offsets from reads, like a lagging replica.
 func (l *Log) SetLag(n int64) { l.withLock(func() { l.lag = n }) }
@@ -93,8 +93,8 @@
 	l.records = append(l.records, changelog.Record{Offset: offset, Data: slices.Clone(data)})
 	l.next = offset + 1
 	l.writeBytes += len(data)
-	if l.answersToLose > 0 {
-		l.answersToLose--
+	if l.responsesToLose > 0 {
+		l.responsesToLose--
 		return 0, ErrAnswerLost
 	}
 	return offset, nil
