--- a/coord/member/checker_test.go
+++ b/coord/member/checker_test.go
@@ -16,13 +16,14 @@
 	confirmedCounts map[*core]uint64
 	leaveTimes      map[*simNode]time.Time
 	violations      map[string]string
-	// hadNoThirdMember marks cores whose view had at some time no third live
-	// member, so that there was no other member to request a check from.
-	hadNoThirdMember map[*core]bool
-	// mustStayAlive lists members that are cut off from at most one peer. They
-	// must not be Suspect or Dead in any view, even briefly. No other failure
-	// may be active while the list is not empty.
-	mustStayAlive []*simNode
+	// hadAtMostTwoLive marks cores whose view at some time contained at most two
+	// live members, in which case one observer is enough to confirm a
+	// suspicion.
+	hadAtMostTwoLive map[*core]bool
+	// disconnectedPair contains two nodes that cannot reach each other but can
+	// reach all others. While it is not empty, no suspicion of any member may be
+	// confirmed in any view, even briefly, so no other failure may be active.
+	disconnectedPair []*simNode
 	// networkChangedAt is the time of the last change of the network.
 	networkChangedAt time.Time
 }
@@ -44,7 +45,7 @@
 	return &checker{
 		s:                s,
 		lastViews:        make(map[*core]*View),
-		hadNoThirdMember: make(map[*core]bool),
+		hadAtMostTwoLive: make(map[*core]bool),
 		confirmedCounts:  make(map[*core]uint64),
 		leaveTimes:       make(map[*simNode]time.Time),
 		violations:       make(map[string]string),
@@ -70,7 +71,7 @@
 	const period = 500 * time.Millisecond
 	for end := k.s.now.Add(d); k.s.now.Before(end); {
 		k.s.run(period)
-		for _, n := range k.s.up() {
+		for _, n := range k.s.liveNodes() {
 			k.check(n)
 		}
 	}
@@ -91,7 +92,8 @@
 		old = &View{}
 	}
 	k.lastViews[observer.core] = &v
-	sorted := slices.IsSortedFunc(v.Members, func(a, b Member) int {
+	// The comparison never returns 0, so that duplicate IDs count as unsorted.
+	sortedWithoutDuplicates := slices.IsSortedFunc(v.Members, func(a, b Member) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -99,14 +101,14 @@
 	})
 	// The members must not change within one version.
 	unversionedChange := v.Version == old.Version && !slices.Equal(v.Members, old.Members)
-	if v.Version < old.Version || unversionedChange || !sorted {
+	if v.Version < old.Version || unversionedChange || !sortedWithoutDuplicates {
 		k.report(violationVersion, observer, Member{})
 	}
-	if len(k.mustStayAlive) > 0 && observer.core.stats.Confirmed > k.confirmedCounts[observer.core] {
+	if len(k.disconnectedPair) > 0 && observer.core.stats.Confirmed > k.confirmedCounts[observer.core] {
 		k.report(violationObserver, observer, Member{})
 	}
 	if observer.core.topo.len() <= 2 {
-		k.hadNoThirdMember[observer.core] = true
+		k.hadAtMostTwoLive[observer.core] = true
 	}
 	k.confirmedCounts[observer.core] = observer.core.stats.Confirmed
 	unlisted := 0
@@ -138,29 +140,31 @@
 		k.report(violationSelf, observer, m)
 		return
 	}
-	if down && len(r.suspicion.observers) < 2 && !k.hadNoThirdMember[observer.core] {
+	if down && len(r.suspicion.observers) < 2 && !k.hadAtMostTwoLive[observer.core] {
 		k.report(violationObserver, observer, m)
 	}
 	if k.s.blocked != nil {
 		// The time bounds apply only between nodes that can reach each other.
 		return
 	}
-	since := func(times ...time.Time) time.Duration {
+	// sinceLastChange returns the time since the latest of times and of the last
+	// changes of observer, subject and network.
+	sinceLastChange := func(times ...time.Time) time.Duration {
 		times = append(times, observer.upChangedAt, subject.upChangedAt, k.networkChangedAt)
 		return k.s.now.Sub(slices.MaxFunc(times, time.Time.Compare))
 	}
-	if !subject.up && m.State != Dead && since() > DetectBound {
+	if !subject.up && m.State != Dead && sinceLastChange() > DetectBound {
 		k.report(violationDetect, observer, m)
 	}
-	if subject.up && m.State == Dead && since(r.deadSince) > RejoinBound {
+	if subject.up && m.State == Dead && sinceLastChange(r.deadSince) > RejoinBound {
 		k.report(violationRejoin, observer, m)
 	}
-	left, leaving := k.leaveTimes[subject]
+	leaveTime, hasLeft := k.leaveTimes[subject]
 	bound := LeaveBound
-	if left.Before(k.networkChangedAt) || left.Before(observer.upChangedAt) {
+	if leaveTime.Before(k.networkChangedAt) || leaveTime.Before(observer.upChangedAt) {
 		bound = DetectBound
 	}
-	if leaving && m.State != Leaving && m.State != Dead && since(left) > bound {
+	if hasLeft && m.State != Leaving && m.State != Dead && sinceLastChange(leaveTime) > bound {
 		k.report(violationLeave, observer, m)
 	}
 }
--- a/coord/member/churn_test.go
+++ b/coord/member/churn_test.go
@@ -33,7 +33,7 @@
 	s.startNode(replacement, roster)
 	s.at(s.now.Add(rosterLag), func() {
 		updated := slices.DeleteFunc(s.roster(), func(e RosterEntry) bool { return !s.byAddr[e.Addr].up })
-		for _, n := range s.up() {
+		for _, n := range s.liveNodes() {
 			n.core.setRoster(s.now, updated)
 		}
 	})
@@ -41,35 +41,36 @@
 }
 
 // TestChurn replaces a host every 30 s, which is 2,880 a day, at 1% message
-// loss. It checks that the traffic stays within its limit, that new hosts
-// become known before the roster contains them, and that no dead members remain
-// at the end. With CHERRYWARD_MEMBER_FULL set, the test runs 1,000 members.
+// loss. It checks that the traffic stays within its limit and that no dead
+// members remain at the end. It logs how long new hosts take to appear in the
+// views of all live nodes; the roster contains them only after a minute. With
+// CHERRYWARD_MEMBER_FULL set, the test runs 1,000 members.
 func TestChurn(t *testing.T) {
 	n := 100
 	if os.Getenv("CHERRYWARD_MEMBER_FULL") != "" {
 		n = 1000
 	}
 	s := newSim(n, 21)
-	s.loss = 0.01
+	s.lossRate = 0.01
 	s.startNodes(s.nodes...)
 	s.awaitQuiet(10 * time.Minute)
-	var known []time.Duration
-	bytes := s.meanTraffic(func() {
+	var delays []time.Duration
+	bytesPerSecond := s.meanTraffic(func() {
 		for i := range 8 {
 			end := s.now.Add(30 * time.Second)
 			replacement := s.replaceHost(i, i%4 != 0, time.Minute)
-			isKnown := func(r *record) bool { return r.incarnation == replacement.core.self.incarnation }
-			known = append(known, s.awaitEach([]*simNode{replacement}, 20*time.Second, isKnown)...)
+			hasReported := func(r *record) bool { return r.incarnation == replacement.core.self.incarnation }
+			delays = append(delays, s.awaitEach([]*simNode{replacement}, 20*time.Second, hasReported)...)
 			s.run(end.Sub(s.now))
 		}
 	})
-	delays := quantilesOf(known)
-	t.Logf("members %d: new host known after %v s, %.0f B/s", n, delays, bytes)
-	test.LessEq(t, 20*time.Second, delays.p99)
-	test.LessEq(t, 2048, bytes)
+	appearance := quantilesOf(delays)
+	t.Logf("members %d: new host in all views after %v s, %.0f B/s", n, appearance, bytesPerSecond)
+	test.LessEq(t, 20*time.Second, appearance.p99)
+	test.LessEq(t, 2048, bytesPerSecond)
 	s.run(2*time.Minute + deadRetention)
-	for _, observer := range s.up() {
-		test.Len(t, n, observer.core.sorted)
+	for _, observer := range s.liveNodes() {
+		test.Len(t, n, observer.core.records)
 		test.Len(t, 0, observer.core.deadMembers)
 	}
 }
--- a/coord/member/core.go
+++ b/coord/member/core.go
@@ -12,11 +12,15 @@
 
 // Protocol timing.
 const (
-	tickInterval         = 200 * time.Millisecond
-	probeInterval        = time.Second
-	exchangeTimeout      = 500 * time.Millisecond
-	reconnectInterval    = 5 * time.Second
-	suspicionTTL         = 5 * time.Second
+	tickInterval      = 200 * time.Millisecond
+	probeInterval     = time.Second
+	exchangeTimeout   = 500 * time.Millisecond
+	reconnectInterval = 5 * time.Second
+	// suspicionTimeout is the time after which an unconfirmed suspicion is
+	// discarded.
+	suspicionTimeout = 5 * time.Second
+	// refutationWindow is the time in which a member can refute a confirmed
+	// suspicion before it becomes Dead.
 	refutationWindow     = 2 * time.Second
 	isolationTimeout     = 10 * time.Second
 	deadRetention        = time.Minute
@@ -30,24 +34,30 @@
 
 // Limits on work and memory.
 const (
-	flushFanout        = 3
-	flushPerSecond     = 6
-	flushBurst         = 12
-	confirmationChecks = 2
-	// maxReplacements limits how many other peers are tried when a peer cannot
-	// run a check of one suspected member. Without the limit, a node whose
-	// calls all fail immediately (connection refused) would try every peer in
-	// quick succession.
+	flushFanout = 3
+	// flushMessagesPerSecond and flushMessageBurst limit the messages that
+	// flushUrgent sends.
+	flushMessagesPerSecond = 6
+	flushMessageBurst      = 12
+	// peersPerCheck is the number of peers requested to probe a member that this
+	// node could not reach.
+	peersPerCheck = 2
+	// maxReplacements limits, for each failed probe of a member, how many other
+	// peers are tried after a peer that was asked to check the member could not
+	// be reached. Without the limit, a node whose calls all fail immediately
+	// (connection refused) would try every peer in quick succession.
 	maxReplacements = 4
 	// probeRetries and checkRetries are the number of times a failed exchange
-	// is repeated before the failure counts against the peer. A check, which
-	// supplements the probes of another observer, uses fewer retries.
+	// is repeated before the failure counts against the peer. probeRetries
+	// applies to the regular probes, and checkRetries to all others: those that
+	// another node requested, those in the probe queue, and reconnects to
+	// members that are not on the roster.
 	probeRetries = 2
 	checkRetries = 1
 	// maxPending limits the exchanges with one peer that are queued or in
 	// flight.
 	maxPending        = 2
-	maxQueuedChecks   = 8
+	maxQueuedProbes   = 8
 	syncResponseBurst = 8
 	// unlistedBase and listedPerUnlisted limit the members that are not on the
 	// roster to unlistedBase plus one for every listedPerUnlisted members on
@@ -58,7 +68,7 @@
 
 // core implements the protocol as a state machine without goroutines, clock or
 // I/O. Each step receives the current time and may add exchanges to the outbox.
-// The driver fetches these with takeOutbox and reports each outcome with
+// The caller (List) fetches these with takeOutbox and reports each outcome with
 // completeExchange.
 type core struct {
 	now     time.Time
@@ -67,31 +77,40 @@
 	topo    topology
 	stats   Stats
 
-	self        *record
-	byID        map[string]*record
-	sorted      []*record
+	self *record
+	byID map[string]*record
+	// records contains all records, also those of dead members, sorted by ID.
+	records []*record
+	// suspects contains the live members with a suspicion, confirmed or not.
 	suspects    []*record
 	deadMembers []*record
-	// listed is the number of valid entries on the newest roster.
-	listed int
+	// listedCount is the number of valid entries on the newest roster.
+	listedCount int
 
 	version    uint64
 	lastChange time.Time
 	isolated   bool
 	superseded bool
 
-	lastContact   time.Time
-	nextProbe     time.Time
-	nextReconnect time.Time
+	// lastAnyContact is the time of the last message from any other member.
+	lastAnyContact time.Time
+	nextProbe      time.Time
+	nextReconnect  time.Time
 
+	// updateQueue contains the members about which updates are added to
+	// regular messages.
 	updateQueue []*record
-	urgent      []*record
-	lastFlush   time.Time
-	flushLimit  *rate.Limiter
-	checkQueue  []*record
+	// urgentUpdates contains the members whose update flushUrgent sends next.
+	urgentUpdates []*record
+	lastFlush     time.Time
+	flushLimit    *rate.Limiter
+	// probeQueue contains members to probe in addition to the regular probes of
+	// the peers.
+	probeQueue []*record
 
-	digest            uint32
-	buckets           [bucketCount]uint32
+	digest uint32
+	// bucketDigests contains the digest of each bucket of the view.
+	bucketDigests     [bucketCount]uint32
 	mismatchSince     time.Time
 	syncLimit         *rate.Limiter
 	syncResponseLimit *rate.Limiter
@@ -106,11 +125,11 @@
 		started:           now,
 		rng:               rng,
 		byID:              make(map[string]*record),
-		lastContact:       now,
+		lastAnyContact:    now,
 		lastChange:        now,
 		nextProbe:         now.Add(jitter(rng, probeInterval)),
 		nextReconnect:     now.Add(jitter(rng, reconnectInterval)),
-		flushLimit:        rate.NewLimiter(flushPerSecond, flushBurst),
+		flushLimit:        rate.NewLimiter(flushMessagesPerSecond, flushMessageBurst),
 		syncLimit:         rate.NewLimiter(rate.Every(syncInterval), 1),
 		syncResponseLimit: rate.NewLimiter(rate.Every(syncResponseInterval), syncResponseBurst),
 	}
@@ -136,8 +155,8 @@
 // insert adds a new record. The member must not be dead.
 func (c *core) insert(r *record) {
 	c.byID[r.id] = r
-	i, _ := slices.BinarySearchFunc(c.sorted, r.id, compareID)
-	c.sorted = slices.Insert(c.sorted, i, r)
+	i, _ := slices.BinarySearchFunc(c.records, r.id, compareID)
+	c.records = slices.Insert(c.records, i, r)
 	c.topo.add(r)
 	c.updateDigest(r)
 	c.markChanged()
@@ -148,14 +167,14 @@
 	delete(c.byID, r.id)
 	c.topo.remove(r)
 	c.clearSuspicion(r)
-	c.buckets[r.bucket()] ^= r.digest
+	c.bucketDigests[r.bucket()] ^= r.digest
 	c.digest ^= r.digest
-	i, _ := slices.BinarySearchFunc(c.sorted, r.id, compareID)
-	c.sorted = slices.Delete(c.sorted, i, i+1)
+	i, _ := slices.BinarySearchFunc(c.records, r.id, compareID)
+	c.records = slices.Delete(c.records, i, i+1)
 	c.deadMembers = withoutRecord(c.deadMembers, r)
 	c.updateQueue = withoutRecord(c.updateQueue, r)
-	c.urgent = withoutRecord(c.urgent, r)
-	c.checkQueue = withoutRecord(c.checkQueue, r)
+	c.urgentUpdates = withoutRecord(c.urgentUpdates, r)
+	c.probeQueue = withoutRecord(c.probeQueue, r)
 	c.markChanged()
 }
 
@@ -182,7 +201,7 @@
 	if !now.Before(c.nextProbe) {
 		c.nextProbe = c.nextProbe.Add(probeInterval)
 		c.probePeer()
-		c.runNextCheck()
+		c.probeNextQueued()
 	}
 	if !now.Before(c.nextReconnect) {
 		c.nextReconnect = c.nextReconnect.Add(reconnectInterval)
@@ -190,7 +209,7 @@
 		c.removeExpiredDead()
 	}
 	c.flushUrgent()
-	isolated := c.topo.len() > 1 && now.Sub(c.lastContact) > isolationTimeout
+	isolated := c.topo.len() > 1 && now.Sub(c.lastAnyContact) > isolationTimeout
 	if isolated != c.isolated {
 		c.isolated = isolated
 		c.markChanged()
@@ -198,9 +217,9 @@
 }
 
 // probePeer starts the regular exchange with the next peer that has no exchange
-// in flight. It tries at most watchCount peers.
+// in flight. It tries at most successorCount peers.
 func (c *core) probePeer() {
-	for range watchCount {
+	for range successorCount {
 		r := c.topo.nextPeer()
 		if r == nil {
 			return
@@ -212,13 +231,14 @@
 	}
 }
 
-// runNextCheck probes the first member of the check queue.
-func (c *core) runNextCheck() {
-	if len(c.checkQueue) == 0 {
+// probeNextQueued removes the first member from the probe queue and probes it
+// unless it is dead.
+func (c *core) probeNextQueued() {
+	if len(c.probeQueue) == 0 {
 		return
 	}
-	r := c.checkQueue[0]
-	c.checkQueue = c.checkQueue[1:]
+	r := c.probeQueue[0]
+	c.probeQueue = c.probeQueue[1:]
 	if !r.dead {
 		c.send(r, sendOptions{retries: checkRetries})
 	}
@@ -228,7 +248,7 @@
 // partition find each other again, and one live member that is not on the
 // roster, which other nodes may have removed from their views.
 func (c *core) reconnect() {
-	unlisted := slices.DeleteFunc(slices.Clone(c.sorted), func(r *record) bool {
+	unlisted := slices.DeleteFunc(slices.Clone(c.records), func(r *record) bool {
 		return r.listed || r.dead || r == c.self
 	})
 	if len(unlisted) > 0 {
@@ -253,11 +273,11 @@
 func (c *core) snapshot() View {
 	v := View{
 		Version:    c.version,
-		Members:    make([]Member, len(c.sorted)),
+		Members:    make([]Member, len(c.records)),
 		Isolated:   c.isolated,
 		Superseded: c.superseded,
 	}
-	for i, r := range c.sorted {
+	for i, r := range c.records {
 		v.Members[i] = r.member()
 	}
 	return v
--- a/coord/member/cost_test.go
+++ b/coord/member/cost_test.go
@@ -22,7 +22,7 @@
 			r.sendCount = c.maxSends()
 		}
 		c.appendUpdates(nil)
-		c.urgent = nil
+		c.urgentUpdates = nil
 		c.takeOutbox()
 	}
 	return a, b
--- a/coord/member/exchange.go
+++ b/coord/member/exchange.go
@@ -13,7 +13,7 @@
 	opts sendOptions
 }
 
-// sendOptions describes the purpose of a request.
+// sendOptions selects the content of a request and the handling of its failure.
 type sendOptions struct {
 	// retries is the number of times to repeat a failed exchange before the
 	// failure counts against the peer.
@@ -31,8 +31,9 @@
 	updates []*record
 }
 
-// send queues an exchange with the member, unless maxPending exchanges with it
-// are already queued or in flight.
+// send queues an exchange with the member. It does nothing if maxPending
+// exchanges with the member are already queued or in flight, or if the member is
+// this node.
 func (c *core) send(r *record, opts sendOptions) {
 	if r.pending >= maxPending || r == c.self {
 		return
@@ -56,7 +57,7 @@
 		m.Entries = append(m.Entries, opts.checkTarget.suspectEntry())
 	}
 	if opts.sync {
-		m.Buckets = slices.Clone(c.buckets[:])
+		m.BucketDigests = slices.Clone(c.bucketDigests[:])
 	}
 	if len(opts.pushBuckets) > 0 {
 		m.Entries = c.appendBucketEntries(m.Entries, opts.pushBuckets)
@@ -64,8 +65,8 @@
 	return m
 }
 
-// newMessage returns a message to the peer. If the peer is dead or a confirmed
-// suspect in this view, the message contains that entry, so that the peer can
+// newMessage returns a message to the peer. If the peer is Dead or Suspect in
+// this view, the message contains an entry with that state, so that the peer can
 // refute it.
 func (c *core) newMessage(peer *record) *Message {
 	m := &Message{From: c.self.selfReportEntry(), Digest: c.digest}
@@ -95,23 +96,24 @@
 	if req.Check != "" {
 		c.handleCheck(req, resp)
 	}
-	if len(req.Buckets) == bucketCount && c.syncResponseLimit.AllowN(now, 1) {
-		c.compareBuckets(req.Buckets, resp)
+	if len(req.BucketDigests) == bucketCount && c.syncResponseLimit.AllowN(now, 1) {
+		c.compareBuckets(req.BucketDigests, resp)
 	}
 	c.flushUrgent()
 	resp.Digest = c.digest
 	return resp
 }
 
-// recordDiffers reports whether the record of a live, unsuspected member
-// differs from the entry that the member sent about itself.
+// recordDiffers reports whether the record of a member differs from the entry
+// that the member sent about itself. It returns false for this node, for a dead
+// member and for one with a confirmed suspicion.
 func (c *core) recordDiffers(r *record, e *Entry) bool {
 	return r != c.self && !r.dead && !r.confirmed() && (r.incarnation != e.Incarnation || r.seq != e.Seq)
 }
 
 // handleCheck starts a probe of the member that the request names. If the
-// member is dead here, or unknown here and described in the request, the
-// response reports it as Dead immediately. An unknown member counts as dead.
+// member is dead in this view, or is not in this view but the request contains
+// an entry about it, the response reports it as Dead immediately.
 func (c *core) handleCheck(req, resp *Message) {
 	r := c.byID[req.Check]
 	switch {
@@ -129,35 +131,35 @@
 	}
 }
 
-// mergeMessage merges a message from an authenticated peer. It ignores a
-// message whose sender does not describe itself as Alive or Leaving, and
-// entries beyond maxEntries.
+// mergeMessage merges a message from an authenticated peer. It rejects a message
+// in which the sender reports itself as neither Alive nor Leaving, and entries
+// beyond maxEntries.
 func (c *core) mergeMessage(m *Message) {
 	if m.From.State != Alive && m.From.State != Leaving {
-		c.stats.Refused++
+		c.stats.Rejected++
 		return
 	}
 	c.mergeEntry(&m.From, m.From.ID)
 	if r := c.byID[m.From.ID]; r != nil {
-		c.recordContact(r)
+		c.markContact(r)
 	}
 	for i := range m.Entries {
 		if i >= maxEntries {
-			c.stats.Refused++
+			c.stats.Rejected++
 			return
 		}
 		c.mergeEntry(&m.Entries[i], m.From.ID)
 	}
 }
 
-// recordContact records a successful exchange with the member. It clears an
+// markContact records that a message arrived from the member. It clears an
 // unconfirmed suspicion and restarts the refutation window of a confirmed one.
-func (c *core) recordContact(r *record) {
+func (c *core) markContact(r *record) {
 	if r == c.self {
 		return
 	}
-	r.lastSeen = c.now
-	c.lastContact = c.now
+	r.lastContact = c.now
+	c.lastAnyContact = c.now
 	switch {
 	case r.dead || r.suspicion == nil:
 	case r.suspicion.confirmed:
@@ -182,8 +184,8 @@
 	}
 	c.mergeMessage(resp)
 	switch {
-	case len(resp.Want) > 0 && ex.opts.sync:
-		c.send(r, sendOptions{pushBuckets: resp.Want, ignoreFailure: true})
+	case len(resp.DifferingBuckets) > 0 && ex.opts.sync:
+		c.send(r, sendOptions{pushBuckets: resp.DifferingBuckets, ignoreFailure: true})
 	case resp.Digest == c.digest:
 		c.mismatchSince = time.Time{}
 	default:
@@ -193,8 +195,10 @@
 }
 
 // handleFailure processes a failed exchange. It repeats the exchange while
-// retries remain. After that it requests a check from another peer or, unless
-// ignoreFailure is set, counts the failure against the peer.
+// retries remain. After that, if the exchange requested a check, it requests the
+// check from another peer; otherwise, unless ignoreFailure is set, it counts the
+// failure against the peer. Failures of dead peers are only counted in the
+// statistics.
 func (c *core) handleFailure(ex *exchange) {
 	c.stats.Failures++
 	switch {
@@ -207,7 +211,7 @@
 		c.requestReplacementCheck(ex.opts.checkTarget)
 	case ex.opts.ignoreFailure:
 	default:
-		c.recordUnreachable(ex.peer)
+		c.markUnreachable(ex.peer)
 	}
 	c.flushUrgent()
 }
--- a/coord/member/faults_test.go
+++ b/coord/member/faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestNewNodeDetectsDeadMembers starts a node after a failure domain has
+// TestNewNodeDetectsDeadMembers restarts a node after a failure domain has
 // stopped, with a roster that still lists the stopped hosts. The node must
 // detect them as dead within DetectBound.
 func TestNewNodeDetectsDeadMembers(t *testing.T) {
@@ -30,23 +30,24 @@
 	test.LessEq(t, DetectBound, quantilesOf(times).max)
 }
 
-// settledChecker returns a checker for n nodes whose views agree.
-func settledChecker(n int, seed uint64) *checker {
+// newQuietChecker returns a checker for n nodes whose views agree.
+func newQuietChecker(n int, seed uint64) *checker {
 	s := newSim(n, seed)
 	s.startNodes(s.nodes...)
 	s.awaitQuiet(2 * time.Minute)
 	return newChecker(s)
 }
 
-// runScenario causes each kind of failure once. Node a monitors node b.
+// runScenario causes each kind of failure once. Node b is the first successor of
+// node a on the ring.
 func runScenario(t *testing.T, k *checker) {
 	s := k.s
 	a := s.nodes[0]
 	b := s.byAddr[a.core.topo.selectPeers(1)[0].addr]
-	k.mustStayAlive = []*simNode{a, b}
+	k.disconnectedPair = []*simNode{a, b}
 	k.setBlocked(func(x, y *simNode) bool { return x == a && y == b || x == b && y == a })
 	k.run(30 * time.Second)
-	k.mustStayAlive = nil
+	k.disconnectedPair = nil
 	// Node a is disconnected until it is Dead, and then reconnected.
 	k.setBlocked(func(x, y *simNode) bool { return x == a || y == a })
 	k.run(20 * time.Second)
@@ -114,7 +115,7 @@
 			k.s.at(k.s.now.Add(5*time.Second), func() { k.s.nodes[3].core.markDead(k.s.nodes[3].core.self) })
 		}},
 	} {
-		k := settledChecker(12, 7)
+		k := newQuietChecker(12, 7)
 		c.breakProtocol(k)
 		runScenario(t, k)
 		if c.violation == "" {
@@ -135,12 +136,12 @@
 		seeds = n
 	}
 	for seed := range uint64(seeds) {
-		k := settledChecker(24, seed)
+		k := newQuietChecker(24, seed)
 		s := k.s
-		s.loss = []float64{0, 0.01, 0.05}[seed%3]
+		s.lossRate = []float64{0, 0.01, 0.05}[seed%3]
 		for range 12 {
 			n := s.nodes[s.rng.IntN(len(s.nodes))]
-			_, left := k.leaveTimes[n]
+			_, hasLeft := k.leaveTimes[n]
 			switch s.rng.IntN(6) {
 			case 0:
 				s.crash(n)
@@ -150,7 +151,7 @@
 					s.startNode(n, s.roster())
 				}
 			case 2:
-				if n.up && !left && len(k.leaveTimes) < 4 {
+				if n.up && !hasLeft && len(k.leaveTimes) < 4 {
 					k.leave(n)
 				}
 			case 3:
@@ -166,7 +167,7 @@
 		k.setBlocked(nil)
 		k.run(RejoinBound + 30*time.Second)
 		must.MapEmpty(t, k.violations, must.Sprint("seed ", seed, k.violations))
-		for _, observer := range s.up() {
+		for _, observer := range s.liveNodes() {
 			for _, subject := range s.nodes {
 				must.Eq(t, subject.up, !observer.core.byID[subject.entry.ID].dead, must.Sprint("seed ", seed, observer.entry.ID, subject.entry.ID))
 			}
@@ -175,11 +176,12 @@
 }
 
 // TestRosterLeaving checks that a member is shown as Leaving by all nodes,
-// itself included, if the roster of a single node marks it so. A member that is
+// itself included, if the roster of a single node marks it as Leaving. A member
+// that is
 // removed from the roster is also shown as Leaving.
 func TestRosterLeaving(t *testing.T) {
-	k := settledChecker(30, 9)
-	k.s.loss = 0.05
+	k := newQuietChecker(30, 9)
+	k.s.lossRate = 0.05
 	roster := k.s.roster()
 	roster[7].Leaving = true
 	k.s.nodes[0].core.setRoster(k.s.now, roster)
@@ -195,7 +197,7 @@
 // TestSuperseded starts a second process with the ID of a live node. The newer
 // process must take over the ID, and the older one must be superseded.
 func TestSuperseded(t *testing.T) {
-	k := settledChecker(10, 11)
+	k := newQuietChecker(10, 11)
 	k.run(2 * startupWindow)
 	old := k.s.nodes[4]
 	newer := &simNode{index: 10, entry: old.entry}
--- a/coord/member/fuzz_test.go
+++ b/coord/member/fuzz_test.go
@@ -40,7 +40,7 @@
 		must.True(t, ok)
 		must.True(t, self.State == Alive || self.State == Leaving)
 		var digest uint32
-		for _, r := range l.core.sorted {
+		for _, r := range l.core.records {
 			must.Eq(t, r.computeDigest(), r.digest)
 			digest ^= r.digest
 		}
--- a/coord/member/gossip.go
+++ b/coord/member/gossip.go
@@ -9,13 +9,13 @@
 // also sent separately, by flushUrgent.
 func (c *core) queueUpdate(r *record, urgent bool) {
 	r.sendCount = 0
-	if !r.queued {
-		r.queued = true
+	if !r.inUpdateQueue {
+		r.inUpdateQueue = true
 		c.updateQueue = slices.Insert(c.updateQueue, 0, r)
 	}
-	if urgent && !r.urgent {
-		r.urgent = true
-		c.urgent = append(c.urgent, r)
+	if urgent && !r.inUrgentUpdates {
+		r.inUrgentUpdates = true
+		c.urgentUpdates = append(c.urgentUpdates, r)
 		c.prioritizeLeave()
 	}
 }
@@ -23,30 +23,30 @@
 // prioritizeLeave moves the newest urgent update to the front if the member is
 // leaving, because LeaveBound is the shortest of the time bounds.
 func (c *core) prioritizeLeave() {
-	last := len(c.urgent) - 1
-	r := c.urgent[last]
+	last := len(c.urgentUpdates) - 1
+	r := c.urgentUpdates[last]
 	if r.leaving {
-		copy(c.urgent[1:], c.urgent[:last])
-		c.urgent[0] = r
+		copy(c.urgentUpdates[1:], c.urgentUpdates[:last])
+		c.urgentUpdates[0] = r
 	}
 }
 
-// maxSends is the number of times a node transmits one update. It grows with
-// the logarithm of the number of members.
+// maxSends is the limit on sendCount at which an update is removed from the
+// queue. It grows with the logarithm of the number of members.
 func (c *core) maxSends() int {
 	return bits.Len(uint(c.topo.len())) + 2
 }
 
 // appendUpdates appends the updates at the front of the queue, at most
-// maxUpdates. It moves them to the back, and removes those that have been
-// transmitted maxSends times.
+// maxUpdates. It moves them to the back of the queue, and removes updates whose
+// sendCount has reached maxSends.
 func (c *core) appendUpdates(entries []Entry) []Entry {
 	var requeued []*record
-	taken, sent := 0, 0
-	for ; taken < len(c.updateQueue) && sent < maxUpdates; taken++ {
-		r := c.updateQueue[taken]
+	examined, sent := 0, 0
+	for ; examined < len(c.updateQueue) && sent < maxUpdates; examined++ {
+		r := c.updateQueue[examined]
 		if r.sendCount >= c.maxSends() {
-			r.queued = false
+			r.inUpdateQueue = false
 			continue
 		}
 		entries = append(entries, r.updateEntry())
@@ -54,25 +54,25 @@
 		sent++
 		requeued = append(requeued, r)
 	}
-	c.updateQueue = append(slices.Delete(c.updateQueue, 0, taken), requeued...)
+	c.updateQueue = append(slices.Delete(c.updateQueue, 0, examined), requeued...)
 	return entries
 }
 
 // flushUrgent sends urgent updates to flushFanout peers, at most once per
 // flushInterval and within the rate limit.
 func (c *core) flushUrgent() {
-	if len(c.urgent) == 0 || c.now.Sub(c.lastFlush) < flushInterval {
+	if len(c.urgentUpdates) == 0 || c.now.Sub(c.lastFlush) < flushInterval {
 		return
 	}
 	if !c.flushLimit.AllowN(c.now, flushFanout) {
 		return
 	}
 	c.lastFlush = c.now
-	n := min(maxUpdates, len(c.urgent))
-	updates := slices.Clone(c.urgent[:n])
-	c.urgent = slices.Delete(c.urgent, 0, n)
+	n := min(maxUpdates, len(c.urgentUpdates))
+	updates := slices.Clone(c.urgentUpdates[:n])
+	c.urgentUpdates = slices.Delete(c.urgentUpdates, 0, n)
 	for _, r := range updates {
-		r.urgent = false
+		r.inUrgentUpdates = false
 	}
 	remaining := flushFanout
 	for _, p := range c.topo.selectPeers(c.topo.len()) {
@@ -90,15 +90,15 @@
 // bucket and of the view.
 func (c *core) updateDigest(r *record) {
 	d := r.computeDigest()
-	c.buckets[r.bucket()] ^= r.digest ^ d
+	c.bucketDigests[r.bucket()] ^= r.digest ^ d
 	c.digest ^= r.digest ^ d
 	r.digest = d
 }
 
 // handleDigestMismatch requests a comparison of bucket digests from the peer.
-// It does so only if this view has not changed for syncQuietPeriod, so that
-// gossip is unlikely to resolve the difference, or if the mismatch has lasted
-// for syncMismatchTimeout.
+// It does so only if this view has not changed for syncQuietPeriod, in which
+// case gossip is unlikely to resolve the difference, or if the mismatch has
+// lasted for syncMismatchTimeout.
 func (c *core) handleDigestMismatch(r *record) {
 	if c.mismatchSince.IsZero() {
 		c.mismatchSince = c.now
@@ -111,16 +111,16 @@
 	}
 }
 
-// compareBuckets fills the response to a digest comparison with the numbers of
+// compareBuckets fills the response to a digest comparison with the indices of
 // the buckets that differ and with the records in these buckets.
-func (c *core) compareBuckets(buckets []uint32, resp *Message) {
+func (c *core) compareBuckets(peerDigests []uint32, resp *Message) {
 	c.stats.Syncs++
-	for i, d := range buckets {
-		if d != c.buckets[i] {
-			resp.Want = append(resp.Want, i)
+	for i, d := range peerDigests {
+		if d != c.bucketDigests[i] {
+			resp.DifferingBuckets = append(resp.DifferingBuckets, i)
 		}
 	}
-	resp.Entries = c.appendBucketEntries(resp.Entries, resp.Want)
+	resp.Entries = c.appendBucketEntries(resp.Entries, resp.DifferingBuckets)
 }
 
 // appendBucketEntries appends the records in the given buckets, at most
@@ -133,9 +133,9 @@
 			selected[b] = true
 		}
 	}
-	start, remaining := c.rng.IntN(len(c.sorted)), maxSyncEntries
-	for i := range c.sorted {
-		r := c.sorted[(start+i)%len(c.sorted)]
+	start, remaining := c.rng.IntN(len(c.records)), maxSyncEntries
+	for i := range c.records {
+		r := c.records[(start+i)%len(c.records)]
 		if remaining == 0 || !selected[r.bucket()] || r == c.self {
 			continue
 		}
--- a/coord/member/list.go
+++ b/coord/member/list.go
@@ -34,7 +34,7 @@
 }
 
 // New returns a list that contains only this node. The list sends nothing until
-// Run is called. It returns ErrInvalidSelf if cfg.Self is unusable.
+// Run is called. New returns ErrInvalidSelf if cfg.Self is unusable.
 func New(cfg Config) (*List, error) {
 	self := Entry{ID: cfg.Self.ID, Addr: cfg.Self.Addr, Domain: cfg.Self.Domain}
 	if !self.valid() || self.Addr == "" {
@@ -56,7 +56,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
-		for _, ex := range l.takeExchanges() {
+		for _, ex := range l.takeOutbox() {
 			wg.Go(func() { l.exchange(ctx, ex) })
 		}
 		select {
@@ -69,8 +69,8 @@
 	}
 }
 
-// takeExchanges returns the queued exchanges and removes them from the core.
-func (l *List) takeExchanges() []*exchange {
+// takeOutbox returns the queued exchanges and removes them from the core.
+func (l *List) takeOutbox() []*exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.core.takeOutbox()
@@ -122,8 +122,9 @@
 
 // SetRoster replaces the roster with the newest list from the platform. The
 // list must be complete. An empty list is ignored, because a platform that
-// reports no hosts has failed. Once a roster entry marks a member as Leaving,
-// the current incarnation of the member stays Leaving.
+// reports no hosts has failed. If an entry marks a member as Leaving whose
+// incarnation is known and that is not Dead, that incarnation stays Leaving. For
+// any other member, the mark applies only until the roster changes.
 func (l *List) SetRoster(roster []RosterEntry) {
 	if len(roster) == 0 {
 		return
@@ -131,9 +132,10 @@
 	l.step(func(now time.Time) { l.core.setRoster(now, roster) })
 }
 
-// Leave announces to the peers that this node is leaving. It returns
-// immediately; Run must continue for at least LeaveBound. Leaving cannot be
-// reverted. Further calls have no effect.
+// Leave announces that this node is leaving. It returns immediately; Run must
+// continue for at least LeaveBound so that the other nodes receive the
+// announcement. Leaving cannot be reverted. Further calls only send updates that
+// are still queued.
 func (l *List) Leave() {
 	l.step(func(now time.Time) { l.core.leave(now) })
 }
@@ -143,12 +145,12 @@
 func (l *List) View() View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.snapshot()
+	return l.currentView()
 }
 
-// snapshot returns the cached view, and first renews it if it is out of date.
+// currentView returns the cached view, after renewing it if it is out of date.
 // The caller must hold the lock.
-func (l *List) snapshot() View {
+func (l *List) currentView() View {
 	if l.view.Version != l.core.version {
 		l.view = l.core.snapshot()
 	}
@@ -170,7 +172,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ch := make(chan View, 1)
-	ch <- l.snapshot()
+	ch <- l.currentView()
 	l.subscribers[ch] = true
 	cancel := func() {
 		l.mu.Lock()
@@ -188,6 +190,6 @@
 		case <-ch:
 		default:
 		}
-		ch <- l.snapshot()
+		ch <- l.currentView()
 	}
 }
--- a/coord/member/measure_test.go
+++ b/coord/member/measure_test.go
@@ -13,27 +13,27 @@
 
 // measurements is the result of one run of measure.
 type measurements struct {
-	// agreed is the time until all views were equal, settled the time until
-	// also no update was queued.
-	agreed, settled time.Duration
-	// domainBytes and rejoinBytes are the mean traffic per node, in bytes per
-	// second, after the loss of a failure domain and after the end of a network
+	// agreed is the time until all views were equal. quiet is the time until, in
+	// addition, no update was queued.
+	agreed, quiet time.Duration
+	// domainBytesPerSecond and rejoinBytesPerSecond are the mean traffic per
+	// node after the loss of a failure domain and after the end of a network
 	// partition.
-	domainBytes float64
-	rejoinBytes float64
-	// crash, leave, domain and rejoin are the times until all live nodes
+	domainBytesPerSecond float64
+	rejoinBytesPerSecond float64
+	// crash, leave, domain and rejoin are the times until each live node
 	// detected the event.
 	crash, leave   quantiles
 	domain, rejoin quantiles
-	// bytes and maxBytes (bytes per second), messages (per second) and peers
-	// are means and maxima over the nodes in the steady state.
-	bytes, maxBytes              float64
-	messages                     float64
-	peers                        float64
-	falseSuspicions, falseDeaths int
-	// splitDeadShare is the fraction of the pairs of nodes on different sides
+	// bytesPerSecond, messagesPerSecond and contactedPeers are means over the
+	// nodes in the steady state, maxBytesPerSecond is the maximum.
+	bytesPerSecond, maxBytesPerSecond float64
+	messagesPerSecond                 float64
+	contactedPeers                    float64
+	falseSuspicions, falseDeaths      int
+	// partitionDeadShare is the fraction of the pairs of nodes on different sides
 	// of a network partition in which the first shows the second as dead.
-	splitDeadShare float64
+	partitionDeadShare float64
 }
 
 // quantiles summarizes the times until a change reached the view of each live
@@ -61,7 +61,7 @@
 	started := s.now
 	type pair struct{ observer, subject *simNode }
 	var waiting []pair
-	for _, observer := range s.up() {
+	for _, observer := range s.liveNodes() {
 		for _, subject := range subjects {
 			if r := observer.core.byID[subject.entry.ID]; observer != subject && (r == nil || !done(r)) {
 				waiting = append(waiting, pair{observer, subject})
@@ -85,14 +85,14 @@
 	return times
 }
 
-// awaitAgreement runs until the digests of all live views are equal, and
-// returns the time that this took.
+// awaitAgreement runs until the digests of the views of all live nodes are
+// equal, or until limit, and returns the time that this took.
 func (s *sim) awaitAgreement(limit time.Duration) time.Duration {
-	return s.runUntil(limit, func(n *simNode) bool { return n.core.digest == s.up()[0].core.digest })
+	return s.runUntil(limit, func(n *simNode) bool { return n.core.digest == s.liveNodes()[0].core.digest })
 }
 
-// awaitQuiet runs until all live views agree and no update is queued, and
-// returns the time that this took.
+// awaitQuiet runs until the views of all live nodes agree and no update is
+// queued, at most limit for each, and returns the time that this took.
 func (s *sim) awaitQuiet(limit time.Duration) time.Duration {
 	started := s.now
 	s.awaitAgreement(limit)
@@ -106,7 +106,7 @@
 	started := s.now
 	for s.now.Sub(started) < limit {
 		s.run(time.Second)
-		if !slices.ContainsFunc(s.up(), func(n *simNode) bool { return !done(n) }) {
+		if !slices.ContainsFunc(s.liveNodes(), func(n *simNode) bool { return !done(n) }) {
 			break
 		}
 	}
@@ -117,22 +117,22 @@
 // sends while f runs.
 func (s *sim) meanTraffic(f func()) float64 {
 	started, sent := s.now, 0
-	for _, n := range s.up() {
-		n.sent = 0
+	for _, n := range s.liveNodes() {
+		n.sentBytes = 0
 	}
 	f()
-	for _, n := range s.up() {
-		sent += n.sent
+	for _, n := range s.liveNodes() {
+		sent += n.sentBytes
 	}
-	return float64(sent) / float64(len(s.up())) / s.now.Sub(started).Seconds()
+	return float64(sent) / float64(len(s.liveNodes())) / s.now.Sub(started).Seconds()
 }
 
 // deadPairs counts the pairs of live nodes in which the first shows the second
 // as dead.
 func (s *sim) deadPairs() int {
 	dead := 0
-	for _, observer := range s.up() {
-		for _, subject := range s.up() {
+	for _, observer := range s.liveNodes() {
+		for _, subject := range s.liveNodes() {
 			if observer.core.byID[subject.entry.ID].dead {
 				dead++
 			}
@@ -144,7 +144,7 @@
 // countSuspicionsAndDeaths sums the confirmed suspicions and the deaths counted
 // by all live nodes.
 func (s *sim) countSuspicionsAndDeaths() (suspected, deaths int) {
-	for _, n := range s.up() {
+	for _, n := range s.liveNodes() {
 		suspected += int(n.core.stats.Confirmed)
 		deaths += int(n.core.stats.Deaths)
 	}
@@ -157,10 +157,10 @@
 func measure(n int, loss float64, seed uint64, randomPeers bool) measurements {
 	const steady = 30 * time.Second
 	s := newSim(n, seed)
-	s.randomPeers, s.loss = randomPeers, loss
+	s.randomPeers, s.lossRate = randomPeers, loss
 	s.startNodes(s.nodes...)
 	m := measurements{agreed: s.awaitAgreement(10 * time.Minute)}
-	m.settled = m.agreed + s.awaitQuiet(10*time.Minute)
+	m.quiet = m.agreed + s.awaitQuiet(10*time.Minute)
 	s.measureSteadyState(steady, &m)
 
 	isDead := func(r *record) bool { return r.dead }
@@ -186,15 +186,15 @@
 			s.crash(v)
 		}
 	}
-	m.domainBytes = s.meanTraffic(func() { m.domain = quantilesOf(s.awaitEach(lost, 2*time.Minute, isDead)) })
+	m.domainBytesPerSecond = s.meanTraffic(func() { m.domain = quantilesOf(s.awaitEach(lost, 2*time.Minute, isDead)) })
 	s.run(30 * time.Second)
 
 	s.blocked = func(a, b *simNode) bool { return a.index < n/2 != (b.index < n/2) }
 	s.run(2 * time.Minute)
-	m.splitDeadShare = float64(s.deadPairs()) / float64(len(s.up())*len(s.up())/2)
+	m.partitionDeadShare = float64(s.deadPairs()) / float64(len(s.liveNodes())*len(s.liveNodes())/2)
 	s.blocked = nil
-	m.rejoinBytes = s.meanTraffic(func() {
-		m.rejoin = quantilesOf(s.awaitEach(s.up(), 5*time.Minute, func(r *record) bool { return !r.dead }))
+	m.rejoinBytesPerSecond = s.meanTraffic(func() {
+		m.rejoin = quantilesOf(s.awaitEach(s.liveNodes(), 5*time.Minute, func(r *record) bool { return !r.dead }))
 	})
 	return m
 }
@@ -203,18 +203,18 @@
 func (s *sim) measureSteadyState(d time.Duration, m *measurements) {
 	suspected, deaths := s.countSuspicionsAndDeaths()
 	for _, n := range s.nodes {
-		n.sent, n.messages = 0, 0
-		clear(n.peers)
+		n.sentBytes, n.sentMessages = 0, 0
+		clear(n.contactedAddrs)
 	}
 	s.run(d)
 	suspectedAfter, deathsAfter := s.countSuspicionsAndDeaths()
 	m.falseSuspicions, m.falseDeaths = suspectedAfter-suspected, deathsAfter-deaths
 	for _, n := range s.nodes {
-		rate := float64(n.sent) / d.Seconds()
-		m.bytes += rate / float64(len(s.nodes))
-		m.maxBytes = max(m.maxBytes, rate)
-		m.messages += float64(n.messages) / d.Seconds() / float64(len(s.nodes))
-		m.peers += float64(len(n.peers)) / float64(len(s.nodes))
+		rate := float64(n.sentBytes) / d.Seconds()
+		m.bytesPerSecond += rate / float64(len(s.nodes))
+		m.maxBytesPerSecond = max(m.maxBytesPerSecond, rate)
+		m.messagesPerSecond += float64(n.sentMessages) / d.Seconds() / float64(len(s.nodes))
+		m.contactedPeers += float64(len(n.contactedAddrs)) / float64(len(s.nodes))
 	}
 }
 
@@ -238,7 +238,7 @@
 			}
 		}
 	}
-	t.Log("| peers | members | loss | agree / settle s | crash s p50/p99/max | leave s | domain s | domain B/s | split dead | rejoin s | rejoin B/s | B/s | max B/s | msg/s | dialed | false suspects | false deaths |")
+	t.Log("| topology | members | loss | agree / quiet s | crash s p50/p99/max | leave s | domain s | domain B/s | partition dead | rejoin s | rejoin B/s | B/s | max B/s | msg/s | peers contacted | false suspects | false deaths |")
 	for _, r := range runs {
 		wall := time.Now()
 		m := measure(r.n, r.loss, 42, r.random)
@@ -247,20 +247,20 @@
 			kind = "random"
 		}
 		t.Logf("| %s | %d | %.0f%% | %.0f / %.0f | %v | %v | %v | %.0f | %.2f | %v | %.0f | %.0f | %.0f | %.1f | %.1f | %d | %d |",
-			kind, r.n, 100*r.loss, m.agreed.Seconds(), m.settled.Seconds(),
-			m.crash, m.leave, m.domain, m.domainBytes, m.splitDeadShare, m.rejoin, m.rejoinBytes,
-			m.bytes, m.maxBytes, m.messages, m.peers, m.falseSuspicions, m.falseDeaths)
+			kind, r.n, 100*r.loss, m.agreed.Seconds(), m.quiet.Seconds(),
+			m.crash, m.leave, m.domain, m.domainBytesPerSecond, m.partitionDeadShare, m.rejoin, m.rejoinBytesPerSecond,
+			m.bytesPerSecond, m.maxBytesPerSecond, m.messagesPerSecond, m.contactedPeers, m.falseSuspicions, m.falseDeaths)
 		t.Log("wall", time.Since(wall).Round(time.Millisecond))
 		if r.random {
 			continue
 		}
 		test.LessEq(t, DetectBound, m.crash.max)
 		test.LessEq(t, DetectBound, m.domain.p99)
-		test.LessEq(t, DomainBound, m.domain.max)
+		test.LessEq(t, DomainDetectBound, m.domain.max)
 		test.LessEq(t, LeaveBound, m.leave.max)
 		test.LessEq(t, RejoinBound, m.rejoin.max)
-		test.LessEq(t, 256, m.bytes)
-		test.LessEq(t, 2.5, m.messages)
+		test.LessEq(t, 256, m.bytesPerSecond)
+		test.LessEq(t, 2.5, m.messagesPerSecond)
 		test.Zero(t, m.falseSuspicions)
 		must.Zero(t, m.falseDeaths)
 	}
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -11,28 +11,31 @@
 const (
 	// DetectBound is the maximum time until a stopped member is Dead.
 	DetectBound = 20 * time.Second
-	// DomainBound is the maximum time until all members of a failure domain
+	// DomainDetectBound is the maximum time until all members of a failure domain
 	// that stops at once are Dead.
-	DomainBound = 30 * time.Second
+	DomainDetectBound = 30 * time.Second
 	// RejoinBound is the maximum time that a reachable member stays Dead.
 	RejoinBound = 60 * time.Second
-	// LeaveBound is the maximum time until all peers show a member that leaves
-	// as Leaving.
+	// LeaveBound is the maximum time until all connected nodes show a leaving
+	// member as Leaving.
 	LeaveBound = 3 * time.Second
 )
 
 // State is the status of a member in a view.
 type State uint8
 
-// States of a member. Only Alive and Suspect members should receive new work.
+// States of a member. A member is live unless it is Dead. Only Alive and Suspect
+// members should receive new work.
 const (
 	// Alive means that there is no confirmed suspicion against the member.
 	Alive State = iota
-	// Suspect means that two observers could not reach the member. The member
-	// can still refute this.
+	// Suspect means that two observers could not reach the member, or one
+	// observer whose view contains no other live member. The member can still
+	// refute this.
 	Suspect
-	// Leaving means that the member, or the roster, announced that the member
-	// is leaving. It completes its work and must not receive new work.
+	// Leaving means that the member reported that it is leaving, that the roster
+	// marks it as leaving, or that it was removed from the roster. It completes
+	// its work and must not receive new work.
 	Leaving
 	// Dead means that the member did not refute the suspicion in time.
 	Dead
@@ -70,8 +73,11 @@
 	Version uint64
 	// Members is sorted by ID.
 	Members []Member
-	// Isolated is set when no exchange has succeeded for 10 s. The states of
-	// the other members are then out of date, and none of them becomes Dead.
+	// Isolated is set when no message from another member has arrived for 10 s
+	// while at least one other member is not Dead. The states of the other
+	// members are then out of date, and none of them becomes Dead. If the view
+	// contains only one other member, that member becomes Dead first and
+	// Isolated is never set.
 	Isolated bool
 	// Superseded is set when another process uses this node's ID.
 	Superseded bool
@@ -109,18 +115,19 @@
 	// Exchanges counts the exchanges that were started, Failures those that
 	// failed.
 	Exchanges, Failures uint64
-	// Suspicions counts the failed probes by this node that count against a
-	// member. Confirmed counts the suspicions that enough observers confirmed.
-	Suspicions, Confirmed uint64
-	// Deaths counts the changes of members to Dead, Revivals those from Dead
+	// FailedProbes counts the probes that failed after all retries and so
+	// counted against a member. Confirmed counts the suspicions that enough
+	// observers confirmed.
+	FailedProbes, Confirmed uint64
+	// Deaths counts the changes of members to Dead, Recoveries those from Dead
 	// back to live.
-	Deaths, Revivals uint64
+	Deaths, Recoveries uint64
 	// Refutations counts how often this node raised its Seq to override reports
 	// about itself.
 	Refutations uint64
 	// Syncs counts the digest comparisons that were requested or answered.
 	Syncs uint64
-	// Refused counts how often a message or an entry was discarded because it
+	// Rejected counts how often a message or an entry was discarded because it
 	// was invalid or exceeded a limit.
-	Refused uint64
+	Rejected uint64
 }
--- a/coord/member/merge.go
+++ b/coord/member/merge.go
@@ -1,10 +1,10 @@
 package member
 
-// mergeEntry merges an entry about a member that the sender transmitted. It
-// discards invalid entries.
+// mergeEntry merges one entry of a message from the given sender. It discards
+// invalid entries.
 func (c *core) mergeEntry(e *Entry, sender string) {
 	if !e.valid() {
-		c.stats.Refused++
+		c.stats.Rejected++
 		return
 	}
 	if e.ID == c.self.id {
@@ -24,7 +24,7 @@
 }
 
 // mergeSelfReport merges an entry in which a member described itself as Alive
-// or Leaving. r is nil if the member is unknown here.
+// or Leaving. r is nil if this view does not contain the member.
 func (c *core) mergeSelfReport(r *record, e *Entry) {
 	switch {
 	case e.Incarnation == 0:
@@ -37,29 +37,29 @@
 		c.countDuplicate(r, e)
 		c.mergeLeaving(r, e)
 	case r.olderThan(e.Incarnation, e.Seq):
-		c.updateRecord(r, e)
+		c.applySelfReport(r, e)
 	}
 }
 
 // addUnlisted adds a member that is not on the roster. It discards the entry if
 // it has no address or if the limit on such members is reached.
 func (c *core) addUnlisted(e *Entry) {
-	if e.Addr == "" || len(c.sorted)-c.listed >= unlistedBase+c.listed/listedPerUnlisted {
-		c.stats.Refused++
+	if e.Addr == "" || len(c.records)-c.listedCount >= unlistedBase+c.listedCount/listedPerUnlisted {
+		c.stats.Rejected++
 		return
 	}
 	r := newRecord(e.ID)
-	c.applyEntry(r, e)
+	c.copySelfReport(r, e)
 	c.insert(r)
 	c.queueUpdate(r, true)
 }
 
-// updateRecord applies a newer self-report. It clears any suspicion and marks a
-// dead member as live again.
-func (c *core) updateRecord(r *record, e *Entry) {
+// applySelfReport applies a member's newer report about itself. It clears any
+// suspicion and marks a dead member as live again.
+func (c *core) applySelfReport(r *record, e *Entry) {
 	wasDown := r.dead || r.confirmed()
 	wasLeaving := r.leaving
-	c.applyEntry(r, e)
+	c.copySelfReport(r, e)
 	c.clearSuspicion(r)
 	if r.dead {
 		c.markAlive(r)
@@ -69,11 +69,11 @@
 	c.queueUpdate(r, wasDown || r.leaving && !wasLeaving)
 }
 
-// applyEntry copies a newer self-report to the record. An incarnation that is
-// Leaving stays so.
-func (c *core) applyEntry(r *record, e *Entry) {
-	r.sameIncarnation = r.incarnation == e.Incarnation
-	keepLeaving := r.sameIncarnation && r.leaving
+// copySelfReport copies the fields of a member's newer report about itself to
+// the record. A leaving incarnation stays Leaving.
+func (c *core) copySelfReport(r *record, e *Entry) {
+	r.omitAddr = r.incarnation == e.Incarnation
+	keepLeaving := r.omitAddr && r.leaving
 	r.incarnation, r.seq = e.Incarnation, e.Seq
 	r.leaving = keepLeaving || e.State == Leaving
 	if e.Addr != "" {
@@ -81,18 +81,18 @@
 	}
 }
 
-// countDuplicate counts the receipt of an update that is queued here as one
-// transmission of it, so that an update that all nodes know is removed from the
-// queues early.
+// countDuplicate counts the receipt of an update that this node has queued as
+// one transmission of it, so that an update that all nodes have received is
+// removed from the queues early.
 func (c *core) countDuplicate(r *record, e *Entry) {
-	if r.queued && r.seq == e.Seq && r.leaving == (e.State == Leaving) {
+	if r.inUpdateQueue && r.seq == e.Seq && r.leaving == (e.State == Leaving) {
 		r.sendCount++
 	}
 }
 
-// mergeLeaving marks a live member as leaving if the entry says so. The entry
-// can have the same Seq as the record, because another node may have read the
-// leave from the roster.
+// mergeLeaving marks a live member as leaving if the entry is Leaving. The entry
+// can have the same Seq as the record, because another node may have marked the
+// member as leaving on account of the roster, which does not change Seq.
 func (c *core) mergeLeaving(r *record, e *Entry) {
 	if e.State == Leaving && !r.leaving && !r.dead {
 		c.setLeaving(r)
@@ -107,12 +107,15 @@
 	c.queueUpdate(r, true)
 }
 
-// mergeOwnEntry processes an entry about this node. It refutes a Suspect or
-// Dead entry by raising its Seq. It also raises its Seq above that of another
-// incarnation of its ID that is Leaving, or that is reported within
-// startupWindow and is therefore assumed to be the previous process of this
-// node. A newer incarnation reported later belongs to another process and
-// supersedes this one.
+// mergeOwnEntry processes an entry about this node's ID. If the entry has this
+// node's incarnation and is Leaving, the node is marked as leaving. Apart from
+// this, an entry with a lower Seq than the node's is ignored.
+//
+// The node raises its Seq above the entry's if the entry is Suspect or Dead (to
+// refute it), if it has this incarnation with a higher Seq, or if it has another
+// incarnation that is Leaving. During the first startupWindow it does so for any
+// other incarnation, which is probably the previous process of this node. Later,
+// a newer incarnation belongs to another process and supersedes this node.
 func (c *core) mergeOwnEntry(e *Entry) {
 	s := c.self
 	sameIncarnation := e.Incarnation == s.incarnation
@@ -126,7 +129,7 @@
 	switch {
 	case sameIncarnation && !down && e.Seq == s.seq:
 	case sameIncarnation || down || e.State == Leaving || c.now.Sub(c.started) < startupWindow:
-		s.sameIncarnation = sameIncarnation
+		s.omitAddr = sameIncarnation
 		c.raiseSeq(e.Seq + 1)
 	case s.olderThan(e.Incarnation, e.Seq) && !c.superseded:
 		c.superseded = true
--- a/coord/member/message.go
+++ b/coord/member/message.go
@@ -7,25 +7,28 @@
 	maxIDLen     = 64
 	maxAddrLen   = 128
 	maxDomainLen = 64
-	// maxUpdates limits the updates that are piggybacked on one message.
+	// maxUpdates limits the updates from the queues in one message.
 	maxUpdates = 12
 	// maxSyncEntries limits the records that one message transfers for a digest
 	// comparison.
 	maxSyncEntries = 48
-	// maxEntries limits the entries that a receiver processes of one message.
+	// maxEntries limits the entries of one message that a receiver processes.
+	// The additional 4 leave room for entries about the receiver and about the
+	// member to check.
 	maxEntries = maxUpdates + maxSyncEntries + 4
 	// bucketCount is the number of buckets into which a view is divided. Each
 	// bucket has its own digest.
 	bucketCount = 64
 	// maxObservers limits the observers in one Suspect entry.
 	maxObservers = 2
-	// maxSeq prevents a peer from exhausting the sequence numbers of a member.
+	// maxSeq is the largest valid Seq. It prevents an overflow when a node
+	// raises its Seq above that of an entry.
 	maxSeq = math.MaxUint32 / 2
 )
 
 // Message is a request or a response. Both have the same format.
 type Message struct {
-	// From is the entry of the sender about itself.
+	// From is the sender's entry about itself.
 	From Entry `json:"f"`
 	// Entries describe other members, or the receiver.
 	Entries []Entry `json:"e,omitempty"`
@@ -34,11 +37,12 @@
 	// Check is the ID of a member that the receiver is requested to probe, if
 	// any.
 	Check string `json:"c,omitempty"`
-	// Buckets contains the digests of all bucketCount buckets, if the sender
+	// BucketDigests contains the digests of all bucketCount buckets, if the sender
 	// requests a comparison.
-	Buckets []uint32 `json:"b,omitempty"`
-	// Want lists the buckets that differ, in the response to Buckets.
-	Want []int `json:"w,omitempty"`
+	BucketDigests []uint32 `json:"b,omitempty"`
+	// DifferingBuckets lists the indices of the buckets whose digests differ, in
+	// the response to a request with BucketDigests.
+	DifferingBuckets []int `json:"w,omitempty"`
 }
 
 // Entry is a report about one member.
--- a/coord/member/record.go
+++ b/coord/member/record.go
@@ -16,21 +16,21 @@
 	incarnation uint64
 	seq         uint32
 	leaving     bool
-	// sameIncarnation is set when the newest report is of the incarnation that
-	// was already known. Updates then omit the address.
-	sameIncarnation bool
+	// omitAddr is set when the newest report has the same incarnation as the one
+	// before it, so that updates can omit the address.
+	omitAddr bool
 
 	listed        bool
 	rosterAddr    string
 	rosterLeaving bool
-	// delisted is set when the roster contained the member and then dropped it.
+	// delisted is set when the member was removed from the roster.
 	delisted bool
 
 	dead      bool
 	deadSince time.Time
 	suspicion *suspicion
-	// lastSeen is the time of the last successful exchange with the member.
-	lastSeen time.Time
+	// lastContact is the time of the last message from the member.
+	lastContact time.Time
 	// pending counts the exchanges with the member that are queued or in
 	// flight.
 	pending int
@@ -40,16 +40,19 @@
 	// sendCount counts the transmissions of the queued update, and the copies
 	// of it received from peers.
 	sendCount int
-	queued    bool
-	urgent    bool
+	// inUpdateQueue and inUrgentUpdates report whether updateQueue and
+	// urgentUpdates of the core contain the record.
+	inUpdateQueue   bool
+	inUrgentUpdates bool
 }
 
-// suspicion applies to one incarnation of a member at one Seq.
+// suspicion contains the observers that could not reach a member. It applies to
+// one incarnation of the member and one Seq.
 type suspicion struct {
 	observers []string
 	confirmed bool
-	// replacements counts the checks requested from another peer because the
-	// first peer could not be reached.
+	// replacements counts the checks requested from other peers, since the last
+	// failed probe, because a peer could not be reached.
 	replacements int
 	// deadline is the time at which the suspicion expires or, if it is
 	// confirmed, at which the member becomes Dead.
@@ -114,7 +117,7 @@
 }
 
 // suspectEntry returns an entry with the suspicion of the member. It omits the
-// address, because nodes that do not know the member ignore the entry.
+// address, because nodes whose view does not contain the member ignore the entry.
 func (r *record) suspectEntry() Entry {
 	e := Entry{ID: r.id, Incarnation: r.incarnation, Seq: r.seq, State: Suspect}
 	if r.suspicion != nil {
@@ -123,9 +126,10 @@
 	return e
 }
 
-// deadEntry returns an entry that reports the member as Dead. Receivers do not
-// accept this without evidence of their own: they probe the member, or count
-// the sender as one observer.
+// deadEntry returns an entry that reports the member as Dead. A receiver does
+// not mark the member as dead because of the entry alone: it counts the sender
+// as one observer if it already suspects the member, and otherwise probes the
+// member.
 func (r *record) deadEntry() Entry {
 	return Entry{ID: r.id, Incarnation: r.incarnation, Seq: r.seq, State: Dead}
 }
@@ -136,7 +140,7 @@
 		return r.suspectEntry()
 	}
 	e := r.selfReportEntry()
-	if r.sameIncarnation {
+	if r.omitAddr {
 		e.Addr, e.Domain = "", ""
 	}
 	return e
--- a/coord/member/ring.go
+++ b/coord/member/ring.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// watchCount is the number of successors that a node monitors, and so the
-	// number of nodes that monitor it.
-	watchCount = 3
-	hashBits   = 64
+	// successorCount is the number of successors on the ring among the peers of
+	// a node.
+	successorCount = 3
+	hashBits       = 64
 )
 
 // topology selects the peers with which a node exchanges messages.
@@ -18,32 +18,36 @@
 	// add and remove maintain the set of members that are not Dead.
 	add(r *record)
 	remove(r *record)
+	// len returns the number of members that are not Dead, including this node.
 	len() int
 	// nextPeer returns the peer for the next regular exchange, or nil if there
 	// is none.
 	nextPeer() *record
 	// selectPeers returns up to n distinct peers to which to send updates or
-	// check requests, in an order that spreads updates well.
+	// check requests, in order of preference.
 	selectPeers(n int) []*record
 }
 
 // ring is a topology with a fixed set of peers, so that connections are reused:
-// the next watchCount members in hash order, and the first member at or after
+// the next successorCount members in hash order, and the first member at or after
 // each power-of-two distance on the ring (the fingers). Adding or removing a
 // member changes the peers of few nodes.
 type ring struct {
 	self    *record
 	rng     *rand.Rand
 	members []*record
-	// dirty is set when watched and fingers must be recomputed.
-	dirty   bool
-	watched []*record
-	fingers []*record
-	// unprobed contains the watched members that have not been probed yet. They
-	// are probed first: when a failure domain stops, the next successor may be
-	// dead too.
-	unprobed  []*record
-	nextCount int
+	// dirty is set when successors and fingers must be recomputed.
+	dirty      bool
+	successors []*record
+	fingers    []*record
+	// unprobed contains the members that became successors at the last refresh
+	// and have not been probed since. They are probed first: when a failure
+	// domain stops, the next successor may have stopped too.
+	unprobed []*record
+	// rotation counts the calls of nextPeer that found no unprobed member. Such a
+	// call selects a successor if rotation is odd, and a finger, if there is one,
+	// if it is even.
+	rotation int
 }
 
 var _ topology = (*ring)(nil)
@@ -72,7 +76,7 @@
 func (g *ring) len() int { return len(g.members) }
 
 // nextPeer returns the unprobed members first, and then alternates between the
-// watched members and the fingers.
+// successors and the fingers.
 func (g *ring) nextPeer() *record {
 	g.refresh()
 	if len(g.unprobed) > 0 {
@@ -80,23 +84,23 @@
 		g.unprobed = g.unprobed[1:]
 		return r
 	}
-	g.nextCount++
-	peers := g.watched
-	if g.nextCount%2 == 0 && len(g.fingers) > 0 {
+	g.rotation++
+	peers := g.successors
+	if g.rotation%2 == 0 && len(g.fingers) > 0 {
 		peers = g.fingers
 	}
 	if len(peers) == 0 {
 		return nil
 	}
-	return peers[g.nextCount/2%len(peers)]
+	return peers[g.rotation/2%len(peers)]
 }
 
-// selectPeers returns the successor first, so that an update that reaches one
-// member also reaches the next one on the ring, and then the other peers in
-// random order.
+// selectPeers returns the first successor, followed by the other peers in random
+// order. An update that reaches one member thus also reaches the next one on the
+// ring.
 func (g *ring) selectPeers(n int) []*record {
 	g.refresh()
-	peers := slices.Concat(g.watched, g.fingers)
+	peers := slices.Concat(g.successors, g.fingers)
 	if len(peers) > 0 {
 		rest := peers[1:]
 		g.rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
@@ -104,20 +108,20 @@
 	return peers[:min(n, len(peers))]
 }
 
-// refresh recomputes the watched members and the fingers if the members have
+// refresh recomputes the successors and the fingers if the set of members has
 // changed.
 func (g *ring) refresh() {
 	if !g.dirty {
 		return
 	}
 	g.dirty = false
-	previous := g.watched
-	g.watched, g.fingers, g.unprobed = nil, nil, nil
+	previous := g.successors
+	g.successors, g.fingers, g.unprobed = nil, nil, nil
 	selfIndex, _ := slices.BinarySearchFunc(g.members, g.self, compareRecords)
 	n := len(g.members)
-	for i := 1; i <= watchCount && i < n; i++ {
+	for i := 1; i <= successorCount && i < n; i++ {
 		r := g.members[(selfIndex+i)%n]
-		g.watched = append(g.watched, r)
+		g.successors = append(g.successors, r)
 		if !slices.Contains(previous, r) {
 			g.unprobed = append(g.unprobed, r)
 		}
@@ -139,5 +143,5 @@
 
 // isNewPeer reports whether r is another node and not yet a peer.
 func (g *ring) isNewPeer(r *record) bool {
-	return r != g.self && !slices.Contains(g.watched, r) && !slices.Contains(g.fingers, r)
+	return r != g.self && !slices.Contains(g.successors, r) && !slices.Contains(g.fingers, r)
 }
--- a/coord/member/roster.go
+++ b/coord/member/roster.go
@@ -16,23 +16,24 @@
 }
 
 // setRoster applies a new roster from the platform. A member that is no longer
-// listed is shown as Leaving as long as it responds.
+// listed is shown as Leaving as long as it responds; one that is known only from
+// the roster is removed immediately.
 func (c *core) setRoster(now time.Time, roster []RosterEntry) {
 	c.now = now
-	listed := make(map[string]bool, len(roster))
+	listedIDs := make(map[string]bool, len(roster))
 	for i := range roster {
 		e := &roster[i]
 		entry := Entry{ID: e.ID, Addr: e.Addr, Domain: e.Domain}
-		if !entry.valid() || listed[e.ID] {
-			c.stats.Refused++
+		if !entry.valid() || listedIDs[e.ID] {
+			c.stats.Rejected++
 			continue
 		}
-		listed[e.ID] = true
+		listedIDs[e.ID] = true
 		c.mergeRosterEntry(e)
 	}
-	c.listed = len(listed)
-	for _, r := range slices.Clone(c.sorted) {
-		if r.listed && !listed[r.id] {
+	c.listedCount = len(listedIDs)
+	for _, r := range slices.Clone(c.records) {
+		if r.listed && !listedIDs[r.id] {
 			c.delist(r)
 		}
 	}
@@ -41,8 +42,7 @@
 }
 
 // mergeRosterEntry merges one entry of the roster. While a member is live, the
-// address that it reports itself takes precedence over the address on the
-// roster.
+// address in its own reports takes precedence over the address on the roster.
 func (c *core) mergeRosterEntry(e *RosterEntry) {
 	r := c.byID[e.ID]
 	if r == nil {
@@ -77,6 +77,6 @@
 	}
 	r.listed, r.delisted = false, true
 	if !r.dead && r != c.self {
-		c.queueCheck(r)
+		c.queueProbe(r)
 	}
 }
--- a/coord/member/sim_test.go
+++ b/coord/member/sim_test.go
@@ -17,24 +17,33 @@
 	rng   *rand.Rand
 	queue eventQueue
 	// order is the number of events scheduled so far.
-	order       int
-	nodes       []*simNode
-	byAddr      map[string]*simNode
-	loss        float64
-	blocked     func(a, b *simNode) bool
-	tamper      func(from, to *simNode, m *Message)
+	order  int
+	nodes  []*simNode
+	byAddr map[string]*simNode
+	// lossRate is the probability that a message is lost.
+	lossRate float64
+	// blocked reports whether messages from a to b are lost. If it is nil, no
+	// link is blocked.
+	blocked func(a, b *simNode) bool
+	// tamper, if not nil, may change each message before it is sent.
+	tamper func(from, to *simNode, m *Message)
+	// randomPeers makes nodes select peers at random in place of the ring.
 	randomPeers bool
 }
 
+// simNode is one node of a sim. It keeps its entry when it restarts with a new
+// core.
 type simNode struct {
 	index       int
 	entry       RosterEntry
 	core        *core
 	up          bool
 	upChangedAt time.Time
-	sent        int
-	messages    int
-	peers       map[string]bool
+	// sentBytes and sentMessages count the traffic that the node sent.
+	sentBytes    int
+	sentMessages int
+	// contactedAddrs contains the addresses to which the node sent requests.
+	contactedAddrs map[string]bool
 }
 
 // event is a function scheduled for a virtual time. order breaks ties, in the
@@ -105,19 +114,20 @@
 	}
 	n.core.setRoster(s.now, roster)
 	n.up, n.upChangedAt = true, s.now
-	n.peers = make(map[string]bool)
-	s.tick(n, n.core, s.now.Add(jitter(s.rng, tickInterval)))
+	n.contactedAddrs = make(map[string]bool)
+	s.scheduleTicks(n, n.core, s.now.Add(jitter(s.rng, tickInterval)))
 }
 
-// tick schedules the periodic ticks of a node until it stops or restarts.
-func (s *sim) tick(n *simNode, c *core, at time.Time) {
+// scheduleTicks schedules the periodic ticks of a node until it stops or
+// restarts.
+func (s *sim) scheduleTicks(n *simNode, c *core, at time.Time) {
 	s.at(at, func() {
 		if !n.up || n.core != c {
 			return
 		}
 		c.tick(s.now)
 		s.sendQueued(n)
-		s.tick(n, c, at.Add(tickInterval))
+		s.scheduleTicks(n, c, at.Add(tickInterval))
 	})
 }
 
@@ -154,11 +164,11 @@
 func (s *sim) exchange(n *simNode, c *core, ex *exchange) {
 	started := s.now
 	fail := func() {
-		s.at(started.Add(exchangeTimeout), func() { s.reply(n, c, ex, nil, errLost) })
+		s.at(started.Add(exchangeTimeout), func() { s.completeExchange(n, c, ex, nil, errLost) })
 	}
 	peer := s.byAddr[ex.addr]
-	n.peers[ex.addr] = true
-	if !s.deliver(n, peer, ex.req) {
+	n.contactedAddrs[ex.addr] = true
+	if !s.transmit(n, peer, ex.req) {
 		fail()
 		return
 	}
@@ -169,25 +179,26 @@
 		}
 		resp := peer.core.handleRequest(s.now, ex.req)
 		s.sendQueued(peer)
-		if !s.deliver(peer, n, resp) {
+		if !s.transmit(peer, n, resp) {
 			fail()
 			return
 		}
-		s.at(s.now.Add(s.latency()), func() { s.reply(n, c, ex, resp, nil) })
+		s.at(s.now.Add(s.latency()), func() { s.completeExchange(n, c, ex, resp, nil) })
 	})
 }
 
-// reply passes the outcome of an exchange to the core, unless the node has
-// stopped or restarted.
-func (s *sim) reply(n *simNode, c *core, ex *exchange, resp *Message, err error) {
+// completeExchange passes the outcome of an exchange, a response or an error, to
+// the core, unless the node has stopped or restarted.
+func (s *sim) completeExchange(n *simNode, c *core, ex *exchange, resp *Message, err error) {
 	if n.up && n.core == c {
 		c.completeExchange(s.now, ex, resp, err)
 		s.sendQueued(n)
 	}
 }
 
-// deliver counts a message as sent and reports whether it arrives.
-func (s *sim) deliver(from, to *simNode, m *Message) bool {
+// transmit applies tamper to a message, counts the message as sent and reports
+// whether it arrives.
+func (s *sim) transmit(from, to *simNode, m *Message) bool {
 	if s.tamper != nil {
 		s.tamper(from, to, m)
 	}
@@ -195,9 +206,9 @@
 	if err != nil {
 		panic(err)
 	}
-	from.sent += len(b)
-	from.messages++
-	return to.up && s.rng.Float64() >= s.loss && !s.linkBlocked(from, to)
+	from.sentBytes += len(b)
+	from.sentMessages++
+	return to.up && s.rng.Float64() >= s.lossRate && !s.linkBlocked(from, to)
 }
 
 func (s *sim) linkBlocked(a, b *simNode) bool {
@@ -208,8 +219,8 @@
 	return time.Millisecond + jitter(s.rng, time.Millisecond)
 }
 
-// up returns the live nodes.
-func (s *sim) up() []*simNode {
+// liveNodes returns the live nodes.
+func (s *sim) liveNodes() []*simNode {
 	return slices.DeleteFunc(slices.Clone(s.nodes), func(n *simNode) bool { return !n.up })
 }
 
--- a/coord/member/suspicion.go
+++ b/coord/member/suspicion.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// recordUnreachable records that this node could not reach the member. If the
-// suspicion is not confirmed yet, it requests checks from other peers.
-func (c *core) recordUnreachable(r *record) {
-	c.stats.Suspicions++
+// markUnreachable adds this node to the observers that could not reach the
+// member. If the suspicion is not confirmed yet, it requests checks from other
+// peers.
+func (c *core) markUnreachable(r *record) {
+	c.stats.FailedProbes++
 	c.addObservers(r, c.self.id)
 	if !r.confirmed() {
-		r.suspicion.deadline = c.now.Add(suspicionTTL)
+		r.suspicion.deadline = c.now.Add(suspicionTimeout)
 		r.suspicion.replacements = 0
-		c.requestChecks(r, confirmationChecks)
+		c.requestChecks(r, peersPerCheck)
 	}
 }
 
@@ -22,7 +23,7 @@
 // observers.
 func (c *core) addObservers(r *record, observers ...string) {
 	if r.suspicion == nil {
-		r.suspicion = &suspicion{deadline: c.now.Add(suspicionTTL)}
+		r.suspicion = &suspicion{deadline: c.now.Add(suspicionTimeout)}
 		c.suspects = append(c.suspects, r)
 	}
 	for _, o := range observers {
@@ -51,11 +52,11 @@
 	c.queueUpdate(r, true)
 }
 
-// requestChecks requests a probe of the member from n peers, starting with
-// those contacted most recently.
+// requestChecks requests a probe of the member from n peers, starting with those
+// whose last message is the most recent.
 func (c *core) requestChecks(r *record, n int) {
 	peers := c.topo.selectPeers(c.topo.len())
-	slices.SortStableFunc(peers, func(a, b *record) int { return b.lastSeen.Compare(a.lastSeen) })
+	slices.SortStableFunc(peers, func(a, b *record) int { return b.lastContact.Compare(a.lastContact) })
 	for _, p := range peers {
 		if n == 0 {
 			return
@@ -67,8 +68,8 @@
 	}
 }
 
-// requestReplacementCheck requests a check from another peer after one could
-// not be reached, at most maxReplacements times per failed probe.
+// requestReplacementCheck requests a check from another peer after a peer could
+// not be reached, at most maxReplacements times for each failed probe.
 func (c *core) requestReplacementCheck(r *record) {
 	if r.suspicion != nil && !r.suspicion.confirmed && r.suspicion.replacements < maxReplacements {
 		r.suspicion.replacements++
@@ -77,19 +78,20 @@
 }
 
 // mergeSuspicion merges a Suspect entry. The observers count if the entry has
-// the incarnation known here, at the same or a newer Seq. An entry with another
-// incarnation that is newer than the record only queues a check of the member.
+// the incarnation of the record and the same or a higher Seq. An entry with
+// another incarnation that is newer than the record only queues a probe of the
+// member.
 func (c *core) mergeSuspicion(r *record, e *Entry) {
 	if r.incarnation == 0 {
-		// The member is known only from the roster, so there is no report of its
-		// own with which to compare the entry.
+		// The member is known only from the roster, so this view contains no
+		// incarnation of it yet and adopts that of the entry.
 		r.incarnation, r.seq = e.Incarnation, e.Seq
 		c.updateDigest(r)
 		c.markChanged()
 	}
 	if r.incarnation != e.Incarnation {
 		if r.olderThan(e.Incarnation, e.Seq) {
-			c.queueCheck(r)
+			c.queueProbe(r)
 		}
 		return
 	}
@@ -104,8 +106,8 @@
 	}
 }
 
-// mergeDeadReport merges a Dead entry. If the member is already suspected here,
-// the sender counts as an observer; otherwise a check of the member is queued.
+// mergeDeadReport merges a Dead entry. If this node already suspects the member,
+// the sender counts as an observer; otherwise a probe of the member is queued.
 // An entry older than the record is ignored.
 func (c *core) mergeDeadReport(r *record, e *Entry, sender string) {
 	sameReport := r.incarnation == e.Incarnation && r.seq == e.Seq
@@ -114,15 +116,15 @@
 	case r.suspicion != nil:
 		c.addObservers(r, sender)
 	default:
-		c.queueCheck(r)
+		c.queueProbe(r)
 	}
 }
 
-// queueCheck queues a probe of a member, unless one is already queued or
-// maxQueuedChecks is reached.
-func (c *core) queueCheck(r *record) {
-	if len(c.checkQueue) < maxQueuedChecks && !slices.Contains(c.checkQueue, r) {
-		c.checkQueue = append(c.checkQueue, r)
+// queueProbe queues a probe of a member, unless one is already queued or
+// maxQueuedProbes is reached.
+func (c *core) queueProbe(r *record) {
+	if len(c.probeQueue) < maxQueuedProbes && !slices.Contains(c.probeQueue, r) {
+		c.probeQueue = append(c.probeQueue, r)
 	}
 }
 
@@ -152,8 +154,8 @@
 	}
 }
 
-// markDead marks a member as dead. Its suspicion is kept, because queued
-// updates report it to peers.
+// markDead marks a member as dead. The suspicion is kept, because queued updates
+// report it to peers.
 func (c *core) markDead(r *record) {
 	r.dead = true
 	r.deadSince = c.now
@@ -171,5 +173,5 @@
 	r.deadSince = time.Time{}
 	c.deadMembers = withoutRecord(c.deadMembers, r)
 	c.topo.add(r)
-	c.stats.Revivals++
+	c.stats.Recoveries++
 }
