--- a/coord/ticket/answers.go
+++ b/coord/ticket/answers.go
@@ -10,11 +10,11 @@
 // to its content.
 const answerOverhead = 192
 
-// answerOwner identifies the cached answers of one account's tickets from one
+// answerKey identifies the cached answers of one account's tickets from one
 // incarnation.
-type answerOwner struct {
-	executor Incarnation
-	account  string
+type answerKey struct {
+	incarnation Incarnation
+	account     string
 }
 
 // cachedAnswer is the answer of a finished call, kept for retries.
@@ -24,107 +24,107 @@
 	storedAt    time.Time // with monotonic clock reading
 }
 
-func (k cachedAnswer) size() int { return len(k.answer) + answerOverhead }
+func (c cachedAnswer) size() int { return len(c.answer) + answerOverhead }
 
-// accountAnswers holds the cached answers of one owner, oldest first.
+// accountAnswers holds the cached answers of one answerKey, oldest first.
 type accountAnswers struct {
 	answers *simplelru.LRU[uint64, cachedAnswer]
 	bytes   int
 }
 
-// answerCache caches answers, with a maximum number of answers per owner and a
-// maximum total size in bytes. When the total is exceeded, the oldest answers of
-// the owner with the most bytes are evicted, so that a large account cannot
+// answerCache caches answers, with a maximum number of answers per answerKey and
+// a maximum total size in bytes. When the total is exceeded, the oldest answers
+// of the key with the most bytes are evicted, so that a large account cannot
 // evict the answers of a small one.
 type answerCache struct {
-	maxPerOwner int
-	maxBytes    int
-	ttl         time.Duration
-	bytes       int
-	byOwner     map[answerOwner]*accountAnswers
+	maxPerKey int
+	maxBytes  int
+	ttl       time.Duration
+	bytes     int
+	byKey     map[answerKey]*accountAnswers
 }
 
-func newAnswerCache(maxPerOwner, maxBytes int, ttl time.Duration) *answerCache {
+func newAnswerCache(maxPerKey, maxBytes int, ttl time.Duration) *answerCache {
 	return &answerCache{
-		maxPerOwner: maxPerOwner,
-		maxBytes:    maxBytes,
-		ttl:         ttl,
-		byOwner:     make(map[answerOwner]*accountAnswers),
+		maxPerKey: maxPerKey,
+		maxBytes:  maxBytes,
+		ttl:       ttl,
+		byKey:     make(map[answerKey]*accountAnswers),
 	}
 }
 
-func (c *answerCache) get(o answerOwner, serial uint64) (cachedAnswer, bool) {
-	s := c.byOwner[o]
-	if s == nil {
+func (c *answerCache) get(key answerKey, serial uint64) (cachedAnswer, bool) {
+	entry := c.byKey[key]
+	if entry == nil {
 		return cachedAnswer{}, false
 	}
-	c.removeExpired(o, s)
-	return s.answers.Peek(serial)
+	c.removeExpired(key, entry)
+	return entry.answers.Peek(serial)
 }
 
-func (c *answerCache) put(o answerOwner, serial uint64, k cachedAnswer) {
-	s := c.byOwner[o]
-	if s == nil {
-		s = c.newAccountAnswers(o)
+func (c *answerCache) put(key answerKey, serial uint64, cached cachedAnswer) {
+	entry := c.byKey[key]
+	if entry == nil {
+		entry = c.newAccountAnswers(key)
 	}
-	c.removeExpired(o, s)
-	c.byOwner[o] = s
-	s.bytes += k.size()
-	c.bytes += k.size()
-	s.answers.Add(serial, k)
+	c.removeExpired(key, entry)
+	c.byKey[key] = entry
+	entry.bytes += cached.size()
+	c.bytes += cached.size()
+	entry.answers.Add(serial, cached)
 	for c.bytes > c.maxBytes {
-		c.removeOldest(c.largestOwner())
+		c.removeOldest(c.largestKey())
 	}
 }
 
-func (c *answerCache) newAccountAnswers(o answerOwner) *accountAnswers {
-	s := &accountAnswers{}
-	onEvict := func(_ uint64, k cachedAnswer) {
-		s.bytes -= k.size()
-		c.bytes -= k.size()
+func (c *answerCache) newAccountAnswers(key answerKey) *accountAnswers {
+	entry := &accountAnswers{}
+	onEvict := func(_ uint64, cached cachedAnswer) {
+		entry.bytes -= cached.size()
+		c.bytes -= cached.size()
 	}
 	// NewLRU fails only if the size is not positive, which Config.validate
 	// excludes.
-	s.answers, _ = simplelru.NewLRU(c.maxPerOwner, onEvict)
-	return s
+	entry.answers, _ = simplelru.NewLRU(c.maxPerKey, onEvict)
+	return entry
 }
 
-// removeExpired removes the owner's answers that are older than the TTL.
-func (c *answerCache) removeExpired(o answerOwner, s *accountAnswers) {
+// removeExpired removes the key's answers that are older than the TTL.
+func (c *answerCache) removeExpired(key answerKey, entry *accountAnswers) {
 	for {
-		_, k, ok := s.answers.GetOldest()
-		if !ok || time.Since(k.storedAt) <= c.ttl {
+		_, cached, ok := entry.answers.GetOldest()
+		if !ok || time.Since(cached.storedAt) <= c.ttl {
 			return
 		}
-		c.removeOldest(o)
+		c.removeOldest(key)
 	}
 }
 
-func (c *answerCache) removeOldest(o answerOwner) {
-	s := c.byOwner[o]
-	s.answers.RemoveOldest()
-	if s.answers.Len() == 0 {
-		delete(c.byOwner, o)
+func (c *answerCache) removeOldest(key answerKey) {
+	entry := c.byKey[key]
+	entry.answers.RemoveOldest()
+	if entry.answers.Len() == 0 {
+		delete(c.byKey, key)
 	}
 }
 
 // removeIncarnation removes all answers of an incarnation's tickets.
-func (c *answerCache) removeIncarnation(executor Incarnation) {
-	for o, s := range c.byOwner {
-		if o.executor == executor {
-			c.bytes -= s.bytes
-			delete(c.byOwner, o)
+func (c *answerCache) removeIncarnation(incarnation Incarnation) {
+	for key, entry := range c.byKey {
+		if key.incarnation == incarnation {
+			c.bytes -= entry.bytes
+			delete(c.byKey, key)
 		}
 	}
 }
 
-// largestOwner returns the owner whose answers use the most bytes.
-func (c *answerCache) largestOwner() answerOwner {
-	var largest answerOwner
-	bytes := -1
-	for o, s := range c.byOwner {
-		if s.bytes > bytes {
-			largest, bytes = o, s.bytes
+// largestKey returns the key whose answers use the most bytes.
+func (c *answerCache) largestKey() answerKey {
+	var largest answerKey
+	largestBytes := -1
+	for key, entry := range c.byKey {
+		if entry.bytes > largestBytes {
+			largest, largestBytes = key, entry.bytes
 		}
 	}
 	return largest
--- a/coord/ticket/cluster_test.go
+++ b/coord/ticket/cluster_test.go
@@ -20,7 +20,7 @@
 // The property tests use a fixed seed unless a flag sets another one.
 func init() { flag.Set("rapid.seed", "1") }
 
-var key = ticket.Key(bytes.Repeat([]byte{7}, ticket.KeyBytes))
+var key = ticket.Key(bytes.Repeat([]byte{7}, ticket.MinKeyBytes))
 
 func config(self ticket.Incarnation) ticket.Config {
 	return ticket.Config{
@@ -103,7 +103,7 @@
 	}
 	c.nodes[i] = &process{self: self, exec: exec}
 	if c.injectedFault == faultReuseIncarnation {
-		exec.Issue("acme", 32)
+		exec.Issue("acme", 32) // so that the serials of earlier tickets count as issued again
 	}
 }
 
@@ -121,17 +121,17 @@
 
 // recordAttempt counts an attempt and returns its call. ok is false if the caller
 // no longer uses the ticket because it received not_run.
-func (c *cluster) recordAttempt(k int) (call ticket.Call, ok bool) {
+func (c *cluster) recordAttempt(ticketIndex int) (call ticket.Call, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tickets[k]
+	t := c.tickets[ticketIndex]
 	t.attempts++
 	return ticket.Call{Ticket: t.text, Account: "acme", First: t.attempts == 1}, !t.notRun
 }
 
-func (c *cluster) redeem(i, k int) {
-	p, t := c.nodes[i], c.tickets[k]
-	call, ok := c.recordAttempt(k)
+func (c *cluster) redeem(i, ticketIndex int) {
+	p, t := c.nodes[i], c.tickets[ticketIndex]
+	call, ok := c.recordAttempt(ticketIndex)
 	if !ok {
 		return
 	}
@@ -140,35 +140,37 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+pick(8))*time.Second)
 		defer cancel()
 		lookup := func(inc ticket.Incarnation) ticket.Presence { return c.lookup(pick, inc) }
-		r := ticket.Redeemer{Executor: p.exec, Lookup: lookup, Forwarder: faultyLink{c, pick, k}}
-		answer, err := r.Redeem(ctx, call, c.run(p, pick, k))
+		r := ticket.Redeemer{Executor: p.exec, Lookup: lookup, Forwarder: faultyLink{c, pick, ticketIndex}}
+		answer, err := r.Redeem(ctx, call, c.run(p, pick, ticketIndex))
 		if !p.dead.Load() {
-			c.checkAnswer(t, k, call.First, answer, err)
+			c.checkAnswer(t, ticketIndex, call.First, answer, err)
 		}
 	}()
 }
 
 // checkAnswer checks an answer or error against the executions that the service
 // counted.
-func (c *cluster) checkAnswer(t *issuedTicket, k int, first bool, answer ticket.Answer, err error) {
+func (c *cluster) checkAnswer(t *issuedTicket, ticketIndex int, first bool, answer ticket.Answer, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := &ticket.Error{}
 	final := errors.As(err, &e) && e.Final
 	switch ticket.StateOf(err) {
 	case ticket.Ran:
-		c.check(t.executions == 1, "ticket %d: ran, with %d executions", k, t.executions)
-		c.check(err != nil || string(answer) == strconv.Itoa(k), "ticket %d: answer %q", k, answer)
+		c.check(t.executions == 1, "ticket %d: ran, with %d executions", ticketIndex, t.executions)
+		c.check(err != nil || string(answer) == strconv.Itoa(ticketIndex), "ticket %d: answer %q", ticketIndex, answer)
 	case ticket.NotRun:
-		c.check(first || final, "ticket %d: non-final not_run for a retry: %v", k, err)
+		c.check(first || final, "ticket %d: non-final not_run for a retry: %v", ticketIndex, err)
 		if final || t.attempts == 1 {
-			c.check(t.executions == 0, "ticket %d: not_run, with %d executions", k, t.executions)
+			c.check(t.executions == 0, "ticket %d: not_run, with %d executions", ticketIndex, t.executions)
 			t.notRun = true
 		}
 	}
 }
 
-func (c *cluster) handOver(p, to *process, wait time.Duration) {
+// drain drains p, with to as its successor, for at most the given time, and stores
+// the handover record.
+func (c *cluster) drain(p, to *process, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	h, err := p.exec.Drain(ctx, to.self)
@@ -212,7 +214,7 @@
 		c.start(i)
 	case 3:
 		if i != j {
-			go c.handOver(c.nodes[i], c.nodes[j], time.Duration(c.pick(5))*time.Second)
+			go c.drain(c.nodes[i], c.nodes[j], time.Duration(c.pick(5))*time.Second)
 		}
 	case 4, 5:
 		c.deliverHandover(j)
--- a/coord/ticket/config.go
+++ b/coord/ticket/config.go
@@ -9,7 +9,8 @@
 // MaxWindow is the maximum of Config.Window.
 const MaxWindow = 1 << 20
 
-// Config configures an Executor. All fields are required.
+// Config configures an Executor. Self, Key, Window and KeepAnswers are required;
+// the other fields may be zero.
 type Config struct {
 	Self Incarnation // of this process, from NewIncarnation
 	Key  Key
@@ -34,8 +35,8 @@
 	switch {
 	case c.Self.Node == "" || len(c.Self.Node) > MaxNameBytes:
 		return errors.New("ticket: node ID is empty or too long")
-	case len(c.Key) < KeyBytes:
-		return fmt.Errorf("ticket: key is shorter than %d bytes", KeyBytes)
+	case len(c.Key) < MinKeyBytes:
+		return fmt.Errorf("ticket: key is shorter than %d bytes", MinKeyBytes)
 	case c.Window < 1 || c.Window > MaxWindow:
 		return fmt.Errorf("ticket: window is not between 1 and %d", MaxWindow)
 	case c.KeepAnswers < 1 || c.KeepBytes < 0 || c.KeepFor < 0 || c.AdoptFor < 0 || c.RunOn < 0:
--- a/coord/ticket/error.go
+++ b/coord/ticket/error.go
@@ -5,11 +5,10 @@
 	"fmt"
 )
 
-// RunState tells whether a call was executed. The zero value, MayHaveRun, is the
-// one without a guarantee.
+// RunState is what is certain about the execution of a call. The zero value,
+// MayHaveRun, is the one without a guarantee.
 type RunState uint8
 
-// The run states.
 const (
 	MayHaveRun RunState = iota // unknown; never retry the call with another ticket
 	NotRun                     // the call did not run
@@ -53,9 +52,9 @@
 	ReasonDifferentRequest Reason = "different_request" // ticket is bound to another request; this request is not_run
 	ReasonCancelled        Reason = "cancelled"         // caller cancelled before the call started; not_run
 	ReasonRefused          Reason = "refused"           // the service executed nothing, the ticket is used up; not_run
-	ReasonUnreachable      Reason = "unreachable"       // nothing was sent to the executor; not_run
+	ReasonUnreachable      Reason = "unreachable"       // the call reached no executor that serves the ticket; not_run
 	ReasonMoved            Reason = "moved"             // handed over to Error.Successor; not_run here
-	ReasonExpired          Reason = "expired"           // older than the executor's window; may_have_run
+	ReasonExpired          Reason = "expired"           // older than the window, or first handed over more than Config.AdoptFor ago; may_have_run
 	ReasonUnissued         Reason = "unissued"          // the executor has no record of issuing the serial; may_have_run
 	ReasonNotExecutor      Reason = "not_executor"      // this node does not serve the incarnation; may_have_run
 	ReasonExecutorGone     Reason = "executor_gone"     // the incarnation has ended; may_have_run
--- a/coord/ticket/executor.go
+++ b/coord/ticket/executor.go
@@ -13,10 +13,12 @@
 type Answer []byte
 
 // RunFunc executes the call. A nil error means that the call ran and that Answer
-// is its result, which may be an error response of the service. An error from
-// [Refused] means that nothing was executed. After any other error the outcome
-// is unknown, and the call is never started again. A RunFunc may try several
-// endpoints, as long as each previous one certainly executed nothing.
+// is its result, which may be an error response of the service. An *Error with
+// state NotRun, such as one from [Refused], means that nothing was executed, and
+// one with state Ran that the call ran but has no answer. After any other error
+// the outcome is unknown. In each of these cases the call is never started again.
+// A RunFunc may try several endpoints, as long as each previous one certainly
+// executed nothing.
 //
 // The context has the values of the first caller's context, but not its
 // cancellation and deadline, because other callers may wait for the same run or
@@ -25,14 +27,14 @@
 // deadline of the callers, and never if one of them has no deadline.
 type RunFunc func(ctx context.Context) (Answer, error)
 
-// Executor issues tickets that name this process and runs them at most once. It
-// is safe for concurrent use.
+// Executor issues tickets that name this process, and runs their calls and those
+// of adopted tickets at most once. It is safe for concurrent use.
 type Executor struct {
 	config Config
 
 	mu        sync.Mutex
 	ledgers   map[Incarnation]*ledger
-	retired   map[Incarnation]bool // formerly adopted, no longer served
+	retired   map[Incarnation]bool // adopted earlier; the ledger has been removed
 	answers   *answerCache
 	successor *Incarnation // set when draining; never cleared
 	handover  *Handover
@@ -40,8 +42,8 @@
 
 // ledger holds the state of the tickets issued by one incarnation.
 type ledger struct {
-	accounts  map[string]*accountState
-	adoptedAt time.Time // time of the first handover; zero for the executor's own ledger
+	accounts        map[string]*accountState
+	firstHandoverAt time.Time // time of the first handover; zero for the executor's own ledger
 }
 
 // accountState holds the state of one account's tickets in a ledger.
@@ -112,8 +114,8 @@
 		x.extendCancelTimer(ctx, e.config.RunOn)
 		return x, nil
 	}
-	if k, ok := e.answers.get(answerOwner{t.Executor, t.Account}, t.Serial); ok {
-		return finishedExecution(k.answer), checkFingerprint(k.fingerprint, fp)
+	if cached, ok := e.answers.get(answerKey{t.Executor, t.Account}, t.Serial); ok {
+		return finishedExecution(cached.answer), checkFingerprint(cached.fingerprint, fp)
 	}
 	if !a.window.contains(t.Serial) {
 		return nil, outsideWindowError(&a.window, t.Serial)
@@ -131,8 +133,8 @@
 }
 
 // lookup returns the state of the account's tickets in the ledger of the
-// ticket's incarnation. It fails if this executor does not serve the incarnation
-// or has issued no ticket to the account.
+// ticket's incarnation. It fails if this executor does not have the ledger or if
+// the ledger has no tickets of the account.
 func (e *Executor) lookup(t Ticket) (*accountState, error) {
 	e.retireExpired()
 	l := e.ledgers[t.Executor]
@@ -188,7 +190,7 @@
 	}
 }
 
-var errPanicked = errors.New("run function panicked or exited")
+var errPanicked = errors.New("run function panicked or called runtime.Goexit")
 
 func (e *Executor) execute(ctx context.Context, a *accountState, t Ticket, x *execution, run RunFunc) {
 	var answer Answer
@@ -224,14 +226,15 @@
 	close(x.done)
 }
 
-// storeAnswer caches and returns the answer of a call that ran. If the run
-// returned an error instead, it returns a final error.
+// storeAnswer caches and returns the answer of a call that ran. If err is not nil
+// (an *Error with state Ran), there is no answer, and storeAnswer returns a final
+// error.
 func (e *Executor) storeAnswer(t Ticket, fp Fingerprint, answer Answer, err error) (Answer, error) {
 	if err != nil {
 		return nil, ticketError(ReasonAnswerGone, Ran, err)
 	}
-	k := cachedAnswer{fingerprint: fp, answer: answer, storedAt: time.Now()}
-	e.answers.put(answerOwner{t.Executor, t.Account}, t.Serial, k)
+	cached := cachedAnswer{fingerprint: fp, answer: answer, storedAt: time.Now()}
+	e.answers.put(answerKey{t.Executor, t.Account}, t.Serial, cached)
 	return answer, nil
 }
 
--- a/coord/ticket/executor_test.go
+++ b/coord/ticket/executor_test.go
@@ -18,7 +18,7 @@
 var (
 	self        = ticket.Incarnation{Node: "n1", Run: 11}
 	peer        = ticket.Incarnation{Node: "n2", Run: 22}
-	fingerprint = ticket.FingerprintOf([]byte("file batch 7"))
+	fingerprint = ticket.FingerprintOf([]byte("submit batch 7"))
 )
 
 // service is a non-idempotent service that counts its executions.
@@ -26,13 +26,13 @@
 
 func (s *service) executions() int { return int(s.count.Load()) }
 
-func (s *service) file(context.Context) (ticket.Answer, error) {
-	return ticket.Answer(fmt.Sprintf("filed %d", s.count.Add(1))), nil
+func (s *service) submit(context.Context) (ticket.Answer, error) {
+	return ticket.Answer(fmt.Sprintf("accepted %d", s.count.Add(1))), nil
 }
 
 func (s *service) slow(ctx context.Context) (ticket.Answer, error) {
 	time.Sleep(5 * time.Second)
-	return s.file(ctx)
+	return s.submit(ctx)
 }
 
 func (s *service) refuse(context.Context) (ticket.Answer, error) {
@@ -40,7 +40,7 @@
 }
 
 func (s *service) runAndFail(ctx context.Context) (ticket.Answer, error) {
-	s.file(ctx)
+	s.submit(ctx)
 	return nil, errors.New("connection reset")
 }
 
@@ -77,7 +77,7 @@
 	}{
 		"same answer":       {wantState: ticket.Ran, executions: 1},
 		"other account":     {account: "rival", wantReason: ticket.ReasonOtherAccount, wantState: ticket.NotRun, executions: 1},
-		"different request": {request: "file batch 8", wantReason: ticket.ReasonDifferentRequest, wantState: ticket.NotRun, executions: 1},
+		"different request": {request: "submit batch 8", wantReason: ticket.ReasonDifferentRequest, wantState: ticket.NotRun, executions: 1},
 		"refused": {
 			first:      func(s *service) ticket.RunFunc { return s.refuse },
 			wantReason: ticket.ReasonRefused, wantState: ticket.NotRun,
@@ -107,12 +107,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e, s := newExecutor(t, self), &service{}
-				one := issue(t, e, 1)[0]
-				first := s.file
+				tkt := issue(t, e, 1)[0]
+				first := s.submit
 				if tc.first != nil {
 					first = tc.first(s)
 				}
-				e.Do(t.Context(), one, "acme", fingerprint, first)
+				e.Do(t.Context(), tkt, "acme", fingerprint, first)
 				if tc.between != nil {
 					tc.between(e)
 				}
@@ -123,12 +123,12 @@
 				if tc.request != "" {
 					fp = ticket.FingerprintOf([]byte(tc.request))
 				}
-				answer, err := e.Do(t.Context(), one, account, fp, s.file)
+				answer, err := e.Do(t.Context(), tkt, account, fp, s.submit)
 				test.Eq(t, tc.wantReason, ticket.ReasonOf(err))
 				test.Eq(t, tc.wantState, ticket.StateOf(err))
 				test.Eq(t, tc.executions, s.executions())
 				if err == nil {
-					test.Eq(t, "filed 1", string(answer))
+					test.Eq(t, "accepted 1", string(answer))
 				}
 			})
 		})
@@ -140,12 +140,12 @@
 func TestDuplicatesShareOneRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, s := newExecutor(t, self), &service{}
-		one := issue(t, e, 1)[0]
+		tkt := issue(t, e, 1)[0]
 		first, cancelFirst := context.WithTimeout(t.Context(), time.Hour)
 		states := make(chan ticket.RunState, 3)
 		for _, ctx := range []context.Context{first, t.Context(), t.Context()} {
 			go func() {
-				_, err := e.Do(ctx, one, "acme", fingerprint, s.slow)
+				_, err := e.Do(ctx, tkt, "acme", fingerprint, s.slow)
 				states <- ticket.StateOf(err)
 			}()
 			synctest.Wait()
@@ -167,23 +167,23 @@
 	must.NoError(t, err)
 	small := issue(t, e, 1)[0]
 	s := &service{}
-	e.Do(t.Context(), small, "acme", fingerprint, s.file)
+	e.Do(t.Context(), small, "acme", fingerprint, s.submit)
 	large, err := e.Issue("large", 9)
 	must.NoError(t, err)
 	cached := 0
 	for _, text := range large {
-		one, _ := ticket.Parse(key, text)
-		e.Do(t.Context(), one, "large", fingerprint, func(context.Context) (ticket.Answer, error) { return make(ticket.Answer, 600), nil })
+		tkt, _ := ticket.Parse(key, text)
+		e.Do(t.Context(), tkt, "large", fingerprint, func(context.Context) (ticket.Answer, error) { return make(ticket.Answer, 600), nil })
 	}
 	for _, text := range large {
-		one, _ := ticket.Parse(key, text)
-		_, err := e.Do(t.Context(), one, "large", fingerprint, s.file)
+		tkt, _ := ticket.Parse(key, text)
+		_, err := e.Do(t.Context(), tkt, "large", fingerprint, s.submit)
 		if err == nil {
 			cached++
 		}
 	}
 	test.Eq(t, 2, cached)
-	_, err = e.Do(t.Context(), small, "acme", fingerprint, s.file)
+	_, err = e.Do(t.Context(), small, "acme", fingerprint, s.submit)
 	test.NoError(t, err, test.Sprint("a large account evicted the answer of a small account"))
 	test.Eq(t, 1, s.executions())
 }
@@ -192,8 +192,8 @@
 type forwarder struct {
 	remote *ticket.Executor
 	run    ticket.RunFunc
-	before error // returned without sending the call
-	after  error // returned instead of the answer
+	before error // error returned without sending the call
+	after  error // error returned instead of the answer
 }
 
 var _ ticket.Forwarder = (*forwarder)(nil)
@@ -214,22 +214,22 @@
 func TestExecutorFaults(t *testing.T) {
 	lost := errors.New("connection reset")
 	tests := map[string]struct {
-		link     forwarder
-		presence ticket.Presence
-		retry    bool
-		reason   ticket.Reason
-		state    ticket.RunState
-		ran      int
-		after    ticket.RunState // state of a retry when the executor is reachable again
+		link           forwarder
+		presence       ticket.Presence
+		retry          bool
+		reason         ticket.Reason
+		state          ticket.RunState
+		wantExecutions int
+		after          ticket.RunState // state of a retry when the executor is reachable again
 	}{
-		"killed before the call":                  {link: forwarder{before: ticket.ErrNotSent}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
-		"killed before a retry":                   {link: forwarder{before: ticket.ErrNotSent}, retry: true, reason: ticket.ReasonUnreachable, after: ticket.Ran},
-		"killed during the call":                  {link: forwarder{before: lost}, reason: ticket.ReasonAnswerLost, after: ticket.Ran},
-		"answer lost after the call":              {link: forwarder{after: lost}, reason: ticket.ReasonAnswerLost, ran: 1, after: ticket.Ran},
-		"paused, considered gone, then reachable": {presence: ticket.Presence{Status: ticket.Gone}, reason: ticket.ReasonExecutorGone, after: ticket.Ran},
-		"no address known":                        {presence: ticket.Presence{Status: ticket.Unknown}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
-		"answered":                                {state: ticket.Ran, ran: 1, after: ticket.Ran},
-		"restarted, no window under the id":       {link: forwarder{remote: newExecutor(t, ticket.Incarnation{Node: "n1", Run: 12})}, reason: ticket.ReasonNotExecutor, after: ticket.Ran},
+		"killed before the call":                    {link: forwarder{before: ticket.ErrNotSent}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
+		"killed before a retry":                     {link: forwarder{before: ticket.ErrNotSent}, retry: true, reason: ticket.ReasonUnreachable, after: ticket.Ran},
+		"killed during the call":                    {link: forwarder{before: lost}, reason: ticket.ReasonAnswerLost, after: ticket.Ran},
+		"answer lost after the call":                {link: forwarder{after: lost}, reason: ticket.ReasonAnswerLost, wantExecutions: 1, after: ticket.Ran},
+		"paused, considered gone, then reachable":   {presence: ticket.Presence{Status: ticket.Gone}, reason: ticket.ReasonExecutorGone, after: ticket.Ran},
+		"no address known":                          {presence: ticket.Presence{Status: ticket.Unknown}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
+		"answered":                                  {state: ticket.Ran, wantExecutions: 1, after: ticket.Ran},
+		"executor restarted as another incarnation": {link: forwarder{remote: newExecutor(t, ticket.Incarnation{Node: "n1", Run: 12})}, reason: ticket.ReasonNotExecutor, after: ticket.Ran},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -237,33 +237,33 @@
 			batch, err := e.Issue("acme", 1)
 			must.NoError(t, err)
 			link := tc.link
-			link.run = s.file
+			link.run = s.submit
 			if link.remote == nil {
 				link.remote = e
 			}
 			alive := ticket.Presence{Status: ticket.Alive, Addr: "a"}
-			view := alive
+			current := alive
 			if tc.reason == ticket.ReasonExecutorGone || name == "no address known" {
-				view = tc.presence
+				current = tc.presence
 			}
 			entry := ticket.Redeemer{
 				Executor:  newExecutor(t, peer),
-				Lookup:    func(ticket.Incarnation) ticket.Presence { return view },
+				Lookup:    func(ticket.Incarnation) ticket.Presence { return current },
 				Forwarder: &link,
 			}
 			call := ticket.Call{Ticket: batch[0], Account: "acme", Fingerprint: fingerprint, First: !tc.retry}
-			_, err = entry.Redeem(t.Context(), call, s.file)
+			_, err = entry.Redeem(t.Context(), call, s.submit)
 			test.Eq(t, tc.reason, ticket.ReasonOf(err))
 			test.Eq(t, tc.state, ticket.StateOf(err))
-			test.Eq(t, tc.ran, s.executions())
+			test.Eq(t, tc.wantExecutions, s.executions())
 
-			view, call.First = alive, false
-			link = forwarder{remote: e, run: s.file}
-			_, err = entry.Redeem(t.Context(), call, s.file)
+			current, call.First = alive, false
+			link = forwarder{remote: e, run: s.submit}
+			_, err = entry.Redeem(t.Context(), call, s.submit)
 			test.Eq(t, tc.after, ticket.StateOf(err))
 			test.Eq(t, 1, s.executions())
 			call.Account = "rival"
-			_, err = entry.Redeem(t.Context(), call, s.file)
+			_, err = entry.Redeem(t.Context(), call, s.submit)
 			test.Eq(t, ticket.ReasonOtherAccount, ticket.ReasonOf(err))
 		})
 	}
--- a/coord/ticket/handover.go
+++ b/coord/ticket/handover.go
@@ -12,22 +12,22 @@
 // Handover transfers the tickets of a draining executor to one incarnation of a
 // peer. It is sent as JSON, to that incarnation only, and may be sent repeatedly.
 type Handover struct {
-	From    Incarnation `json:"from"`
-	To      Incarnation `json:"to"`
-	Ledgers []Ledger    `json:"ledgers"`
+	From    Incarnation    `json:"from"`
+	To      Incarnation    `json:"to"`
+	Ledgers []LedgerRecord `json:"ledgers"`
 }
 
-// Ledger holds the state of the tickets of one incarnation: the sender's own, or
-// one that was handed over to the sender earlier.
-type Ledger struct {
-	Executor Incarnation   `json:"executor"`
-	Age      time.Duration `json:"age_ns"` // time since its first handover
-	Windows  []Window      `json:"windows"`
+// LedgerRecord holds the state of the tickets of one incarnation: the sender's
+// own, or one that was handed over to the sender earlier.
+type LedgerRecord struct {
+	Executor Incarnation    `json:"executor"`
+	Age      time.Duration  `json:"age_ns"` // time since its first handover
+	Windows  []WindowRecord `json:"windows"`
 }
 
-// Window holds the state of one account's tickets: two bits for each of the last
-// Size serials before Next, and the answers that are still cached.
-type Window struct {
+// WindowRecord holds the state of one account's tickets: two bits for each of the
+// last Size serials before Next, and the answers that are still cached.
+type WindowRecord struct {
 	Account  string           `json:"account"`
 	Size     uint64           `json:"size"`
 	Next     uint64           `json:"next"`
@@ -45,17 +45,18 @@
 }
 
 // ErrOtherSuccessor is returned by [Executor.Drain] if an earlier call named
-// another successor. That one may have adopted the tickets even if its response
-// was lost.
+// another successor. The earlier successor may have adopted the tickets even if
+// its response was lost.
 var ErrOtherSuccessor = errors.New("ticket: already handed over to another incarnation")
 
 // Drain permanently stops the executor: once called, no call is started and no
 // ticket is issued here. It waits until the running calls have ended or ctx is
 // done. A call that is then still running is handed over as may_have_run, but
 // callers that wait for it here still get its answer. Drain returns the record
-// that the caller must send until the successor's Adopt has succeeded. Repeated
-// calls with the same successor return the same record. Drain fails if the
-// successor is this incarnation or differs from the one of an earlier call.
+// that the caller must send, repeatedly if needed, until the successor's Adopt
+// has succeeded. Repeated calls with the same successor return the same record.
+// Drain fails if the successor is this incarnation or differs from the one of an
+// earlier call.
 func (e *Executor) Drain(ctx context.Context, to Incarnation) (*Handover, error) {
 	pending, err := e.stop(to)
 	if err != nil {
@@ -70,7 +71,8 @@
 	return e.snapshot(to), nil
 }
 
-// stop sets the successor and returns the executions that are still running.
+// stop sets the successor, if it is not yet set, and returns the executions that
+// are still running.
 func (e *Executor) stop(to Incarnation) ([]*execution, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,34 +102,34 @@
 		return e.handover
 	}
 	e.handover = &Handover{From: e.config.Self, To: to}
-	for executor, l := range e.ledgers {
-		record := Ledger{Executor: executor, Age: l.age()}
+	for incarnation, l := range e.ledgers {
+		record := LedgerRecord{Executor: incarnation, Age: l.age()}
 		for id, a := range l.accounts {
-			record.Windows = append(record.Windows, e.windowRecord(answerOwner{executor, id}, a))
+			record.Windows = append(record.Windows, e.windowRecord(answerKey{incarnation, id}, a))
 		}
 		e.handover.Ledgers = append(e.handover.Ledgers, record)
 	}
 	return e.handover
 }
 
-func (e *Executor) windowRecord(o answerOwner, a *accountState) Window {
-	w := Window{
-		Account:  o.account,
+func (e *Executor) windowRecord(key answerKey, a *accountState) WindowRecord {
+	record := WindowRecord{
+		Account:  key.account,
 		Size:     a.window.size,
 		Next:     a.window.next,
 		Started:  slices.Clone(a.window.started.Words()),
 		Finished: slices.Clone(a.window.finished.Words()),
 	}
-	s := e.answers.byOwner[o]
-	if s == nil {
-		return w
+	entry := e.answers.byKey[key]
+	if entry == nil {
+		return record
 	}
-	e.answers.removeExpired(o, s)
-	for _, serial := range s.answers.Keys() {
-		k, _ := s.answers.Peek(serial)
-		w.Answers = append(w.Answers, HandoverAnswer{serial, k.fingerprint, k.answer, time.Since(k.storedAt)})
+	e.answers.removeExpired(key, entry)
+	for _, serial := range entry.answers.Keys() {
+		cached, _ := entry.answers.Peek(serial)
+		record.Answers = append(record.Answers, HandoverAnswer{serial, cached.fingerprint, cached.answer, time.Since(cached.storedAt)})
 	}
-	return w
+	return record
 }
 
 // ErrNotSuccessor is returned by [Executor.Adopt] for a handover to another
@@ -135,11 +137,11 @@
 var ErrNotSuccessor = errors.New("ticket: handover names another incarnation")
 
 // Adopt takes over the tickets of the handed-over incarnations. It is idempotent:
-// the state of an incarnation that this executor serves or has ever served is
+// the state of an incarnation whose ledger this executor has or had earlier is
 // not replaced. A nil error means that the sender may exit; if the response is
 // lost, the sender must send the same record again. Adopt fails if the handover
 // is invalid or names another incarnation, and with ErrDraining if this executor
-// is draining.
+// is draining and has not adopted all of the incarnations before.
 func (e *Executor) Adopt(h *Handover) error {
 	if h.To != e.config.Self {
 		return ErrNotSuccessor
@@ -150,50 +152,50 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.retireExpired()
-	if e.successor != nil && !e.everServedAll(h) {
+	if e.successor != nil && !e.everHadAllLedgers(h) {
 		return ErrDraining
 	}
 	for _, record := range h.Ledgers {
-		if !e.everServed(record.Executor) {
+		if !e.everHadLedger(record.Executor) {
 			e.adopt(record)
 		}
 	}
 	return nil
 }
 
-func (e *Executor) everServed(executor Incarnation) bool {
-	return e.ledgers[executor] != nil || e.retired[executor]
+func (e *Executor) everHadLedger(incarnation Incarnation) bool {
+	return e.ledgers[incarnation] != nil || e.retired[incarnation]
 }
 
-func (e *Executor) everServedAll(h *Handover) bool {
-	return !slices.ContainsFunc(h.Ledgers, func(l Ledger) bool { return !e.everServed(l.Executor) })
+func (e *Executor) everHadAllLedgers(h *Handover) bool {
+	return !slices.ContainsFunc(h.Ledgers, func(record LedgerRecord) bool { return !e.everHadLedger(record.Executor) })
 }
 
-func (e *Executor) adopt(record Ledger) {
+func (e *Executor) adopt(record LedgerRecord) {
 	l := &ledger{
-		accounts:  make(map[string]*accountState, len(record.Windows)),
-		adoptedAt: time.Now().Add(-record.Age),
-	}
-	for _, w := range record.Windows {
-		l.accounts[w.Account] = newAccount(window{
-			size:     w.Size,
-			next:     w.Next,
-			started:  bitset.From(slices.Clone(w.Started)),
-			finished: bitset.From(slices.Clone(w.Finished)),
+		accounts:        make(map[string]*accountState, len(record.Windows)),
+		firstHandoverAt: time.Now().Add(-record.Age),
+	}
+	for _, windowRecord := range record.Windows {
+		l.accounts[windowRecord.Account] = newAccount(window{
+			size:     windowRecord.Size,
+			next:     windowRecord.Next,
+			started:  bitset.From(slices.Clone(windowRecord.Started)),
+			finished: bitset.From(slices.Clone(windowRecord.Finished)),
 		})
-		o := answerOwner{record.Executor, w.Account}
-		for _, k := range w.Answers {
-			e.answers.put(o, k.Serial, cachedAnswer{k.Fingerprint, k.Answer, time.Now().Add(-k.Age)})
+		key := answerKey{record.Executor, windowRecord.Account}
+		for _, answer := range windowRecord.Answers {
+			e.answers.put(key, answer.Serial, cachedAnswer{answer.Fingerprint, answer.Answer, time.Now().Add(-answer.Age)})
 		}
 	}
 	e.ledgers[record.Executor] = l
 }
 
 func (h *Handover) validate() error {
-	for _, l := range h.Ledgers {
-		for _, w := range l.Windows {
-			words := int(w.Size/64) + 1
-			if w.Size < 1 || w.Size > MaxWindow || len(w.Started) > words || len(w.Finished) > words {
+	for _, ledgerRecord := range h.Ledgers {
+		for _, windowRecord := range ledgerRecord.Windows {
+			words := int(windowRecord.Size/64) + 1
+			if windowRecord.Size < 1 || windowRecord.Size > MaxWindow || len(windowRecord.Started) > words || len(windowRecord.Finished) > words {
 				return errors.New("ticket: handover contains a window of invalid size")
 			}
 		}
@@ -212,8 +214,8 @@
 		return nil
 	}
 	serving := make([]Incarnation, 0, len(e.ledgers))
-	for executor := range e.ledgers {
-		serving = append(serving, executor)
+	for incarnation := range e.ledgers {
+		serving = append(serving, incarnation)
 	}
 	return serving
 }
@@ -221,11 +223,11 @@
 // retireExpired stops serving adopted incarnations whose first handover is longer
 // ago than Config.AdoptFor.
 func (e *Executor) retireExpired() {
-	for executor, l := range e.ledgers {
-		if l.age() > e.config.AdoptFor && executor != e.config.Self {
-			delete(e.ledgers, executor)
-			e.retired[executor] = true
-			e.answers.removeIncarnation(executor)
+	for incarnation, l := range e.ledgers {
+		if l.age() > e.config.AdoptFor && incarnation != e.config.Self {
+			delete(e.ledgers, incarnation)
+			e.retired[incarnation] = true
+			e.answers.removeIncarnation(incarnation)
 		}
 	}
 }
@@ -233,10 +235,10 @@
 // age returns the time since the ledger's first handover, or zero for the
 // executor's own ledger.
 func (l *ledger) age() time.Duration {
-	if l.adoptedAt.IsZero() {
+	if l.firstHandoverAt.IsZero() {
 		return 0
 	}
-	return time.Since(l.adoptedAt)
+	return time.Since(l.firstHandoverAt)
 }
 
 func (e *Executor) movedError() *Error {
--- a/coord/ticket/handover_test.go
+++ b/coord/ticket/handover_test.go
@@ -21,7 +21,7 @@
 		old, next, s := newExecutor(t, self), newExecutor(t, peer), &service{}
 		batch := issue(t, old, 4)
 		answered, running, unused, late := batch[0], batch[1], batch[2], batch[3]
-		old.Do(t.Context(), answered, "acme", fingerprint, s.file)
+		old.Do(t.Context(), answered, "acme", fingerprint, s.submit)
 		go old.Do(t.Context(), running, "acme", fingerprint, s.slow)
 		synctest.Wait()
 
@@ -31,7 +31,7 @@
 		must.NoError(t, err)
 		_, err = old.Issue("acme", 1)
 		test.ErrorIs(t, err, ticket.ErrDraining)
-		_, err = old.Do(t.Context(), unused, "acme", fingerprint, s.file)
+		_, err = old.Do(t.Context(), unused, "acme", fingerprint, s.submit)
 		test.Eq(t, ticket.ReasonMoved, ticket.ReasonOf(err))
 		_, err = old.Drain(t.Context(), ticket.Incarnation{Node: "n3"})
 		test.ErrorIs(t, err, ticket.ErrOtherSuccessor)
@@ -44,8 +44,8 @@
 		test.SliceContainsAll(t, next.Serving(), []ticket.Incarnation{self, peer})
 		test.SliceEmpty(t, old.Serving())
 
-		state := func(one ticket.Ticket) ticket.RunState {
-			_, err := next.Do(t.Context(), one, "acme", fingerprint, s.file)
+		state := func(tkt ticket.Ticket) ticket.RunState {
+			_, err := next.Do(t.Context(), tkt, "acme", fingerprint, s.submit)
 			return ticket.StateOf(err)
 		}
 		test.Eq(t, ticket.Ran, state(answered))
--- a/coord/ticket/invariant_test.go
+++ b/coord/ticket/invariant_test.go
@@ -35,7 +35,7 @@
 				tickets += len(c.tickets)
 			})
 		}
-		t.Logf("variant %d: detected in %d of 200 runs, %d tickets", injectedFault, detected, tickets)
+		t.Logf("fault %d: detected in %d of 200 runs, %d tickets", injectedFault, detected, tickets)
 		test.Eq(t, injectedFault != faultNone, detected > 0)
 	}
 }
--- a/coord/ticket/issue.go
+++ b/coord/ticket/issue.go
@@ -12,7 +12,7 @@
 
 var _ Issuer = (*Executor)(nil)
 
-// ErrDraining is returned by a draining executor for requests of new tickets and
+// ErrDraining is returned by a draining executor for requests for new tickets and
 // for handovers to it.
 var ErrDraining = errors.New("ticket: executor is draining")
 
--- a/coord/ticket/network_test.go
+++ b/coord/ticket/network_test.go
@@ -11,7 +11,7 @@
 	"github.com/cherryward/cherryward/coord/ticket"
 )
 
-// lookup simulates a member view that is wrong with probability 1/8.
+// lookup simulates a list of members that is wrong with probability 1/8.
 func (c *cluster) lookup(pick func(int) int, inc ticket.Incarnation) ticket.Presence {
 	if pick(8) == 0 {
 		return ticket.Presence{Status: ticket.Status(pick(3)), Addr: strconv.Itoa(pick(3))}
@@ -81,7 +81,7 @@
 
 // run returns the service call, which counts executions and randomly refuses the
 // call, fails after executing it, or answers.
-func (c *cluster) run(p *process, pick func(int) int, k int) ticket.RunFunc {
+func (c *cluster) run(p *process, pick func(int) int, ticketIndex int) ticket.RunFunc {
 	return func(context.Context) (ticket.Answer, error) {
 		time.Sleep(time.Duration(pick(4)) * time.Second)
 		if p.dead.Load() {
@@ -91,20 +91,20 @@
 		if outcome == 0 {
 			return nil, ticket.Refused(errors.New("shed"))
 		}
-		c.recordExecution(k)
+		c.recordExecution(ticketIndex)
 		time.Sleep(time.Duration(pick(4)) * time.Second)
 		if outcome == 1 {
 			return nil, errLost
 		}
-		return ticket.Answer(strconv.Itoa(k)), nil
+		return ticket.Answer(strconv.Itoa(ticketIndex)), nil
 	}
 }
 
-func (c *cluster) recordExecution(k int) {
+func (c *cluster) recordExecution(ticketIndex int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tickets[k]
+	t := c.tickets[ticketIndex]
 	t.executions++
-	c.check(t.executions == 1, "ticket %d ran %d times", k, t.executions)
-	c.check(!t.notRun, "ticket %d ran after not_run", k)
+	c.check(t.executions == 1, "ticket %d ran %d times", ticketIndex, t.executions)
+	c.check(!t.notRun, "ticket %d ran after not_run", ticketIndex)
 }
--- a/coord/ticket/route.go
+++ b/coord/ticket/route.go
@@ -5,10 +5,9 @@
 	"errors"
 )
 
-// Status is the status of an incarnation according to a node's member view.
+// Status is the status of an incarnation according to a node's list of members.
 type Status uint8
 
-// The statuses.
 const (
 	Unknown Status = iota
 	Alive
@@ -22,10 +21,10 @@
 	Addr   string // empty if unknown
 }
 
-// Lookup returns the presence of an incarnation according to the member view. A
-// member that publishes the incarnation in its [Executor.Serving] takes
-// precedence over the incarnation's own entry. The result may be wrong at any
-// time: calls then fail, but never run twice.
+// Lookup returns the presence of an incarnation according to the node's list of
+// members. A member that publishes the incarnation in its [Executor.Serving]
+// takes precedence over the incarnation's own entry. The result may be wrong at
+// any time: calls then fail, but never run twice.
 type Lookup func(Incarnation) Presence
 
 // Call is a call with a ticket, as received by a node.
@@ -54,7 +53,6 @@
 // Decision is the result of Route.
 type Decision uint8
 
-// The decisions.
 const (
 	Local       Decision = iota // redeem at this node's executor
 	Forward                     // forward to the returned address
@@ -64,11 +62,11 @@
 
 // Route returns where to redeem the tickets of an incarnation, with an address
 // if the decision is Forward. local is the executor of this node.
-func Route(local *Executor, executor Incarnation, lookup Lookup) (Decision, string) {
-	if local.serves(executor) {
+func Route(local *Executor, incarnation Incarnation, lookup Lookup) (Decision, string) {
+	if local.hasLedger(incarnation) {
 		return Local, ""
 	}
-	presence := lookup(executor)
+	presence := lookup(incarnation)
 	switch {
 	case presence.Status == Gone:
 		return GoneForever, ""
@@ -78,13 +76,13 @@
 	return Forward, presence.Addr
 }
 
-// serves reports whether the executor has the incarnation's ledger. A draining
+// hasLedger reports whether the executor has the incarnation's ledger. A draining
 // executor still has it and returns cached answers.
-func (e *Executor) serves(executor Incarnation) bool {
+func (e *Executor) hasLedger(incarnation Incarnation) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.retireExpired()
-	return e.ledgers[executor] != nil
+	return e.ledgers[incarnation] != nil
 }
 
 // Redeemer redeems tickets that any node of the system has issued, locally or by
@@ -113,7 +111,7 @@
 		return nil, attemptError(ReasonOtherAccount, NotRun, nil)
 	}
 	answer, err := r.redeemFollowingMoves(ctx, t, call, run)
-	return answer, withEarlierAttempts(err, call.First)
+	return answer, adjustForRetry(err, call.First)
 }
 
 // redeemFollowingMoves redeems the ticket at its executor or, if that has handed
@@ -169,11 +167,11 @@
 	return attemptError(ReasonAnswerLost, MayHaveRun, err)
 }
 
-// withEarlierAttempts converts the error of one attempt to an error for the
-// ticket. NotRun becomes MayHaveRun, because an earlier attempt may have run,
-// unless this is the first attempt, the error is final or the request differs
-// from the one that the ticket is bound to.
-func withEarlierAttempts(err error, first bool) error {
+// adjustForRetry adjusts the run state of an error for the attempts before this
+// one. NotRun becomes MayHaveRun, because an earlier attempt may have run, unless
+// this is the first attempt, the error is final or the request differs from the
+// one that the ticket is bound to.
+func adjustForRetry(err error, first bool) error {
 	e, ok := errors.AsType[*Error](err)
 	if !ok || e.State != NotRun || e.Final || first || e.Reason == ReasonDifferentRequest {
 		return err
--- a/coord/ticket/run_deadline_test.go
+++ b/coord/ticket/run_deadline_test.go
@@ -17,7 +17,7 @@
 	return func(ctx context.Context) (ticket.Answer, error) {
 		select {
 		case <-time.After(d):
-			return s.file(ctx)
+			return s.submit(ctx)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -43,15 +43,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e, s := newExecutor(t, self), &service{}
-				one := issue(t, e, 1)[0]
+				tkt := issue(t, e, 1)[0]
 				first, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				startedAt := time.Now()
-				_, _ = e.Do(first, one, "acme", fingerprint, s.runFor(tc.runFor)) // only the result of the retry is checked
+				_, _ = e.Do(first, tkt, "acme", fingerprint, s.runFor(tc.runFor)) // only the result of the retry is checked
 				time.Sleep(tc.retryAfter - time.Since(startedAt))
 				second, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				_, err := e.Do(second, one, "acme", fingerprint, s.file)
+				_, err := e.Do(second, tkt, "acme", fingerprint, s.submit)
 				test.Eq(t, tc.state, ticket.StateOf(err), test.Sprint(err))
 				test.LessEq(t, 1, s.executions())
 			})
--- a/coord/ticket/ticket.go
+++ b/coord/ticket/ticket.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// KeyBytes is the minimum length of a Key.
-	KeyBytes = 32
+	// MinKeyBytes is the minimum length of a Key.
+	MinKeyBytes = 32
 	// MaxNameBytes is the maximum length of a node ID and of an account ID.
 	MaxNameBytes = 255
 
@@ -131,8 +131,9 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// Fingerprint is a hash that identifies a request. A ticket is bound to the first
-// request that it is presented with.
+// Fingerprint is a hash that identifies a request. A ticket is bound to the
+// request for which its call is started, while the call runs and as long as its
+// answer is cached.
 type Fingerprint [sha256.Size]byte
 
 // FingerprintOf returns the hash of the parts of a request, such as its method,
--- a/coord/ticket/ticket_test.go
+++ b/coord/ticket/ticket_test.go
@@ -23,25 +23,25 @@
 	call := ticket.Call{
 		Ticket:      batch[0],
 		Account:     "acme",
-		Fingerprint: ticket.FingerprintOf([]byte("POST"), []byte("/batches/7"), []byte("heat 4711")),
+		Fingerprint: ticket.FingerprintOf([]byte("POST"), []byte("/batches/7"), []byte("request body")),
 		First:       true,
 	}
 	node := ticket.Redeemer{
 		Executor: executor,
 		Lookup:   func(ticket.Incarnation) ticket.Presence { return ticket.Presence{Status: ticket.Gone} },
 	}
-	filings := 0
-	file := func(context.Context) (ticket.Answer, error) {
-		filings++
+	submissions := 0
+	submit := func(context.Context) (ticket.Answer, error) {
+		submissions++
 		return ticket.Answer("filed"), nil
 	}
 	for range 2 { // the second is a retry
-		answer, err := node.Redeem(context.Background(), call, file)
-		fmt.Println(string(answer), err, filings)
+		answer, err := node.Redeem(context.Background(), call, submit)
+		fmt.Println(string(answer), err, submissions)
 	}
 	call.Account = "rival"
-	_, err = node.Redeem(context.Background(), call, file)
-	fmt.Println(err, filings)
+	_, err = node.Redeem(context.Background(), call, submit)
+	fmt.Println(err, submissions)
 	// Output:
 	// filed <nil> 1
 	// filed <nil> 1
@@ -100,9 +100,9 @@
 		if e.Adopt(&h) != nil {
 			return
 		}
-		one := ticket.Ticket{Executor: peer, Account: "acme"}
+		tkt := ticket.Ticket{Executor: peer, Account: "acme"}
 		for range 2 {
-			e.Do(t.Context(), one, "acme", fingerprint, func(context.Context) (ticket.Answer, error) { ran++; return nil, nil })
+			e.Do(t.Context(), tkt, "acme", fingerprint, func(context.Context) (ticket.Answer, error) { ran++; return nil, nil })
 		}
 		if ran > 1 {
 			t.Fatal("ran twice")
@@ -128,13 +128,13 @@
 
 func BenchmarkDo(b *testing.B) {
 	e, _ := ticket.New(config(self))
-	one := ticket.Ticket{Executor: self, Account: "acme"}
+	tkt := ticket.Ticket{Executor: self, Account: "acme"}
 	answer := make(ticket.Answer, 256)
 	b.ReportAllocs()
 	for b.Loop() {
 		e.Issue("acme", 1)
-		e.Do(context.Background(), one, "acme", fingerprint, func(context.Context) (ticket.Answer, error) { return answer, nil })
-		one.Serial++
+		e.Do(context.Background(), tkt, "acme", fingerprint, func(context.Context) (ticket.Answer, error) { return answer, nil })
+		tkt.Serial++
 	}
 }
 
@@ -154,7 +154,7 @@
 			_, err := e.Issue(account, used)
 			must.NoError(t, err)
 			last := ticket.Ticket{Executor: self, Serial: uint64(used) - 1, Account: account}
-			_, err = e.Do(t.Context(), last, account, fingerprint, (&service{}).file)
+			_, err = e.Do(t.Context(), last, account, fingerprint, (&service{}).submit)
 			must.NoError(t, err)
 		}
 		perAccount := float64(heap()-before) / accounts
--- a/coord/ticket/window.go
+++ b/coord/ticket/window.go
@@ -13,9 +13,15 @@
 )
 
 // window holds the outcomes of the newest size serials of one account, in two
-// bits each: only finished means outcomeRefused, only started outcomeStarted,
-// both outcomeRan, and neither outcomeUnused. A serial's bits are at its value
-// modulo size. A serial that has left the window is never run.
+// bits each:
+//
+//   - neither bit: outcomeUnused
+//   - started: outcomeStarted
+//   - finished: outcomeRefused
+//   - both: outcomeRan
+//
+// A serial's bits are at its value modulo size. The call of a serial that has left
+// the window is never started.
 type window struct {
 	size     uint64
 	next     uint64 // the next serial to issue
