--- a/internal/fleetmodel/callers.go
+++ b/internal/fleetmodel/callers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
@@ -93,8 +93,8 @@
 }
 
 // key returns under what a shared part is kept.
-func (c *call) key(i int) kept.Part {
-	return kept.Part{Salt: c.placement.Attempt.Salt, ID: c.request.Shared[i].ID}
+func (c *call) key(i int) kvindex.Part {
+	return kvindex.Part{Salt: c.placement.Attempt.Salt, ID: c.request.Shared[i].ID}
 }
 
 // target returns where a shared part is to be saved.
--- a/internal/fleetmodel/engine.go
+++ b/internal/fleetmodel/engine.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/cherryward/cherryward/internal/fleet"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 )
 
 // EngineConfig describes one engine.
@@ -38,10 +38,10 @@
 	EngineConfig
 	world   *World
 	member  *fleet.Member
-	holder  *kept.Holder
+	holder  *kvindex.Holder
 	waiting []*run // most urgent first
 	running []*run // oldest first
-	cache   map[kept.Part]cached
+	cache   map[kvindex.Part]cached
 	events  int64   // numbers given
 	busy    bool    // a step is under way
 	slow    float64 // by which steps take longer; 0 for 1
@@ -113,7 +113,7 @@
 }
 
 // keep notes a part as cached and used now.
-func (e *engine) keep(key kept.Part, tokens int) {
+func (e *engine) keep(key kvindex.Part, tokens int) {
 	if e.cache[key].tokens == 0 {
 		e.tell(key, tokens)
 	}
@@ -127,7 +127,7 @@
 		used += c.tokens
 	}
 	for used > e.Memory && len(e.cache) > 0 {
-		var oldest kept.Part
+		var oldest kvindex.Part
 		first := true
 		for key, c := range e.cache {
 			if first || c.used < e.cache[oldest].used || c.used == e.cache[oldest].used && key.ID < oldest.ID {
@@ -141,9 +141,9 @@
 }
 
 // tell has nodes hear of a change some time later.
-func (e *engine) tell(key kept.Part, tokens int) {
+func (e *engine) tell(key kvindex.Part, tokens int) {
 	e.events++
-	e.world.tell(e.holder, kept.Change{Number: e.events, Part: key, Tokens: tokens})
+	e.world.tell(e.holder, kvindex.Change{Number: e.events, Part: key, Tokens: tokens})
 }
 
 // step begins a step of the batch, unless one is under way.
--- a/internal/fleetmodel/faults.go
+++ b/internal/fleetmodel/faults.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 )
 
 // Fault is a window in which an engine is slow, or down after a crash.
@@ -49,11 +49,11 @@
 	e.crashes++
 	lost := append(e.running, e.waiting...)
 	e.running, e.waiting = nil, nil
-	keys := make([]kept.Part, 0, len(e.cache))
+	keys := make([]kvindex.Part, 0, len(e.cache))
 	for key := range e.cache {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b kept.Part) int {
+	slices.SortFunc(keys, func(a, b kvindex.Part) int {
 		return strings.Compare(a.Salt+" "+a.ID, b.Salt+" "+b.ID)
 	})
 	for _, key := range keys {
--- a/internal/fleetmodel/world.go
+++ b/internal/fleetmodel/world.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/cherryward/cherryward/internal/fleet"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 	"github.com/cherryward/cherryward/internal/routing"
@@ -58,12 +58,12 @@
 	events  eventQueue
 	order   int64
 	engines map[string]*engine
-	index   *kept.Index
-	store   *kept.Holder
-	stored  map[kept.Part]int
+	index   *kvindex.Index
+	store   *kvindex.Holder
+	stored  map[kvindex.Part]int
 	room    int
-	told    int64              // number of the store's newest event
-	read    map[kept.Part]bool // by some engine
+	told    int64                 // number of the store's newest event
+	read    map[kvindex.Part]bool // by some engine
 	placer  *placer.Placer
 	service *routing.Service
 }
@@ -79,33 +79,33 @@
 	start := time.Now()
 	w := &World{
 		Config: c, now: start, start: start, random: rand.New(rand.NewPCG(c.Seed, 1)),
-		engines: make(map[string]*engine), stored: make(map[kept.Part]int), room: c.StoreTokens, read: make(map[kept.Part]bool),
-		index:   kept.NewIndex(nil, nil, zerolog.Nop()),
-		store:   kept.NewHolder(storeAddr, storeAddr, domain),
+		engines: make(map[string]*engine), stored: make(map[kvindex.Part]int), room: c.StoreTokens, read: make(map[kvindex.Part]bool),
+		index:   kvindex.NewIndex(nil, nil, zerolog.Nop()),
+		store:   kvindex.NewHolder(storeAddr, storeAddr, domain),
 		service: &routing.Service{Name: service, Engine: &routing.Engine{KVTokens: c.Told, TokenBytes: tokenBytes}},
 	}
 	w.store.Mbps, w.store.Tokens = linkMbps, c.StoreTokens
 	w.placer = w.newPlacer(w.addEngines())
 	// It has been up for long, as its oldest events are gone.
-	w.index.Take(w.store, &kept.Events{Epoch: 1, Next: 1, Gap: true, ClockMS: 1, ProvenAt: w.now})
+	w.index.Apply(w.store, &kvindex.Events{Epoch: 1, Next: 1, Gap: true, ClockMS: 1, ConfirmedAt: w.now})
 	return w
 }
 
 func (w *World) addEngines() *fleet.Fleet {
 	f := fleet.New(zerolog.Nop())
-	var holders []*kept.Holder
+	var holders []*kvindex.Holder
 	for i, c := range w.Engines {
 		id, addr := engineID(i), fmt.Sprintf("10.0.0.%d:1", i+1)
 		f.Update(&fleet.Endpoint{ID: id, Service: service, Addr: addr, Domain: domain, Slots: c.Slots, Weights: []fleet.Weights{{Model: model, Version: 1}}}, w.now)
-		h := kept.NewHolder(id, addr, domain)
+		h := kvindex.NewHolder(id, addr, domain)
 		h.Mbps = linkMbps
 		holders = append(holders, h)
-		w.engines[id] = &engine{EngineConfig: c, world: w, holder: h, cache: make(map[kept.Part]cached)}
+		w.engines[id] = &engine{EngineConfig: c, world: w, holder: h, cache: make(map[kvindex.Part]cached)}
 	}
 	for _, m := range f.Members(service) {
 		w.engines[m.ID].member = m
 	}
-	w.index.Replace(holders, []*kept.Holder{w.store})
+	w.index.Replace(holders, []*kvindex.Holder{w.store})
 	return f
 }
 
@@ -114,7 +114,7 @@
 func (w *World) newPlacer(f *fleet.Fleet) *placer.Placer {
 	return &placer.Placer{
 		Domain: domain, Fleet: f, Versions: versions{}, Kept: w.index, Peers: peerload.NewTable(), Kick: func() {},
-		Usual: &kept.Lateness{}, Whole: func() bool { return true }, MayName: func(string, int64) bool { return true },
+		Usual: &kvindex.Lateness{}, Whole: func() bool { return true }, MayName: func(string, int64) bool { return true },
 		Closed:       func() []weights.Closed { return nil },
 		VersionApply: func() time.Duration { return time.Minute },
 		Services:     &placer.Services{}, Nodes: func() int { return 1 },
@@ -146,20 +146,20 @@
 }
 
 // tell has nodes hear of a change.
-func (w *World) tell(h *kept.Holder, c kept.Change) {
+func (w *World) tell(h *kvindex.Holder, c kvindex.Change) {
 	w.after(w.EventsLate, func() {
-		w.index.Take(h, &kept.Events{Epoch: 1, Next: c.Number + 1, Changes: []kept.Change{c}, ClockMS: 1, ProvenAt: w.now})
+		w.index.Apply(h, &kvindex.Events{Epoch: 1, Next: c.Number + 1, Changes: []kvindex.Change{c}, ClockMS: 1, ConfirmedAt: w.now})
 	})
 }
 
 // proveStore has the node know that the store is still the one that it heard of, as its questions for
 // events do several times a second.
 func (w *World) proveStore() {
-	w.index.Take(w.store, &kept.Events{Epoch: 1, Next: w.store.Position().Next, ClockMS: 1, ProvenAt: w.now})
+	w.index.Apply(w.store, &kvindex.Events{Epoch: 1, Next: w.store.Position().Next, ClockMS: 1, ConfirmedAt: w.now})
 }
 
 // holds reports whether the store or another engine keeps a part.
-func (w *World) holds(addr string, key kept.Part) bool {
+func (w *World) holds(addr string, key kvindex.Part) bool {
 	if addr == storeAddr {
 		return w.stored[key] > 0
 	}
@@ -172,18 +172,18 @@
 }
 
 // save keeps a part at the store, if that is named and has room.
-func (w *World) save(addr string, key kept.Part, tokens int) {
+func (w *World) save(addr string, key kvindex.Part, tokens int) {
 	if addr != storeAddr || w.stored[key] > 0 || tokens > w.room {
 		return
 	}
 	w.stored[key] = tokens
 	w.room -= tokens
 	w.told++
-	w.tell(w.store, kept.Change{Number: w.told, Part: key, Tokens: tokens})
+	w.tell(w.store, kvindex.Change{Number: w.told, Part: key, Tokens: tokens})
 }
 
 // countRead notes that an engine reads a shared part.
-func (w *World) countRead(key kept.Part, tokens int) {
+func (w *World) countRead(key kvindex.Part, tokens int) {
 	if w.read[key] {
 		w.Result.ReadAgain += tokens
 	}
--- a/internal/answer/answer.go
+++ b/internal/framecheck/framecheck.go
@@ -1,11 +1,11 @@
-// Package answer validates the frames of a run, so that a caller gets the complete answer to its
+// Package framecheck validates the frames of a run, so that a caller gets the complete answer to its
 // own request or an error, never a partial answer that looks complete.
 //
 // Guarantee: the tokens that Check lets through are those of one run on one weight version for one
 // client account, each once and in order. Frames of other runs or other engine incarnations are
 // dropped. A gap, another version, another account's cache salt, or text without tokens fails the
 // answer. Only an end frame with the matching token count completes it.
-package answer
+package framecheck
 
 import (
 	"github.com/cherryward/cherryward/api/wire/enginewire"
--- a/internal/answer/answer_test.go
+++ b/internal/framecheck/framecheck_test.go
@@ -1,4 +1,4 @@
-package answer
+package framecheck
 
 import (
 	"slices"
--- a/internal/gateway/cachestart.go
+++ b/internal/gateway/cachestart.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/cherryward/cherryward/coord/retry"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 const (
@@ -29,10 +29,10 @@
 // should query the stores itself. It prevents nodes that start together from all querying each
 // store, which serves few readers at once.
 func (c *cacheTracker) awaitReports(ctx context.Context) {
-	for ctx.Err() == nil && !c.index.Told(c.node.clock.Now()) && c.shouldAwaitReports(c.node.clock.Since(c.node.started)) {
+	for ctx.Err() == nil && !c.index.AllRelayed(c.node.clock.Now()) && c.shouldAwaitReports(c.node.clock.Since(c.node.started)) {
 		retry.Sleep(ctx, reportCheckInterval)
 	}
-	c.node.log.Info().Str("event", "kept_begins").Bool("told", c.index.Told(c.node.clock.Now())).Int("stores", len(c.index.Stores())).
+	c.node.log.Info().Str("event", "kept_begins").Bool("told", c.index.AllRelayed(c.node.clock.Now())).Int("stores", len(c.index.Stores())).
 		Int("nodes", c.node.roster.Nodes()).Int64("age_ms", c.node.clock.Since(c.node.started).Milliseconds()).Send()
 }
 
@@ -43,7 +43,7 @@
 	switch {
 	case !roster.Loaded():
 		return age < firstListTimeout // the system may be a large one
-	case pace.Whole(roster.Nodes()):
+	case intervals.FullMesh(roster.Nodes()):
 		return c.node.boot.Load().First && age < firstListTimeout
 	case roster.readerCandidate():
 		return false
--- a/internal/gateway/cachetracker.go
+++ b/internal/gateway/cachetracker.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/cherryward/cherryward/coord/retry"
-	"github.com/cherryward/cherryward/internal/kept"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 )
@@ -49,11 +49,11 @@
 // cacheTracker tracks which KV-cache parts engines and stores hold, and frees outdated parts.
 type cacheTracker struct {
 	node   *Node
-	index  *kept.Index
+	index  *kvindex.Index
 	floors versionFloors
 }
 
-var _ kept.Outdated = (*cacheTracker)(nil)
+var _ kvindex.SaltFilter = (*cacheTracker)(nil)
 
 // follow updates the index's holders from the configuration and the fleet until ctx is done. A
 // starting node queries the stores first: reading thousands of events from each engine takes a
@@ -77,21 +77,21 @@
 // engines returns the engines whose events this node reads. An engine is left out if all nodes
 // together would exceed its limit of concurrent readers; its contents are then estimated from the
 // engines to which sessions are assigned.
-func (c *cacheTracker) engines() []*kept.Holder {
+func (c *cacheTracker) engines() []*kvindex.Holder {
 	config, _ := c.node.state.Config()
 	if config == nil {
 		return nil
 	}
 	nodes := c.node.nodes()
-	var engines []*kept.Holder
+	var engines []*kvindex.Holder
 	for _, m := range c.node.fleet.All() {
 		service := config.Service(m.Service)
 		if service == nil || service.Engine == nil || nodes > eventReadersOrDefault(service.Engine.EventReaders) {
 			continue
 		}
 		endpoint := m.Endpoint()
-		h := kept.NewHolder(m.ID, endpoint.Addr, endpoint.Domain)
-		h.Born = endpoint.Born
+		h := kvindex.NewHolder(m.ID, endpoint.Addr, endpoint.Domain)
+		h.StartedMs = endpoint.Born
 		h.Mbps = service.Engine.LinkMbps
 		h.Readers = service.Engine.EventReaders
 		engines = append(engines, h)
@@ -100,20 +100,20 @@
 }
 
 // stores returns the configured KV-cache stores.
-func (c *cacheTracker) stores() []*kept.Holder {
+func (c *cacheTracker) stores() []*kvindex.Holder {
 	config, _ := c.node.state.Config()
 	if config == nil {
 		return nil
 	}
-	var stores []*kept.Holder
+	var stores []*kvindex.Holder
 	for i := range config.Services {
 		s := config.Services[i].Store
 		if s == nil {
 			continue
 		}
-		h := kept.NewHolder(s.Addr, s.Addr, s.Domain)
+		h := kvindex.NewHolder(s.Addr, s.Addr, s.Domain)
 		h.Mbps = s.LinkMbps
-		h.First = s.FirstDelay
+		h.TransferDelay = s.FirstDelay
 		h.Tokens = s.KVTokens
 		h.Readers = s.EventReaders
 		stores = append(stores, h)
@@ -123,8 +123,8 @@
 
 // pace returns how long a read of a holder's events waits, and the time between the start of two
 // reads. In a large system only a few nodes poll the holder.
-func (c *cacheTracker) pace(h *kept.Holder) (wait, pause time.Duration) {
-	return pace.EventIntervals(c.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
+func (c *cacheTracker) pace(h *kvindex.Holder) (wait, pause time.Duration) {
+	return intervals.EventIntervals(c.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
 }
 
 // lateStores returns the stores whose fetches by this node exceed minReportedLatenessMs.
@@ -140,10 +140,10 @@
 }
 
 // eventReadersOrDefault returns the number of concurrent event readers that a holder serves: the
-// configured number, or pace.MaxMeshNodes if it is not configured.
+// configured number, or intervals.MaxMeshNodes if it is not configured.
 func eventReadersOrDefault(configured int) int {
 	if configured > 0 {
 		return configured
 	}
-	return pace.MaxMeshNodes
+	return intervals.MaxMeshNodes
 }
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/relay"
 	"github.com/cherryward/cherryward/platform"
 )
@@ -81,21 +81,21 @@
 func (n *Node) relayed() bool { return len(n.readers()) > 0 }
 
 // storeReaderCount returns the number of nodes among which reads of the store are divided: all
-// nodes, or pace.MaxMeshNodes at one of the few nodes of a large system that read for the others.
+// nodes, or intervals.MaxMeshNodes at one of the few nodes of a large system that read for the others.
 func (n *Node) storeReaderCount() int {
 	if _, isReader := n.roster.readers(); isReader {
-		return pace.MaxMeshNodes
+		return intervals.MaxMeshNodes
 	}
 	return n.nodes()
 }
 
 // fallbackPause returns the time between two reads of a failing store, at a node that relies on
 // others to read it. Those nodes report to it as soon as the store is back.
-func (n *Node) fallbackPause() time.Duration { return pace.FallbackInterval(n.nodes()) }
+func (n *Node) fallbackPause() time.Duration { return intervals.FallbackInterval(n.nodes()) }
 
 // configWait returns how long a read of the configuration waits for a change.
 func (n *Node) configWait() time.Duration {
-	return pace.ConfigWait(n.storeReaderCount(), n.bounds().Revoke)
+	return intervals.ConfigWait(n.storeReaderCount(), n.bounds().Revoke)
 }
 
 // nodesWait returns how long a read of the nodes' addresses waits for a change.
@@ -109,9 +109,9 @@
 // registryPause returns the time between two reads of the registry.
 func (n *Node) registryPause() time.Duration {
 	if _, isReader := n.roster.readers(); isReader {
-		return pace.ReaderInterval(n.bounds().Drain)
+		return intervals.ReaderInterval(n.bounds().Drain)
 	}
-	return pace.RegistryInterval(n.nodes(), n.bounds().Drain)
+	return intervals.RegistryInterval(n.nodes(), n.bounds().Drain)
 }
 
 // rosterPause returns the time between two reads of the nodes' addresses.
@@ -119,5 +119,5 @@
 	if n.clock.Since(n.started) < startupWindow {
 		return startupReadInterval
 	}
-	return pace.RosterInterval(n.nodes())
+	return intervals.RosterInterval(n.nodes())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,9 +18,9 @@
 	"github.com/cherryward/cherryward/internal/datagram"
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/kernel"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 	"github.com/cherryward/cherryward/internal/quarantine"
@@ -64,7 +64,7 @@
 	callers       *server
 	readyServer   *server // readiness checks of the balancer, metrics
 	cacheTracker  *cacheTracker
-	events        *kept.Peers // exchanges the stores' contents with other nodes
+	events        *kvindex.Peers // exchanges the stores' contents with other nodes
 	orders        *weights.Service
 	conn          *datagram.Conn // messages to and from other nodes
 	peers         *peerload.Exchange
@@ -117,15 +117,15 @@
 	boot := n.boot.Load()
 	engines := platform.NewEngines()
 	n.cacheTracker = &cacheTracker{node: n}
-	n.cacheTracker.index = kept.NewIndex(engines, n.cacheTracker.pace, n.log)
-	n.cacheTracker.index.Relayed = n.relayed
+	n.cacheTracker.index = kvindex.NewIndex(engines, n.cacheTracker.pace, n.log)
+	n.cacheTracker.index.ReceivesRelays = n.relayed
 	n.cacheTracker.index.Clock = n.clock
 	n.conn, err = datagram.Listen(peerAddr(boot), n.log)
 	if err != nil {
 		return err
 	}
-	n.conn.Bound(pace.AnswerRate(boot.LinkBytes))
-	n.events = &kept.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
+	n.conn.Bound(intervals.AnswerRate(boot.LinkBytes))
+	n.events = &kvindex.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
 	n.events.Serve()
 	n.peers = peerload.New(peerload.Config{
 		Node:       boot.Name,
@@ -242,7 +242,7 @@
 		MayName:      n.cacheTracker.mayReference,
 		Peers:        n.peers.Table,
 		Kick:         n.peers.Kick,
-		Usual:        &kept.Lateness{},
+		Usual:        &kvindex.Lateness{},
 		Whole:        n.peers.Whole,
 		Closed:       n.orders.Closed,
 		VersionApply: func() time.Duration { return n.bounds().VersionApply },
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/cherryward/cherryward/internal/bootstrap"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 )
 
 // TestReadIntervalsAtStart checks that a starting node reads as often as later on: after a power
@@ -25,7 +25,7 @@
 	defer n.conn.Close()
 	defer n.callers.listener.Close()
 	defer n.readyServer.listener.Close()
-	_, pause := n.cacheTracker.pace(kept.NewHolder("e", "127.0.0.1:9", "north"))
+	_, pause := n.cacheTracker.pace(kvindex.NewHolder("e", "127.0.0.1:9", "north"))
 	test.Eq(t, 250*time.Millisecond, pause)
 	test.Eq(t, 400*time.Millisecond, n.registryPause())
 	test.Eq(t, 900*time.Millisecond, n.configWait())
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
@@ -60,7 +60,7 @@
 // nodes of a small system do; isReader is true if it is one of the few readers of a large one.
 // Nodes may temporarily disagree on the readers, in which case more nodes read the store.
 func (r *roster) readers() (addrs []netip.AddrPort, isReader bool) {
-	if pace.Whole(r.Nodes()) {
+	if intervals.FullMesh(r.Nodes()) {
 		return nil, false
 	}
 	role := r.assignRole(r.currentDomainNodes())
@@ -131,7 +131,7 @@
 // listBackups computes the result of backups. It may include nodes that are gone. The caller must
 // hold mu.
 func (r *roster) listBackups() []netip.AddrPort {
-	small := pace.Whole(len(r.entries))
+	small := intervals.FullMesh(len(r.entries))
 	found := make(map[string]int) // nodes, by failure domain
 	var addrs []netip.AddrPort
 	for _, n := range r.sortedNodes(func(nodeEntry) bool { return true }) {
--- a/internal/gateway/references.go
+++ b/internal/gateway/references.go
@@ -9,8 +9,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/cherryward/cherryward/internal/kept"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 )
@@ -117,9 +117,9 @@
 	return age < maxReferenceConfigAge
 }
 
-// Outdated implements kept.Outdated.
+// Outdated implements kvindex.Outdated.
 func (c *cacheTracker) Outdated(text string) bool {
-	salt, ok := kept.ParseSalt(text)
+	salt, ok := kvindex.ParseSalt(text)
 	if !ok {
 		return false
 	}
@@ -152,7 +152,7 @@
 // nodes as this one. A reporter checks the nodes of its own domain itself.
 func (c *cacheTracker) unreferencedByOthers(model string, version int64) (since time.Time, all bool) {
 	table := c.node.peers.Table
-	if pace.Whole(c.node.roster.Nodes()) {
+	if intervals.FullMesh(c.node.roster.Nodes()) {
 		return table.Unnamed(model, version, c.node.roster.Others())
 	}
 	for domain, names := range c.node.roster.othersByDomain() {
@@ -193,5 +193,5 @@
 
 // free frees outdated parts until ctx is done.
 func (c *cacheTracker) free(ctx context.Context) error {
-	return c.index.Free(ctx, c, c.configFresh, func() bool { return !pace.Whole(c.node.nodes()) })
+	return c.index.Free(ctx, c, c.configFresh, func() bool { return !intervals.FullMesh(c.node.nodes()) })
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -12,7 +12,7 @@
 
 	"github.com/cherryward/cherryward/internal/clock"
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/quarantine"
 )
@@ -188,7 +188,7 @@
 	r.byDomain = r.groupOthersByDomain()
 	r.members.update(r.entries)
 	r.count.Store(int64(nodes))
-	r.standby.Store(pace.Whole(nodes) || lowerHashes < orderStandbys)
+	r.standby.Store(intervals.FullMesh(nodes) || lowerHashes < orderStandbys)
 }
 
 // Others returns the names of all other listed nodes.
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -14,7 +14,7 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/follow"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 	"github.com/cherryward/cherryward/internal/routing"
@@ -31,9 +31,9 @@
 	s := &starter{state: newState(func() bootstrap.Bounds { return bounds }, zerolog.Nop())}
 	engines := fleet.New(zerolog.Nop())
 	engines.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1", Weights: []fleet.Weights{{Model: model, Version: 1}}}, time.Now())
-	index := kept.NewIndex(nil, nil, zerolog.Nop())
+	index := kvindex.NewIndex(nil, nil, zerolog.Nop())
 	s.placer = &placer.Placer{
-		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kept.Lateness{},
+		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kvindex.Lateness{},
 		Excused: s.state.startupGrace,
 		MayName: func(string, int64) bool { return false }, Whole: func() bool { return true }, Closed: func() []weights.Closed { return nil },
 		VersionApply: func() time.Duration { return bounds.VersionApply }, Services: &placer.Services{}, Nodes: func() int { return 1 },
--- a/internal/gateway/sweep.go
+++ b/internal/gateway/sweep.go
@@ -12,7 +12,7 @@
 
 	"github.com/cherryward/cherryward/coord/retry"
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 const (
@@ -190,7 +190,7 @@
 // of a small system, or of each failure domain of a large one. They also watch the nodes of failure
 // domains from which no message arrives.
 func (r *roster) isSweeper() bool {
-	small := pace.Whole(r.Nodes())
+	small := intervals.FullMesh(r.Nodes())
 	r.mu.Lock()
 	group := r.sortedNodes(func(e nodeEntry) bool { return small || e.Domain == r.own.Domain })
 	r.mu.Unlock()
--- a/internal/gateway/topic_test.go
+++ b/internal/gateway/topic_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
@@ -203,7 +203,7 @@
 // domain, which only large systems have.
 func (s *cluster) connectedToDomain(n *simNode, domain string) bool {
 	for name, peer := range s.nodes {
-		if domain != n.own.Domain && peer.own.Domain == domain && !pace.Whole(peer.Nodes()) && s.connected(n, name) {
+		if domain != n.own.Domain && peer.own.Domain == domain && !intervals.FullMesh(peer.Nodes()) && s.connected(n, name) {
 			return true
 		}
 	}
--- a/internal/gateway/views_test.go
+++ b/internal/gateway/views_test.go
@@ -12,7 +12,7 @@
 	"github.com/cherryward/cherryward/internal/bootstrap"
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
@@ -69,7 +69,7 @@
 	v.state.Apply(batch)
 }
 
-func salt(version int64) string { return kept.Salt{Model: model, Version: version}.String() }
+func salt(version int64) string { return kvindex.Salt{Model: model, Version: version}.String() }
 
 // newLargeViews returns the views of a large system's nodes. The freer is alone in its failure
 // domain and is a standby, so that it frees early; the others share a second failure domain.
--- a/internal/pace/pace.go
+++ b/internal/intervals/intervals.go
@@ -1,10 +1,10 @@
-// Package pace computes how often a node reads the platform's services and sends messages to its
+// Package intervals computes how often a node reads the platform's services and sends messages to its
 // peers, depending on the number of nodes.
 //
 // In a system of up to MaxMeshNodes nodes, each node reads as often as is useful. In a larger one,
 // the load that each node causes grows with the number of nodes, so the rates are bounded for all
 // nodes together. All functions are pure.
-package pace
+package intervals
 
 import "time"
 
@@ -30,7 +30,7 @@
 
 	// minConfigWait is the shortest time for which a read of the configuration waits for a change.
 	// It applies in a small system. A completed read proves that the configuration was current when
-	// the read was sent, so the proof is up to twice as old as the wait.
+	// the read was sent, so the confirmation is up to twice as old as the wait.
 	minConfigWait = 900 * time.Millisecond
 	// maxConfigReads is the number of reads of the configuration per second by all nodes together.
 	maxConfigReads = 60
@@ -61,9 +61,9 @@
 	// messageLinkDivisor sets the part of its host's link that a node uses for unsolicited messages
 	// to other nodes: one fifth. It receives as much, since all nodes send alike.
 	messageLinkDivisor = 5
-	// MessageBytes is the limit on the rate of these messages at the slowest link, in bytes per
+	// MinMessageRate is the limit on the rate of these messages at the slowest link, in bytes per
 	// second. Faster links allow more.
-	MessageBytes = minLinkRate / messageLinkDivisor
+	MinMessageRate = minLinkRate / messageLinkDivisor
 	// answerLinkPercent is the part of its host's link, in percent, that a node uses for responses
 	// to other nodes. Together with the messages this leaves half of the link for requests.
 	answerLinkPercent = 30
@@ -103,7 +103,7 @@
 
 // RosterInterval returns the time between two reads of the nodes' addresses; 0 in a small system.
 func RosterInterval(nodes int) time.Duration {
-	if Whole(nodes) {
+	if FullMesh(nodes) {
 		return 0
 	}
 	return rosterInterval
@@ -119,21 +119,21 @@
 	return eventsShortWait, time.Duration(float64(eventsShortWait) * float64(nodes) / slots)
 }
 
-// Digests returns the shortest and the longest time between two messages to peers.
-func Digests(peers int) (spacing, interval time.Duration) {
+// DigestIntervals returns the shortest and the longest time between two messages to peers.
+func DigestIntervals(peers int) (spacing, interval time.Duration) {
 	spacing = max(minDigestInterval, intervalFor(peers, maxDigestsReceived))
 	return spacing, max(maxDigestInterval, spacing)
 }
 
-// Spread returns how long a node pauses after it sent messages of the given number of bytes. link
+// SendPause returns how long a node pauses after it sent messages of the given number of bytes. link
 // is the rate of its link in bytes per second; 0 if unknown.
-func Spread(bytes, link int) time.Duration {
+func SendPause(bytes, link int) time.Duration {
 	return time.Duration(bytes) * time.Second / time.Duration(messageRate(link))
 }
 
-// LongestMessage returns the size in bytes of the longest message that can be sent to the given
+// MaxMessageSize returns the size in bytes of the longest message that can be sent to the given
 // number of peers within a time. link is the rate of the link in bytes per second; 0 if unknown.
-func LongestMessage(peers, link int, within time.Duration) int {
+func MaxMessageSize(peers, link int, within time.Duration) int {
 	return int(within.Seconds() * float64(messageRate(link)) / float64(max(peers, 1)))
 }
 
@@ -142,26 +142,26 @@
 func AnswerRate(link int) int { return max(link/100*answerLinkPercent, MinAnswerRate) }
 
 // messageRate returns the rate of unsolicited messages to other nodes in bytes per second.
-func messageRate(link int) int { return max(link/messageLinkDivisor, MessageBytes) }
+func messageRate(link int) int { return max(link/messageLinkDivisor, MinMessageRate) }
 
-// DomainDigests returns the time between two messages to the given number of nodes of other failure
-// domains about the weight versions that a node's own domain references at stores.
-func DomainDigests(nodes int) time.Duration {
+// DomainDigestInterval returns the time between two messages to the given number of nodes of other
+// failure domains about the weight versions that a node's own domain references at stores.
+func DomainDigestInterval(nodes int) time.Duration {
 	return max(minDomainInterval, intervalFor(nodes, maxDomainMessages))
 }
 
 // FallbackInterval returns the time between two reads of a failing store by a node of a large
 // system; 0 in a small one. Without it, all nodes would read three topics several times per second.
 func FallbackInterval(nodes int) time.Duration {
-	if Whole(nodes) {
+	if FullMesh(nodes) {
 		return 0
 	}
 	return max(minFallbackInterval, intervalFor(nodes, maxFallbackReads))
 }
 
-// Whole reports whether the system is small enough for the nodes to send all reports to one
+// FullMesh reports whether the system is small enough for the nodes to send all reports to one
 // another.
-func Whole(nodes int) bool { return nodes <= MaxMeshNodes }
+func FullMesh(nodes int) bool { return nodes <= MaxMeshNodes }
 
 // intervalFor returns the time between two calls of a node if all nodes together make the given
 // number of calls per second.
--- a/internal/pace/pace_test.go
+++ b/internal/intervals/intervals_test.go
@@ -1,4 +1,4 @@
-package pace_test
+package intervals_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test"
 
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 const (
@@ -17,11 +17,11 @@
 // TestRateLimits checks the limits on the rates of all nodes together, up to the largest system.
 func TestRateLimits(t *testing.T) {
 	for _, nodes := range []int{1, 7, 12, 13, 30, 85, 300, 1000} {
-		registry := pace.RegistryInterval(nodes, drain)
+		registry := intervals.RegistryInterval(nodes, drain)
 		test.LessEq(t, drain/2, registry)
-		config := pace.ConfigWait(nodes, revoke)
+		config := intervals.ConfigWait(nodes, revoke)
 		test.LessEq(t, revoke/3, config)
-		spacing, interval := pace.Digests(nodes)
+		spacing, interval := intervals.DigestIntervals(nodes)
 		test.LessEq(t, interval, spacing)
 		test.LessEq(t, 600, float64(nodes)/spacing.Seconds(), test.Sprint(nodes, " nodes"))
 		if nodes <= 90 {
@@ -30,10 +30,11 @@
 	}
 }
 
-// TestDomainDigests checks the limit on the messages of a node that reports for its failure domain.
-func TestDomainDigests(t *testing.T) {
+// TestDomainDigestInterval checks the limit on the messages of a node that reports for its failure
+// domain.
+func TestDomainDigestInterval(t *testing.T) {
 	for _, nodes := range []int{10, 60, 900} {
-		test.LessEq(t, 200, float64(nodes)/pace.DomainDigests(nodes).Seconds(), test.Sprint(nodes, " nodes"))
+		test.LessEq(t, 200, float64(nodes)/intervals.DomainDigestInterval(nodes).Seconds(), test.Sprint(nodes, " nodes"))
 	}
 }
 
@@ -42,10 +43,10 @@
 func TestLinkShares(t *testing.T) {
 	const second = time.Second
 	for _, link := range []int{0, minLinkRate, 2 * minLinkRate, 20 * minLinkRate} {
-		longest := pace.LongestMessage(1, link, second)
-		test.LessEq(t, max(link, minLinkRate)/2, longest+pace.AnswerRate(link), test.Sprint(link))
-		test.Eq(t, second, pace.Spread(longest, link))
-		test.GreaterEq(t, pace.MessageBytes, longest)
+		longest := intervals.MaxMessageSize(1, link, second)
+		test.LessEq(t, max(link, minLinkRate)/2, longest+intervals.AnswerRate(link), test.Sprint(link))
+		test.Eq(t, second, intervals.SendPause(longest, link))
+		test.GreaterEq(t, intervals.MinMessageRate, longest)
 	}
 }
 
@@ -56,16 +57,16 @@
 func TestReaderInterval(t *testing.T) {
 	const poll = 400 * time.Millisecond
 	for _, bound := range []time.Duration{2 * time.Second, drain, 4 * time.Second} {
-		test.LessEq(t, bound/2, pace.ReaderInterval(bound)+poll)
+		test.LessEq(t, bound/2, intervals.ReaderInterval(bound)+poll)
 	}
 }
 
 // TestFallbackInterval checks the limit on reads of a failing store by all nodes for three topics,
 // and that nodes of a small system do not wait.
 func TestFallbackInterval(t *testing.T) {
-	test.Eq(t, 0, pace.FallbackInterval(12))
+	test.Eq(t, 0, intervals.FallbackInterval(12))
 	for _, nodes := range []int{13, 85, 1000} {
-		test.LessEq(t, 3*45, 3*float64(nodes)/pace.FallbackInterval(nodes).Seconds(), test.Sprint(nodes, " nodes"))
+		test.LessEq(t, 3*45, 3*float64(nodes)/intervals.FallbackInterval(nodes).Seconds(), test.Sprint(nodes, " nodes"))
 	}
 }
 
@@ -74,7 +75,7 @@
 func TestEventReaderLimit(t *testing.T) {
 	for _, nodes := range []int{12, 13, 85, 1000} {
 		for _, readers := range []int{0, 1, 12, 100} {
-			wait, pause := pace.EventIntervals(nodes, readers)
+			wait, pause := intervals.EventIntervals(nodes, readers)
 			waiting := float64(nodes) * wait.Seconds() / max(pause, wait).Seconds()
 			test.LessEq(t, float64(max(readers, 1))+1e-9, waiting, test.Sprint(nodes, " nodes, ", readers, " readers"))
 		}
@@ -83,15 +84,15 @@
 
 // TestSmallSystem checks the rates of a system in which all nodes send all reports to one another.
 func TestSmallSystem(t *testing.T) {
-	test.Eq(t, 400*time.Millisecond, pace.RegistryInterval(7, 2*time.Second))
-	test.Eq(t, 900*time.Millisecond, pace.ConfigWait(7, revoke))
-	test.Eq(t, 0, pace.RosterInterval(7))
-	wait, pause := pace.EventIntervals(7, 12)
+	test.Eq(t, 400*time.Millisecond, intervals.RegistryInterval(7, 2*time.Second))
+	test.Eq(t, 900*time.Millisecond, intervals.ConfigWait(7, revoke))
+	test.Eq(t, 0, intervals.RosterInterval(7))
+	wait, pause := intervals.EventIntervals(7, 12)
 	test.Eq(t, 800*time.Millisecond, wait)
 	test.Eq(t, 250*time.Millisecond, pause)
-	spacing, interval := pace.Digests(6)
+	spacing, interval := intervals.DigestIntervals(6)
 	test.Eq(t, 15*time.Millisecond, spacing)
 	test.Eq(t, 150*time.Millisecond, interval)
-	test.True(t, pace.Whole(7))
-	test.False(t, pace.Whole(85))
+	test.True(t, intervals.FullMesh(7))
+	test.False(t, intervals.FullMesh(85))
 }
--- a/internal/kept/epoch.go
+++ b/internal/kvindex/epoch.go
@@ -1,17 +1,17 @@
-package kept
+package kvindex
 
 import "time"
 
 const (
-	// FetchLimit is the maximum duration of a fetch from a store.
-	FetchLimit = 1500 * time.Millisecond
+	// FetchTimeout is the maximum duration of a fetch from a store.
+	FetchTimeout = 1500 * time.Millisecond
 	// namingWindow is how long a part may be named as the source of a fetch after its store's epoch
 	// was last confirmed. An events request waits up to 0.8 s, the next one starts 0.25 s later,
 	// and its response reaches other nodes after another 0.5 s.
 	namingWindow = 2500 * time.Millisecond
 	// maxFetchTime is the maximum time from naming a part to the end of its fetch, with a margin
 	// for clock differences.
-	maxFetchTime = FetchLimit + 300*time.Millisecond
+	maxFetchTime = FetchTimeout + 300*time.Millisecond
 	// emptyStoreDelay is how long no part is sent to a store after this node saw that it is empty.
 	emptyStoreDelay = namingWindow + maxFetchTime
 )
@@ -30,27 +30,27 @@
 		h.epochConfirmedAt = time.Time{}
 		h.savesAllowedAt = now.Add(emptyStoreDelay)
 	}
-	if h.epochConfirmedAt.Before(e.ProvenAt) {
-		h.epochConfirmedAt = e.ProvenAt
+	if h.epochConfirmedAt.Before(e.ConfirmedAt) {
+		h.epochConfirmedAt = e.ConfirmedAt
 	}
 }
 
-// Names reports whether parts of the store may be named as the source of a fetch: the store is
+// ConfirmedRecently reports whether parts of the store may be named as the source of a fetch: the store is
 // reachable and its epoch was confirmed less than namingWindow ago.
-func (h *Holder) Names(now time.Time) bool {
+func (h *Holder) ConfirmedRecently(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.unreachable && now.Sub(h.epochConfirmedAt) < namingWindow
 }
 
-// Saves reports whether parts may be sent to the store.
-func (h *Holder) Saves(now time.Time) bool {
+// AcceptsSaves reports whether parts may be sent to the store.
+func (h *Holder) AcceptsSaves(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.acceptsSaves(now)
+	return h.acceptsSavesLocked(now)
 }
 
-func (h *Holder) acceptsSaves(now time.Time) bool {
+func (h *Holder) acceptsSavesLocked(now time.Time) bool {
 	return !h.unreachable && !now.Before(h.savesAllowedAt)
 }
 
--- a/internal/kept/epoch_test.go
+++ b/internal/kvindex/epoch_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"testing"
@@ -17,21 +17,21 @@
 // possible.
 func TestNoSavesAfterStoreRestart(t *testing.T) {
 	h, other := newStore(), newStore()
-	before := &Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}, ProvenAt: now}
+	before := &Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}, ConfirmedAt: now}
 	h.apply(before, now)
 	other.apply(before, now)
-	test.True(t, h.Saves(now), test.Sprint("it keeps parts, so it has not just restarted"))
+	test.True(t, h.AcceptsSaves(now), test.Sprint("it keeps parts, so it has not just restarted"))
 
 	restart := now.Add(time.Millisecond)
-	h.apply(&Events{Epoch: 6, Next: 1, ProvenAt: restart}, restart) // the earliest time at which a node can see the restart
-	test.True(t, other.Names(restart))
+	h.apply(&Events{Epoch: 6, Next: 1, ConfirmedAt: restart}, restart) // the earliest time at which a node can see the restart
+	test.True(t, other.ConfirmedRecently(restart))
 	from := restart.Add(namingWindow)
-	test.False(t, other.Names(from), test.Sprint("no node can confirm the former epoch any more"))
-	test.False(t, h.Saves(from.Add(maxFetchTime-time.Millisecond)), test.Sprint("the last fetch is in progress"))
-	test.True(t, h.Saves(from.Add(maxFetchTime)))
+	test.False(t, other.ConfirmedRecently(from), test.Sprint("no node can confirm the former epoch any more"))
+	test.False(t, h.AcceptsSaves(from.Add(maxFetchTime-time.Millisecond)), test.Sprint("the last fetch is in progress"))
+	test.True(t, h.AcceptsSaves(from.Add(maxFetchTime)))
 
-	other.apply(&Events{Epoch: 5, Next: 2, ProvenAt: now.Add(-time.Second)}, from)
-	test.False(t, other.Names(from), test.Sprint("an old confirmation that arrived late"))
+	other.apply(&Events{Epoch: 5, Next: 2, ConfirmedAt: now.Add(-time.Second)}, from)
+	test.False(t, other.ConfirmedRecently(from), test.Sprint("an old confirmation that arrived late"))
 }
 
 // TestNoSavesToEmptyStore checks the same for a node that starts and finds a store empty, unless
@@ -39,13 +39,13 @@
 func TestNoSavesToEmptyStore(t *testing.T) {
 	h := newStore()
 	h.apply(&Events{Epoch: 5, Next: 1}, now)
-	test.False(t, h.Saves(now.Add(emptyStoreDelay-time.Millisecond)))
-	test.True(t, h.Saves(now.Add(emptyStoreDelay)))
+	test.False(t, h.AcceptsSaves(now.Add(emptyStoreDelay-time.Millisecond)))
+	test.True(t, h.AcceptsSaves(now.Add(emptyStoreDelay)))
 	for savesIn, want := range map[time.Duration]bool{0: true, time.Second: false} {
 		h = newStore()
 		h.apply(&Events{Epoch: 5, Next: 1, SnapshotPage: &Page{Number: 0, Of: 1}, SavesIn: savesIn}, now)
-		test.Eq(t, want, h.Saves(now))
-		test.True(t, h.Saves(now.Add(savesIn)))
+		test.Eq(t, want, h.AcceptsSaves(now))
+		test.True(t, h.AcceptsSaves(now.Add(savesIn)))
 	}
 }
 
--- a/internal/kept/free.go
+++ b/internal/kvindex/free.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	largeSystemFreeBatch = 40
 )
 
-// Outdated decides which salts are no longer in use.
-type Outdated interface {
+// SaltFilter decides which salts are no longer in use.
+type SaltFilter interface {
 	// Outdated reports whether parts under the salt may be freed: every node has stopped naming
 	// them, and each fetch that had started has ended.
 	Outdated(salt string) bool
@@ -27,7 +27,7 @@
 // Free frees outdated parts of all stores until ctx is done. Several nodes may free at the same
 // time: no node still uses a part that rule declares outdated. active reports whether this node
 // should free parts, slowly whether the system is large.
-func (x *Index) Free(ctx context.Context, rule Outdated, active, slowly func() bool) error {
+func (x *Index) Free(ctx context.Context, rule SaltFilter, active, slowly func() bool) error {
 	for ctx.Err() == nil {
 		retry.Sleep(ctx, freeInterval)
 		if !active() {
@@ -45,7 +45,7 @@
 }
 
 // freeOutdated frees up to limit outdated parts of one store.
-func (x *Index) freeOutdated(ctx context.Context, store *Holder, rule Outdated, limit int) {
+func (x *Index) freeOutdated(ctx context.Context, store *Holder, rule SaltFilter, limit int) {
 	parts, epoch := store.partsMatching(rule.Outdated)
 	if len(parts) == 0 || !store.Reachable() {
 		return
--- a/internal/kept/index.go
+++ b/internal/kvindex/index.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"context"
@@ -31,10 +31,10 @@
 	// Pace returns how long a request to a holder waits for the first event, and the minimum time
 	// between the start of two requests. A pause makes events arrive in batches.
 	Pace func(h *Holder) (wait, pause time.Duration)
-	// Relayed reports whether other nodes request the stores' events and relay them to this one;
+	// ReceivesRelays reports whether other nodes request the stores' events and relay them to this one;
 	// nil means never. If they do, this node backs off exponentially from a store that fails,
 	// because a store that is starting can serve few readers at once.
-	Relayed func() bool
+	ReceivesRelays func() bool
 	// Clock timestamps responses and relayed updates. Nil is the monotonic clock.
 	Clock *clock.Clock
 
@@ -113,7 +113,7 @@
 	old := x.view.Load()
 	next := &view{engines: make(map[string]*Holder)}
 	for _, h := range engines {
-		if known := old.engines[h.ID]; known != nil && known.Born == h.Born && known.Addr == h.Addr {
+		if known := old.engines[h.ID]; known != nil && known.StartedMs == h.StartedMs && known.Addr == h.Addr {
 			h = known
 		}
 		next.engines[h.ID] = h
@@ -179,8 +179,8 @@
 			}
 		default:
 			failures = 0
-			events.ProvenAt = started
-			x.Take(h, &events)
+			events.ConfirmedAt = started
+			x.Apply(h, &events)
 		}
 		retry.Sleep(ctx, pause-x.Clock.Since(started))
 	}
@@ -189,22 +189,22 @@
 // retryPause returns the pause after a failed request that follows the given number of consecutive
 // failures.
 func (x *Index) retryPause(failures int) time.Duration {
-	if x.Relayed == nil || !x.Relayed() {
+	if x.ReceivesRelays == nil || !x.ReceivesRelays() {
 		return minEventsBackoff
 	}
 	return min(minEventsBackoff<<min(failures, 10), maxEventsBackoff)
 }
 
-// Take applies a batch of events to a holder.
-func (x *Index) Take(h *Holder, e *Events) {
+// Apply applies a batch of events to a holder.
+func (x *Index) Apply(h *Holder, e *Events) {
 	if e.ClockMS > 0 {
 		x.engineClock.Store(&clockReading{ms: e.ClockMS, at: x.Clock.Now()})
 	}
 	if e.Gap {
 		x.Log.Info().Str("event", "events_gap").Str("holder", h.ID).Int64("next", e.Next).Send()
 	}
-	if e.Unread > 0 {
-		x.Log.Warn().Str("event", "events_unread").Str("holder", h.ID).Int("events", e.Unread).Send()
+	if e.Undecoded > 0 {
+		x.Log.Warn().Str("event", "events_unread").Str("holder", h.ID).Int("events", e.Undecoded).Send()
 	}
 	h.apply(e, x.Clock.Now())
 }
--- a/internal/kept/index_test.go
+++ b/internal/kvindex/index_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"context"
@@ -20,12 +20,12 @@
 		x := NewIndex(source, func(*Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
 		stores := siteStores()
 		x.Replace(nil, stores)
-		test.False(t, x.Told(time.Now()))
+		test.False(t, x.AllRelayed(time.Now()))
 		until := time.Now().Add(relayLifetime)
 		for _, h := range x.Stores() {
 			h.relayedUntil.Store(&until)
 		}
-		test.True(t, x.Told(time.Now()))
+		test.True(t, x.AllRelayed(time.Now()))
 		x.Follow(t.Context(), nil, siteStores())
 		time.Sleep(relayLifetime - time.Millisecond)
 		test.Eq(t, 0, source.count())
@@ -39,7 +39,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			source := &refusingSource{}
 			x := NewIndex(source, func(*Holder) (time.Duration, time.Duration) { return 0, 0 }, zerolog.Nop())
-			x.Relayed = func() bool { return relayed }
+			x.ReceivesRelays = func() bool { return relayed }
 			ctx, cancel := context.WithCancel(t.Context())
 			x.Follow(ctx, nil, []*Holder{newStore()})
 			time.Sleep(20*time.Second - minEventsBackoff/2)
--- a/internal/kept/kept.go
+++ b/internal/kvindex/kvindex.go
@@ -1,10 +1,10 @@
-// Package kept records which parts of prompts are kept as KV cache, at which engines and stores.
+// Package kvindex records which parts of prompts are kept as KV cache, at which engines and stores.
 //
 // The record is built from events that arrive late and are sometimes lost, so it may list too much
 // or too little. Errors cost time only: an engine computes a part that it doesn't find. The one
 // exception is a store's part that is freed while it is fetched, which Free prevents by its rule
 // for outdated salts.
-package kept
+package kvindex
 
 import (
 	"cmp"
@@ -37,12 +37,12 @@
 	Gap          bool  // some of the requested events are no longer retained
 	SnapshotPage *Page // if set, Changes is a page of a snapshot, for a node without any state of the holder
 	Changes      []Change
-	Unread       int   // number of events that could not be decoded; not in Changes
+	Undecoded    int   // number of events that could not be decoded; not in Changes
 	ClockMS      int64 // the engines' shared clock
-	// ProvenAt is a time at which the holder was certainly in this epoch: just before the request
+	// ConfirmedAt is a time at which the holder was certainly in this epoch: just before the request
 	// was sent to the holder, or earlier if another node relayed the events. Zero means the time
 	// at which the events are applied.
-	ProvenAt time.Time
+	ConfirmedAt time.Time
 	// SavesIn is the remaining time in which nothing may be sent to the holder, if another node
 	// relayed a snapshot.
 	SavesIn time.Duration
@@ -58,13 +58,13 @@
 
 // Holder is an engine or a store that keeps parts. It is safe for concurrent use.
 type Holder struct {
-	ID     string // engine id, or the address of a store
-	Born   int64  // start time of an engine, Unix milliseconds; 0 if unknown
-	Addr   string
-	Domain string  // failure domain
-	Mbps   float64 // link bandwidth
-	First  time.Duration
-	Tokens int // capacity of a store; 0 for an engine
+	ID            string // engine id, or the address of a store
+	StartedMs     int64  // start time of an engine, Unix milliseconds; 0 if unknown
+	Addr          string
+	Domain        string  // failure domain
+	Mbps          float64 // link bandwidth
+	TransferDelay time.Duration
+	Tokens        int // capacity of a store; 0 for an engine
 	// Readers is the number of requests for events that are pending at the holder; 0 if unknown.
 	Readers int
 	// relayedUntil is when relayed updates stop replacing requests; nil if there were none.
@@ -141,7 +141,7 @@
 func (h *Holder) BeginSave(p Part, tokens int, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.parts[p] > 0 || !h.acceptsSaves(now) || h.used+tokens > h.Tokens {
+	if h.parts[p] > 0 || !h.acceptsSavesLocked(now) || h.used+tokens > h.Tokens {
 		return false
 	}
 	if sent, pending := h.pendingSaves[p]; pending && now.Sub(sent) < saveTimeout {
@@ -154,27 +154,27 @@
 	return true
 }
 
-// Missed reports whether a part was sent to the store at least saveTimeout ago and no event has
+// SaveOverdue reports whether a part was sent to the store at least saveTimeout ago and no event has
 // confirmed it. The store usually has it: it emits one event for each part, and a lost event is
 // not repeated. A part whose transfer was interrupted keeps its room in the store, which rejects
 // it from then on.
-func (h *Holder) Missed(p Part, now time.Time) bool {
+func (h *Holder) SaveOverdue(p Part, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sent, known := h.pendingSaves[p]
 	return known && now.Sub(sent) >= saveTimeout
 }
 
-// Room returns the free capacity of a store in tokens, not counting saves in progress.
-func (h *Holder) Room() int {
+// FreeTokens returns the free capacity of a store in tokens, not counting saves in progress.
+func (h *Holder) FreeTokens() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.Tokens - h.used
 }
 
-// DropSave discards the record of a save because the request that was to send the part did not
+// CancelSave discards the record of a save because the request that was to send the part did not
 // run.
-func (h *Holder) DropSave(p Part) {
+func (h *Holder) CancelSave(p Part) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.pendingSaves, p)
@@ -184,8 +184,8 @@
 func (h *Holder) apply(e *Events, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if e.ProvenAt.IsZero() {
-		e.ProvenAt = now
+	if e.ConfirmedAt.IsZero() {
+		e.ConfirmedAt = now
 	}
 	if e.SnapshotPage != nil {
 		h.applyPage(e, now)
--- a/internal/kept/kept_test.go
+++ b/internal/kvindex/kvindex_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"fmt"
@@ -47,12 +47,12 @@
 // until one does.
 func TestMissed(t *testing.T) {
 	h, now := newStore(), time.Now()
-	test.False(t, h.Missed(part, now), test.Sprint("never sent"))
+	test.False(t, h.SaveOverdue(part, now), test.Sprint("never sent"))
 	must.True(t, h.BeginSave(part, 40, now))
-	test.False(t, h.Missed(part, now.Add(saveTimeout-time.Millisecond)), test.Sprint("in progress"))
-	test.True(t, h.Missed(part, now.Add(saveTimeout)))
+	test.False(t, h.SaveOverdue(part, now.Add(saveTimeout-time.Millisecond)), test.Sprint("in progress"))
+	test.True(t, h.SaveOverdue(part, now.Add(saveTimeout)))
 	h.apply(&Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}}, now)
-	test.False(t, h.Missed(part, now.Add(saveTimeout)), test.Sprint("kept"))
+	test.False(t, h.SaveOverdue(part, now.Add(saveTimeout)), test.Sprint("kept"))
 }
 
 // TestPendingSavesAreBounded checks that the number of recorded saves stays bounded if no event
--- a/internal/kept/lateness.go
+++ b/internal/kvindex/lateness.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"sync"
@@ -23,8 +23,8 @@
 	ms decay.Average
 }
 
-// Note adds an observation in ms later than expected. Negative values count as zero.
-func (l *Lateness) Note(ms float64, now time.Time) {
+// Observe adds an observation in ms later than expected. Negative values count as zero.
+func (l *Lateness) Observe(ms float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ms.Note(max(ms, 0), latenessWeight, latenessHalfLife, now)
--- a/internal/kept/packed.go
+++ b/internal/kvindex/packed.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"encoding/binary"
--- a/internal/kept/peers.go
+++ b/internal/kvindex/peers.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"context"
@@ -233,8 +233,8 @@
 		// The clock reading is as old as the response. A reading that is behind makes fetches end
 		// early rather than late.
 		events.ClockMS = response.ClockMS
-		events.ProvenAt = sentAt.Add(-time.Duration(t.AgeMs) * time.Millisecond)
-		p.Index.Take(store, events)
+		events.ConfirmedAt = sentAt.Add(-time.Duration(t.AgeMs) * time.Millisecond)
+		p.Index.Apply(store, events)
 		store.relayedUntil.Store(&until)
 	}
 	return response.More, nil
@@ -252,9 +252,9 @@
 	return &Events{Epoch: t.Epoch, Next: t.Next, SnapshotPage: t.Page, Changes: changes, SavesIn: time.Duration(t.SavesInMs) * time.Millisecond}, err
 }
 
-// Told reports whether relayed updates of all stores are recent enough that none has to be
+// AllRelayed reports whether relayed updates of all stores are recent enough that none has to be
 // requested directly.
-func (x *Index) Told(now time.Time) bool {
+func (x *Index) AllRelayed(now time.Time) bool {
 	for _, h := range x.Stores() {
 		if h.relayRemaining(now) <= 0 {
 			return false
--- a/internal/kept/peers_test.go
+++ b/internal/kvindex/peers_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"context"
@@ -116,9 +116,9 @@
 	reader, addr := newTestNode(t, &countingSource{})
 	requester, _ := newTestNode(t, &countingSource{})
 	for _, x := range []*Index{reader.Index, requester.Index} {
-		x.Take(x.Stores()[0], &Events{Epoch: 5, Next: 1, ClockMS: 70})
+		x.Apply(x.Stores()[0], &Events{Epoch: 5, Next: 1, ClockMS: 70})
 	}
-	reader.Index.Take(reader.Index.Stores()[0], &Events{Epoch: 5, Next: 6, Changes: changes(1, 6), ClockMS: 77})
+	reader.Index.Apply(reader.Index.Stores()[0], &Events{Epoch: 5, Next: 6, Changes: changes(1, 6), ClockMS: 77})
 	must.NoError(t, requester.request(t.Context(), addr))
 	store := requester.Index.Stores()[0]
 	test.Eq(t, reader.Index.Stores()[0].parts, store.parts)
@@ -164,9 +164,9 @@
 	t.Cleanup(func() { conn.Close() })
 	requester, _ := newTestNode(t, &countingSource{})
 	for _, x := range []*Index{reader.Index, requester.Index} {
-		x.Take(x.Stores()[0], &Events{Epoch: 5, Next: 1, ClockMS: 70})
+		x.Apply(x.Stores()[0], &Events{Epoch: 5, Next: 1, ClockMS: 70})
 	}
-	reader.Index.Take(reader.Index.Stores()[0], &Events{Epoch: 5, Next: events, Changes: changes(1, events), ClockMS: 77})
+	reader.Index.Apply(reader.Index.Stores()[0], &Events{Epoch: 5, Next: events, Changes: changes(1, events), ClockMS: 77})
 	var counts []int64
 	for known := int64(1); known < events; known = requester.Index.Stores()[0].Position().Next {
 		must.NoError(t, requester.request(t.Context(), netip.MustParseAddrPort(conn.Addr())))
--- a/internal/kept/restart_test.go
+++ b/internal/kvindex/restart_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"testing"
@@ -12,7 +12,7 @@
 func TestRestartedEngine(t *testing.T) {
 	engine := func(addr string, born int64) *Holder {
 		h := NewHolder("e", addr, "north")
-		h.Born = born
+		h.StartedMs = born
 		return h
 	}
 	tests := map[string]struct {
@@ -27,7 +27,7 @@
 		x := NewIndex(nil, nil, zerolog.Nop())
 		first := engine("127.0.0.1:1", 100)
 		x.Replace([]*Holder{first}, nil)
-		x.Take(first, &Events{Epoch: 1, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}})
+		x.Apply(first, &Events{Epoch: 1, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}})
 		x.Replace([]*Holder{tt.next}, nil)
 		test.Eq(t, tt.next.Addr, x.Engine("e").Addr, test.Sprint(name))
 		test.Eq(t, tt.keepsParts, x.Engine("e").Has(part) > 0, test.Sprint(name))
--- a/internal/kept/snapshot.go
+++ b/internal/kvindex/snapshot.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import "time"
 
@@ -93,6 +93,6 @@
 	}
 	h.progress = snapshotProgress{}
 	h.epoch, h.next = e.Epoch, e.Next
-	h.epochConfirmedAt, h.savesAllowedAt = e.ProvenAt, now.Add(e.SavesIn)
+	h.epochConfirmedAt, h.savesAllowedAt = e.ConfirmedAt, now.Add(e.SavesIn)
 	h.recent = journal{started: true, first: e.Next}
 }
--- a/internal/kept/snapshot_test.go
+++ b/internal/kvindex/snapshot_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"encoding/json"
@@ -56,7 +56,7 @@
 		must.NoError(t, err)
 	}
 	test.LessEq(t, 120, responses, test.Sprint("responses of at most ", datagram.MaxBytes, " bytes"))
-	test.True(t, requester.Index.Told(time.Now()))
+	test.True(t, requester.Index.AllRelayed(time.Now()))
 	for i, h := range requester.Index.Stores() {
 		want := reader.Index.Stores()[i]
 		test.Eq(t, want.parts, h.parts)
@@ -79,14 +79,14 @@
 	reader.Index.view.Store(&view{stores: siteStores()})
 	requester.Index.view.Store(&view{stores: siteStores()})
 	must.NoError(t, requester.request(t.Context(), addr))
-	test.False(t, requester.Index.Told(time.Now()), test.Sprint("the other node has no state either"))
+	test.False(t, requester.Index.AllRelayed(time.Now()), test.Sprint("the other node has no state either"))
 	for i, h := range reader.Index.Stores() {
 		h.apply(&Events{Epoch: int64(i + 7), Next: 1}, time.Now())
 	}
 	more, err := requester.requestOnce(t.Context(), addr)
 	must.NoError(t, err)
 	test.False(t, more)
-	test.True(t, requester.Index.Told(time.Now()))
+	test.True(t, requester.Index.AllRelayed(time.Now()))
 }
 
 // TestResponsesCoverStoresAsTheyStart checks that each response covers all stores with a known
@@ -111,7 +111,7 @@
 		for j := range response.Events {
 			e, err := response.Events[j].events()
 			must.NoError(t, err)
-			requester.Take(requester.store(response.Events[j].Addr), e)
+			requester.Apply(requester.store(response.Events[j].Addr), e)
 		}
 	}
 }
--- a/internal/peerload/domain.go
+++ b/internal/peerload/domain.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/rotisserie/eris"
 
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 // domainMethod is the name of the notification that carries a DomainDigest.
@@ -148,7 +148,7 @@
 func (e *Exchange) sendDomainDigest(peers *recipients) (bytes int) {
 	now := e.config.Clock.Now()
 	all := len(peers.local) + len(peers.remote)
-	if len(peers.remote) == 0 || !e.representsDomain(now) || now.Sub(e.domainDigestSentAt) < pace.DomainDigests(all) {
+	if len(peers.remote) == 0 || !e.representsDomain(now) || now.Sub(e.domainDigestSentAt) < intervals.DomainDigestInterval(all) {
 		return 0
 	}
 	neighbours := e.config.Neighbours()
--- a/internal/peerload/exchange.go
+++ b/internal/peerload/exchange.go
@@ -13,7 +13,7 @@
 	"github.com/cherryward/cherryward/internal/clock"
 	"github.com/cherryward/cherryward/internal/datagram"
 	"github.com/cherryward/cherryward/internal/fleet"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
@@ -136,11 +136,11 @@
 func (e *Exchange) Run(ctx context.Context) error {
 	sent := 0
 	for ctx.Err() == nil {
-		spacing, interval := pace.Digests(e.localCount())
+		spacing, interval := intervals.DigestIntervals(e.localCount())
 		if e.role.Collects {
 			interval = spacing // the aggregate changes all the time
 		}
-		spacing = max(spacing, pace.Spread(sent, e.config.LinkBytes))
+		spacing = max(spacing, intervals.SendPause(sent, e.config.LinkBytes))
 		retry.Sleep(ctx, spacing)
 		e.awaitKick(ctx, interval-spacing)
 		sent = e.send()
@@ -235,7 +235,7 @@
 // maxMessageBytes returns the size of the largest message that can be sent to the given number of
 // peers within sendTime.
 func (e *Exchange) maxMessageBytes(peers int) int {
-	return pace.LongestMessage(peers, e.config.LinkBytes, sendTime)
+	return intervals.MaxMessageSize(peers, e.config.LinkBytes, sendTime)
 }
 
 // namesToSend returns the oldest versions that this node still names, if they changed or
--- a/internal/peerload/recipients.go
+++ b/internal/peerload/recipients.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 // Peer is another node of the system.
@@ -52,7 +52,7 @@
 // SetPeers replaces the nodes that digests are sent to. Peers with invalid addresses are skipped.
 func (e *Exchange) SetPeers(peers []Peer) {
 	own := e.config.Conn.Addr()
-	fullMesh := pace.Whole(len(peers))
+	fullMesh := intervals.FullMesh(len(peers))
 	next := &recipients{remoteByDomain: make(map[string][]namedAddr)}
 	for _, p := range peers {
 		if p.Addr == own {
@@ -97,6 +97,6 @@
 // reported loads.
 func (e *Exchange) Unheard() (nodes int, lag time.Duration) {
 	nodes = e.localCount()
-	spacing, _ := pace.Digests(nodes)
+	spacing, _ := intervals.DigestIntervals(nodes)
 	return nodes, digestAgeIntervals * spacing
 }
--- a/internal/peerload/send_rate_test.go
+++ b/internal/peerload/send_rate_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cherryward/cherryward/internal/datagram"
 	"github.com/cherryward/cherryward/internal/fleet"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 // bytesPerSecond returns the bytes per second that a node sends to the other nodes, in three
@@ -61,7 +61,7 @@
 	for _, tc := range []struct{ nodes, engines int }{{7, 9}, {12, 117}, {85, 8}, {85, 37}, {85, 117}, {300, 400}, {1000, 1200}} {
 		bytes := bytesPerSecond(t, tc.nodes, tc.engines)
 		t.Logf("%d nodes, %d engines in use: %d bytes/s", tc.nodes, tc.engines, bytes)
-		test.LessEq(t, slack*pace.MessageBytes, float64(bytes), test.Sprint(tc))
+		test.LessEq(t, slack*intervals.MinMessageRate, float64(bytes), test.Sprint(tc))
 		test.Positive(t, bytes)
 	}
 }
@@ -73,7 +73,7 @@
 	for i := range 400 {
 		loads = append(loads, taggedLoad{Load{Endpoint: fmt.Sprint("e", i), Running: i}, StartTag(i)})
 	}
-	longest := func(peers int) int { return pace.LongestMessage(peers, 0, sendTime) }
+	longest := func(peers int) int { return intervals.MaxMessageSize(peers, 0, sendTime) }
 	all, _ := fitLoads(slices.Clone(loads), longest(1))
 	test.Len(t, 400, all)
 	maxBytes := longest(27)
--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/placer"
 	"github.com/cherryward/cherryward/internal/routing"
 )
@@ -18,7 +18,7 @@
 // three failure domains and a store for every fifteenth engine, and a query to place.
 func largeWorld(engines int) (*placer.Placer, *forward.Query) {
 	f := fleet.New(zerolog.Nop())
-	index := kept.NewIndex(nil, nil, zerolog.Nop())
+	index := kvindex.NewIndex(nil, nil, zerolog.Nop())
 	now := time.Now()
 	for i := range engines {
 		f.Update(&fleet.Endpoint{
@@ -26,20 +26,20 @@
 			Weights: []fleet.Weights{{Model: model, Version: 1}},
 		}, now)
 	}
-	var stores []*kept.Holder
+	var stores []*kvindex.Holder
 	for i := range max(engines/15, 1) {
 		addr := fmt.Sprintf("172.20.%d.%d:1", i>>8, i&0xff)
-		h := kept.NewHolder(addr, addr, fmt.Sprint("d", i%3))
+		h := kvindex.NewHolder(addr, addr, fmt.Sprint("d", i%3))
 		h.Mbps, h.Tokens = 300_000, 1_000_000
 		stores = append(stores, h)
 	}
 	index.Replace(nil, stores)
 	for i, h := range stores {
-		events := &kept.Events{Epoch: 1, Next: 2, ClockMS: 1, ProvenAt: now.Add(time.Hour)}
+		events := &kvindex.Events{Epoch: 1, Next: 2, ClockMS: 1, ConfirmedAt: now.Add(time.Hour)}
 		if i == 0 {
 			events.Changes = shared(1, "")
 		}
-		index.Take(h, events)
+		index.Apply(h, events)
 	}
 	p := newPlacer(f, index)
 	p.Domain, p.Whole, p.Nodes = "d0", func() bool { return engines <= 12 }, func() int { return engines }
--- a/internal/placer/help_test.go
+++ b/internal/placer/help_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 	"github.com/cherryward/cherryward/internal/routing"
@@ -29,17 +29,17 @@
 )
 
 // source returns each holder's events once, by the holder's address.
-type source map[string][]kept.Change
+type source map[string][]kvindex.Change
 
-func (s source) Events(_ context.Context, addr string, since int64, _ time.Duration) (kept.Events, error) {
-	e := kept.Events{Epoch: 1, Next: 1, ClockMS: 1000}
+func (s source) Events(_ context.Context, addr string, since int64, _ time.Duration) (kvindex.Events, error) {
+	e := kvindex.Events{Epoch: 1, Next: 1, ClockMS: 1000}
 	if since == 0 {
 		e.Changes = s[addr]
 	}
 	return e, nil
 }
 
-func (source) Free(context.Context, string, []kept.Part, int64) error { return nil }
+func (source) Free(context.Context, string, []kvindex.Part, int64) error { return nil }
 
 // versions returns the version of the weights that the operators want, and how long ago it was
 // published.
@@ -71,23 +71,23 @@
 	t.Helper()
 	if events[store] == nil {
 		events = maps.Clone(events)
-		events[store] = []kept.Change{{Part: kept.Part{Salt: salt(1, ""), ID: "another's"}, Tokens: 64}}
+		events[store] = []kvindex.Change{{Part: kvindex.Part{Salt: salt(1, ""), ID: "another's"}, Tokens: 64}}
 	}
 	w := &world{versions: &versions{wanted: 1}, mayName: true}
 	f := fleet.New(zerolog.Nop())
-	index := kept.NewIndex(events, func(*kept.Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
-	var engines []*kept.Holder
+	index := kvindex.NewIndex(events, func(*kvindex.Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
+	var engines []*kvindex.Holder
 	for i, version := range has {
 		id := fmt.Sprint("e", i)
 		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: addr(i), Domain: "north", Weights: []fleet.Weights{{Model: model, Version: version}}}, time.Now())
-		h := kept.NewHolder(id, addr(i), "north")
+		h := kvindex.NewHolder(id, addr(i), "north")
 		h.Mbps = 1_000_000
 		engines = append(engines, h)
 	}
-	keep := kept.NewHolder(store, store, "north")
+	keep := kvindex.NewHolder(store, store, "north")
 	keep.Mbps, keep.Tokens = 300_000, 1_000_000
 	ctx, cancel := context.WithCancel(t.Context())
-	index.Follow(ctx, engines, []*kept.Holder{keep})
+	index.Follow(ctx, engines, []*kvindex.Holder{keep})
 	t.Cleanup(func() { cancel(); index.Wait() })
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return indexComplete(index, events) }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 	w.Placer = newPlacer(f, index)
@@ -100,9 +100,9 @@
 
 // newPlacer returns the placer of a node in a small system of three nodes that wants version 1 of
 // the weights.
-func newPlacer(f *fleet.Fleet, index *kept.Index) *placer.Placer {
+func newPlacer(f *fleet.Fleet, index *kvindex.Index) *placer.Placer {
 	return &placer.Placer{
-		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kept.Lateness{}, Whole: func() bool { return true },
+		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kvindex.Lateness{}, Whole: func() bool { return true },
 		MayName:      func(string, int64) bool { return true },
 		Closed:       func() []weights.Closed { return nil },
 		VersionApply: func() time.Duration { return limit },
@@ -111,7 +111,7 @@
 }
 
 // indexComplete reports whether the index has received all events.
-func indexComplete(index *kept.Index, s source) bool {
+func indexComplete(index *kvindex.Index, s source) bool {
 	holders := index.Stores()
 	for _, h := range index.Engines() {
 		holders = append(holders, h)
@@ -127,7 +127,7 @@
 }
 
 func salt(version int64, account string) string {
-	return kept.Salt{Model: model, Version: version, Account: account}.String()
+	return kvindex.Salt{Model: model, Version: version, Account: account}.String()
 }
 
 // query returns a query for a prompt of three parts, of which the first two are shared.
@@ -143,9 +143,9 @@
 }
 
 // shared returns the events of a holder that keeps the shared parts of query.
-func shared(version int64, account string) []kept.Change {
-	return []kept.Change{
-		{Part: kept.Part{Salt: salt(version, account), ID: "common"}, Tokens: 500},
-		{Part: kept.Part{Salt: salt(version, account), ID: "session"}, Tokens: 9000},
+func shared(version int64, account string) []kvindex.Change {
+	return []kvindex.Change{
+		{Part: kvindex.Part{Salt: salt(version, account), ID: "common"}, Tokens: 500},
+		{Part: kvindex.Part{Salt: salt(version, account), ID: "session"}, Tokens: 9000},
 	}
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -12,7 +12,7 @@
 
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/routing"
 	"github.com/cherryward/cherryward/internal/slowstart"
@@ -35,7 +35,7 @@
 	Domain   string // failure domain of this node
 	Fleet    *fleet.Fleet
 	Versions Versions
-	Kept     *kept.Index
+	Kept     *kvindex.Index
 	// MayName reports whether requests may name parts of a version of a model at stores. Stores
 	// free these some time after the version was replaced.
 	MayName func(model string, version int64) bool
@@ -44,7 +44,7 @@
 	// Kick requests an early load report to the other nodes after a placement.
 	Kick func()
 	// Usual is the average delay of first events that don't depend on a store.
-	Usual *kept.Lateness
+	Usual *kvindex.Lateness
 	// Whole reports whether Peers covers all nodes, rather than only those of this failure domain.
 	Whole func() bool
 	// Closed returns the engines that load weights by order of this node now.
@@ -231,7 +231,7 @@
 
 // saltOf returns the salt under which the request's parts are kept.
 func saltOf(q *forward.Query, version int64) string {
-	salt := kept.Salt{Model: q.Attributes.Model, Version: version}
+	salt := kvindex.Salt{Model: q.Attributes.Model, Version: version}
 	if q.Account != nil && q.Account.Isolated {
 		salt.Account = q.Account.Name
 	}
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/cherryward/cherryward/internal/fleet"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
@@ -88,16 +88,16 @@
 func TestFullStoreIsSkipped(t *testing.T) {
 	const large, small = "10.9.0.2:1", "10.9.0.3:1"
 	w := newWorld(t, source{}, 1, 1, 1)
-	full := kept.NewHolder(large, large, "north")
+	full := kvindex.NewHolder(large, large, "north")
 	full.Tokens = 1_000_000_000
-	roomy := kept.NewHolder(small, small, "north")
+	roomy := kvindex.NewHolder(small, small, "north")
 	roomy.Tokens = 20_000
-	w.Kept.Replace(nil, []*kept.Holder{full, roomy})
+	w.Kept.Replace(nil, []*kvindex.Holder{full, roomy})
 	p, ok := w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{large, large, ""}, p.Attempt.Targets)
 	p.Failed()
-	w.Kept.Take(full, &kept.Events{Epoch: 1, Next: 2, Changes: []kept.Change{{Number: 1, Part: kept.Part{Salt: "s", ID: "x"}, Tokens: full.Tokens}}, ClockMS: 1})
+	w.Kept.Apply(full, &kvindex.Events{Epoch: 1, Next: 2, Changes: []kvindex.Change{{Number: 1, Part: kvindex.Part{Salt: "s", ID: "x"}, Tokens: full.Tokens}}, ClockMS: 1})
 	p, ok = w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{small, small, ""}, p.Attempt.Targets)
@@ -121,7 +121,7 @@
 func TestFetchesSmallPartsBeforeLargeOnes(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for range 20 {
-		w.Kept.Stores()[0].Late.Note(300, time.Now())
+		w.Kept.Stores()[0].Late.Observe(300, time.Now())
 	}
 	p, ok := w.Place(query())
 	must.True(t, ok)
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -7,14 +7,14 @@
 	"github.com/cherryward/cherryward/coord/rendezvous"
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 )
 
 const (
 	// FetchLimit is the maximum duration of a fetch from a store. A later result is discarded, and
 	// the engine reads the prompt. Outdated parts are freed only when this has passed since the
 	// last node named them.
-	FetchLimit = kept.FetchLimit
+	FetchLimit = kvindex.FetchTimeout
 	// fetchTolerance is the factor on the expected duration that each fetch is allowed at least,
 	// and minFetchMs the minimum timeout of a fetch.
 	fetchTolerance = 1.25
@@ -46,8 +46,8 @@
 	reading   int      // tokens that it has to read
 	waitMs    float64  // cost of the engine's queue, memory and failures
 	fetchMs   float64
-	bytes     float64      // size of the fetched parts
-	slowest   *kept.Holder // the store of the slowest fetch
+	bytes     float64         // size of the fetched parts
+	slowest   *kvindex.Holder // the store of the slowest fetch
 	slowestMs float64
 }
 
@@ -94,7 +94,7 @@
 }
 
 // transferMs returns the time of a transfer to a failure domain, in ms.
-func transferMs(h *kept.Holder, bytes float64, domain string) float64 {
+func transferMs(h *kvindex.Holder, bytes float64, domain string) float64 {
 	const bitsPerByte = 8
 	mbps := h.Mbps
 	if mbps <= 0 {
@@ -104,7 +104,7 @@
 	if h.Domain != domain {
 		ms *= crossDomainFactor
 	}
-	return ms + float64(h.First)/float64(time.Millisecond)
+	return ms + float64(h.TransferDelay)/float64(time.Millisecond)
 }
 
 // targets returns a store for each shared part that no store keeps yet. The last part is not shared
@@ -116,7 +116,7 @@
 	}
 	var targets []string
 	for i, part := range parts[:len(parts)-1] {
-		store := p.chooseSaveStore(kept.Part{Salt: plan.salt, ID: part.ID}, part.Tokens)
+		store := p.chooseSaveStore(kvindex.Part{Salt: plan.salt, ID: part.ID}, part.Tokens)
 		if store == "" {
 			continue
 		}
@@ -134,7 +134,7 @@
 	for i, addr := range a.Targets {
 		for _, store := range p.Kept.Stores() {
 			if store.Addr == addr {
-				store.DropSave(kept.Part{Salt: a.Salt, ID: q.Attributes.Parts[i].ID})
+				store.CancelSave(kvindex.Part{Salt: a.Salt, ID: q.Attributes.Parts[i].ID})
 			}
 		}
 	}
@@ -144,23 +144,23 @@
 // choose the same store, in proportion to the stores' sizes, as long as they agree on which are
 // full. A store without room is skipped, as is one to which the part was sent without being
 // confirmed: otherwise all prompts that begin with the part would be read instead.
-func (p *Placer) chooseSaveStore(key kept.Part, tokens int) string {
+func (p *Placer) chooseSaveStore(key kvindex.Part, tokens int) string {
 	if tokens < minSaveTokens {
 		return ""
 	}
 	now := p.Now()
 	stores := p.Kept.Stores()
-	if slices.ContainsFunc(stores, func(s *kept.Holder) bool { return s.Has(key) > 0 }) {
+	if slices.ContainsFunc(stores, func(s *kvindex.Holder) bool { return s.Has(key) > 0 }) {
 		return ""
 	}
 	nodes := make([]rendezvous.Node, 0, len(stores))
 	var unconfirmed []rendezvous.Node
 	for _, s := range stores {
-		if !s.Saves(now) || s.Room() < tokens {
+		if !s.AcceptsSaves(now) || s.FreeTokens() < tokens {
 			continue
 		}
 		node := rendezvous.Node{ID: s.Addr, Weight: float64(s.Tokens)}
-		if s.Missed(key, now) {
+		if s.SaveOverdue(key, now) {
 			unconfirmed = append(unconfirmed, node)
 		} else {
 			nodes = append(nodes, node)
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -6,7 +6,7 @@
 	"github.com/cherryward/cherryward/internal/enginemodel"
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
@@ -81,9 +81,9 @@
 // locatedPart is where one part is kept in full. Only holders that may be named are included.
 type locatedPart struct {
 	forward.Part
-	engines map[string]*kept.Holder // by ID
-	stores  []*kept.Holder
-	holders []*kept.Holder // engines and stores
+	engines map[string]*kvindex.Holder // by ID
+	stores  []*kvindex.Holder
+	holders []*kvindex.Holder // engines and stores
 }
 
 // locate finds the holders of the parts for a version of the weights. If the version is unknown
@@ -107,14 +107,14 @@
 }
 
 func (s *search) locatePart(part forward.Part, salt string, mayName bool) locatedPart {
-	key := kept.Part{Salt: salt, ID: part.ID}
+	key := kvindex.Part{Salt: salt, ID: part.ID}
 	located := locatedPart{Part: part}
 	for id, h := range s.Kept.Engines() {
 		// KV cache is not fetched from engines of evacuated failure domains, but is from stores
 		// there, as these are not endpoints.
 		if h.Has(key) >= part.Tokens && !s.evacuated(h.Domain) {
 			if located.engines == nil {
-				located.engines = make(map[string]*kept.Holder)
+				located.engines = make(map[string]*kvindex.Holder)
 			}
 			located.engines[id] = h
 			located.holders = append(located.holders, h)
@@ -124,7 +124,7 @@
 		return located
 	}
 	for _, h := range s.Kept.Stores() {
-		if h.Names(s.now) && h.Has(key) >= part.Tokens {
+		if h.ConfirmedRecently(s.now) && h.Has(key) >= part.Tokens {
 			located.stores = append(located.stores, h)
 			located.holders = append(located.holders, h)
 		}
@@ -220,13 +220,13 @@
 
 // source is a holder with the predicted time of a fetch from it, in ms.
 type source struct {
-	holder *kept.Holder // nil for none
+	holder *kvindex.Holder // nil for none
 	ms     float64
 }
 
 // fastestSource returns the holder, other than the engine itself, from which the engine can fetch a
 // part fastest. It returns none if the fetch is likely to be discarded.
-func (s *search) fastestSource(m *fleet.Member, part *locatedPart, holders []*kept.Holder) source {
+func (s *search) fastestSource(m *fleet.Member, part *locatedPart, holders []*kvindex.Holder) source {
 	fastest := source{ms: maxFetchMs}
 	for _, h := range holders {
 		ms := transferMs(h, s.bytes(part), m.Endpoint().Domain) + s.fetchDelayMs(h)
@@ -258,7 +258,7 @@
 
 // fetchDelayMs returns how much later than predicted fetches from a holder finish, as observed by
 // this node or its peers, in ms.
-func (s *search) fetchDelayMs(h *kept.Holder) float64 {
+func (s *search) fetchDelayMs(h *kvindex.Holder) float64 {
 	return max(h.Late.MS(s.now), s.peerDelays[h.Addr])
 }
 
@@ -278,10 +278,10 @@
 		now := s.Now()
 		late := millis(after) - expected
 		if store == nil || p.fetched < minObservedFetch {
-			s.Usual.Note(late, now)
+			s.Usual.Observe(late, now)
 			s.service.model.NoteFirstEvent(m.ID, ahead, after-duration(p.fetchMs), now)
 			return
 		}
-		store.Late.Note(late-s.Usual.MS(now), now)
+		store.Late.Observe(late-s.Usual.MS(now), now)
 	}
 }
--- a/internal/placer/stores_test.go
+++ b/internal/placer/stores_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
@@ -31,7 +31,7 @@
 	test.Eq(t, 11500, p.Reading)
 	keep := w.Kept.Stores()[0]
 	for range 8 {
-		keep.Late.Note(0, time.Now())
+		keep.Late.Observe(0, time.Now())
 	}
 	test.NotNil(t, place().Attempt.Sources)
 }
@@ -53,7 +53,7 @@
 func TestEngineDelayIsNotBlamedOnStore(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for range 20 {
-		w.Usual.Note(700, time.Now())
+		w.Usual.Observe(700, time.Now())
 		p, ok := w.Place(query())
 		must.True(t, ok)
 		p.Began(800 * time.Millisecond)
@@ -79,8 +79,8 @@
 		{"a later try", 500, 400 * time.Millisecond, 4 * time.Second, 100, 300},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			common, session := kept.Part{Salt: salt(1, ""), ID: "common"}, kept.Part{Salt: salt(1, ""), ID: "session"}
-			w := newWorld(t, source{store: []kept.Change{{Part: common, Tokens: 100}, {Part: session, Tokens: tc.session}}}, 1)
+			common, session := kvindex.Part{Salt: salt(1, ""), ID: "common"}, kvindex.Part{Salt: salt(1, ""), ID: "session"}
+			w := newWorld(t, source{store: []kvindex.Change{{Part: common, Tokens: 100}, {Part: session, Tokens: tc.session}}}, 1)
 			q := query()
 			q.Attributes.Parts = []forward.Part{{ID: "common", Tokens: 100}, {ID: "session", Tokens: tc.session}, {ID: "own", Tokens: 100}}
 			q.Route.Objective, q.Age = tc.objective, tc.age
@@ -102,11 +102,11 @@
 	w := newWorld(t, source{}, 1, 1, 1)
 	now := time.Now()
 	w.Now = func() time.Time { return now }
-	first := kept.NewHolder(large, large, "north")
+	first := kvindex.NewHolder(large, large, "north")
 	first.Tokens = 1_000_000_000
-	second := kept.NewHolder(small, small, "north")
+	second := kvindex.NewHolder(small, small, "north")
 	second.Tokens = 20_000
-	w.Kept.Replace(nil, []*kept.Holder{first, second})
+	w.Kept.Replace(nil, []*kvindex.Holder{first, second})
 	for i, want := range [][]string{{large, large, ""}, nil, {small, small, ""}, nil, {large, large, ""}} {
 		p, ok := w.Place(query())
 		must.True(t, ok)
--- a/internal/runs/dispatcher.go
+++ b/internal/runs/dispatcher.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/cherryward/cherryward/api/wire/enginewire"
-	"github.com/cherryward/cherryward/internal/answer"
 	"github.com/cherryward/cherryward/internal/endpoint/engine"
+	"github.com/cherryward/cherryward/internal/framecheck"
 	"github.com/cherryward/cherryward/internal/kvcache"
 	"github.com/cherryward/cherryward/internal/result"
 	"github.com/cherryward/cherryward/internal/runid"
@@ -191,7 +191,7 @@
 	baseURL    string
 	name       string
 	id         string
-	checker    *answer.Checker
+	checker    *framecheck.Checker
 	startedAt  time.Time
 	baseTokens int // tokens of the answer before this run
 	observed   Observed
@@ -225,7 +225,7 @@
 	r.startedAt = time.Now()
 	r.baseTokens = r.p.tokens
 	req := r.request(r.startedAt)
-	r.checker = answer.NewChecker(answer.Expected{Run: r.id, Version: req.Version, CacheSalt: req.CacheSalt})
+	r.checker = framecheck.NewChecker(framecheck.Expected{Run: r.id, Version: req.Version, CacheSalt: req.CacheSalt})
 	w := newWatchdog(ctx, patience)
 	defer w.stop()
 	stream, err := r.d.Engines.Start(w.ctx, r.baseURL, req)
--- a/internal/runs/resume.go
+++ b/internal/runs/resume.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/cherryward/cherryward/api/wire/enginewire"
-	"github.com/cherryward/cherryward/internal/answer"
 	"github.com/cherryward/cherryward/internal/endpoint/engine"
+	"github.com/cherryward/cherryward/internal/framecheck"
 	"github.com/cherryward/cherryward/internal/result"
 	"github.com/cherryward/cherryward/internal/runid"
 )
@@ -42,8 +42,8 @@
 		startedAt:  time.Now(),
 		baseTokens: id.Base,
 	}
-	want := answer.Expected{Run: req.Run, CacheSalt: d.Salter.CacheSalt(req.Account)}
-	r.checker = answer.NewResumedChecker(want, req.Offset-id.Base)
+	want := framecheck.Expected{Run: req.Run, CacheSalt: d.Salter.CacheSalt(req.Account)}
+	r.checker = framecheck.NewResumedChecker(want, req.Offset-id.Base)
 	w := newWatchdog(ctx, resumeTimeout)
 	defer w.stop()
 	stream, err := d.Engines.Resume(w.ctx, r.baseURL, r.id, r.checker.Tokens())
