--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -64,8 +64,8 @@
 	Records []Record
 	// Snapshot is true if Records holds all existing keys.
 	Snapshot bool
-	// ProvenAt is a time at which the copy was certainly current.
-	ProvenAt time.Time
+	// ConfirmedAt is a time at which the copy was certainly current.
+	ConfirmedAt time.Time
 	// Next is the offset after the newest record in the copy.
 	Next int64
 	// Gap is the time from the previous ProvenAt, or from the start, to ProvenAt. The topic may
@@ -92,7 +92,7 @@
 	Pause func() time.Duration
 	// Retry is the pause after a failed read. It doubles with each consecutive failure up to the
 	// maximum, because a failed read costs as much as a successful one.
-	Retry, RetryMost time.Duration
+	Retry, MaxRetryDelay time.Duration
 	// Reject receives the records that can't be decoded, each once. Nil means that they are
 	// discarded.
 	Reject func(r *Record, cause error)
@@ -100,10 +100,10 @@
 	Clock *clock.Clock
 	Log   zerolog.Logger
 
-	nextOffset int64 // offset of the next read, or unknownOffset
-	provenAt   time.Time
-	failing    bool
-	backoff    time.Duration // pause after the latest failed read
+	nextOffset  int64 // offset of the next read, or unknownOffset
+	confirmedAt time.Time
+	failing     bool
+	backoff     time.Duration // pause after the latest failed read
 	// rejectedUpTo is the offset after the newest record passed to Reject.
 	rejectedUpTo int64
 }
@@ -123,13 +123,13 @@
 // Run follows the topic until ctx is done.
 func (f *Follower) Run(ctx context.Context) error {
 	f.nextOffset = unknownOffset
-	f.provenAt = f.Clock.Now()
+	f.confirmedAt = f.Clock.Now()
 	for ctx.Err() == nil {
 		started := f.Clock.Now()
 		pause := settingValue(f.Pause)
 		if err := f.readOnce(ctx, started); err != nil && ctx.Err() == nil {
 			f.recordFailure(err)
-			f.backoff = min(max(2*f.backoff, f.Retry), max(f.Retry, f.RetryMost))
+			f.backoff = min(max(2*f.backoff, f.Retry), max(f.Retry, f.MaxRetryDelay))
 			pause = f.backoff
 		}
 		retry.Sleep(ctx, pause-f.Clock.Since(started))
@@ -156,8 +156,8 @@
 		return err
 	}
 	f.nextOffset = max(f.nextOffset, page.Next)
-	batch := Batch{Records: page.Records, Snapshot: snapshot, ProvenAt: started.Add(-page.Age), Next: f.nextOffset}
-	batch.Gap = max(batch.ProvenAt.Sub(f.provenAt), 0)
+	batch := Batch{Records: page.Records, Snapshot: snapshot, ConfirmedAt: started.Add(-page.Age), Next: f.nextOffset}
+	batch.Gap = max(batch.ConfirmedAt.Sub(f.confirmedAt), 0)
 	batch.Failed = f.failing
 	f.recordSuccess(&batch)
 	f.reportRejected(page.Rejected)
@@ -187,8 +187,8 @@
 		f.Log.Info().Str("event", "store_regained").Str("topic", f.Name).Dur("outage_ms", b.Gap).Send()
 	}
 	// A read served by another node than the previous one may be based on an older copy.
-	b.ProvenAt = later(b.ProvenAt, f.provenAt)
-	f.provenAt = b.ProvenAt
+	b.ConfirmedAt = later(b.ConfirmedAt, f.confirmedAt)
+	f.confirmedAt = b.ConfirmedAt
 }
 
 // later returns the later of two times.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -98,7 +98,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &recordingSink{}
-		f := &follow.Follower{Name: "t", Topic: topic, Sink: s, Wait: func() time.Duration { return wait }, Retry: 100 * time.Millisecond, RetryMost: 800 * time.Millisecond, Log: zerolog.Nop()}
+		f := &follow.Follower{Name: "t", Topic: topic, Sink: s, Wait: func() time.Duration { return wait }, Retry: 100 * time.Millisecond, MaxRetryDelay: 800 * time.Millisecond, Log: zerolog.Nop()}
 		done := make(chan error, 1)
 		go func() { done <- f.Run(ctx) }()
 		script(s)
@@ -114,9 +114,9 @@
 		started := time.Now()
 		time.Sleep(10 * time.Second)
 		must.SliceNotEmpty(t, s.batches())
-		test.Eq(t, started, s.batches()[0].ProvenAt)
+		test.Eq(t, started, s.batches()[0].ConfirmedAt)
 		must.Len(t, 2, s.batches())
-		test.Eq(t, started.Add(3*time.Second), s.batches()[1].ProvenAt)
+		test.Eq(t, started.Add(3*time.Second), s.batches()[1].ConfirmedAt)
 	})
 }
 
@@ -127,7 +127,7 @@
 		topic.set(false, true)
 		time.Sleep(2 * time.Second)
 		test.Eq(t, 2, topic.snapshotReads())
-		test.True(t, last(s.batches()).ProvenAt.After(s.batches()[0].ProvenAt))
+		test.True(t, last(s.batches()).ConfirmedAt.After(s.batches()[0].ConfirmedAt))
 	})
 }
 
--- a/internal/follow/suspended_test.go
+++ b/internal/follow/suspended_test.go
@@ -37,7 +37,7 @@
 	list []time.Duration
 }
 
-func (a *ageSink) Apply(b follow.Batch) { a.list = append(a.list, a.host.Since(b.ProvenAt)) }
+func (a *ageSink) Apply(b follow.Batch) { a.list = append(a.list, a.host.Since(b.ConfirmedAt)) }
 
 // TestReadDuringSuspension checks that a response that was buffered while the host was suspended
 // counts as current when the read was sent, before the suspension.
--- a/internal/gateway/cachetracker_test.go
+++ b/internal/gateway/cachetracker_test.go
@@ -232,7 +232,7 @@
 func TestConfigVersionNeverDecreases(t *testing.T) {
 	s := newState(noBounds, zerolog.Nop())
 	apply := func(value string) {
-		s.Apply(follow.Batch{ProvenAt: time.Now(), Records: []follow.Record{{Key: "config", Value: []byte(value)}}})
+		s.Apply(follow.Batch{ConfirmedAt: time.Now(), Records: []follow.Record{{Key: "config", Value: []byte(value)}}})
 	}
 	config, _ := s.Config()
 	test.Nil(t, config)
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -30,7 +30,7 @@
 
 // applyNow applies records as a read that was sent now.
 func (s *state) applyNow(snapshot bool, records ...follow.Record) {
-	s.Apply(follow.Batch{Records: records, Snapshot: snapshot, ProvenAt: time.Now()})
+	s.Apply(follow.Batch{Records: records, Snapshot: snapshot, ConfirmedAt: time.Now()})
 }
 
 // If nodes ignore evacuation orders in the operators' topic, requests reach the endpoints of
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -28,7 +28,7 @@
 	follower := func(name, topic string, replica *relay.Copy) (*follow.Follower, *relay.Topic) {
 		copies.Serve(name, replica)
 		source := &relay.Topic{Name: name, Store: store.Topic(topic), Relay: copies, Readers: n.readers, Backups: n.roster.backups, Fallback: n.fallbackPause, Log: n.log}
-		return &follow.Follower{Name: name, Topic: source, Sink: replica, Retry: storeRetry, RetryMost: maxStoreRetry, Reject: n.state.rejected.record, Clock: n.clock, Log: n.log}, source
+		return &follow.Follower{Name: name, Topic: source, Sink: replica, Retry: storeRetry, MaxRetryDelay: maxStoreRetry, Reject: n.state.rejected.record, Clock: n.clock, Log: n.log}, source
 	}
 	var f followers
 	var source *relay.Topic
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -106,7 +106,7 @@
 		own, err := json.Marshal(nodeEntry{Addr: "10.0.0.1:1"})
 		must.NoError(t, err)
 		applyEntry := func(value []byte) {
-			v.node.roster.Apply(follow.Batch{ProvenAt: time.Now(), Records: []follow.Record{{Key: "n", Value: value}}})
+			v.node.roster.Apply(follow.Batch{ConfirmedAt: time.Now(), Records: []follow.Record{{Key: "n", Value: value}}})
 			v.readVersions(t)
 		}
 		applyEntry(nil)
@@ -115,7 +115,7 @@
 		applyEntry(own)
 		test.False(t, v.mayReference(model, 1), test.Sprint("the others may not have read the entry yet"))
 		for range int(removalGrace(0)/nodesWait) + 1 {
-			v.node.roster.Apply(follow.Batch{ProvenAt: time.Now()})
+			v.node.roster.Apply(follow.Batch{ConfirmedAt: time.Now()})
 			time.Sleep(nodesWait)
 		}
 		v.readVersions(t)
@@ -136,7 +136,7 @@
 		v.setNodes(t, "n")
 		time.Sleep(2 * leaseDuration)
 		test.False(t, v.node.roster.HoldsLease())
-		v.node.roster.Apply(follow.Batch{ProvenAt: time.Now()})
+		v.node.roster.Apply(follow.Batch{ConfirmedAt: time.Now()})
 		test.True(t, v.node.roster.HoldsLease())
 	})
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -76,13 +76,13 @@
 		return 0
 	})
 	set.NewGauge(metricCollects, func() float64 {
-		if n.peers.Collects() {
+		if n.peers.IsCollector() {
 			return 1
 		}
 		return 0
 	})
 	set.NewGauge(metricLoadAge, func() float64 {
-		age, _ := n.peers.Table.CollectedAge(n.clock.Now())
+		age, _ := n.peers.Table.AggregateAge(n.clock.Now())
 		return age.Seconds()
 	})
 	set.NewGauge(metricHeld, func() float64 { return float64(n.quarantine.Held()) })
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -11,7 +11,7 @@
 func (n *Node) Standby() bool { return n.roster.Standby() }
 
 // Led implements weights.Peers.
-func (n *Node) Led() bool { return n.peers.Table.Led(n.clock.Now(), takeoverDelay) }
+func (n *Node) Led() bool { return n.peers.Table.ClaimHeld(n.clock.Now(), takeoverDelay) }
 
 // orderStatus returns the status of this node's orders that is reported to peers.
 func (n *Node) orderStatus() (closed []weights.Closed, leads bool) {
@@ -21,14 +21,14 @@
 // peerAlive reports whether a message of another node of the failure domain arrived within
 // peerTimeout.
 func (n *Node) peerAlive(node string) bool {
-	return n.peers.Table.Heard(node, n.clock.Now(), peerTimeout)
+	return n.peers.Table.ReceivedFrom(node, n.clock.Now(), peerTimeout)
 }
 
 // domainPeers returns the other nodes of the failure domain. The nodes that read the store for
 // others also report for the domain.
 func (n *Node) domainPeers() peerload.Neighbours {
 	_, isReader := n.roster.readers()
-	return peerload.Neighbours{Others: n.roster.othersByDomain()[n.boot.Load().Domain], Speaks: isReader}
+	return peerload.Neighbours{Others: n.roster.othersByDomain()[n.boot.Load().Domain], Represents: isReader}
 }
 
 // nodes returns the number of nodes among which shared limits are divided: the listed nodes, or
@@ -38,5 +38,5 @@
 	if !n.roster.Loaded() {
 		return n.peers.Table.Nodes()
 	}
-	return max(n.roster.Nodes(), n.peers.Table.Lately(n.clock.Now()))
+	return max(n.roster.Nodes(), n.peers.Table.LiveNodes(n.clock.Now()))
 }
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -34,7 +34,7 @@
 func (n *Node) configCurrent(age time.Duration) bool {
 	bounds := n.bounds()
 	limit := max(time.Duration(readyShare*float64(bounds.Revoke)), 2*n.configWait()+relayPollInterval+readyMargin)
-	return age < limit || bounds.AcceptStaleKeys && n.peers.Table.Hears(n.clock.Now(), peerTimeout)
+	return age < limit || bounds.AcceptStaleKeys && n.peers.Table.ReceivedFromAny(n.clock.Now(), peerTimeout)
 }
 
 // serveReady serves readiness checks, metrics and the list of restricted endpoints.
--- a/internal/gateway/references.go
+++ b/internal/gateway/references.go
@@ -55,21 +55,21 @@
 }
 
 // list returns the floors of all models, sorted by model.
-func (f *versionFloors) list() []peerload.Named {
+func (f *versionFloors) list() []peerload.OldestReferenced {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := make([]peerload.Named, 0, len(f.versions))
+	list := make([]peerload.OldestReferenced, 0, len(f.versions))
 	for model, v := range f.versions {
-		list = append(list, peerload.Named{Model: model, Oldest: v.version})
+		list = append(list, peerload.OldestReferenced{Model: model, Oldest: v.version})
 	}
-	slices.SortFunc(list, func(a, b peerload.Named) int { return strings.Compare(a.Model, b.Model) })
+	slices.SortFunc(list, func(a, b peerload.OldestReferenced) int { return strings.Compare(a.Model, b.Model) })
 	return list
 }
 
 // referencedFloors returns the oldest version of each model whose parts this node references, after
 // raising it to what the engines have loaded. The result is a commitment: other nodes may free
 // older parts.
-func (c *cacheTracker) referencedFloors() []peerload.Named {
+func (c *cacheTracker) referencedFloors() []peerload.OldestReferenced {
 	now := c.node.clock.Now()
 	for model, version := range c.minEngineVersions() {
 		wanted, _ := c.node.state.Wanted(model)
@@ -153,7 +153,7 @@
 func (c *cacheTracker) unreferencedByOthers(model string, version int64) (since time.Time, all bool) {
 	table := c.node.peers.Table
 	if intervals.FullMesh(c.node.roster.Nodes()) {
-		return table.Unnamed(model, version, c.node.roster.Others())
+		return table.UnreferencedSince(model, version, c.node.roster.Others())
 	}
 	for domain, names := range c.node.roster.othersByDomain() {
 		domainSince, ok := c.unreferencedInDomain(domain, names, model, version)
@@ -173,12 +173,12 @@
 	table, roster := c.node.peers.Table, c.node.roster
 	members := peerload.MembersOf(names...)
 	if domain == roster.own.Domain {
-		if since, all = table.Unnamed(model, version, names); all {
+		if since, all = table.UnreferencedSince(model, version, names); all {
 			return since, true
 		}
 		members += peerload.MembersOf(roster.node)
 	}
-	return table.UnnamedIn(domain, members, model, version)
+	return table.UnreferencedInDomainSince(domain, members, model, version)
 }
 
 // freeStagger returns the delay of this node's search for parts to free, relative to the first
--- a/internal/gateway/registry_bench_test.go
+++ b/internal/gateway/registry_bench_test.go
@@ -38,12 +38,12 @@
 // heartbeats do not rebuild it.
 func TestOneRebuildPerRead(t *testing.T) {
 	r := newLargeRegistry()
-	r.Apply(follow.Batch{Records: heartbeats(500, 1), Snapshot: true, ProvenAt: time.Now()})
+	r.Apply(follow.Batch{Records: heartbeats(500, 1), Snapshot: true, ConfirmedAt: time.Now()})
 	test.Len(t, 500, r.fleet.Members("s"))
 	test.Eq(t, 1, r.fleet.Rebuilds())
-	r.Apply(follow.Batch{Records: heartbeats(500, 2), ProvenAt: time.Now()})
+	r.Apply(follow.Batch{Records: heartbeats(500, 2), ConfirmedAt: time.Now()})
 	test.Eq(t, 1, r.fleet.Rebuilds())
-	r.Apply(follow.Batch{Records: heartbeats(400, 3), Snapshot: true, ProvenAt: time.Now()})
+	r.Apply(follow.Batch{Records: heartbeats(400, 3), Snapshot: true, ConfirmedAt: time.Now()})
 	test.Len(t, 400, r.fleet.Members("s"))
 	test.Eq(t, 2, r.fleet.Rebuilds())
 	r.reevaluate()
@@ -57,22 +57,22 @@
 		b.Run(fmt.Sprint("start, ", engines, " engines"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				newLargeRegistry().Apply(follow.Batch{Records: first, Snapshot: true, ProvenAt: time.Now()})
+				newLargeRegistry().Apply(follow.Batch{Records: first, Snapshot: true, ConfirmedAt: time.Now()})
 			}
 		})
 		b.Run(fmt.Sprint("heartbeats, ", engines, " engines"), func(b *testing.B) {
 			r := newLargeRegistry()
-			r.Apply(follow.Batch{Records: first, Snapshot: true, ProvenAt: time.Now()})
+			r.Apply(follow.Batch{Records: first, Snapshot: true, ConfirmedAt: time.Now()})
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Apply(follow.Batch{Records: first, ProvenAt: time.Now()})
+				r.Apply(follow.Batch{Records: first, ConfirmedAt: time.Now()})
 			}
 		})
 		b.Run(fmt.Sprint("changes, ", engines, " engines"), func(b *testing.B) {
 			r := newLargeRegistry()
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r.Apply(follow.Batch{Records: [][]follow.Record{first, changes}[i%2], ProvenAt: time.Now()})
+				r.Apply(follow.Batch{Records: [][]follow.Record{first, changes}[i%2], ConfirmedAt: time.Now()})
 			}
 		})
 	}
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -37,7 +37,7 @@
 func (r *registryFixture) configure(t *testing.T, version int, services string) {
 	t.Helper()
 	value := fmt.Sprintf(`{"version":%d,"services":[%s]}`, version, services)
-	r.state.Apply(follow.Batch{ProvenAt: time.Now(), Records: []follow.Record{{Key: "config", Value: []byte(value)}}})
+	r.state.Apply(follow.Batch{ConfirmedAt: time.Now(), Records: []follow.Record{{Key: "config", Value: []byte(value)}}})
 	must.Eq(t, int64(version), r.state.config.Load().Version)
 }
 
@@ -48,7 +48,7 @@
 	if value != "" {
 		record.Value = []byte(value)
 	}
-	r.Apply(follow.Batch{Records: []follow.Record{record}, ProvenAt: time.Now()})
+	r.Apply(follow.Batch{Records: []follow.Record{record}, ConfirmedAt: time.Now()})
 }
 
 // ids returns the ids of a service's endpoints that accept requests, each followed by a space.
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -105,7 +105,7 @@
 	}
 	r.recordWrites(&b)
 	r.loaded, r.end = true, b.Next
-	r.members.proven = b.ProvenAt
+	r.members.proven = b.ConfirmedAt
 	r.recompute()
 	peers := make([]peerload.Peer, 0, len(r.entries))
 	for name, e := range r.entries {
@@ -165,7 +165,7 @@
 		}
 	}
 	own, listed := r.entries[r.node]
-	r.lease.observe(entryObservation{listed: listed, gone: own.Gone, updated: updated, provenAt: b.ProvenAt, at: now})
+	r.lease.observe(entryObservation{listed: listed, gone: own.Gone, updated: updated, provenAt: b.ConfirmedAt, at: now})
 }
 
 // recompute updates everything that is derived from the entries: the number of nodes, the lists of
--- a/internal/gateway/senders_test.go
+++ b/internal/gateway/senders_test.go
@@ -20,7 +20,7 @@
 // earlier.
 func applyEntries(t *testing.T, r *roster, nodes int, ago time.Duration) {
 	t.Helper()
-	batch := follow.Batch{Snapshot: true, ProvenAt: time.Now().Add(-ago)}
+	batch := follow.Batch{Snapshot: true, ConfirmedAt: time.Now().Add(-ago)}
 	for i := range nodes {
 		batch.Records = append(batch.Records, entryRecord(t, i, i == 3))
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -45,7 +45,7 @@
 // readNewVersion applies a first read of the store that finds version 2.
 func (s *starter) readNewVersion() {
 	record := follow.Record{Key: "version/" + model, Value: fmt.Appendf(nil, `{"model":%q,"version":2}`, model)}
-	s.state.Apply(follow.Batch{Records: []follow.Record{record}, Snapshot: true, ProvenAt: time.Now()})
+	s.state.Apply(follow.Batch{Records: []follow.Record{record}, Snapshot: true, ConfirmedAt: time.Now()})
 }
 
 // canPlace reports whether a prompt is placed on the engine.
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -99,7 +99,7 @@
 	obs := observation{at: s.clock.Now(), notBefore: s.assumedAnnounceTime()}
 	if before := s.provenAt.Load(); before != nil {
 		obs.notBefore = *before
-		obs.timely = b.ProvenAt.Sub(*before) < maxFreshConfigAge
+		obs.timely = b.ConfirmedAt.Sub(*before) < maxFreshConfigAge
 	}
 	for _, change := range s.evacuations.apply(&b) {
 		s.log.Info().Str("event", "evacuation").Str("domain", change.domain).Bool("in_force", change.active).Int64("offset", change.offset).Send()
@@ -107,7 +107,7 @@
 	for i := range b.Records {
 		s.applyRecord(&b.Records[i], &obs)
 	}
-	s.provenAt.Store(&b.ProvenAt)
+	s.provenAt.Store(&b.ConfirmedAt)
 }
 
 func (s *state) applyRecord(r *follow.Record, obs *observation) {
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -32,7 +32,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			v := newView("n")
 			host := v.useHostClock()
-			v.state.Apply(follow.Batch{ProvenAt: host.Now()})
+			v.state.Apply(follow.Batch{ConfirmedAt: host.Now()})
 			time.Sleep(time.Second)
 			host.Suspend(d)
 			_, age := v.state.Config()
@@ -53,7 +53,7 @@
 			for _, version := range []int64{1, 2} {
 				value, err := json.Marshal(map[string]any{"model": model, "version": version})
 				must.NoError(t, err)
-				v.state.Apply(follow.Batch{ProvenAt: host.Now(), Records: []follow.Record{{Key: "version/" + model, Value: value}}})
+				v.state.Apply(follow.Batch{ConfirmedAt: host.Now(), Records: []follow.Record{{Key: "version/" + model, Value: value}}})
 				time.Sleep(time.Second)
 			}
 			must.True(t, v.mayReference(model, 1))
@@ -74,7 +74,7 @@
 		v.node.roster.setPeers = func([]peerload.Peer) {}
 		value, err := json.Marshal(nodeEntry{Addr: "10.0.0.1:1"})
 		must.NoError(t, err)
-		v.node.roster.Apply(follow.Batch{ProvenAt: host.Now(), Records: []follow.Record{{Key: "n", Value: value}}})
+		v.node.roster.Apply(follow.Batch{ConfirmedAt: host.Now(), Records: []follow.Record{{Key: "n", Value: value}}})
 		must.True(t, v.node.roster.HoldsLease())
 		for total := time.Duration(0); total < leaseDuration; total += 30 * time.Second {
 			test.True(t, v.node.roster.HoldsLease())
@@ -108,7 +108,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		v := newView("n")
 		host := v.useHostClock()
-		v.node.peers.Table.Take(peerload.Digest{Node: "m", Incarnation: 1, Seq: 1, Leads: true}, host.Now())
+		v.node.peers.Table.Record(peerload.Digest{Node: "m", Incarnation: 1, Seq: 1, Leads: true}, host.Now())
 		must.True(t, v.node.peerAlive("m"))
 		must.True(t, v.node.Led())
 		host.Suspend(2 * time.Second)
--- a/internal/gateway/sweep.go
+++ b/internal/gateway/sweep.go
@@ -62,11 +62,11 @@
 		roster: n.roster,
 		alive: func(name, domain string, within time.Duration) bool {
 			now := n.clock.Now()
-			return table.Heard(name, now, within) || domain != n.roster.own.Domain && table.HeardOf(domain, now, within)
+			return table.ReceivedFrom(name, now, within) || domain != n.roster.own.Domain && table.ReceivedFromDomain(domain, now, within)
 		},
 		connected: func(within time.Duration) bool {
 			now := n.clock.Now()
-			return table.Hears(now, within) || table.HearsAfar(now, within)
+			return table.ReceivedFromAny(now, within) || table.ReceivedFromOtherDomains(now, within)
 		},
 	}
 }
--- a/internal/gateway/sweep_test.go
+++ b/internal/gateway/sweep_test.go
@@ -164,7 +164,7 @@
 		v := newView("n0")
 		receive := func(names ...string) {
 			for i, name := range names {
-				v.node.peers.Table.Take(peerload.Digest{Node: name, Incarnation: time.Now().UnixNano(), Seq: int64(i)}, time.Now())
+				v.node.peers.Table.Record(peerload.Digest{Node: name, Incarnation: time.Now().UnixNano(), Seq: int64(i)}, time.Now())
 			}
 		}
 		receive("n1", "n2", "n3")
--- a/internal/gateway/topic_test.go
+++ b/internal/gateway/topic_test.go
@@ -92,7 +92,7 @@
 	end := int64(len(n.log.records))
 	first := n.next < 0
 	if n.response == nil && (first || n.next < end || time.Since(n.sent) >= nodesWait) {
-		n.response = &follow.Batch{Snapshot: first, ProvenAt: n.sent, Next: end, Records: n.log.newest()}
+		n.response = &follow.Batch{Snapshot: first, ConfirmedAt: n.sent, Next: end, Records: n.log.newest()}
 		if !first {
 			n.response.Records = n.log.records[n.next:]
 		}
--- a/internal/gateway/views_test.go
+++ b/internal/gateway/views_test.go
@@ -54,13 +54,13 @@
 // receiveFrom receives another view's newest version floors.
 func (v view) receiveFrom(from view, seq int64) {
 	name := from.node.boot.Load().Name
-	v.node.peers.Table.Take(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, Names: from.referencedFloors()}, time.Now())
+	v.node.peers.Table.Record(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, References: from.referencedFloors()}, time.Now())
 }
 
 // readVersions applies the versions announced since the last read, as a read that was sent now.
 func (v view) readVersions(t *testing.T, versions ...int64) {
 	t.Helper()
-	batch := follow.Batch{ProvenAt: time.Now()}
+	batch := follow.Batch{ConfirmedAt: time.Now()}
 	for _, version := range versions {
 		value, err := json.Marshal(map[string]any{"model": model, "version": version})
 		must.NoError(t, err)
@@ -111,8 +111,8 @@
 // receiveDomain receives a node's report on its failure domain.
 func (v view) receiveDomain(reporter view, seq int64) {
 	domainNodes := reporter.node.roster.othersByDomain()[reporter.node.roster.own.Domain]
-	v.node.peers.Table.TakeDomain(peerload.DomainDigest{
+	v.node.peers.Table.RecordDomainDigest(peerload.DomainDigest{
 		Node: reporter.node.boot.Load().Name, Domain: reporter.node.roster.own.Domain, Incarnation: 1, Seq: seq,
-		Members: peerload.MembersOf(domainNodes...) + peerload.MembersOf(reporter.node.boot.Load().Name), Names: reporter.node.peers.Table.DomainNames(reporter.referencedFloors(), domainNodes),
+		Members: peerload.MembersOf(domainNodes...) + peerload.MembersOf(reporter.node.boot.Load().Name), References: reporter.node.peers.Table.DomainReferences(reporter.referencedFloors(), domainNodes),
 	}, time.Now())
 }
--- a/internal/peerload/aggregate.go
+++ b/internal/peerload/aggregate.go
@@ -50,8 +50,8 @@
 	Late []Late `json:"late,omitempty"`
 	// Orders are the order states of the nodes that give orders.
 	Orders []RelayedOrders `json:"orders,omitempty"`
-	// Seen are the weight versions that nodes have seen.
-	Seen []Seen `json:"seen,omitempty"`
+	// UnlistedWeights are the weight versions that nodes have seen.
+	UnlistedWeights []UnlistedWeights `json:"seen,omitempty"`
 	// Limits are the rate limits that endpoints of all failure domains recently reported to nodes.
 	Limits []Limit `json:"limits,omitempty"`
 }
@@ -144,7 +144,7 @@
 		sums.add(d.Loads, d.Starts)
 		c.Included = binary.LittleEndian.AppendUint32(c.Included, nodeKey(d.Node, d.Incarnation))
 		c.Included = binary.LittleEndian.AppendUint32(c.Included, uint32(d.Seq))
-		c.addSeen(d.Seen, now.Sub(p.at))
+		c.addUnlistedWeights(d.UnlistedWeights, now.Sub(p.at))
 	}
 	c.Loads = sums.encode()
 	domainLoads, domains := t.domainLoadSums(now)
@@ -169,35 +169,35 @@
 	}
 }
 
-// addSeen adds the versions of a digest that was received the given time ago, once for each
+// addUnlistedWeights adds the versions of a digest that was received the given time ago, once for each
 // endpoint and version.
-func (c *Aggregate) addSeen(seen []Seen, age time.Duration) {
+func (c *Aggregate) addUnlistedWeights(seen []UnlistedWeights, age time.Duration) {
 	for i := range seen {
 		s := &seen[i]
-		at := slices.IndexFunc(c.Seen, func(o Seen) bool { return o.Model == s.Model && o.Version == s.Version })
+		at := slices.IndexFunc(c.UnlistedWeights, func(o UnlistedWeights) bool { return o.Model == s.Model && o.Version == s.Version })
 		if at < 0 {
-			at = len(c.Seen)
-			c.Seen = append(c.Seen, Seen{Model: s.Model, Version: s.Version})
+			at = len(c.UnlistedWeights)
+			c.UnlistedWeights = append(c.UnlistedWeights, UnlistedWeights{Model: s.Model, Version: s.Version})
 		}
-		c.Seen[at].merge(s, age)
+		c.UnlistedWeights[at].merge(s, age)
 	}
 }
 
 // merge adds the entries of another report, received the given time ago, for endpoints that s
 // lacks. For an endpoint in both, it keeps the entry of the later start, or the newer entry of the
 // same start.
-func (s *Seen) merge(o *Seen, age time.Duration) {
+func (s *UnlistedWeights) merge(o *UnlistedWeights, age time.Duration) {
 	for i, id := range o.Endpoints {
-		if i >= len(o.Born) || i >= len(o.AgesMs) {
+		if i >= len(o.StartedMs) || i >= len(o.AgesMs) {
 			return // sent by a build that does not date its entries
 		}
 		ageMs := o.AgesMs[i] + age.Milliseconds()
 		at := slices.Index(s.Endpoints, id)
 		switch {
 		case at < 0 && len(s.Endpoints) < maxSeen:
-			s.Endpoints, s.Born, s.AgesMs = append(s.Endpoints, id), append(s.Born, o.Born[i]), append(s.AgesMs, ageMs)
-		case at >= 0 && (o.Born[i] > s.Born[at] || o.Born[i] == s.Born[at] && ageMs < s.AgesMs[at]):
-			s.Born[at], s.AgesMs[at] = o.Born[i], ageMs
+			s.Endpoints, s.StartedMs, s.AgesMs = append(s.Endpoints, id), append(s.StartedMs, o.StartedMs[i]), append(s.AgesMs, ageMs)
+		case at >= 0 && (o.StartedMs[i] > s.StartedMs[at] || o.StartedMs[i] == s.StartedMs[at] && ageMs < s.AgesMs[at]):
+			s.StartedMs[at], s.AgesMs[at] = o.StartedMs[i], ageMs
 		}
 	}
 }
@@ -240,9 +240,9 @@
 	return t.ownDigests[0]
 }
 
-// CollectedAge returns the age of the aggregate on which Loads is based, and false if Loads is
+// AggregateAge returns the age of the aggregate on which Loads is based, and false if Loads is
 // based on the peers' own digests.
-func (t *Table) CollectedAge(now time.Time) (age time.Duration, ok bool) {
+func (t *Table) AggregateAge(now time.Time) (age time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.bestAggregate(now)
--- a/internal/peerload/aggregate_test.go
+++ b/internal/peerload/aggregate_test.go
@@ -27,7 +27,7 @@
 			before := 0
 			w.forEachLive(func(n *networkNode) { before += n.received; n.received = 0 })
 			for range seconds * 10 {
-				w.forEachLive(func(n *networkNode) { n.Kick() })
+				w.forEachLive(func(n *networkNode) { n.RequestReport() })
 				time.Sleep(100 * time.Millisecond)
 			}
 			sum, highest := 0, 0
@@ -67,7 +67,7 @@
 	t.Helper()
 	w.forEachLive(func(n *networkNode) {
 		engine := n.engineOf()
-		test.Eq(t, othersAt(w, n, engine), n.Table.Loads(time.Now()).Of(engine, 0).Running, test.Sprint(what, " ", n.config.Node))
+		test.Eq(t, othersAt(w, n, engine), n.Table.Loads(time.Now()).At(engine, 0).Running, test.Sprint(what, " ", n.config.Node))
 	})
 }
 
@@ -105,7 +105,7 @@
 		time.Sleep(800 * time.Millisecond)
 		w.forEachLive(func(n *networkNode) {
 			now := time.Now()
-			test.True(t, n == holder || n.Table.Led(now, 8*time.Second), test.Sprint(n.config.Node))
+			test.True(t, n == holder || n.Table.ClaimHeld(now, 8*time.Second), test.Sprint(n.config.Node))
 			if n != holder {
 				test.Eq(t, map[string]bool{"x": true, "y": false}, n.Table.Closed(now), test.Sprint(n.config.Node))
 			}
@@ -114,11 +114,11 @@
 		time.Sleep(2 * time.Second)
 		w.forEachLive(func(n *networkNode) {
 			test.MapEmpty(t, n.Table.Closed(time.Now()), test.Sprint(n.config.Node))
-			test.True(t, n.Table.Led(time.Now(), 8*time.Second), test.Sprint("claim not expired yet: ", n.config.Node))
+			test.True(t, n.Table.ClaimHeld(time.Now(), 8*time.Second), test.Sprint("claim not expired yet: ", n.config.Node))
 		})
 		time.Sleep(8 * time.Second)
 		w.forEachLive(func(n *networkNode) {
-			test.False(t, n.Table.Led(time.Now(), 8*time.Second), test.Sprint(n.config.Node))
+			test.False(t, n.Table.ClaimHeld(time.Now(), 8*time.Second), test.Sprint(n.config.Node))
 		})
 	})
 }
@@ -143,7 +143,7 @@
 			members += MembersOf(n.config.Node)
 		}
 		w.forEachLive(func(n *networkNode) {
-			_, ok := n.Table.UnnamedIn("d0", members, "m", 0)
+			_, ok := n.Table.UnreferencedInDomainSince("d0", members, "m", 0)
 			test.True(t, ok, test.Sprint(n.config.Node))
 		})
 	})
@@ -155,9 +155,9 @@
 	table := NewTable()
 	receive := func(node string, nodes, running int, at time.Time) {
 		c := &Aggregate{Nodes: nodes, Loads: Sums{keyOf("e", 0): {Running: running}}.encode(), Included: make([]byte, nodes*includedEntryBytes)}
-		table.Take(Digest{Node: node, Incarnation: 1, Seq: at.UnixNano(), Aggregate: c}, at)
+		table.Record(Digest{Node: node, Incarnation: 1, Seq: at.UnixNano(), Aggregate: c}, at)
 	}
-	running := func(at time.Time) int { return table.Loads(at).Of("e", 0).Running }
+	running := func(at time.Time) int { return table.Loads(at).At("e", 0).Running }
 	receive("a", 58, 7, now)
 	test.Eq(t, 7, running(now))
 	receive("b", 20, 9, now.Add(time.Millisecond))
@@ -172,7 +172,7 @@
 func TestAggregateIsDecodedOnUse(t *testing.T) {
 	sums := make(Sums)
 	for i := range 204 {
-		sums[keyOf(fmt.Sprint("e", i), 0)] = Sum{Running: 5, Reading: 3000, Holding: 30_000}
+		sums[keyOf(fmt.Sprint("e", i), 0)] = Sum{Running: 5, PendingPromptTokens: 3000, HeldTokens: 30_000}
 	}
 	const nodes = 58
 	d := Digest{Node: "a", Incarnation: 1, Aggregate: &Aggregate{Nodes: nodes, Loads: sums.encode(), DomainLoads: sums.encodeCoarse(), Included: make([]byte, nodes*includedEntryBytes)}}
@@ -180,9 +180,9 @@
 	allocs := testing.AllocsPerRun(100, func() {
 		d.Seq++
 		must.NoError(t, d.check())
-		table.Take(d, now)
+		table.Record(d, now)
 	})
 	test.LessEq(t, 4, allocs)
-	test.Eq(t, 10, table.Loads(now).Of("e7", 0).Running)
+	test.Eq(t, 10, table.Loads(now).At("e7", 0).Running)
 	test.Eq(t, 0, testing.AllocsPerRun(100, func() { table.Loads(now) }), test.Sprint("decoded only once"))
 }
--- a/internal/peerload/check.go
+++ b/internal/peerload/check.go
@@ -25,8 +25,8 @@
 		return eris.Errorf("check digest: closure of engines for %d ms is out of range", d.ForMs)
 	}
 	for _, l := range d.Loads {
-		lowest := min(l.Running, l.Reading, l.Holding, l.Failures)
-		if lowest < 0 || max(l.Running, l.Reading, l.Holding) > maxCount || l.Failures > percent {
+		lowest := min(l.Running, l.PendingPromptTokens, l.HeldTokens, l.Failures)
+		if lowest < 0 || max(l.Running, l.PendingPromptTokens, l.HeldTokens) > maxCount || l.Failures > percent {
 			return eris.Errorf("check digest: load %+v is out of range", l)
 		}
 	}
@@ -35,7 +35,7 @@
 			return eris.Errorf("check digest: lateness of %d ms is out of range", l.MS)
 		}
 	}
-	if err := checkSeen(d.Seen); err != nil {
+	if err := checkUnlistedWeights(d.UnlistedWeights); err != nil {
 		return err
 	}
 	if err := checkLimits(d.Limits); err != nil {
@@ -73,11 +73,11 @@
 			return eris.Errorf("check aggregate: closure of engines for %d ms at an age of %d ms is out of range", o.ForMs, o.AgeMs)
 		}
 	}
-	return checkSeen(c.Seen)
+	return checkUnlistedWeights(c.UnlistedWeights)
 }
 
-// checkSeen checks each of the reported versions.
-func checkSeen(seen []Seen) error {
+// checkUnlistedWeights checks each of the reported versions.
+func checkUnlistedWeights(seen []UnlistedWeights) error {
 	for i := range seen {
 		if err := seen[i].check(); err != nil {
 			return err
@@ -87,7 +87,7 @@
 }
 
 // check returns an error if the version is negative or an age is out of range.
-func (s *Seen) check() error {
+func (s *UnlistedWeights) check() error {
 	if s.Version < 0 {
 		return eris.Errorf("check digest: version %d is negative", s.Version)
 	}
--- a/internal/peerload/check_test.go
+++ b/internal/peerload/check_test.go
@@ -42,7 +42,7 @@
 	m.Load.Begin(-5, 1<<62)
 	d := &Digest{Node: "n"}
 	d.setLoads(f.All(), 1, time.Now())
-	test.Eq(t, []Load{{Endpoint: "e", Running: 1, Holding: maxCount}}, d.Loads)
+	test.Eq(t, []Load{{Endpoint: "e", Running: 1, HeldTokens: maxCount}}, d.Loads)
 	test.NoError(t, d.check())
 }
 
@@ -59,7 +59,7 @@
 		}
 		now := time.Now()
 		for _, sum := range e.Table.Loads(now) {
-			test.True(t, sum.Running >= 0 && sum.Reading >= 0 && sum.Holding >= 0 && sum.FailureRate() >= 0)
+			test.True(t, sum.Running >= 0 && sum.PendingPromptTokens >= 0 && sum.HeldTokens >= 0 && sum.FailureRate() >= 0)
 		}
 		test.MapEmpty(t, e.Table.Closed(now.Add(maxClosedMS*time.Millisecond)))
 		test.LessEq(t, 2, e.Table.Nodes())
--- a/internal/peerload/domain.go
+++ b/internal/peerload/domain.go
@@ -21,10 +21,10 @@
 	Domain      string `json:"domain"`
 	Incarnation int64  `json:"incarnation"`
 	Seq         int64  `json:"seq"`
-	// Names are the oldest versions whose parts any node of the domain still names at stores.
+	// References are the oldest versions whose parts any node of the domain still names at stores.
 	// Members identifies the nodes that confirmed this, including the representative.
-	Names   []Named `json:"names,omitempty"`
-	Members Members `json:"members"`
+	References []OldestReferenced `json:"names,omitempty"`
+	Members    Members            `json:"members"`
 }
 
 // Members identifies a set of nodes by the sum of the hashes of their names. A node count would
@@ -43,8 +43,8 @@
 // Neighbours are the other nodes of this node's failure domain. Speaks is true if this node
 // represents them.
 type Neighbours struct {
-	Others []string
-	Speaks bool
+	Others     []string
+	Represents bool
 }
 
 // domainWatermark is the oldest version that the nodes of a failure domain still name, and the
@@ -71,7 +71,7 @@
 // representative reports, because each one reports confirmed watermarks only. A report for another
 // set of members restarts the watermark's time.
 func updateDomainWatermarks(watermarks map[string]domainWatermark, d *DomainDigest, now time.Time) map[string]domainWatermark {
-	for _, n := range d.Names {
+	for _, n := range d.References {
 		if watermarks == nil {
 			watermarks = make(map[string]domainWatermark)
 		}
@@ -83,10 +83,10 @@
 	return watermarks
 }
 
-// TakeDomain records a representative's digest of its failure domain. A digest that is older than
+// RecordDomainDigest records a representative's digest of its failure domain. A digest that is older than
 // the latest one of the same representative is dropped. With two representatives, the digest
 // received last is used.
-func (t *Table) TakeDomain(d DomainDigest, now time.Time) {
+func (t *Table) RecordDomainDigest(d DomainDigest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.domains[d.Domain]
@@ -118,19 +118,19 @@
 	return active
 }
 
-// UnnamedIn returns the time since which the nodes of another failure domain have named only
+// UnreferencedInDomainSince returns the time since which the nodes of another failure domain have named only
 // versions of a model newer than the given one. It returns false if the domain's watermark is
 // older or was confirmed by another set of members.
-func (t *Table) UnnamedIn(domain string, members Members, model string, version int64) (since time.Time, ok bool) {
+func (t *Table) UnreferencedInDomainSince(domain string, members Members, model string, version int64) (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.domains[domain].watermarks[model]
 	return p.since, p.oldest > version && p.members == members
 }
 
-// oldestNamed returns the oldest version of a model that any of the nodes still names, or 0 if one
+// oldestReferenced returns the oldest version of a model that any of the nodes still names, or 0 if one
 // of them has not reported any.
-func (t *Table) oldestNamed(model string, nodes []string) int64 {
+func (t *Table) oldestReferenced(model string, nodes []string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var oldest int64
@@ -152,25 +152,25 @@
 		return 0
 	}
 	neighbours := e.config.Neighbours()
-	if !neighbours.Speaks {
+	if !neighbours.Represents {
 		return 0
 	}
 	e.domainDigestSentAt = now
 	return e.config.Conn.Notify(slices.Concat(peers.local, peers.remote), domainMethod, DomainDigest{
 		Node: e.config.Node, Domain: e.config.Domain, Incarnation: e.incarnation, Seq: e.seq,
-		Names:   e.Table.DomainNames(e.config.Names(), neighbours.Others),
-		Members: MembersOf(neighbours.Others...) + MembersOf(e.config.Node),
+		References: e.Table.DomainReferences(e.config.References(), neighbours.Others),
+		Members:    MembersOf(neighbours.Others...) + MembersOf(e.config.Node),
 	})
 }
 
-// DomainNames returns the oldest version of each model that this node, given in own, or any of the
+// DomainReferences returns the oldest version of each model that this node, given in own, or any of the
 // others still names at stores. Models for which one of the nodes has not reported a version are
 // left out.
-func (t *Table) DomainNames(own []Named, others []string) []Named {
-	var names []Named
+func (t *Table) DomainReferences(own []OldestReferenced, others []string) []OldestReferenced {
+	var names []OldestReferenced
 	for _, n := range own {
 		if len(others) > 0 {
-			n.Oldest = min(n.Oldest, t.oldestNamed(n.Model, others))
+			n.Oldest = min(n.Oldest, t.oldestReferenced(n.Model, others))
 		}
 		if n.Oldest > 0 {
 			names = append(names, n)
@@ -185,6 +185,6 @@
 	if err := json.Unmarshal(params, &d); err != nil {
 		return nil, eris.Wrap(err, "decode domain digest")
 	}
-	e.Table.TakeDomain(d, e.config.Clock.Now())
+	e.Table.RecordDomainDigest(d, e.config.Clock.Now())
 	return nil, nil
 }
--- a/internal/peerload/domain_load.go
+++ b/internal/peerload/domain_load.go
@@ -19,9 +19,9 @@
 	domainLoadLifetime = 1500 * time.Millisecond
 )
 
-// OuterLoad is the load of a failure domain, which its collectors send to those of other domains:
+// DomainLoad is the load of a failure domain, which its collectors send to those of other domains:
 // what the nodes of the domain have in progress, at endpoints of any domain.
-type OuterLoad struct {
+type DomainLoad struct {
 	Node        string `json:"node"`
 	Domain      string `json:"domain"`
 	Incarnation int64  `json:"incarnation"`
@@ -34,14 +34,14 @@
 
 // domainLoad is the latest load received from a failure domain.
 type domainLoad struct {
-	load OuterLoad
+	load DomainLoad
 	sums Sums
 	at   time.Time
 }
 
-// TakeOuter records the load of another failure domain. Of two collectors, the one that covers
+// RecordDomainLoad records the load of another failure domain. Of two collectors, the one that covers
 // clearly more nodes takes precedence, else the newer message. It fails if the load is invalid.
-func (t *Table) TakeOuter(o *OuterLoad, now time.Time) error {
+func (t *Table) RecordDomainLoad(o *DomainLoad, now time.Time) error {
 	sums := make(Sums, len(o.Loads)/minCoarseSumBytes)
 	if err := sums.addCoarse(o.Loads); err != nil {
 		return err
@@ -133,7 +133,7 @@
 	sums, nodes := e.Table.directLoads(now)
 	sums.add(digest.Loads, digest.Starts)
 	sums.retain(engineKeys(members))
-	return e.config.Conn.Notify(peers.collectors(e.Table, now), domainLoadMethod, &OuterLoad{
+	return e.config.Conn.Notify(peers.collectors(e.Table, now), domainLoadMethod, &DomainLoad{
 		Node: e.config.Node, Domain: e.config.Domain, Incarnation: e.incarnation, Seq: e.seq,
 		Nodes: nodes, Loads: sums.encodeCoarse(), Limits: e.Table.domainLimits(digest.Limits, now),
 	})
@@ -141,7 +141,7 @@
 
 // receiveDomainLoad handles the load of another failure domain.
 func (e *Exchange) receiveDomainLoad(params json.RawMessage) (any, error) {
-	var o OuterLoad
+	var o DomainLoad
 	if err := json.Unmarshal(params, &o); err != nil {
 		return nil, eris.Wrap(err, "decode domain load")
 	}
@@ -150,5 +150,5 @@
 	}
 	now := e.config.Clock.Now()
 	e.applyLimits(o.Limits, now)
-	return nil, e.Table.TakeOuter(&o, now)
+	return nil, e.Table.RecordDomainLoad(&o, now)
 }
--- a/internal/peerload/domain_load_test.go
+++ b/internal/peerload/domain_load_test.go
@@ -17,8 +17,8 @@
 			t.Helper()
 			for _, n := range w.domain("d0") {
 				loads := n.Table.Loads(time.Now())
-				test.Eq(t, want, loads.Of(there, 0).Running, test.Sprint(what, " ", n.config.Node))
-				test.Eq(t, want, loads.Of(here, 0).Running, test.Sprint(what, " ", n.config.Node))
+				test.Eq(t, want, loads.At(there, 0).Running, test.Sprint(what, " ", n.config.Node))
+				test.Eq(t, want, loads.At(here, 0).Running, test.Sprint(what, " ", n.config.Node))
 			}
 		}
 		start := func() {
@@ -61,7 +61,7 @@
 		time.Sleep(2 * time.Second)
 		for _, n := range w.domain("d0") {
 			test.Eq(t, []string{"d1", "d2", "d3"}, n.Table.Domains(time.Now()), test.Sprint(n.config.Node))
-			test.Eq(t, 4, n.Table.Loads(time.Now()).Of(there, 0).Running, test.Sprint(n.config.Node))
+			test.Eq(t, 4, n.Table.Loads(time.Now()).At(there, 0).Running, test.Sprint(n.config.Node))
 		}
 		for _, domain := range []string{"d1", "d2", "d3"} {
 			for _, n := range w.domain(domain) {
--- a/internal/peerload/encode.go
+++ b/internal/peerload/encode.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		data = binary.LittleEndian.AppendUint32(data, uint32(key))
-		for _, n := range []int{sum.Running, sum.Reading, sum.Holding, sum.failures, sum.reporters} {
+		for _, n := range []int{sum.Running, sum.PendingPromptTokens, sum.HeldTokens, sum.failures, sum.reporters} {
 			data = binary.AppendUvarint(data, uint64(n))
 		}
 	}
@@ -40,7 +40,7 @@
 // maxCount.
 func (s Sums) addEncoded(data []byte) error {
 	return forEachSum(data, sumFields, func(key loadKey, n *[sumFields]int) {
-		s[key] = s[key].plus(Sum{Running: n[0], Reading: n[1], Holding: n[2], failures: n[3], reporters: n[4]})
+		s[key] = s[key].plus(Sum{Running: n[0], PendingPromptTokens: n[1], HeldTokens: n[2], failures: n[3], reporters: n[4]})
 	})
 }
 
@@ -50,11 +50,11 @@
 func (s Sums) encodeCoarse() []byte {
 	data := make([]byte, 0, len(s)*(minCoarseSumBytes+1))
 	for key, sum := range s {
-		if sum.Running == 0 && sum.Reading == 0 && sum.Holding == 0 {
+		if sum.Running == 0 && sum.PendingPromptTokens == 0 && sum.HeldTokens == 0 {
 			continue
 		}
 		data = binary.LittleEndian.AppendUint32(data, uint32(key))
-		for _, n := range []int{sum.Running, toCoarseUnits(sum.Reading), toCoarseUnits(sum.Holding)} {
+		for _, n := range []int{sum.Running, toCoarseUnits(sum.PendingPromptTokens), toCoarseUnits(sum.HeldTokens)} {
 			data = binary.AppendUvarint(data, uint64(n))
 		}
 	}
@@ -67,7 +67,7 @@
 // addCoarse adds sums that encodeCoarse wrote. It fails as addEncoded does.
 func (s Sums) addCoarse(data []byte) error {
 	return forEachSum(data, coarseFields, func(key loadKey, n *[sumFields]int) {
-		s[key] = s[key].plus(Sum{Running: n[0], Reading: n[1] * coarseTokenUnit, Holding: n[2] * coarseTokenUnit})
+		s[key] = s[key].plus(Sum{Running: n[0], PendingPromptTokens: n[1] * coarseTokenUnit, HeldTokens: n[2] * coarseTokenUnit})
 	})
 }
 
--- a/internal/peerload/encode_test.go
+++ b/internal/peerload/encode_test.go
@@ -10,7 +10,7 @@
 // TestSumsRoundTrip checks that encoding is lossless and that truncated data is
 // rejected, unless it ends between two sums.
 func TestSumsRoundTrip(t *testing.T) {
-	want := Sums{keyOf("e", 0): {Running: 3, Reading: 20_000, Holding: 99_000, failures: 120, reporters: 2}, keyOf("f", 7): {Running: 1}}
+	want := Sums{keyOf("e", 0): {Running: 3, PendingPromptTokens: 20_000, HeldTokens: 99_000, failures: 120, reporters: 2}, keyOf("f", 7): {Running: 1}}
 	data := want.encode()
 	got := make(Sums)
 	must.NoError(t, got.addEncoded(data))
@@ -26,7 +26,7 @@
 
 // FuzzCollected checks that any data yields an error or sums within the bounds of digests.
 func FuzzCollected(f *testing.F) {
-	f.Add(Sums{keyOf("e", 0): {Running: 3, Reading: 20_000, Holding: 99_000}}.encode())
+	f.Add(Sums{keyOf("e", 0): {Running: 3, PendingPromptTokens: 20_000, HeldTokens: 99_000}}.encode())
 	f.Add([]byte{1, 2, 3, 4, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		sums := make(Sums)
@@ -37,19 +37,19 @@
 		}
 		test.NoError(t, checkErr)
 		for _, s := range sums {
-			test.True(t, min(s.Running, s.Reading, s.Holding, s.failures, s.reporters) >= 0)
-			test.True(t, max(s.Running, s.Reading, s.Holding, s.failures, s.reporters) <= maxCount*len(data))
+			test.True(t, min(s.Running, s.PendingPromptTokens, s.HeldTokens, s.failures, s.reporters) >= 0)
+			test.True(t, max(s.Running, s.PendingPromptTokens, s.HeldTokens, s.failures, s.reporters) <= maxCount*len(data))
 		}
 	})
 }
 
 // TestCoarseSums checks that tokens are rounded to units and that truncated data is rejected.
 func TestCoarseSums(t *testing.T) {
-	data := Sums{keyOf("e", 0): {Running: 3, Reading: 20_000, Holding: 99_000, failures: 7}, keyOf("f", 0): {failures: 9}}.encodeCoarse()
+	data := Sums{keyOf("e", 0): {Running: 3, PendingPromptTokens: 20_000, HeldTokens: 99_000, failures: 7}, keyOf("f", 0): {failures: 9}}.encodeCoarse()
 	test.Len(t, minCoarseSumBytes, data)
 	got := make(Sums)
 	must.NoError(t, got.addCoarse(data))
-	test.Eq(t, Sums{keyOf("e", 0): {Running: 3, Reading: 20 * coarseTokenUnit, Holding: 97 * coarseTokenUnit}}, got)
+	test.Eq(t, Sums{keyOf("e", 0): {Running: 3, PendingPromptTokens: 20 * coarseTokenUnit, HeldTokens: 97 * coarseTokenUnit}}, got)
 	for n := 1; n < len(data); n++ {
 		test.Error(t, make(Sums).addCoarse(data[:n]), test.Sprint(n, " bytes"))
 	}
--- a/internal/peerload/exchange.go
+++ b/internal/peerload/exchange.go
@@ -27,11 +27,11 @@
 	// load, to other failure domains. They go to the two representatives of each domain (12
 	// domains at 1,000 nodes), or to all nodes of a domain without an active representative.
 	remoteInterval = 250 * time.Millisecond
-	// namesInterval is the interval between two messages with unchanged names, some of which may
+	// referencesInterval is the interval between two messages with unchanged names, some of which may
 	// be lost.
-	namesInterval = 500 * time.Millisecond
-	// kickDelay is the delay after a kick that lets the request which caused it be counted.
-	kickDelay = time.Millisecond
+	referencesInterval = 500 * time.Millisecond
+	// requestDelay is the delay after a kick that lets the request which caused it be counted.
+	requestDelay = time.Millisecond
 	// collectorWarmUp is how long a node must have been collecting before it represents its
 	// failure domain. When all nodes start together, each of them collects until it receives the
 	// others' digests, and without the delay all of them would send to all other domains.
@@ -67,8 +67,8 @@
 	// Orders returns the engines that this node has closed to load weights, and whether it holds
 	// the claim to give orders.
 	Orders func() (closed []weights.Closed, leads bool)
-	// Names returns the oldest versions whose parts this node still names at stores.
-	Names func() []Named
+	// References returns the oldest versions whose parts this node still names at stores.
+	References func() []OldestReferenced
 	// Neighbours returns the other nodes of this node's failure domain.
 	Neighbours func() Neighbours
 	// Role returns this node's role in distributing loads within the failure domain. It is called
@@ -98,12 +98,12 @@
 type Exchange struct {
 	Table *Table
 
-	config      Config
-	incarnation int64
-	log         zerolog.Logger
-	peers       atomic.Pointer[recipients]
-	collecting  atomic.Bool
-	kick        chan struct{}
+	config          Config
+	incarnation     int64
+	log             zerolog.Logger
+	peers           atomic.Pointer[recipients]
+	collecting      atomic.Bool
+	reportRequested chan struct{}
 
 	// The remaining fields are used by Run only.
 	seq              int64
@@ -115,16 +115,16 @@
 	// domainDigestSentAt is the time of the last digest of this failure domain.
 	domainDigestSentAt time.Time
 	remoteActive       bool // the last message to remote nodes reported orders or loads
-	// sentNames are the names last sent to peers, and namesSentAt is when.
-	sentNames   []Named
-	namesSentAt time.Time
+	// sentReferences are the names last sent to peers, and namesSentAt is when.
+	sentReferences   []OldestReferenced
+	referencesSentAt time.Time
 }
 
 // New returns an exchange that receives digests on a connection that is not running yet.
 func New(c Config) *Exchange {
 	e := &Exchange{
 		Table: NewTable(), config: c, incarnation: time.Now().UnixNano(),
-		log: c.Log, kick: make(chan struct{}, 1),
+		log: c.Log, reportRequested: make(chan struct{}, 1),
 	}
 	c.Conn.Handle(digestMethod, e.receiveDigest)
 	c.Conn.Handle(domainMethod, e.receiveDomainDigest)
@@ -142,17 +142,17 @@
 		}
 		spacing = max(spacing, intervals.SendPause(sent, e.config.LinkBytes))
 		retry.Sleep(ctx, spacing)
-		e.awaitKick(ctx, interval-spacing)
+		e.awaitRequest(ctx, interval-spacing)
 		sent = e.send()
 	}
 	return nil
 }
 
-// awaitKick returns after d or shortly after a kick. It returns at once if d is not positive,
+// awaitRequest returns after d or shortly after a kick. It returns at once if d is not positive,
 // without creating a timer: in a synctest bubble, a timer that fires on the goroutine that waits
 // for it shares one race context with other timers of the bubble, which crashes the race
 // detector's runtime (SIGSEGV or a failed epoch check).
-func (e *Exchange) awaitKick(ctx context.Context, d time.Duration) {
+func (e *Exchange) awaitRequest(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -161,15 +161,15 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-e.kick:
-		retry.Sleep(ctx, kickDelay)
+	case <-e.reportRequested:
+		retry.Sleep(ctx, requestDelay)
 	}
 }
 
-// Kick schedules a message soon because this node's load has changed. It never blocks.
-func (e *Exchange) Kick() {
+// RequestReport schedules a message soon because this node's load has changed. It never blocks.
+func (e *Exchange) RequestReport() {
 	select {
-	case e.kick <- struct{}{}:
+	case e.reportRequested <- struct{}{}:
 	default:
 	}
 }
@@ -191,7 +191,7 @@
 	}
 	bytes += e.sendDomainDigest(peers)
 	digest.Late = e.config.Late()
-	digest.Names = e.namesToSend()
+	digest.References = e.referencesToSend()
 	digest.Limits = LimitsOf(members, e.config.Clock.Now())
 	digest.setLoads(members, e.maxMessageBytes(len(peers.local)), e.config.Clock.Now())
 	return bytes + e.sendLocal(peers, digest, members)
@@ -209,7 +209,7 @@
 	if e.role.Collects != wasCollecting {
 		e.collectingSince = now
 		e.collecting.Store(e.role.Collects)
-		e.log.Info().Str("event", "collects").Bool("collects", e.role.Collects).Int("heard", e.Table.Lately(now)).Send()
+		e.log.Info().Str("event", "collects").Bool("collects", e.role.Collects).Int("heard", e.Table.LiveNodes(now)).Send()
 	}
 	e.Table.RecordOwnDigest(digest)
 	switch {
@@ -223,8 +223,8 @@
 	return bytes + e.config.Conn.Notify(peers.local, digestMethod, digest)
 }
 
-// Collects reports whether this node is a collector of its failure domain.
-func (e *Exchange) Collects() bool { return e.collecting.Load() }
+// IsCollector reports whether this node is a collector of its failure domain.
+func (e *Exchange) IsCollector() bool { return e.collecting.Load() }
 
 // representsDomain reports whether this node may represent its failure domain: it has been a
 // collector for collectorWarmUp, or the domain has no collectors.
@@ -238,15 +238,15 @@
 	return intervals.MaxMessageSize(peers, e.config.LinkBytes, sendTime)
 }
 
-// namesToSend returns the oldest versions that this node still names, if they changed or
+// referencesToSend returns the oldest versions that this node still names, if they changed or
 // namesInterval has passed, else nil. They hold until a newer message, so they needn't be in each
 // one.
-func (e *Exchange) namesToSend() []Named {
-	names := e.config.Names()
-	if slices.Equal(names, e.sentNames) && e.config.Clock.Since(e.namesSentAt) < namesInterval {
+func (e *Exchange) referencesToSend() []OldestReferenced {
+	names := e.config.References()
+	if slices.Equal(names, e.sentReferences) && e.config.Clock.Since(e.referencesSentAt) < referencesInterval {
 		return nil
 	}
-	e.sentNames, e.namesSentAt = names, e.config.Clock.Now()
+	e.sentReferences, e.referencesSentAt = names, e.config.Clock.Now()
 	return names
 }
 
@@ -280,7 +280,7 @@
 // ordersDigest returns a digest with the orders that this node gives and the weight versions
 // that it has seen.
 func (e *Exchange) ordersDigest(members []*fleet.Member) *Digest {
-	d := &Digest{Node: e.config.Node, Incarnation: e.incarnation, Seq: e.seq, Seen: SeenOf(members, e.config.Clock.Now())}
+	d := &Digest{Node: e.config.Node, Incarnation: e.incarnation, Seq: e.seq, UnlistedWeights: UnlistedWeightsOf(members, e.config.Clock.Now())}
 	var closed []weights.Closed
 	closed, d.Leads = e.config.Orders()
 	for _, c := range closed {
--- a/internal/peerload/limits.go
+++ b/internal/peerload/limits.go
@@ -27,7 +27,7 @@
 // Limit is a rate limit that an endpoint reported to a node.
 type Limit struct {
 	Endpoint  string  `json:"endpoint"`
-	Born      int64   `json:"born,omitempty"` // the endpoint's start in Unix milliseconds, 0 if unknown
+	StartedMs int64   `json:"born,omitempty"` // the endpoint's start in Unix milliseconds, 0 if unknown
 	PerSecond float64 `json:"per_s"`          // requests per second that it accepts from all nodes together
 	Ended     bool    `json:"ended,omitempty"`
 	AgeMs     int64   `json:"age_ms"`
@@ -44,7 +44,7 @@
 			continue
 		}
 		list = append(list, Limit{
-			Endpoint: m.ID, Born: m.Born, PerSecond: min(limit.PerSecond, maxPerSecond), Ended: !limit.InForce,
+			Endpoint: m.ID, StartedMs: m.Born, PerSecond: min(limit.PerSecond, maxPerSecond), Ended: !limit.InForce,
 			AgeMs: max(now.Sub(limit.At), 0).Milliseconds(),
 		})
 	}
@@ -60,7 +60,7 @@
 	}
 	seen := make(map[start]bool, len(list))
 	list = slices.DeleteFunc(list, func(l Limit) bool {
-		key := start{l.Endpoint, l.Born}
+		key := start{l.Endpoint, l.StartedMs}
 		duplicate := seen[key]
 		seen[key] = true
 		return duplicate
@@ -115,7 +115,7 @@
 	for i := range limits {
 		l := &limits[i]
 		m := member(l.Endpoint)
-		if m == nil || l.Born != 0 && m.Born != 0 && l.Born != m.Born {
+		if m == nil || l.StartedMs != 0 && m.Born != 0 && l.StartedMs != m.Born {
 			continue
 		}
 		at := now.Add(-time.Duration(l.AgeMs)*time.Millisecond - limitAgeMargin)
--- a/internal/peerload/limits_test.go
+++ b/internal/peerload/limits_test.go
@@ -70,7 +70,7 @@
 		n.applyLimits([]Limit{{Endpoint: limitedEngine, PerSecond: 1}, {Endpoint: "none"}}, now.Add(time.Second))
 		l, _ = signals.RateLimit()
 		test.Eq(t, fleet.RateLimit{PerSecond: 1, InForce: true, At: now.Add(time.Second - limitAgeMargin)}, l)
-		n.applyLimits([]Limit{{Endpoint: limitedEngine, Born: 7, PerSecond: 3, AgeMs: 0}}, now.Add(2*time.Second))
+		n.applyLimits([]Limit{{Endpoint: limitedEngine, StartedMs: 7, PerSecond: 3, AgeMs: 0}}, now.Add(2*time.Second))
 		l, _ = signals.RateLimit()
 		test.Eq(t, 3, l.PerSecond, test.Sprint("a limit with a start applies to an endpoint without a known start"))
 	})
--- a/internal/peerload/load.go
+++ b/internal/peerload/load.go
@@ -26,10 +26,10 @@
 
 // Load is the work that this node has in progress at an endpoint.
 type Load struct {
-	Endpoint string
-	Running  int
-	Reading  int // prompt tokens waiting to be processed
-	Holding  int // tokens in the endpoint's memory
+	Endpoint            string
+	Running             int
+	PendingPromptTokens int // prompt tokens waiting to be processed
+	HeldTokens          int // tokens in the endpoint's memory
 	// Failures is the share of recent attempts that failed, in percent, or 0 if it is low.
 	Failures int
 }
@@ -43,12 +43,12 @@
 // reading, holding, failures]: messages consist mostly of loads, and an object with field names is
 // twice as long.
 func (l Load) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{l.Endpoint, l.Running, l.Reading, l.Holding, l.Failures})
+	return json.Marshal([]any{l.Endpoint, l.Running, l.PendingPromptTokens, l.HeldTokens, l.Failures})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (l *Load) UnmarshalJSON(data []byte) error {
-	fields := []any{&l.Endpoint, &l.Running, &l.Reading, &l.Holding, &l.Failures}
+	fields := []any{&l.Endpoint, &l.Running, &l.PendingPromptTokens, &l.HeldTokens, &l.Failures}
 	want := len(fields)
 	if err := json.Unmarshal(data, &fields); err != nil {
 		return err
@@ -90,11 +90,11 @@
 func loadsOf(members []*fleet.Member, now time.Time) []taggedLoad {
 	var loads []taggedLoad
 	for _, m := range members {
-		l := Load{Endpoint: m.ID, Running: clampCount(m.Load.Running()), Reading: clampCount(m.Load.Reading()), Holding: clampCount(m.Load.Holding())}
+		l := Load{Endpoint: m.ID, Running: clampCount(m.Load.Running()), PendingPromptTokens: clampCount(m.Load.Reading()), HeldTokens: clampCount(m.Load.Holding())}
 		if rate := m.Health.FailureRate(now); rate >= minReportedFailureRate {
 			l.Failures = int(rate * percent)
 		}
-		if l.Running > 0 || l.Reading > 0 || l.Failures > 0 {
+		if l.Running > 0 || l.PendingPromptTokens > 0 || l.Failures > 0 {
 			loads = append(loads, taggedLoad{l, startTagOf(m.Born)})
 		}
 	}
--- a/internal/peerload/network_test.go
+++ b/internal/peerload/network_test.go
@@ -127,9 +127,9 @@
 	others := n.represented
 	n.mu.Unlock()
 	if others == nil {
-		return Neighbours{Speaks: n.role().Collects}
+		return Neighbours{Represents: n.role().Collects}
 	}
-	return Neighbours{Others: others, Speaks: true}
+	return Neighbours{Others: others, Represents: true}
 }
 
 // role returns the node's role, which depends on its position among the live nodes of its failure
@@ -142,7 +142,7 @@
 			own = live
 			continue
 		}
-		if !n.Table.Heard(o.config.Node, time.Now(), time.Second) {
+		if !n.Table.ReceivedFrom(o.config.Node, time.Now(), time.Second) {
 			continue
 		}
 		if live++; own < 0 && live <= 2 || own >= 0 && own < 2 && live < 2 {
@@ -197,7 +197,7 @@
 		}
 		n.Exchange = New(Config{
 			Node: fmt.Sprint("n", i), Domain: n.domain, Conn: n, Log: zerolog.Nop(), Members: n.fleet.All, Member: n.fleet.Member,
-			Late: func() []Late { return nil }, Names: func() []Named { return []Named{{Model: "m", Oldest: 1}} },
+			Late: func() []Late { return nil }, References: func() []OldestReferenced { return []OldestReferenced{{Model: "m", Oldest: 1}} },
 			Neighbours: n.neighbours, Orders: n.orders, Role: n.role,
 		})
 		w.nodes[n.addr] = n
@@ -226,7 +226,7 @@
 			m.Load.Begin(100, 1000)
 		}
 	}
-	n.Kick()
+	n.RequestReport()
 }
 
 // forEachLive calls f with each node that is not down.
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -18,9 +18,9 @@
 	Starts []StartTag `json:"starts,omitempty"`
 	// Late are the holders whose fetches are late.
 	Late []Late `json:"late,omitempty"`
-	// Seen are weight versions that the node saw in responses or reports before the registry
+	// UnlistedWeights are weight versions that the node saw in responses or reports before the registry
 	// listed them.
-	Seen []Seen `json:"seen,omitempty"`
+	UnlistedWeights []UnlistedWeights `json:"seen,omitempty"`
 	// Limits are the rate limits that endpoints recently reported to the node.
 	Limits []Limit `json:"limits,omitempty"`
 	// Emptied and Loading are the engines that this node has closed to load weights. Those in
@@ -30,15 +30,15 @@
 	ForMs   int64    `json:"for_ms,omitempty"`
 	// Leads is true if this node holds the claim to give orders.
 	Leads bool `json:"leads,omitempty"`
-	// Names are the oldest versions whose parts this node still names at stores. They only rise,
+	// References are the oldest versions whose parts this node still names at stores. They only rise,
 	// also across restarts of the node.
-	Names []Named `json:"names,omitempty"`
+	References []OldestReferenced `json:"names,omitempty"`
 	// Aggregate is set if the node is a collector.
 	Aggregate *Aggregate `json:"collected,omitempty"`
 }
 
-// Named is the oldest version of a model whose parts a node still names at stores.
-type Named struct {
+// OldestReferenced is the oldest version of a model whose parts a node still names at stores.
+type OldestReferenced struct {
 	Model  string `json:"model"`
 	Oldest int64  `json:"oldest"`
 }
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -21,36 +21,36 @@
 var now = time.Unix(1000, 0)
 
 func digest(node string, incarnation, seq int64, running int) Digest {
-	return Digest{Node: node, Incarnation: incarnation, Seq: seq, Loads: []Load{{Endpoint: "e", Running: running, Reading: 10 * running}}}
+	return Digest{Node: node, Incarnation: incarnation, Seq: seq, Loads: []Load{{Endpoint: "e", Running: running, PendingPromptTokens: 10 * running}}}
 }
 
 func TestTableSumsFreshDigests(t *testing.T) {
 	table := NewTable()
-	table.Take(digest("a", 1, 1, 2), now)
-	table.Take(digest("b", 1, 1, 3), now.Add(DigestLifetime/2))
-	test.Eq(t, Sum{Running: 5, Reading: 50}, table.Loads(now.Add(DigestLifetime/2)).Of("e", 0))
-	test.Eq(t, 3, table.Loads(now.Add(DigestLifetime+DigestLifetime/4)).Of("e", 0).Running, test.Sprint("the digest of a has expired"))
+	table.Record(digest("a", 1, 1, 2), now)
+	table.Record(digest("b", 1, 1, 3), now.Add(DigestLifetime/2))
+	test.Eq(t, Sum{Running: 5, PendingPromptTokens: 50}, table.Loads(now.Add(DigestLifetime/2)).At("e", 0))
+	test.Eq(t, 3, table.Loads(now.Add(DigestLifetime+DigestLifetime/4)).At("e", 0).Running, test.Sprint("the digest of a has expired"))
 }
 
 // TestTableDropsOldDigests checks that a delayed datagram doesn't replace a newer one.
 func TestTableDropsOldDigests(t *testing.T) {
 	table := NewTable()
-	table.Take(digest("a", 2, 5, 2), now)
-	table.Take(digest("a", 2, 4, 9), now)
-	table.Take(digest("a", 1, 99, 9), now)
-	test.Eq(t, 2, table.Loads(now).Of("e", 0).Running)
-	table.Take(digest("a", 3, 1, 7), now)
-	test.Eq(t, 7, table.Loads(now).Of("e", 0).Running, test.Sprint("a restarted"))
+	table.Record(digest("a", 2, 5, 2), now)
+	table.Record(digest("a", 2, 4, 9), now)
+	table.Record(digest("a", 1, 99, 9), now)
+	test.Eq(t, 2, table.Loads(now).At("e", 0).Running)
+	table.Record(digest("a", 3, 1, 7), now)
+	test.Eq(t, 7, table.Loads(now).At("e", 0).Running, test.Sprint("a restarted"))
 }
 
 // TestNodesNeverShrink checks that a node that receives nothing doesn't take the others' shares.
 func TestNodesNeverShrink(t *testing.T) {
 	table := NewTable()
 	test.Eq(t, 1, table.Nodes())
-	table.Take(digest("a", 1, 1, 0), now)
-	table.Take(digest("b", 1, 1, 0), now)
+	table.Record(digest("a", 1, 1, 0), now)
+	table.Record(digest("b", 1, 1, 0), now)
 	test.Eq(t, 3, table.Nodes())
-	table.Take(digest("a", 1, 2, 0), now.Add(time.Hour))
+	table.Record(digest("a", 1, 2, 0), now.Add(time.Hour))
 	test.Eq(t, 3, table.Nodes())
 }
 
@@ -58,7 +58,7 @@
 	table := NewTable()
 	d := digest("a", 1, 1, 0)
 	d.Emptied, d.Loading, d.ForMs = []string{"e"}, []string{"f"}, 500
-	table.Take(d, now)
+	table.Record(d, now)
 	closed := table.Closed(now.Add(400 * time.Millisecond))
 	test.Eq(t, map[string]bool{"e": false, "f": true}, closed)
 	test.MapEmpty(t, table.Closed(now.Add(600*time.Millisecond)))
@@ -82,10 +82,10 @@
 // TestPeerDigestAge checks that a node counts as active until its last digest is too old.
 func TestPeerDigestAge(t *testing.T) {
 	table := NewTable()
-	table.Take(digest("a", 1, 1, 0), now)
-	test.True(t, table.Heard("a", now.Add(time.Second), 2*time.Second))
-	test.False(t, table.Heard("a", now.Add(2*time.Second), 2*time.Second))
-	test.False(t, table.Heard("b", now, 2*time.Second))
+	table.Record(digest("a", 1, 1, 0), now)
+	test.True(t, table.ReceivedFrom("a", now.Add(time.Second), 2*time.Second))
+	test.False(t, table.ReceivedFrom("a", now.Add(2*time.Second), 2*time.Second))
+	test.False(t, table.ReceivedFrom("b", now, 2*time.Second))
 }
 
 // TestFailuresNeedSeveralReporters checks that one node with a network problem of its own can't
@@ -95,17 +95,17 @@
 	receive := func(node string, failures int) {
 		d := digest(node, 1, 1, 1)
 		d.Loads[0].Failures = failures
-		table.Take(d, now)
+		table.Record(d, now)
 	}
 	receive("a", 60)
-	test.Eq(t, 0, table.Loads(now).Of("e", 0).FailureRate())
+	test.Eq(t, 0, table.Loads(now).At("e", 0).FailureRate())
 	receive("b", 40)
-	test.Eq(t, 0.5, table.Loads(now).Of("e", 0).FailureRate())
+	test.Eq(t, 0.5, table.Loads(now).At("e", 0).FailureRate())
 }
 
 // TestLoadsRoundTrip checks the array encoding of loads, and that other arrays are rejected.
 func TestLoadsRoundTrip(t *testing.T) {
-	want := []Load{{Endpoint: "e", Running: 1, Reading: 2, Holding: 3, Failures: 4}, {Endpoint: "f"}}
+	want := []Load{{Endpoint: "e", Running: 1, PendingPromptTokens: 2, HeldTokens: 3, Failures: 4}, {Endpoint: "f"}}
 	data, err := json.Marshal(want)
 	must.NoError(t, err)
 	test.Eq(t, `[["e",1,2,3,4],["f",0,0,0,0]]`, string(data))
@@ -121,11 +121,11 @@
 	table := NewTable()
 	d := digest("a", 1, 1, 0)
 	d.Leads = true
-	table.Take(d, now)
-	test.True(t, table.Led(now.Add(time.Second/2), time.Second))
-	test.False(t, table.Led(now.Add(time.Second), time.Second))
-	table.Take(digest("a", 1, 2, 0), now)
-	test.False(t, table.Led(now, time.Second), test.Sprint("the newer digest doesn't hold the claim"))
+	table.Record(d, now)
+	test.True(t, table.ClaimHeld(now.Add(time.Second/2), time.Second))
+	test.False(t, table.ClaimHeld(now.Add(time.Second), time.Second))
+	table.Record(digest("a", 1, 2, 0), now)
+	test.False(t, table.ClaimHeld(now, time.Second), test.Sprint("the newer digest doesn't hold the claim"))
 }
 
 // newTestExchange returns an exchange on a local socket, for a node that gives orders while leads
@@ -139,8 +139,8 @@
 		Node: node, Domain: domain, Conn: conn, Log: zerolog.Nop(),
 		Members:    func() []*fleet.Member { return nil },
 		Late:       func() []Late { return nil },
-		Names:      func() []Named { return nil },
-		Neighbours: func() Neighbours { return Neighbours{Speaks: true} },
+		References: func() []OldestReferenced { return nil },
+		Neighbours: func() Neighbours { return Neighbours{Represents: true} },
 		Orders:     func() ([]weights.Closed, bool) { return []weights.Closed{{Endpoint: "x", Loads: true}}, leads.Load() },
 	})
 }
@@ -156,7 +156,7 @@
 		e.SetPeers(peers)
 		test.Eq(t, tc.local, e.localCount())
 		test.Len(t, tc.remote, e.peers.Load().remote)
-		test.Eq(t, tc.nodes == 7, e.Whole())
+		test.Eq(t, tc.nodes == 7, e.FullMesh())
 	}
 }
 
@@ -171,7 +171,7 @@
 		return func() bool {
 			sender.send()
 			now := time.Now()
-			return receiver.Table.Led(now, time.Minute) == leads && (!leads || receiver.Table.Closed(now)["x"])
+			return receiver.Table.ClaimHeld(now, time.Minute) == leads && (!leads || receiver.Table.Closed(now)["x"])
 		}
 	}
 	sender.send()
@@ -190,7 +190,7 @@
 	for i, ms := range []int{300, 500} {
 		d := digest(fmt.Sprint("n", i), 1, 1, 1)
 		d.Late = []Late{{Addr: "s", MS: ms}}
-		table.Take(d, now)
+		table.Record(d, now)
 		if i == 0 {
 			test.MapEmpty(t, table.Late(now))
 		}
@@ -221,7 +221,7 @@
 		return func() bool {
 			sender.send()
 			loads := receiver.Table.Loads(time.Now())
-			return loads.Of("e1", 0).Holding == want && loads.Of("e0", 0).Holding == 0 && loads.Of("e2", 0).Holding == 0 && receiver.Table.Nodes() == 2
+			return loads.At("e1", 0).HeldTokens == want && loads.At("e0", 0).HeldTokens == 0 && loads.At("e2", 0).HeldTokens == 0 && receiver.Table.Nodes() == 2
 		}
 	}
 	for _, want := range []int{100, 0} {
@@ -236,22 +236,22 @@
 // names, once all have reported one, and that the domain's watermark lasts.
 func TestDomainNames(t *testing.T) {
 	near := NewTable()
-	own := []Named{{Model: "m", Oldest: 3}}
-	test.SliceEmpty(t, near.DomainNames(own, []string{"a", "b"}))
+	own := []OldestReferenced{{Model: "m", Oldest: 3}}
+	test.SliceEmpty(t, near.DomainReferences(own, []string{"a", "b"}))
 	for i, oldest := range []int64{3, 2} {
 		d := digest([]string{"a", "b"}[i], 1, 1, 0)
-		d.Names = []Named{{Model: "m", Oldest: oldest}}
-		near.Take(d, now)
+		d.References = []OldestReferenced{{Model: "m", Oldest: oldest}}
+		near.Record(d, now)
 	}
-	test.Eq(t, []Named{{Model: "m", Oldest: 2}}, near.DomainNames(own, []string{"a", "b"}))
-	test.SliceEmpty(t, near.DomainNames(own, []string{"a", "b", "silent"}))
-	test.Eq(t, own, near.DomainNames(own, nil), test.Sprint("no other nodes"))
+	test.Eq(t, []OldestReferenced{{Model: "m", Oldest: 2}}, near.DomainReferences(own, []string{"a", "b"}))
+	test.SliceEmpty(t, near.DomainReferences(own, []string{"a", "b", "silent"}))
+	test.Eq(t, own, near.DomainReferences(own, nil), test.Sprint("no other nodes"))
 
 	far := NewTable()
 	abc := MembersOf("c", "a", "b")
-	far.TakeDomain(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 1, Members: abc, Names: []Named{{Model: "m", Oldest: 2}}}, now)
-	far.TakeDomain(DomainDigest{Node: "b", Domain: "d0", Incarnation: 1, Seq: 1, Members: abc}, now.Add(time.Second))
-	since, ok := far.UnnamedIn("d0", MembersOf("a", "b", "c"), "m", 1)
+	far.RecordDomainDigest(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 1, Members: abc, References: []OldestReferenced{{Model: "m", Oldest: 2}}}, now)
+	far.RecordDomainDigest(DomainDigest{Node: "b", Domain: "d0", Incarnation: 1, Seq: 1, Members: abc}, now.Add(time.Second))
+	since, ok := far.UnreferencedInDomainSince("d0", MembersOf("a", "b", "c"), "m", 1)
 	test.True(t, ok)
 	test.Eq(t, now, since)
 	for _, no := range []struct {
@@ -259,7 +259,7 @@
 		members Members
 		version int64
 	}{{"d0", MembersOf("a", "b", "c", "d"), 1}, {"d0", abc, 2}, {"d1", abc, 1}, {"d0", MembersOf("a", "b"), 1}} {
-		_, ok = far.UnnamedIn(no.domain, no.members, "m", no.version)
+		_, ok = far.UnreferencedInDomainSince(no.domain, no.members, "m", no.version)
 		test.False(t, ok, test.Sprint(no))
 	}
 }
@@ -268,17 +268,17 @@
 // nodes was replaced doesn't count for the new set of nodes, although their number is the same.
 func TestReplacedNodeResetsWatermark(t *testing.T) {
 	far := NewTable()
-	names := []Named{{Model: "m", Oldest: 2}}
-	far.TakeDomain(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 1, Members: MembersOf("a", "b", "gone"), Names: names}, now)
+	names := []OldestReferenced{{Model: "m", Oldest: 2}}
+	far.RecordDomainDigest(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 1, Members: MembersOf("a", "b", "gone"), References: names}, now)
 	successors := MembersOf("a", "b", "new")
-	_, ok := far.UnnamedIn("d0", successors, "m", 1)
+	_, ok := far.UnreferencedInDomainSince("d0", successors, "m", 1)
 	test.False(t, ok)
 	reportedAt := now.Add(time.Second)
 	for i := range int64(3) {
 		at := reportedAt.Add(time.Duration(i) * time.Second)
-		far.TakeDomain(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 2 + i, Members: successors, Names: names}, at)
+		far.RecordDomainDigest(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 2 + i, Members: successors, References: names}, at)
 	}
-	since, ok := far.UnnamedIn("d0", successors, "m", 1)
+	since, ok := far.UnreferencedInDomainSince("d0", successors, "m", 1)
 	test.True(t, ok)
 	test.Eq(t, reportedAt, since)
 }
--- a/internal/peerload/receive.go
+++ b/internal/peerload/receive.go
@@ -9,9 +9,9 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// applySeen applies the weight versions that engines reported to peers. Each entry counts from the
+// applyUnlistedWeights applies the weight versions that engines reported to peers. Each entry counts from the
 // time of the engine's report, so that a late digest can't override a newer report.
-func (e *Exchange) applySeen(seen []Seen, now time.Time) {
+func (e *Exchange) applyUnlistedWeights(seen []UnlistedWeights, now time.Time) {
 	if len(seen) == 0 {
 		return
 	}
@@ -47,11 +47,11 @@
 		return nil, err
 	}
 	now := e.config.Clock.Now()
-	e.Table.Take(d, now)
-	e.applySeen(d.Seen, now)
+	e.Table.Record(d, now)
+	e.applyUnlistedWeights(d.UnlistedWeights, now)
 	e.applyLimits(d.Limits, now)
 	if d.Aggregate != nil {
-		e.applySeen(d.Aggregate.Seen, now)
+		e.applyUnlistedWeights(d.Aggregate.UnlistedWeights, now)
 		e.applyLimits(d.Aggregate.Limits, now)
 	}
 	return nil, nil
--- a/internal/peerload/recipients.go
+++ b/internal/peerload/recipients.go
@@ -73,9 +73,9 @@
 	e.peers.Store(next)
 }
 
-// Whole reports whether digests are exchanged among all nodes, as in a small system, rather than
+// FullMesh reports whether digests are exchanged among all nodes, as in a small system, rather than
 // within each failure domain only.
-func (e *Exchange) Whole() bool {
+func (e *Exchange) FullMesh() bool {
 	peers := e.peers.Load()
 	return peers == nil || len(peers.remote) == 0
 }
@@ -93,9 +93,9 @@
 // large system a collector by another.
 const digestAgeIntervals = 3
 
-// Unheard returns the number of nodes that report their load to this one, and the mean age of the
+// ReportLag returns the number of nodes that report their load to this one, and the mean age of the
 // reported loads.
-func (e *Exchange) Unheard() (nodes int, lag time.Duration) {
+func (e *Exchange) ReportLag() (nodes int, lag time.Duration) {
 	nodes = e.localCount()
 	spacing, _ := intervals.DigestIntervals(nodes)
 	return nodes, digestAgeIntervals * spacing
--- a/internal/peerload/seen_test.go
+++ b/internal/peerload/seen_test.go
@@ -30,9 +30,9 @@
 func TestSeenAppliesToOneStart(t *testing.T) {
 	reporting, member := memberOf(t, 100, 1)
 	member.Saw(statementOf(2, now))
-	data, err := json.Marshal(SeenOf(reporting.All(), now.Add(time.Second)))
+	data, err := json.Marshal(UnlistedWeightsOf(reporting.All(), now.Add(time.Second)))
 	must.NoError(t, err)
-	var list []Seen
+	var list []UnlistedWeights
 	must.NoError(t, json.Unmarshal(data, &list))
 	must.Len(t, 1, list)
 	report := list[0].statement(0, now.Add(time.Second))
@@ -55,13 +55,13 @@
 func TestRelayedVersionsAreNotReported(t *testing.T) {
 	f, m := memberOf(t, 100, 1)
 	m.Heard(statementOf(2, now))
-	test.SliceEmpty(t, SeenOf(f.All(), now))
+	test.SliceEmpty(t, UnlistedWeightsOf(f.All(), now))
 }
 
 // TestSeenOfAnotherBuild checks that a report without starts and ages is accepted.
 func TestSeenOfAnotherBuild(t *testing.T) {
 	_, m := memberOf(t, 100, 1)
-	s := Seen{Model: model, Version: 2, Endpoints: []string{"e"}}
+	s := UnlistedWeights{Model: model, Version: 2, Endpoints: []string{"e"}}
 	m.Heard(s.statement(0, now))
 	test.Eq(t, 2, m.VersionOf(model))
 }
--- a/internal/peerload/send_rate_test.go
+++ b/internal/peerload/send_rate_test.go
@@ -38,7 +38,7 @@
 		leads.Store(true)
 		e := newTestExchange(t, "n0", "d0", &leads)
 		e.config.Members = func() []*fleet.Member {
-			e.Kick()
+			e.RequestReport()
 			return f.All()
 		}
 		peers := []Peer{{Addr: e.config.Conn.Addr(), Domain: "d0"}}
--- a/internal/peerload/start_test.go
+++ b/internal/peerload/start_test.go
@@ -18,19 +18,19 @@
 		}
 		d := Digest{Node: node, Incarnation: 1, Seq: 1}
 		d.setLoads(f.All(), 1, now)
-		table.Take(d, now)
+		table.Record(d, now)
 	}
 	for _, node := range []string{"a", "b"} {
 		receive(node, 100)
 	}
 	receive("c", 200)
-	table.Take(digest("of another build", 1, 1, 1), now)
+	table.Record(digest("of another build", 1, 1, 1), now)
 	sums := table.Loads(now)
-	before, after := sums.Of("e", 100), sums.Of("e", 200)
+	before, after := sums.At("e", 100), sums.At("e", 200)
 	test.Eq(t, 3, before.Running)
-	test.Eq(t, 40, before.Holding)
+	test.Eq(t, 40, before.HeldTokens)
 	test.Greater(t, 0.3, before.FailureRate())
 	test.Eq(t, 2, after.Running)
-	test.Eq(t, 20, after.Holding)
+	test.Eq(t, 20, after.HeldTokens)
 	test.Eq(t, 0, after.FailureRate())
 }
--- a/internal/peerload/sum.go
+++ b/internal/peerload/sum.go
@@ -24,7 +24,7 @@
 
 // Sum is the combined load that all peers report for an endpoint.
 type Sum struct {
-	Running, Reading, Holding int
+	Running, PendingPromptTokens, HeldTokens int
 
 	failures  int // sum of the failure rates in percent
 	reporters int // number of peers that report failures
@@ -41,7 +41,7 @@
 
 // sumOf returns the sum for the load of one peer.
 func sumOf(l *Load) Sum {
-	s := Sum{Running: l.Running, Reading: l.Reading, Holding: l.Holding}
+	s := Sum{Running: l.Running, PendingPromptTokens: l.PendingPromptTokens, HeldTokens: l.HeldTokens}
 	if l.Failures > 0 {
 		s.failures, s.reporters = l.Failures, 1
 	}
@@ -51,7 +51,7 @@
 // plus returns s + o.
 func (s Sum) plus(o Sum) Sum {
 	return Sum{
-		Running: s.Running + o.Running, Reading: s.Reading + o.Reading, Holding: s.Holding + o.Holding,
+		Running: s.Running + o.Running, PendingPromptTokens: s.PendingPromptTokens + o.PendingPromptTokens, HeldTokens: s.HeldTokens + o.HeldTokens,
 		failures: s.failures + o.failures, reporters: s.reporters + o.reporters,
 	}
 }
@@ -59,7 +59,7 @@
 // minus returns s - o. Lost messages can make o exceed s, in which case the result is 0.
 func (s Sum) minus(o Sum) Sum {
 	return Sum{
-		Running: max(s.Running-o.Running, 0), Reading: max(s.Reading-o.Reading, 0), Holding: max(s.Holding-o.Holding, 0),
+		Running: max(s.Running-o.Running, 0), PendingPromptTokens: max(s.PendingPromptTokens-o.PendingPromptTokens, 0), HeldTokens: max(s.HeldTokens-o.HeldTokens, 0),
 		failures: max(s.failures-o.failures, 0), reporters: max(s.reporters-o.reporters, 0),
 	}
 }
@@ -76,9 +76,9 @@
 // Sums holds the combined load that all peers report, by endpoint and start.
 type Sums map[loadKey]Sum
 
-// Of returns the load at one start of an endpoint, given in Unix milliseconds. Reports without a
+// At returns the load at one start of an endpoint, given in Unix milliseconds. Reports without a
 // start count for each start.
-func (s Sums) Of(id string, born int64) Sum {
+func (s Sums) At(id string, born int64) Sum {
 	sum := s[keyOf(id, 0)]
 	if born == 0 {
 		return sum
--- a/internal/peerload/table.go
+++ b/internal/peerload/table.go
@@ -46,7 +46,7 @@
 }
 
 // updateWatermarks applies the names in a node's latest digest to its watermarks, which only rise.
-func updateWatermarks(watermarks map[string]versionWatermark, named []Named, now time.Time) map[string]versionWatermark {
+func updateWatermarks(watermarks map[string]versionWatermark, named []OldestReferenced, now time.Time) map[string]versionWatermark {
 	for _, n := range named {
 		if watermarks == nil {
 			watermarks = make(map[string]versionWatermark)
@@ -63,8 +63,8 @@
 	return &Table{peers: make(map[string]peerState), domains: make(map[string]domainState), domainLoads: make(map[string]domainLoad)}
 }
 
-// Take records a digest. A digest older than the latest one of the node is dropped.
-func (t *Table) Take(d Digest, now time.Time) {
+// Record records a digest. A digest older than the latest one of the node is dropped.
+func (t *Table) Record(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, listed := t.peers[d.Node]
@@ -73,7 +73,7 @@
 	}
 	aggregate := t.receiveAggregate(&d, now)
 	d.Aggregate = nil // held in peerState.aggregate
-	t.peers[d.Node] = peerState{digest: d, at: now, watermarks: updateWatermarks(known.watermarks, d.Names, now), aggregate: aggregate}
+	t.peers[d.Node] = peerState{digest: d, at: now, watermarks: updateWatermarks(known.watermarks, d.References, now), aggregate: aggregate}
 	// Only a digest of a new node can increase the count. Messages are too frequent to count the
 	// nodes at each one.
 	if !listed {
@@ -156,9 +156,9 @@
 	}
 }
 
-// Unnamed returns the time since which all of the nodes have named only versions of a model newer
+// UnreferencedSince returns the time since which all of the nodes have named only versions of a model newer
 // than the given one at stores, and false if one of them has not reported that.
-func (t *Table) Unnamed(model string, version int64, nodes []string) (since time.Time, ok bool) {
+func (t *Table) UnreferencedSince(model string, version int64, nodes []string) (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, node := range nodes {
@@ -173,9 +173,9 @@
 	return since, true
 }
 
-// Led reports whether this node or a collector received a digest from a holder of the claim to
+// ClaimHeld reports whether this node or a collector received a digest from a holder of the claim to
 // give orders within the given time.
-func (t *Table) Led(now time.Time, within time.Duration) bool {
+func (t *Table) ClaimHeld(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
@@ -201,24 +201,24 @@
 	return false
 }
 
-// Heard reports whether a digest of the node arrived within the given time.
-func (t *Table) Heard(node string, now time.Time, within time.Duration) bool {
+// ReceivedFrom reports whether a digest of the node arrived within the given time.
+func (t *Table) ReceivedFrom(node string, now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, known := t.peers[node]
 	return known && now.Sub(p.at) < within
 }
 
-// HeardOf reports whether a digest of the other failure domain arrived within the given time.
-func (t *Table) HeardOf(domain string, now time.Time, within time.Duration) bool {
+// ReceivedFromDomain reports whether a digest of the other failure domain arrived within the given time.
+func (t *Table) ReceivedFromDomain(domain string, now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d, known := t.domains[domain]
 	return known && now.Sub(d.at) < within
 }
 
-// HearsAfar reports whether a digest of any other failure domain arrived within the given time.
-func (t *Table) HearsAfar(now time.Time, within time.Duration) bool {
+// ReceivedFromOtherDomains reports whether a digest of any other failure domain arrived within the given time.
+func (t *Table) ReceivedFromOtherDomains(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, d := range t.domains {
@@ -229,15 +229,15 @@
 	return false
 }
 
-// Lately returns the number of live nodes, including this one.
-func (t *Table) Lately(now time.Time) int {
+// LiveNodes returns the number of live nodes, including this one.
+func (t *Table) LiveNodes(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.countPeers(now) + 1
 }
 
-// Hears reports whether a digest of any node arrived within the given time.
-func (t *Table) Hears(now time.Time, within time.Duration) bool {
+// ReceivedFromAny reports whether a digest of any node arrived within the given time.
+func (t *Table) ReceivedFromAny(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -25,7 +25,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	w.Random = random.Float64
 	for _, domain := range []string{"south", "west"} {
-		must.NoError(t, w.Peers.TakeOuter(&peerload.OuterLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
+		must.NoError(t, w.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
 	}
 	number := 0
 	for domain, running := range map[string]int{"north": north, "south": south, "west": west} {
@@ -97,7 +97,7 @@
 		test.True(t, ok)
 		test.Eq(t, "north", p.Member.Endpoint().Domain)
 	}
-	must.NoError(t, w.Peers.TakeOuter(&peerload.OuterLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
+	must.NoError(t, w.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
 	south := 0
 	for range 100 {
 		p, ok := w.Place(query())
--- a/internal/placer/stores_test.go
+++ b/internal/placer/stores_test.go
@@ -41,7 +41,7 @@
 func TestAvoidsStoreReportedLateByPeers(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for i := range 3 {
-		w.Peers.Take(peerload.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Seq: 1, Late: []peerload.Late{{Addr: store, MS: 900}}}, time.Now())
+		w.Peers.Record(peerload.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Seq: 1, Late: []peerload.Late{{Addr: store, MS: 900}}}, time.Now())
 	}
 	p, ok := w.Place(query())
 	must.True(t, ok)
--- a/internal/relay/copy.go
+++ b/internal/relay/copy.go
@@ -69,7 +69,7 @@
 		c.known[r.Key] = r
 	}
 	c.next = b.Next
-	c.proven = b.ProvenAt
+	c.proven = b.ConfirmedAt
 }
 
 // page is what a copy tells.
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -17,7 +17,7 @@
 	c := filled(time.Now())
 	c.Brief = func(value []byte) []byte { return value[:min(len(value), 3)] }
 	long := record("c", "w"+strings.Repeat("x", datagram.MaxBytes), 10)
-	batch := follow.Batch{Records: []follow.Record{long}, Next: 11, ProvenAt: time.Now()}
+	batch := follow.Batch{Records: []follow.Record{long}, Next: 11, ConfirmedAt: time.Now()}
 	c.Apply(batch)
 	p, err := c.Since(10, answerBytes)
 	must.NoError(t, err)
--- a/internal/relay/help_test.go
+++ b/internal/relay/help_test.go
@@ -45,7 +45,7 @@
 
 func filled(provenAt time.Time) *Copy {
 	c := &Copy{Sink: drop{}, Same: sameFirst}
-	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("a", "x1", 3), record("b", "y1", 7)}, Next: 10, ProvenAt: provenAt})
+	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("a", "x1", 3), record("b", "y1", 7)}, Next: 10, ConfirmedAt: provenAt})
 	return c
 }
 
--- a/internal/relay/long_test.go
+++ b/internal/relay/long_test.go
@@ -21,7 +21,7 @@
 	for i := range int64(records) {
 		want = append(want, record(fmt.Sprint("n", i), strings.Repeat("x", 200), 10+i))
 	}
-	held.Apply(follow.Batch{Records: want, Next: 10 + records, ProvenAt: time.Now().Add(-time.Second)})
+	held.Apply(follow.Batch{Records: want, Next: 10 + records, ConfirmedAt: time.Now().Add(-time.Second)})
 	own, _ := relayOf(t, nil)
 	_, reader := relayOf(t, held)
 	store := &storeTopic{}
@@ -40,7 +40,7 @@
 func TestLongConfigurationsAreTold(t *testing.T) {
 	value := strings.Repeat(`{"name":"r-uk82esn","hostname":"xara68.example","path-prefix":"/bohu524/","timeout-ms":800},`, 250)
 	held := filled(time.Now())
-	held.Apply(follow.Batch{Records: []follow.Record{record("config", value, 10)}, Next: 11, ProvenAt: time.Now()})
+	held.Apply(follow.Batch{Records: []follow.Record{record("config", value, 10)}, Next: 11, ConfirmedAt: time.Now()})
 	own, _ := relayOf(t, nil)
 	_, reader := relayOf(t, held)
 	store := &storeTopic{}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -34,10 +34,10 @@
 // too long or not there.
 func TestAsksAnotherNode(t *testing.T) {
 	long := filled(time.Now())
-	long.Apply(follow.Batch{Records: []follow.Record{record("long", noise(datagram.MaxBytes), 10)}, Next: 11, ProvenAt: time.Now()})
+	long.Apply(follow.Batch{Records: []follow.Record{record("long", noise(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
 	old := filled(time.Now().Add(-MaxAge))
 	young := filled(time.Now().Add(-time.Second))
-	young.Apply(follow.Batch{Records: []follow.Record{record("b", "z", 10)}, Next: 11, ProvenAt: time.Now().Add(-time.Second)})
+	young.Apply(follow.Batch{Records: []follow.Record{record("b", "z", 10)}, Next: 11, ConfirmedAt: time.Now().Add(-time.Second)})
 	for _, tc := range []struct {
 		name    string
 		copy    *Copy
@@ -145,7 +145,7 @@
 func TestStoreIsAskedForLongRecords(t *testing.T) {
 	own, _ := relayOf(t, nil)
 	held := filled(time.Now())
-	held.Apply(follow.Batch{Records: []follow.Record{record("config", noise(datagram.MaxBytes), 10)}, Next: 11, ProvenAt: time.Now()})
+	held.Apply(follow.Batch{Records: []follow.Record{record("config", noise(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
 	_, reader := relayOf(t, held)
 	store := &storeTopic{away: true}
 	topic := patientTopic(own, store, reader)
@@ -198,14 +198,14 @@
 			Pause: func() time.Duration { return 400 * time.Millisecond },
 		}
 		proven := time.Now()
-		reader.Apply(follow.Batch{Snapshot: true, Next: 10, ProvenAt: proven})
+		reader.Apply(follow.Batch{Snapshot: true, Next: 10, ConfirmedAt: proven})
 		done := make(chan error, 1)
 		go func() { done <- f.Run(ctx) }()
 		for i := range 200 {
 			time.Sleep(70 * time.Millisecond)
 			if i%13 == 0 && (i < 60 || i > 120) { // the reader loses the store for 4 s
 				proven = time.Now().Add(-30 * time.Millisecond)
-				reader.Apply(follow.Batch{Next: 10, ProvenAt: proven})
+				reader.Apply(follow.Batch{Next: 10, ConfirmedAt: proven})
 			}
 			test.False(t, seen.at().After(proven), test.Sprint("step ", i))
 		}
@@ -240,7 +240,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !b.Snapshot {
-		l.proven = b.ProvenAt
+		l.proven = b.ConfirmedAt
 	}
 }
 
--- a/internal/relay/told_test.go
+++ b/internal/relay/told_test.go
@@ -12,8 +12,8 @@
 
 func TestCopyTellsWhatChanged(t *testing.T) {
 	c := filled(time.Now())
-	c.Apply(follow.Batch{Records: []follow.Record{record("a", "x2", 10), record("b", "z1", 11), record("c", "w", 12)}, Next: 13, ProvenAt: time.Now()})
-	c.Apply(follow.Batch{Records: []follow.Record{record("c", "", 13)}, Next: 14, ProvenAt: time.Now()})
+	c.Apply(follow.Batch{Records: []follow.Record{record("a", "x2", 10), record("b", "z1", 11), record("c", "w", 12)}, Next: 13, ConfirmedAt: time.Now()})
+	c.Apply(follow.Batch{Records: []follow.Record{record("c", "", 13)}, Next: 14, ConfirmedAt: time.Now()})
 	p, err := c.Since(10, answerBytes)
 	must.NoError(t, err)
 	test.Eq(t, 14, p.next)
@@ -39,8 +39,8 @@
 	c := filled(time.Now())
 	_, err = c.Since(9, answerBytes)
 	test.ErrorIs(t, err, ErrUnknown)
-	c.Apply(follow.Batch{Records: []follow.Record{record("a", "q", 10)}, Next: 11, ProvenAt: time.Now()})
-	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("b", "y1", 7)}, Next: 30, ProvenAt: time.Now()})
+	c.Apply(follow.Batch{Records: []follow.Record{record("a", "q", 10)}, Next: 11, ConfirmedAt: time.Now()})
+	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("b", "y1", 7)}, Next: 30, ConfirmedAt: time.Now()})
 	_, err = c.Since(11, answerBytes)
 	test.ErrorIs(t, err, ErrUnknown, test.Sprint("a was removed meanwhile"))
 }
