--- a/internal/ctl/endpoints.go
+++ b/internal/ctl/endpoints.go
@@ -87,7 +87,7 @@
 		return none
 	}
 	by := "told"
-	if l.Own {
+	if l.Direct {
 		by = "answer"
 	}
 	return fmt.Sprintf("%g/s (%s %s ago)", l.PerSecond, by, ms(l.AgeMs))
--- a/internal/ctl/endpoints_test.go
+++ b/internal/ctl/endpoints_test.go
@@ -24,11 +24,11 @@
 	for i, id := range []string{"any", "cold", "drains", "answers", "limited", "backs-off", "told"} {
 		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Domain: "north", Draining: id == "drains"}, now)
 	}
-	f.Member("cold").Chill(now.Add(time.Minute))
+	f.Member("cold").MarkCold(now.Add(time.Minute))
 	f.Drain(f.Member("answers"), now.Add(-2*time.Second))
 	f.Member("limited").Signals.SetLimit(2.8, now.Add(-time.Second))
-	f.Member("backs-off").Signals.BackOff(3*time.Second, now.Add(-time.Second))
-	f.Member("told").Signals.HearLimit(fleet.RateLimit{PerSecond: 1, InForce: true, At: now})
+	f.Member("backs-off").Signals.RecordBackoff(3*time.Second, now.Add(-time.Second))
+	f.Member("told").Signals.RecordRelayedLimit(fleet.RateLimit{PerSecond: 1, InForce: true, At: now})
 	return f
 }
 
--- a/internal/fleet/backoff.go
+++ b/internal/fleet/backoff.go
@@ -13,10 +13,10 @@
 	At    time.Time // when the endpoint last requested a backoff
 }
 
-// BackOff records that the endpoint refused a request at the given time and requested a backoff of d.
+// RecordBackoff records that the endpoint refused a request at the given time and requested a backoff of d.
 // If backoffs overlap, the one that ends last applies. It reports whether no backoff was in effect
 // before.
-func (s *Signals) BackOff(d time.Duration, at time.Time) (started bool) {
+func (s *Signals) RecordBackoff(d time.Duration, at time.Time) (started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := Backoff{Until: at.Add(min(d, MaxBackoff)), At: at}
--- a/internal/fleet/backoff_test.go
+++ b/internal/fleet/backoff_test.go
@@ -14,14 +14,14 @@
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	_, backsOff := s.Backoff(start)
 	test.False(t, backsOff)
-	test.True(t, s.BackOff(3*time.Second, at(0)))
-	test.False(t, s.BackOff(time.Second, at(0.1)), test.Sprint("already backing off"))
+	test.True(t, s.RecordBackoff(3*time.Second, at(0)))
+	test.False(t, s.RecordBackoff(time.Second, at(0.1)), test.Sprint("already backing off"))
 	b, backsOff := s.Backoff(at(2.9))
 	test.True(t, backsOff)
 	test.Eq(t, Backoff{Until: at(3), At: at(0.1)}, b)
 	_, backsOff = s.Backoff(at(3))
 	test.False(t, backsOff)
-	test.True(t, s.BackOff(24*time.Hour, at(4)))
+	test.True(t, s.RecordBackoff(24*time.Hour, at(4)))
 	b, _ = s.Backoff(at(5))
 	test.Eq(t, at(4).Add(MaxBackoff), b.Until)
 }
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -19,8 +19,8 @@
 // Cold reports whether the endpoint is, or may be, cold at the given time.
 func (m *Member) Cold(now time.Time) bool { return now.Before(m.ColdUntil()) }
 
-// Chill marks the endpoint as cold until the given time. It never shortens the cold period.
-func (m *Member) Chill(until time.Time) {
+// MarkCold marks the endpoint as cold until the given time. It never shortens the cold period.
+func (m *Member) MarkCold(until time.Time) {
 	for {
 		current := m.cold.Load()
 		if current != nil && !until.After(*current) || m.cold.CompareAndSwap(current, &until) {
@@ -29,21 +29,21 @@
 	}
 }
 
-// Ends records that the endpoint ended: nothing listens at its address any more, or another endpoint
+// MarkEnded records that the endpoint ended: nothing listens at its address any more, or another endpoint
 // answers there. It gets no requests until its entry has expired. A process that answers under its id
 // before that is a new start; an entry seen after that was written by a new start and states its cold
 // period itself.
-func (m *Member) Ends(now time.Time) {
+func (m *Member) MarkEnded(now time.Time) {
 	m.down.Store(true)
-	m.Chill(now.Add(coldAfterEnd))
-	m.Health.Ended(now)
+	m.MarkCold(now.Add(coldAfterEnd))
+	m.Health.RecordEnd(now)
 }
 
-// Answered records an answer of the endpoint. If the endpoint had ended, it is a new start and is
+// RecordAnswer records an answer of the endpoint. If the endpoint had ended, it is a new start and is
 // marked as cold for coldStart, the cold period of its service's endpoints.
-func (m *Member) Answered(now time.Time, coldStart time.Duration) {
+func (m *Member) RecordAnswer(now time.Time, coldStart time.Duration) {
 	if m.down.Swap(false) && m.Cold(now) {
-		m.Chill(now.Add(coldStart))
+		m.MarkCold(now.Add(coldStart))
 	}
 }
 
@@ -53,5 +53,5 @@
 	if e.ColdLeft <= 0 || before != nil && before.ColdLeft >= e.ColdLeft {
 		return
 	}
-	m.Chill(now.Add(e.ColdLeft))
+	m.MarkCold(now.Add(e.ColdLeft))
 }
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -41,13 +41,13 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(coldEntry(100, 0), at(0))
 	m := onlyMember(t, f, "s")
-	m.Answered(at(0), 3*time.Second)
+	m.RecordAnswer(at(0), 3*time.Second)
 	test.False(t, m.Cold(at(0)), test.Sprint("it was never down"))
-	m.Ends(at(0))
+	m.MarkEnded(at(0))
 	test.True(t, m.Cold(at(5*time.Second)), test.Sprint("no information since it ended"))
-	m.Answered(at(6*time.Second), 3*time.Second)
+	m.RecordAnswer(at(6*time.Second), 3*time.Second)
 	test.True(t, m.Cold(at(8900*time.Millisecond)))
-	m.Answered(at(7*time.Second), 3*time.Second)
+	m.RecordAnswer(at(7*time.Second), 3*time.Second)
 	test.False(t, m.Cold(at(9*time.Second)), test.Sprint("further answers do not extend the period"))
 }
 
@@ -59,10 +59,10 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(coldEntry(100, 0), at(0))
 	m := onlyMember(t, f, "s")
-	m.Ends(at(0))
+	m.MarkEnded(at(0))
 	test.True(t, m.Cold(at(6400*time.Millisecond)))
 	test.False(t, m.Cold(at(6500*time.Millisecond)))
-	m.Answered(at(time.Minute), 3*time.Second)
+	m.RecordAnswer(at(time.Minute), 3*time.Second)
 	test.False(t, m.Cold(at(time.Minute)), test.Sprint("the entry would state a cold period"))
 }
 
@@ -84,7 +84,7 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(coldEntry(100, 0), at(0))
 	m := onlyMember(t, f, "s")
-	m.Chill(at(3 * time.Second))
-	m.Chill(at(time.Second))
+	m.MarkCold(at(3 * time.Second))
+	m.MarkCold(at(time.Second))
 	test.Eq(t, at(3*time.Second), m.ColdUntil())
 }
--- a/internal/fleet/draining_test.go
+++ b/internal/fleet/draining_test.go
@@ -47,7 +47,7 @@
 	second := onlyMember(t, f, "s")
 	f.Update(entryStartedAt(300, 1), at(3*time.Second))
 	test.True(t, f.Drain(second, at(4*time.Second)), test.Sprint("late report"))
-	test.Eq(t, 300, onlyMember(t, f, "s").Born)
+	test.Eq(t, 300, onlyMember(t, f, "s").StartedMs)
 	f.Drain(onlyMember(t, f, "s"), at(5*time.Second))
 	other := entryStartedAt(400, 1)
 	other.ID = "another"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,10 +29,10 @@
 	Slots    int
 	Draining bool
 	ColdLeft time.Duration // remaining cold period, in which it accepts few requests and may be slow
-	// Born is the start time in Unix milliseconds, 0 if not reported. A restart under the same ID has a
+	// StartedMs is the start time in Unix milliseconds, 0 if not reported. A restart under the same ID has a
 	// later one and shares no state with the previous start.
-	Born    int64
-	Weights []Weights
+	StartedMs int64
+	Weights   []Weights
 }
 
 // Weights is a version of a model's weights.
@@ -119,7 +119,7 @@
 		f.replace(m, e, now)
 	}
 	f.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Str("service", e.Service).
-		Str("addr", e.Addr).Int64("born", e.Born).Bool("draining", e.Draining).Send()
+		Str("addr", e.Addr).Int64("born", e.StartedMs).Bool("draining", e.Draining).Send()
 	f.rebuild()
 }
 
@@ -129,10 +129,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newest := f.latest[e.ID].startedMillis
-	if e.Born >= newest {
+	if e.StartedMs >= newest {
 		return false
 	}
-	f.log.Info().Str("event", "endpoint_outdated").Str("endpoint", e.ID).Int64("born", e.Born).Int64("newest", newest).Send()
+	f.log.Info().Str("event", "endpoint_outdated").Str("endpoint", e.ID).Int64("born", e.StartedMs).Int64("newest", newest).Send()
 	return true
 }
 
@@ -142,10 +142,10 @@
 func (f *Fleet) reconcile(e *Endpoint, now time.Time) (reconciled *Endpoint, current bool) {
 	newest := f.latest[e.ID]
 	switch {
-	case e.Born < newest.startedMillis:
+	case e.StartedMs < newest.startedMillis:
 		return e, false
-	case e.Born > newest.startedMillis:
-		newest = start{startedMillis: e.Born}
+	case e.StartedMs > newest.startedMillis:
+		newest = start{startedMillis: e.StartedMs}
 	}
 	newest.draining = newest.draining || e.Draining
 	newest.lastSeen = now
@@ -164,7 +164,7 @@
 func (f *Fleet) replace(before *Member, e *Endpoint, now time.Time) {
 	m := newMember(e, now)
 	if before != nil {
-		if before.Born == e.Born {
+		if before.StartedMs == e.StartedMs {
 			m = before.moved(e, now)
 		}
 		before.Pool.CloseIdle()
@@ -183,7 +183,7 @@
 	if before == nil || f.members[before.ID] != before {
 		return
 	}
-	before.Ends(now)
+	before.MarkEnded(now)
 	f.log.Info().Str("event", "endpoint_succeeded").Str("endpoint", before.ID).Str("by", e.ID).Str("addr", e.Addr).Send()
 }
 
@@ -191,18 +191,18 @@
 // draining until it restarts, whatever its entry states, also after a registry outage. Drain reports
 // whether this start had not reported it before.
 func (f *Fleet) Drain(m *Member, now time.Time) (first bool) {
-	if !m.Signals.SetDraining(now) {
+	if !m.Signals.MarkDraining(now) {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, known := f.latest[m.ID]
-	if !known || s.startedMillis != m.Born {
+	if !known || s.startedMillis != m.StartedMs {
 		return true // replaced by a later start, which has not reported draining
 	}
 	s.draining = true
 	f.latest[m.ID] = s
-	if listed := f.members[m.ID]; listed != nil && listed.Born == m.Born {
+	if listed := f.members[m.ID]; listed != nil && listed.StartedMs == m.StartedMs {
 		listed.drain()
 		f.rebuild()
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -61,17 +61,17 @@
 func TestHealth(t *testing.T) {
 	var h fleet.Health
 	test.True(t, h.Usable(at(0)))
-	h.Failed(at(0), true)
+	h.RecordFailure(at(0), true)
 	test.False(t, h.Usable(at(100*time.Millisecond)))
 	test.True(t, h.Usable(at(400*time.Millisecond)))
-	h.Failed(at(400*time.Millisecond), true)
+	h.RecordFailure(at(400*time.Millisecond), true)
 	test.False(t, h.Usable(at(900*time.Millisecond)), test.Sprint("twice as long"))
 	for range 5 {
-		h.Failed(at(time.Second), false)
+		h.RecordFailure(at(time.Second), false)
 	}
 	test.Greater(t, 0.35, h.FailureRate(at(time.Second)))
 	test.False(t, h.Usable(at(3*time.Second)), test.Sprint("failure rate too high"))
-	h.Succeeded(at(3 * time.Second))
+	h.RecordSuccess(at(3 * time.Second))
 	test.True(t, h.Usable(at(10*time.Second)))
 	test.Less(t, 0.35/4, h.FailureRate(at(20*time.Second)), test.Sprint("the rate decays without outcomes"))
 }
@@ -80,7 +80,7 @@
 // until its entry has expired, 3 s to 4 s later.
 func TestEndedEndpointIsAvoided(t *testing.T) {
 	var h fleet.Health
-	h.Ended(at(0))
+	h.RecordEnd(at(0))
 	test.False(t, h.Usable(at(2900*time.Millisecond)))
 	test.True(t, h.Usable(at(3*time.Second)))
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -34,18 +34,18 @@
 	ejected             atomic.Pointer[time.Time] // end of the ejection; written under mu; nil if never ejected
 }
 
-// Succeeded records a successful answer.
-func (h *Health) Succeeded(now time.Time) {
+// RecordSuccess records a successful answer.
+func (h *Health) RecordSuccess(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.recordOutcome(now, 0)
 	h.consecutiveFailures = 0
 }
 
-// Failed records a failed attempt. broken is true if the endpoint could not be reached or broke the
+// RecordFailure records a failed attempt. broken is true if the endpoint could not be reached or broke the
 // connection, which ejects it for a while; other failures eject it once the failure rate exceeds
 // ejectRate. It reports whether the endpoint became ejected by this call.
-func (h *Health) Failed(now time.Time, broken bool) (ejected bool) {
+func (h *Health) RecordFailure(now time.Time, broken bool) (ejected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	usable := h.Usable(now)
@@ -62,16 +62,16 @@
 	return usable
 }
 
-// Ended records that the endpoint ended and ejects it until its entry is gone. Waiting for a refused
+// RecordEnd records that the endpoint ended and ejects it until its entry is gone. Waiting for a refused
 // connection instead would use up one of the few send attempts of each request.
-func (h *Health) Ended(now time.Time) {
+func (h *Health) RecordEnd(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.eject(now, ejectMax)
 }
 
-// Refused records that the endpoint refused a request, and ejects it for pause.
-func (h *Health) Refused(now time.Time, pause time.Duration) {
+// RecordRefusal records that the endpoint refused a request, and ejects it for pause.
+func (h *Health) RecordRefusal(now time.Time, pause time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.eject(now, pause)
--- a/internal/fleet/lapse_test.go
+++ b/internal/fleet/lapse_test.go
@@ -22,5 +22,5 @@
 	f.Update(entryStartedAt(100, 1), at(3*time.Second))
 	m := onlyMember(t, f, "s")
 	test.Eq(t, 1, m.Load.Running())
-	test.Eq(t, 20, m.Load.Holding())
+	test.Eq(t, 20, m.Load.HeldTokens())
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -18,10 +18,10 @@
 type Member struct {
 	ID      string
 	Service string
-	// Born is the endpoint's start time in Unix milliseconds, 0 if not reported.
-	Born   int64
-	Pool   *upstream.Pool
-	Health Health
+	// StartedMs is the endpoint's start time in Unix milliseconds, 0 if not reported.
+	StartedMs int64
+	Pool      *upstream.Pool
+	Health    Health
 	// Load counts this node's requests in flight at this start of the endpoint, whatever its address.
 	Load *Load
 	// Signals are the reports in answers of this start of the endpoint, whatever its address.
@@ -41,7 +41,7 @@
 
 // newMember returns a member with an entry and no observations.
 func newMember(e *Endpoint, now time.Time) *Member {
-	m := &Member{ID: e.ID, Service: e.Service, Born: e.Born, Pool: upstream.NewPool(e.Addr), Load: &Load{}, Signals: &Signals{}, weightsChanged: now}
+	m := &Member{ID: e.ID, Service: e.Service, StartedMs: e.StartedMs, Pool: upstream.NewPool(e.Addr), Load: &Load{}, Signals: &Signals{}, weightsChanged: now}
 	m.entry.Store(e)
 	m.applyColdLeft(nil, e, now)
 	return m
@@ -54,7 +54,7 @@
 	next.Load, next.Signals = m.Load, m.Signals
 	next.entry.Store(m.Endpoint())
 	next.estimate.Store(m.estimate.Load())
-	next.Chill(m.ColdUntil())
+	next.MarkCold(m.ColdUntil())
 	next.applyEntry(e, now)
 	return next
 }
@@ -62,7 +62,7 @@
 // matches reports whether the entry has the same start, address and service as this member.
 func (m *Member) matches(e *Endpoint) bool {
 	current := m.Endpoint()
-	return m.Born == e.Born && current.Addr == e.Addr && current.Service == e.Service
+	return m.StartedMs == e.StartedMs && current.Addr == e.Addr && current.Service == e.Service
 }
 
 // Endpoint returns the latest entry.
@@ -75,8 +75,8 @@
 	m.entry.Store(m.Endpoint().drained())
 }
 
-// Start returns an identifier of this start of the endpoint, the same on all nodes.
-func (m *Member) Start() string { return m.ID + "@" + strconv.FormatInt(m.Born, 10) }
+// StartID returns an identifier of this start of the endpoint, the same on all nodes.
+func (m *Member) StartID() string { return m.ID + "@" + strconv.FormatInt(m.StartedMs, 10) }
 
 // endedCheckTimeout limits the connection attempt that checks whether an endpoint ended, as a retry may
 // wait for it. A refusal takes a few milliseconds, or longer on a small host that loses many runs at
--- a/internal/fleet/ratelimit.go
+++ b/internal/fleet/ratelimit.go
@@ -8,8 +8,8 @@
 	PerSecond float64
 	InForce   bool      // false once the endpoint has stopped reporting a limit
 	At        time.Time // when it was reported
-	// Own is true if the endpoint reported it to this node, and false if another node relayed it.
-	Own bool
+	// Direct is true if the endpoint reported it to this node, and false if another node relayed it.
+	Direct bool
 }
 
 // RateLimit returns the last reported limit, or false if the endpoint never reported one.
@@ -29,7 +29,7 @@
 	if before != nil && at.Before(before.At) {
 		return false
 	}
-	s.limit.Store(&RateLimit{PerSecond: perSecond, InForce: true, At: at, Own: true})
+	s.limit.Store(&RateLimit{PerSecond: perSecond, InForce: true, At: at, Direct: true})
 	return before == nil || !before.InForce || before.PerSecond != perSecond
 }
 
@@ -46,13 +46,13 @@
 	if sent.Before(before.At) {
 		return false
 	}
-	s.limit.Store(&RateLimit{At: at, Own: true})
+	s.limit.Store(&RateLimit{At: at, Direct: true})
 	return before.InForce
 }
 
-// HearLimit records a limit, or the end of one, relayed by another node. It is ignored unless it is
+// RecordRelayedLimit records a limit, or the end of one, relayed by another node. It is ignored unless it is
 // newer than the last report. It reports whether the limit in force changed.
-func (s *Signals) HearLimit(l RateLimit) (changed bool) {
+func (s *Signals) RecordRelayedLimit(l RateLimit) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.limit.Load()
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -15,7 +15,7 @@
 
 // entryStartedAt returns an entry with the given start time and weights version.
 func entryStartedAt(ms, version int64) *fleet.Endpoint {
-	return &fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", Born: ms, Weights: []fleet.Weights{{Model: model, Version: version}}}
+	return &fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", StartedMs: ms, Weights: []fleet.Weights{{Model: model, Version: version}}}
 }
 
 func onlyMember(t *testing.T, f *fleet.Fleet, service string) *fleet.Member {
@@ -31,9 +31,9 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(entryStartedAt(100, 3), at(0))
 	old := onlyMember(t, f, "s")
-	old.Saw(weightsReport(4, at(0)))
+	old.RecordWeights(weightsReport(4, at(0)))
 	old.Load.Begin(10, 20)
-	old.Health.Failed(at(0), true)
+	old.Health.RecordFailure(at(0), true)
 
 	again := entryStartedAt(200, 2)
 	again.Addr, again.Service = "127.0.0.1:2", "other"
@@ -49,7 +49,7 @@
 	old.Load.FirstEvent(10)
 	old.Load.End(20)
 	test.Zero(t, m.Load.Running(), test.Sprint("request at the previous start ended"))
-	test.Zero(t, m.Load.Holding())
+	test.Zero(t, m.Load.HeldTokens())
 }
 
 // TestRestartAtTheSameAddress checks that requests at the previous start are counted separately from
@@ -73,7 +73,7 @@
 	f.Update(entryStartedAt(100, 1), at(0))
 	f.Update(entryStartedAt(200, 2), at(time.Second))
 	f.Update(entryStartedAt(100, 1), at(2*time.Second))
-	test.Eq(t, 200, onlyMember(t, f, "s").Born)
+	test.Eq(t, 200, onlyMember(t, f, "s").StartedMs)
 	test.Eq(t, 2, onlyMember(t, f, "s").VersionOf(model))
 	draining := entryStartedAt(100, 1)
 	draining.Draining = true
@@ -144,7 +144,7 @@
 	f.Update(entryStartedAt(100, 1), at(0))
 	old := onlyMember(t, f, "s")
 	old.Load.Begin(0, 5)
-	old.Saw(weightsReport(2, at(0)))
+	old.RecordWeights(weightsReport(2, at(0)))
 	moved := entryStartedAt(100, 1)
 	moved.Addr = "127.0.0.1:2"
 	f.Update(moved, at(time.Second))
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -24,9 +24,9 @@
 	return before == nil || *before != headers
 }
 
-// SetDraining records that this start drains, which cannot be undone. It reports whether this was the
+// MarkDraining records that this start drains, which cannot be undone. It reports whether this was the
 // first such report.
-func (s *Signals) SetDraining(at time.Time) (first bool) { return s.draining.CompareAndSwap(nil, &at) }
+func (s *Signals) MarkDraining(at time.Time) (first bool) { return s.draining.CompareAndSwap(nil, &at) }
 
 // Draining returns when this start first reported that it drains, or false if it never did.
 func (s *Signals) Draining() (since time.Time, draining bool) {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -8,11 +8,11 @@
 
 // Status describes, for operators, this node's restrictions on sending requests to an endpoint.
 type Status struct {
-	Endpoint string `json:"endpoint"`
-	Service  string `json:"service"`
-	Addr     string `json:"addr"`
-	Domain   string `json:"domain"`
-	Born     int64  `json:"born,omitempty"` // start time in Unix milliseconds, 0 if not reported
+	Endpoint  string `json:"endpoint"`
+	Service   string `json:"service"`
+	Addr      string `json:"addr"`
+	Domain    string `json:"domain"`
+	StartedMs int64  `json:"born,omitempty"` // start time in Unix milliseconds, 0 if not reported
 	// Limit is the number of requests per second that it accepts from all nodes together; nil if
 	// unlimited.
 	Limit *LimitStatus `json:"limit,omitempty"`
@@ -29,7 +29,7 @@
 // false if another node relayed it.
 type LimitStatus struct {
 	PerSecond float64 `json:"per_s"`
-	Own       bool    `json:"own"`
+	Direct    bool    `json:"own"`
 	AgeMs     int64   `json:"age_ms"`
 }
 
@@ -57,9 +57,9 @@
 
 func (m *Member) status(now time.Time) Status {
 	e := m.Endpoint()
-	s := Status{Endpoint: m.ID, Service: m.Service, Addr: e.Addr, Domain: e.Domain, Born: m.Born, Draining: e.Draining, Cold: m.Cold(now)}
+	s := Status{Endpoint: m.ID, Service: m.Service, Addr: e.Addr, Domain: e.Domain, StartedMs: m.StartedMs, Draining: e.Draining, Cold: m.Cold(now)}
 	if l, known := m.Signals.RateLimit(); known && l.InForce {
-		s.Limit = &LimitStatus{PerSecond: l.PerSecond, Own: l.Own, AgeMs: now.Sub(l.At).Milliseconds()}
+		s.Limit = &LimitStatus{PerSecond: l.PerSecond, Direct: l.Direct, AgeMs: now.Sub(l.At).Milliseconds()}
 	}
 	if b, backsOff := m.Signals.Backoff(now); backsOff {
 		s.Backoff = &BackoffStatus{LeftMs: b.Until.Sub(now).Milliseconds(), AgeMs: now.Sub(b.At).Milliseconds()}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -36,10 +36,10 @@
 // Empty reports whether there is no endpoint that accepts requests.
 func (f *Fleet) Empty() bool { return len(f.view.Load().byService) == 0 }
 
-// Together runs change and rebuilds the view once afterwards, instead of after each modification of the
+// UpdateBatch runs change and rebuilds the view once afterwards, instead of after each modification of the
 // fleet made by change. Rebuilding after each of the thousands of entries that a node reads at startup
 // takes seconds on a small host.
-func (f *Fleet) Together(change func()) {
+func (f *Fleet) UpdateBatch(change func()) {
 	f.mu.Lock()
 	f.openBatches++
 	f.mu.Unlock()
--- a/internal/fleet/weights.go
+++ b/internal/fleet/weights.go
@@ -17,11 +17,11 @@
 	refreshAfter = 500 * time.Millisecond
 )
 
-// Statement is a weights version reported by the endpoint itself, in an answer or in a status report.
-type Statement struct {
+// WeightsReport is a weights version reported by the endpoint itself, in an answer or in a status report.
+type WeightsReport struct {
 	Weights
-	Born int64     // start time of the reporting endpoint; 0 if unknown
-	At   time.Time // earliest time at which it was true
+	StartedMs int64     // start time of the reporting endpoint; 0 if unknown
+	At        time.Time // earliest time at which it was true
 }
 
 // weightsEstimate is this node's information on an endpoint's weights beyond its registry entry.
@@ -44,27 +44,27 @@
 	return m.Endpoint().VersionOf(model)
 }
 
-// Seen returns the weights that the endpoint reported to this node and that its registry entry does not
+// UnlistedWeights returns the weights that the endpoint reported to this node and that its registry entry does not
 // contain yet. It returns false if there are none.
-func (m *Member) Seen() (Statement, bool) {
+func (m *Member) UnlistedWeights() (WeightsReport, bool) {
 	est := m.estimate.Load()
 	if est == nil || !est.direct || est.Version == m.Endpoint().VersionOf(est.Model) {
-		return Statement{}, false
+		return WeightsReport{}, false
 	}
-	return Statement{Weights: est.Weights, Born: m.Born, At: est.at}, true
+	return WeightsReport{Weights: est.Weights, StartedMs: m.StartedMs, At: est.at}, true
 }
 
-// Saw records the weights that the endpoint reported to this node. The newest report applies even if it
+// RecordWeights records the weights that the endpoint reported to this node. The newest report applies even if it
 // names an older version, since a delayed order, or one undone by a crash, can bring older weights
 // back. Reports by another start of the endpoint are discarded, and so are answers to requests that
 // were sent before the entry announced newer weights.
-func (m *Member) Saw(s Statement) { m.recordReport(s, true) }
+func (m *Member) RecordWeights(s WeightsReport) { m.recordReport(s, true) }
 
-// Heard records weights that the endpoint reported to another node.
-func (m *Member) Heard(s Statement) { m.recordReport(s, false) }
+// RecordRelayedWeights records weights that the endpoint reported to another node.
+func (m *Member) RecordRelayedWeights(s WeightsReport) { m.recordReport(s, false) }
 
-func (m *Member) recordReport(s Statement, direct bool) {
-	if s.Born != 0 && m.Born != 0 && s.Born != m.Born {
+func (m *Member) recordReport(s WeightsReport, direct bool) {
+	if s.StartedMs != 0 && m.StartedMs != 0 && s.StartedMs != m.StartedMs {
 		return
 	}
 	m.mu.Lock()
@@ -83,15 +83,15 @@
 
 // supersedes reports whether the current estimate stays in place when report s about the same model
 // arrives, because s is older or repeats it.
-func (est *weightsEstimate) supersedes(s *Statement, direct bool) bool {
+func (est *weightsEstimate) supersedes(s *WeightsReport, direct bool) bool {
 	same := est.Version == s.Version && (est.direct || !direct)
 	return s.At.Before(est.at) || same && s.At.Sub(est.at) < refreshAfter
 }
 
-// Refuted records that the endpoint refused a request because it does not have the expected version.
+// RecordVersionRefusal records that the endpoint refused a request because it does not have the expected version.
 // The estimate becomes the version in its entry or, if that is the refused one, the next version. If
 // the refused version was itself a guess, the version is unknown until the endpoint reports it.
-func (m *Member) Refuted(model string, version int64, now time.Time) {
+func (m *Member) RecordVersionRefusal(model string, version int64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.VersionOf(model) != version {
--- a/internal/fleet/weights_test.go
+++ b/internal/fleet/weights_test.go
@@ -10,8 +10,8 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-func weightsReport(version int64, at time.Time) fleet.Statement {
-	return fleet.Statement{Weights: fleet.Weights{Model: model, Version: version}, At: at}
+func weightsReport(version int64, at time.Time) fleet.WeightsReport {
+	return fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: version}, At: at}
 }
 
 // TestNewestReportTakesPrecedence checks that the newest report takes precedence over older ones and
@@ -20,9 +20,9 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(endpoint(false), at(0))
 	m := f.Members("s")[0]
-	m.Saw(weightsReport(3, at(100*time.Millisecond)))
+	m.RecordWeights(weightsReport(3, at(100*time.Millisecond)))
 	test.Eq(t, 3, m.VersionOf(model))
-	m.Saw(weightsReport(2, at(0)))
+	m.RecordWeights(weightsReport(2, at(0)))
 	test.Eq(t, 3, m.VersionOf(model), test.Sprint("answer to an earlier request"))
 	f.Update(endpoint(false), at(time.Second))
 	f.Expire(at(time.Second))
@@ -34,14 +34,14 @@
 func TestOlderWeightsAreAccepted(t *testing.T) {
 	tests := map[string]func(f *fleet.Fleet, m *fleet.Member){
 		"entry with an older version":    func(f *fleet.Fleet, _ *fleet.Member) { f.Update(entryStartedAt(100, 2), at(time.Second)) },
-		"report or answer":               func(_ *fleet.Fleet, m *fleet.Member) { m.Saw(weightsReport(2, at(time.Second))) },
-		"report relayed by another node": func(_ *fleet.Fleet, m *fleet.Member) { m.Heard(weightsReport(2, at(time.Second))) },
+		"report or answer":               func(_ *fleet.Fleet, m *fleet.Member) { m.RecordWeights(weightsReport(2, at(time.Second))) },
+		"report relayed by another node": func(_ *fleet.Fleet, m *fleet.Member) { m.RecordRelayedWeights(weightsReport(2, at(time.Second))) },
 	}
 	for name, report := range tests {
 		f := fleet.New(zerolog.Nop())
 		f.Update(entryStartedAt(100, 3), at(0))
 		m := f.Members("s")[0]
-		m.Saw(weightsReport(4, at(0)))
+		m.RecordWeights(weightsReport(4, at(0)))
 		test.Eq(t, 4, m.VersionOf(model))
 		report(f, m)
 		test.Eq(t, 2, f.Members("s")[0].VersionOf(model), test.Sprint(name))
@@ -55,13 +55,13 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(entryStartedAt(100, 1), at(0))
 	m := f.Members("s")[0]
-	m.Saw(weightsReport(2, at(time.Second)))
+	m.RecordWeights(weightsReport(2, at(time.Second)))
 	f.Update(entryStartedAt(100, 2), at(2*time.Second))
-	m.Saw(weightsReport(1, at(time.Second/2)))
+	m.RecordWeights(weightsReport(1, at(time.Second/2)))
 	test.Eq(t, 2, m.VersionOf(model))
-	m.Saw(weightsReport(3, at(time.Second)))
+	m.RecordWeights(weightsReport(3, at(time.Second)))
 	test.Eq(t, 3, m.VersionOf(model), test.Sprint("newer than the version in the entry"))
-	m.Saw(weightsReport(1, at(3*time.Second)))
+	m.RecordWeights(weightsReport(1, at(3*time.Second)))
 	test.Eq(t, 1, m.VersionOf(model), test.Sprint("request sent after the entry changed"))
 }
 
@@ -70,10 +70,10 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(entryStartedAt(100, 1), at(0))
 	m := f.Members("s")[0]
-	m.Saw(weightsReport(2, at(0)))
+	m.RecordWeights(weightsReport(2, at(0)))
 	f.Expire(at(3 * time.Second))
 	test.Eq(t, 2, m.VersionOf(model))
-	m.Saw(weightsReport(2, at(3*time.Second)))
+	m.RecordWeights(weightsReport(2, at(3*time.Second)))
 	f.Expire(at(5 * time.Second))
 	test.Eq(t, 2, m.VersionOf(model), test.Sprint("reported again"))
 	f.Expire(at(8 * time.Second))
@@ -86,21 +86,21 @@
 	f := fleet.New(zerolog.Nop())
 	f.Update(entryStartedAt(100, 2), at(0))
 	m := f.Members("s")[0]
-	m.Refuted(model, 2, at(0))
+	m.RecordVersionRefusal(model, 2, at(0))
 	test.Eq(t, 3, m.VersionOf(model), test.Sprint("the next version is assumed"))
-	m.Refuted(model, 2, at(0))
+	m.RecordVersionRefusal(model, 2, at(0))
 	test.Eq(t, 3, m.VersionOf(model), test.Sprint("refusal of a concurrent request"))
-	_, reported := m.Seen()
+	_, reported := m.UnlistedWeights()
 	test.False(t, reported, test.Sprint("a guess is not passed on"))
-	m.Refuted(model, 3, at(0))
+	m.RecordVersionRefusal(model, 3, at(0))
 	test.Eq(t, 0, m.VersionOf(model), test.Sprint("both versions were refused"))
 	f.Update(entryStartedAt(100, 1), at(time.Second))
 	test.Eq(t, 1, m.VersionOf(model), test.Sprint("the entry changed"))
 
-	m.Saw(weightsReport(2, at(2*time.Second)))
-	m.Refuted(model, 2, at(3*time.Second))
+	m.RecordWeights(weightsReport(2, at(2*time.Second)))
+	m.RecordVersionRefusal(model, 2, at(3*time.Second))
 	test.Eq(t, 1, m.VersionOf(model), test.Sprint("the version in the entry"))
-	m.Refuted(model, 1, at(3*time.Second))
+	m.RecordVersionRefusal(model, 1, at(3*time.Second))
 	f.Expire(at(4 * time.Second))
 	test.Eq(t, 0, m.VersionOf(model))
 	f.Expire(at(6 * time.Second))
@@ -114,10 +114,10 @@
 	f.Update(entryStartedAt(200, 1), at(0))
 	m := f.Members("s")[0]
 	s := weightsReport(2, at(time.Second))
-	s.Born = 100
-	m.Heard(s)
+	s.StartedMs = 100
+	m.RecordRelayedWeights(s)
 	test.Eq(t, 1, m.VersionOf(model))
-	s.Born = 200
-	m.Heard(s)
+	s.StartedMs = 200
+	m.RecordRelayedWeights(s)
 	test.Eq(t, 2, m.VersionOf(model))
 }
--- a/internal/fleetmodel/callers.go
+++ b/internal/fleetmodel/callers.go
@@ -166,7 +166,7 @@
 	after := c.world.now.Sub(c.sent)
 	c.placement.Member.Load.FirstEvent(c.placement.Reading)
 	c.placement.Began(after)
-	c.placement.Member.Health.Succeeded(c.world.now)
+	c.placement.Member.Health.RecordSuccess(c.world.now)
 	c.started = true
 	took := c.world.now.Sub(c.first)
 	c.late = took > c.class.Objective
@@ -184,7 +184,7 @@
 func (c *call) failed() {
 	member := c.placement.Member
 	member.Load.End(c.placement.Holding)
-	member.Health.Failed(c.world.now, true)
+	member.Health.RecordFailure(c.world.now, true)
 	if c.started {
 		c.world.Result.noteBroken(c)
 		return
--- a/internal/fleetmodel/faults_test.go
+++ b/internal/fleetmodel/faults_test.go
@@ -39,7 +39,7 @@
 	w := New(c)
 	w.Play()
 	for id, e := range w.engines {
-		load := []int{e.member.Load.Running(), e.member.Load.Reading(), e.member.Load.Holding(), len(e.running), len(e.waiting)}
+		load := []int{e.member.Load.Running(), e.member.Load.PendingPromptTokens(), e.member.Load.HeldTokens(), len(e.running), len(e.waiting)}
 		test.Eq(t, []int{0, 0, 0, 0, 0}, load, test.Sprint(id))
 	}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -124,14 +124,14 @@
 	endpointEnded := v == notRun && (x.endpointReplaced || x.refused())
 	unreachable := v == notRun && x.unreachable()
 	if endpointEnded {
-		p.Member.Ends(now)
+		p.Member.MarkEnded(now)
 	}
 	switch {
 	case v == delivered:
-		health.Succeeded(now)
+		health.RecordSuccess(now)
 	case v == notRun && !unreachable && !endpointEnded:
-		health.Refused(now, refusalBackoff)
-	case health.Failed(now, unreachable):
+		health.RecordRefusal(now, refusalBackoff)
+	case health.RecordFailure(now, unreachable):
 		x.Log.Warn().Str("event", "endpoint_avoided").Str("endpoint", p.Member.ID).Str("id", x.attrs.ID).
 			Float64("failure_rate", health.FailureRate(now)).AnErr("cause", x.cause).Send()
 	}
@@ -216,7 +216,7 @@
 	misdirected := answer.StatusCode == http.StatusMisdirectedRequest
 	x.endpointReplaced = misdirected && info.Instance != "" && info.Instance != p.Member.ID
 	if !misdirected { // a misdirected answer may come from another endpoint
-		p.Member.Answered(x.Clock.Now(), x.service.ColdStart)
+		p.Member.RecordAnswer(x.Clock.Now(), x.service.ColdStart)
 	}
 	v := x.deliver(answer, &info, first)
 	if v == mayHaveRun && errors.Is(context.Cause(ctx), errWithdrawn) {
@@ -247,10 +247,10 @@
 	model := x.attrs.Model
 	switch {
 	case info.Version > 0:
-		p.Member.Saw(fleet.Statement{Weights: fleet.Weights{Model: model, Version: info.Version}, At: sent})
+		p.Member.RecordWeights(fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: info.Version}, At: sent})
 	case status == http.StatusMisdirectedRequest && p.Attempt.Version > 0 && (info.Instance == "" || info.Instance == p.Member.ID):
 		// The right endpoint answered, so its weights differ from those recorded for it.
-		p.Member.Refuted(model, p.Attempt.Version, x.Clock.Now())
+		p.Member.RecordVersionRefusal(model, p.Attempt.Version, x.Clock.Now())
 	}
 }
 
--- a/internal/forward/endpoint_signals.go
+++ b/internal/forward/endpoint_signals.go
@@ -22,7 +22,7 @@
 	if info.Draining && x.Fleet.Drain(m, x.Clock.Now()) {
 		x.Log.Info().Str("event", "endpoint_draining").Str("endpoint", m.ID).Str("id", x.attrs.ID).Send()
 	}
-	if isRefusal(status) && info.RetryAfter > 0 && m.Signals.BackOff(info.RetryAfter, x.Clock.Now()) {
+	if isRefusal(status) && info.RetryAfter > 0 && m.Signals.RecordBackoff(info.RetryAfter, x.Clock.Now()) {
 		x.Log.Info().Str("event", "endpoint_backoff").Str("endpoint", m.ID).Str("id", x.attrs.ID).
 			Int64("asked_ms", info.RetryAfter.Milliseconds()).Int64("for_ms", min(info.RetryAfter, fleet.MaxBackoff).Milliseconds()).Send()
 	}
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -45,8 +45,8 @@
 	x.Log.Warn().Str("event", "run_lost").Str("id", x.attrs.ID).Str("endpoint", p.Member.ID).
 		Stringer("fingerprint", f).Bool("ended", ended).AnErr("cause", x.cause).Send()
 	if ended {
-		p.Member.Ends(x.Clock.Now())
-		x.Quarantine.Note(quarantine.Ending{Fingerprint: f, Endpoint: p.Member.Start()})
+		p.Member.MarkEnded(x.Clock.Now())
+		x.Quarantine.Note(quarantine.Ending{Fingerprint: f, Endpoint: p.Member.StartID()})
 	}
 }
 
--- a/internal/forward/withdraw_plain_test.go
+++ b/internal/forward/withdraw_plain_test.go
@@ -58,7 +58,7 @@
 	w.placer.beginWithin = 100 * time.Millisecond
 	health := &w.placer.members[1].Health
 	now := time.Now()
-	health.Failed(now, false)
+	health.RecordFailure(now, false)
 	before := health.FailureRate(now)
 	got := w.do(t, http.MethodGet, recordPath, "", nil)
 	must.Eq(t, http.StatusOK, got.status)
--- a/internal/gateway/cachetracker.go
+++ b/internal/gateway/cachetracker.go
@@ -91,7 +91,7 @@
 		}
 		endpoint := m.Endpoint()
 		h := kvindex.NewHolder(m.ID, endpoint.Addr, endpoint.Domain)
-		h.StartedMs = endpoint.Born
+		h.StartedMs = endpoint.StartedMs
 		h.Mbps = service.Engine.LinkMbps
 		h.Readers = service.Engine.EventReaders
 		engines = append(engines, h)
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -27,7 +27,7 @@
 	}
 	test.Eq(t, []fleet.Status{}, get())
 	n.fleet.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1"}, time.Now())
-	n.fleet.Member("e").Signals.BackOff(time.Minute, time.Now())
+	n.fleet.Member("e").Signals.RecordBackoff(time.Minute, time.Now())
 	listed := get()
 	must.Len(t, 1, listed)
 	test.Between(t, 59_000, listed[0].Backoff.LeftMs, 60_000)
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -76,7 +76,7 @@
 	if b.Failed && b.Gap > minLapseOutage {
 		r.beginLapseHold(now)
 	}
-	r.fleet.Together(func() { r.applyRecords(&b, now) })
+	r.fleet.UpdateBatch(func() { r.applyRecords(&b, now) })
 	// The timer that ends the hold may have fired after now was read and before the missing entries
 	// were found.
 	r.fleet.Expire(r.clock.Now())
@@ -126,8 +126,8 @@
 	}
 	e, err := r.decode(record)
 	endpoint := e.endpoint
-	if err == nil && endpoint.Born > now.Add(maxClockSkew).UnixMilli() {
-		err = eris.Errorf("endpoint entry claims a start in the future: %d", endpoint.Born)
+	if err == nil && endpoint.StartedMs > now.Add(maxClockSkew).UnixMilli() {
+		err = eris.Errorf("endpoint entry claims a start in the future: %d", endpoint.StartedMs)
 	}
 	if err != nil {
 		r.rejected.record(record, err)
@@ -175,7 +175,7 @@
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	config := r.config()
-	r.fleet.Together(func() {
+	r.fleet.UpdateBatch(func() {
 		for _, e := range r.entries {
 			r.syncEndpoint(e.endpoint, config, now)
 		}
@@ -195,7 +195,7 @@
 	for _, m := range r.fleet.All() {
 		service := config.Service(m.Service)
 		if service != nil && m.Endpoint().Domain == domain {
-			m.Chill(now.Add(service.ColdStart))
+			m.MarkCold(now.Add(service.ColdStart))
 		}
 	}
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		host := clocktest.New()
 		var h fleet.Health
-		h.Ended(host.Now())
+		h.RecordEnd(host.Now())
 		must.False(t, h.Usable(host.Now()))
 		host.Suspend(5 * time.Second)
 		test.True(t, h.Usable(host.Now()))
--- a/internal/peerload/domain_load.go
+++ b/internal/peerload/domain_load.go
@@ -97,7 +97,7 @@
 	for _, m := range members {
 		if len(m.Endpoint().Weights) > 0 {
 			keys[keyOf(m.ID, 0)] = true
-			keys[keyOf(m.ID, startTagOf(m.Born))] = true
+			keys[keyOf(m.ID, startTagOf(m.StartedMs))] = true
 		}
 	}
 	return keys
--- a/internal/peerload/limits.go
+++ b/internal/peerload/limits.go
@@ -40,11 +40,11 @@
 	var list []Limit
 	for _, m := range members {
 		limit, known := m.Signals.RateLimit()
-		if !known || !limit.Own || now.Sub(limit.At) > limitLifetime {
+		if !known || !limit.Direct || now.Sub(limit.At) > limitLifetime {
 			continue
 		}
 		list = append(list, Limit{
-			Endpoint: m.ID, StartedMs: m.Born, PerSecond: min(limit.PerSecond, maxPerSecond), Ended: !limit.InForce,
+			Endpoint: m.ID, StartedMs: m.StartedMs, PerSecond: min(limit.PerSecond, maxPerSecond), Ended: !limit.InForce,
 			AgeMs: max(now.Sub(limit.At), 0).Milliseconds(),
 		})
 	}
@@ -115,11 +115,11 @@
 	for i := range limits {
 		l := &limits[i]
 		m := member(l.Endpoint)
-		if m == nil || l.StartedMs != 0 && m.Born != 0 && l.StartedMs != m.Born {
+		if m == nil || l.StartedMs != 0 && m.StartedMs != 0 && l.StartedMs != m.StartedMs {
 			continue
 		}
 		at := now.Add(-time.Duration(l.AgeMs)*time.Millisecond - limitAgeMargin)
-		changed := m.Signals.HearLimit(fleet.RateLimit{PerSecond: l.PerSecond, InForce: !l.Ended, At: at})
+		changed := m.Signals.RecordRelayedLimit(fleet.RateLimit{PerSecond: l.PerSecond, InForce: !l.Ended, At: at})
 		if changed {
 			e.log.Info().Str("event", "endpoint_limit_heard").Str("endpoint", m.ID).Float64("per_s", l.PerSecond).
 				Bool("in_force", !l.Ended).Int64("age_ms", l.AgeMs).Send()
--- a/internal/peerload/load.go
+++ b/internal/peerload/load.go
@@ -90,12 +90,12 @@
 func loadsOf(members []*fleet.Member, now time.Time) []taggedLoad {
 	var loads []taggedLoad
 	for _, m := range members {
-		l := Load{Endpoint: m.ID, Running: clampCount(m.Load.Running()), PendingPromptTokens: clampCount(m.Load.Reading()), HeldTokens: clampCount(m.Load.Holding())}
+		l := Load{Endpoint: m.ID, Running: clampCount(m.Load.Running()), PendingPromptTokens: clampCount(m.Load.PendingPromptTokens()), HeldTokens: clampCount(m.Load.HeldTokens())}
 		if rate := m.Health.FailureRate(now); rate >= minReportedFailureRate {
 			l.Failures = int(rate * percent)
 		}
 		if l.Running > 0 || l.PendingPromptTokens > 0 || l.Failures > 0 {
-			loads = append(loads, taggedLoad{l, startTagOf(m.Born)})
+			loads = append(loads, taggedLoad{l, startTagOf(m.StartedMs)})
 		}
 	}
 	return loads
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -227,7 +227,7 @@
 	for _, want := range []int{100, 0} {
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(received(want)), wait.Timeout(10*time.Second), wait.Gap(5*time.Millisecond)))
 		for _, m := range f.All() {
-			m.Load.End(m.Load.Holding())
+			m.Load.End(m.Load.HeldTokens())
 		}
 	}
 }
--- a/internal/peerload/receive.go
+++ b/internal/peerload/receive.go
@@ -19,7 +19,7 @@
 	for i := range seen {
 		for at, id := range seen[i].Endpoints {
 			if m := member(id); m != nil {
-				m.Heard(seen[i].statement(at, now))
+				m.RecordRelayedWeights(seen[i].statement(at, now))
 			}
 		}
 	}
--- a/internal/peerload/seen.go
+++ b/internal/peerload/seen.go
@@ -24,7 +24,7 @@
 func UnlistedWeightsOf(members []*fleet.Member, now time.Time) []UnlistedWeights {
 	var list []UnlistedWeights
 	for _, m := range members {
-		seen, ok := m.Seen()
+		seen, ok := m.UnlistedWeights()
 		if !ok {
 			continue
 		}
@@ -34,17 +34,17 @@
 			list = append(list, UnlistedWeights{Model: seen.Model, Version: seen.Version})
 		}
 		list[i].Endpoints = append(list[i].Endpoints, m.ID)
-		list[i].StartedMs = append(list[i].StartedMs, seen.Born)
+		list[i].StartedMs = append(list[i].StartedMs, seen.StartedMs)
 		list[i].AgesMs = append(list[i].AgesMs, now.Sub(seen.At).Milliseconds())
 	}
 	return list
 }
 
 // statement returns the report of the i-th engine. Without an age it counts as made now.
-func (s *UnlistedWeights) statement(i int, now time.Time) fleet.Statement {
-	said := fleet.Statement{Weights: fleet.Weights{Model: s.Model, Version: s.Version}, At: now}
+func (s *UnlistedWeights) statement(i int, now time.Time) fleet.WeightsReport {
+	said := fleet.WeightsReport{Weights: fleet.Weights{Model: s.Model, Version: s.Version}, At: now}
 	if i < len(s.StartedMs) {
-		said.Born = s.StartedMs[i]
+		said.StartedMs = s.StartedMs[i]
 	}
 	if i < len(s.AgesMs) {
 		said.At = now.Add(-time.Duration(s.AgesMs[i]) * time.Millisecond)
--- a/internal/peerload/seen_test.go
+++ b/internal/peerload/seen_test.go
@@ -17,19 +17,19 @@
 func memberOf(t *testing.T, born, version int64) (*fleet.Fleet, *fleet.Member) {
 	t.Helper()
 	f := fleet.New(zerolog.Nop())
-	f.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", Born: born, Weights: []fleet.Weights{{Model: model, Version: version}}}, now)
+	f.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", StartedMs: born, Weights: []fleet.Weights{{Model: model, Version: version}}}, now)
 	return f, f.All()[0]
 }
 
-func statementOf(version int64, at time.Time) fleet.Statement {
-	return fleet.Statement{Weights: fleet.Weights{Model: model, Version: version}, At: at}
+func statementOf(version int64, at time.Time) fleet.WeightsReport {
+	return fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: version}, At: at}
 }
 
 // TestSeenAppliesToOneStart checks that a reported version applies only to the same start of the
 // engine, and that it counts from the time of the engine's report.
 func TestSeenAppliesToOneStart(t *testing.T) {
 	reporting, member := memberOf(t, 100, 1)
-	member.Saw(statementOf(2, now))
+	member.RecordWeights(statementOf(2, now))
 	data, err := json.Marshal(UnlistedWeightsOf(reporting.All(), now.Add(time.Second)))
 	must.NoError(t, err)
 	var list []UnlistedWeights
@@ -39,14 +39,14 @@
 	test.Eq(t, now, report.At)
 
 	_, same := memberOf(t, 100, 1)
-	same.Heard(report)
+	same.RecordRelayedWeights(report)
 	test.Eq(t, 2, same.VersionOf(model))
 	_, newer := memberOf(t, 100, 1)
-	newer.Saw(statementOf(3, now.Add(time.Second/2)))
-	newer.Heard(report)
+	newer.RecordWeights(statementOf(3, now.Add(time.Second/2)))
+	newer.RecordRelayedWeights(report)
 	test.Eq(t, 3, newer.VersionOf(model), test.Sprint("a newer report takes precedence"))
 	_, restarted := memberOf(t, 200, 1)
-	restarted.Heard(report)
+	restarted.RecordRelayedWeights(report)
 	test.Eq(t, 1, restarted.VersionOf(model), test.Sprint("the report was of an earlier start"))
 }
 
@@ -54,7 +54,7 @@
 // reported. Otherwise nodes could keep a version alive that no engine reports any more.
 func TestRelayedVersionsAreNotReported(t *testing.T) {
 	f, m := memberOf(t, 100, 1)
-	m.Heard(statementOf(2, now))
+	m.RecordRelayedWeights(statementOf(2, now))
 	test.SliceEmpty(t, UnlistedWeightsOf(f.All(), now))
 }
 
@@ -62,6 +62,6 @@
 func TestSeenOfAnotherBuild(t *testing.T) {
 	_, m := memberOf(t, 100, 1)
 	s := UnlistedWeights{Model: model, Version: 2, Endpoints: []string{"e"}}
-	m.Heard(s.statement(0, now))
+	m.RecordRelayedWeights(s.statement(0, now))
 	test.Eq(t, 2, m.VersionOf(model))
 }
--- a/internal/peerload/start_test.go
+++ b/internal/peerload/start_test.go
@@ -14,7 +14,7 @@
 		f, m := memberOf(t, born, 1)
 		m.Load.Begin(10, 20)
 		for range 5 {
-			m.Health.Failed(now, false)
+			m.Health.RecordFailure(now, false)
 		}
 		d := Digest{Node: node, Incarnation: 1, Seq: 1}
 		d.setLoads(f.All(), 1, now)
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -65,7 +65,7 @@
 	}
 	return admission.Memory{
 		Capacity: capacity,
-		Held:     m.Load.Holding() + s.others.At(m.ID, m.Born).HeldTokens,
+		Held:     m.Load.HeldTokens() + s.others.At(m.ID, m.StartedMs).HeldTokens,
 	}
 }
 
--- a/internal/placer/backoff_test.go
+++ b/internal/placer/backoff_test.go
@@ -15,14 +15,14 @@
 	w := newWorld(t, source{}, 1, 1, 1)
 	now := time.Now()
 	w.Now = func() time.Time { return now }
-	w.members[0].Signals.BackOff(time.Second, now)
-	w.members[1].Signals.BackOff(3*time.Second, now)
-	w.members[2].Health.Failed(now, true)
+	w.members[0].Signals.RecordBackoff(time.Second, now)
+	w.members[1].Signals.RecordBackoff(3*time.Second, now)
+	w.members[2].Health.RecordFailure(now, true)
 	placed := w.count(20, plainQuery())
 	test.Eq(t, 20, placed["e2"], test.Sprint("e2 is avoided, but the only endpoint without a backoff"))
 	test.Zero(t, w.count(20, query())["e0"]+w.count(20, query())["e1"])
 
-	w.members[2].Signals.BackOff(2*time.Second, now)
+	w.members[2].Signals.RecordBackoff(2*time.Second, now)
 	p, ok := w.Place(plainQuery())
 	must.False(t, ok)
 	test.Eq(t, "backing_off", p.Reason)
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -113,7 +113,7 @@
 			byDomain = append(byDomain, &domainUse{domain: endpoint.Domain})
 		}
 		u := byDomain[i]
-		running := m.Load.Running() + s.others.At(m.ID, m.Born).Running
+		running := m.Load.Running() + s.others.At(m.ID, m.StartedMs).Running
 		u.engines = append(u.engines, m)
 		u.running, u.slots = u.running+running, u.slots+endpoint.Slots
 		all.running, all.slots = all.running+running, all.slots+endpoint.Slots
--- a/internal/placer/cold_test.go
+++ b/internal/placer/cold_test.go
@@ -35,7 +35,7 @@
 func TestColdEndpointGetsItsShare(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	w.limitColdStart(16, "n")
-	w.members[1].Chill(time.Now().Add(time.Hour))
+	w.members[1].MarkCold(time.Now().Add(time.Hour))
 	plain := &forward.Query{Route: &routing.Route{}, Service: &routing.Service{Name: "s"}, Attributes: &forward.Attributes{}}
 	for _, m := range []int{0, 2} {
 		w.members[m].Load.Begin(100_000, 0)
@@ -52,11 +52,11 @@
 func TestColdEndpointOfOtherNodes(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	w.limitColdStart(16, "a", "b", "c", "d")
-	w.members[0].Chill(time.Now().Add(time.Hour))
+	w.members[0].MarkCold(time.Now().Add(time.Hour))
 	test.Zero(t, w.count(40, query())["e0"])
-	w.members[1].Chill(time.Now().Add(2 * time.Second))
-	w.members[2].Ends(time.Now())
-	w.members[2].Chill(time.Now().Add(time.Hour))
+	w.members[1].MarkCold(time.Now().Add(2 * time.Second))
+	w.members[2].MarkEnded(time.Now())
+	w.members[2].MarkCold(time.Now().Add(time.Hour))
 	p, ok := w.Place(query())
 	must.False(t, ok)
 	test.Eq(t, "cold", p.Reason)
@@ -70,7 +70,7 @@
 	w := newWorld(t, source{}, 1, 1, 1)
 	w.limitColdStart(0)
 	for _, m := range w.members {
-		m.Chill(time.Now().Add(time.Hour))
+		m.MarkCold(time.Now().Add(time.Hour))
 	}
 	placed := w.count(40, query())
 	test.Eq(t, 40, placed["e0"]+placed["e1"]+placed["e2"])
--- a/internal/placer/cost.go
+++ b/internal/placer/cost.go
@@ -31,7 +31,7 @@
 // engineCost returns the cost of an engine that does not depend on the prompt's parts, in ms: its
 // queue, memory, failure rate and failure domain.
 func (s *search) engineCost(m *fleet.Member) float64 {
-	others := s.others.At(m.ID, m.Born)
+	others := s.others.At(m.ID, m.StartedMs)
 	cost := s.queueMs(m) + s.memoryMs(m)
 	cost += failureMs * failureRate(m, others, s.now)
 	if m.Endpoint().Domain != s.Domain {
@@ -43,9 +43,9 @@
 // queueMs returns the time, in ms, until the engine has read the prompts queued before this one and
 // has a free slot.
 func (s *search) queueMs(m *fleet.Member) float64 {
-	others := s.others.At(m.ID, m.Born)
+	others := s.others.At(m.ID, m.StartedMs)
 	running := m.Load.Running() + others.Running
-	return s.readingMs(m, m.Load.Reading()+others.PendingPromptTokens) + runningMs*float64(running) + s.slotMs(m, running)
+	return s.readingMs(m, m.Load.PendingPromptTokens()+others.PendingPromptTokens) + runningMs*float64(running) + s.slotMs(m, running)
 }
 
 // slotMs returns the time, in ms, until one of the engine's slots is free.
--- a/internal/placer/evacuated_test.go
+++ b/internal/placer/evacuated_test.go
@@ -53,7 +53,7 @@
 		}
 		q.Tried = nil
 		for _, m := range w.Fleet.Members("s") {
-			m.Health.Failed(time.Now(), true)
+			m.Health.RecordFailure(time.Now(), true)
 		}
 		p, ok := w.Place(q)
 		must.True(t, ok, must.Sprint("failing endpoints are used where no other is allowed"))
--- a/internal/placer/gate.go
+++ b/internal/placer/gate.go
@@ -43,7 +43,7 @@
 func (g *gate) isCold(m *fleet.Member) bool { return g.maxCold > 0 && m.Cold(g.now) }
 
 func (g *gate) slowStartEndpoint(m *fleet.Member) *slowstart.Endpoint {
-	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, Most: g.maxCold}
+	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, MaxPerSecond: g.maxCold}
 }
 
 // throttleEndpoint returns the rate limit of an endpoint in the throttle's form, or nil if it has
@@ -53,7 +53,7 @@
 	if !known || !limit.InForce || g.Throttle == nil {
 		return nil
 	}
-	return &throttle.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, PerSecond: limit.PerSecond, Age: g.now.Sub(limit.At)}
+	return &throttle.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, PerSecond: limit.PerSecond, ReportAge: g.now.Sub(limit.At)}
 }
 
 // blocked returns why no request may be sent to an endpoint now, and for how long. The reason is
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -157,7 +157,7 @@
 	now := p.Now()
 	others := p.Peers.Loads(now)
 	best := gate.takeCheapest(score(candidates, func(m *fleet.Member) float64 {
-		reported := others.At(m.ID, m.Born)
+		reported := others.At(m.ID, m.StartedMs)
 		cost := float64(m.Load.Running()+reported.Running) + failurePenalty*failureRate(m, reported, now) + tieJitter*p.Random()
 		if m.Endpoint().Domain != p.Domain {
 			cost += crossDomainCost
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -222,7 +222,7 @@
 	must.True(t, ok)
 	test.Eq(t, "e1", p.Member.ID)
 	for _, m := range w.members {
-		m.Health.Failed(time.Now(), true)
+		m.Health.RecordFailure(time.Now(), true)
 	}
 	_, ok = w.Place(q)
 	test.True(t, ok, test.Sprint("if all endpoints are unhealthy, all are used"))
@@ -237,7 +237,7 @@
 func TestVersionIsReadOnce(t *testing.T) {
 	w := newWorld(t, source{}, 1)
 	w.MayName = func(string, int64) bool {
-		w.members[0].Saw(fleet.Statement{Weights: fleet.Weights{Model: model, Version: 2}, At: time.Now()})
+		w.members[0].RecordWeights(fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: 2}, At: time.Now()})
 		return true
 	}
 	p, ok := w.Place(query())
--- a/internal/placer/restart_test.go
+++ b/internal/placer/restart_test.go
@@ -12,7 +12,7 @@
 
 // restart restarts an engine under the same ID at another address.
 func (w *world) restart(id string, version int64) {
-	w.Fleet.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: addr(9), Domain: "north", Born: 100, Weights: []fleet.Weights{{Model: model, Version: version}}}, time.Now())
+	w.Fleet.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: addr(9), Domain: "north", StartedMs: 100, Weights: []fleet.Weights{{Model: model, Version: version}}}, time.Now())
 	w.members = w.Fleet.Members("s")
 }
 
@@ -23,7 +23,7 @@
 	w.versions.wanted = 3
 	old := w.members[0]
 	old.Load.Begin(100_000, 0)
-	old.Health.Failed(time.Now(), true)
+	old.Health.RecordFailure(time.Now(), true)
 	w.restart("e0", 2)
 	p, ok := w.Place(query())
 	must.True(t, ok)
@@ -42,8 +42,8 @@
 
 	w = newWorld(t, source{}, 1)
 	w.versions.wanted = 0
-	w.members[0].Refuted(model, 1, time.Now())
-	w.members[0].Refuted(model, 2, time.Now())
+	w.members[0].RecordVersionRefusal(model, 1, time.Now())
+	w.members[0].RecordVersionRefusal(model, 2, time.Now())
 	_, ok = w.Place(query())
 	test.False(t, ok, test.Sprint("the engine refused every version it could have"))
 }
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -273,7 +273,7 @@
 	if store != nil {
 		expected -= s.fetchDelayMs(store)
 	}
-	ahead := m.Load.Reading() + s.others.At(m.ID, m.Born).PendingPromptTokens + p.reading
+	ahead := m.Load.PendingPromptTokens() + s.others.At(m.ID, m.StartedMs).PendingPromptTokens + p.reading
 	return func(after time.Duration) {
 		now := s.Now()
 		late := millis(after) - expected
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -197,8 +197,8 @@
 	return holds
 }
 
-// Held returns the number of requests that are held now.
-func (t *Table) Held() (count int) {
+// HeldCount returns the number of requests that are held now.
+func (t *Table) HeldCount() (count int) {
 	now := t.now()
 	for _, h := range t.Holds() {
 		if now.Before(h.Until) {
@@ -208,8 +208,8 @@
 	return count
 }
 
-// Suspects returns the number of requests that have endings but are not held.
-func (t *Table) Suspects() int {
+// SuspectCount returns the number of requests that have endings but are not held.
+func (t *Table) SuspectCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.suspects.Len()
--- a/internal/relay/copy.go
+++ b/internal/relay/copy.go
@@ -33,12 +33,12 @@
 	// Clock is the one that batches are dated by. Nil is the steady clock.
 	Clock *clock.Clock
 
-	mu     sync.Mutex
-	known  map[string]follow.Record // with removed keys, by key
-	long   map[string]toldRecord    // those that were told compressed, by key
-	first  int64                    // all changes from this offset on are known
-	next   int64
-	proven time.Time // zero before the first batch
+	mu          sync.Mutex
+	known       map[string]follow.Record // with removed keys, by key
+	long        map[string]toldRecord    // those that were told compressed, by key
+	first       int64                    // all changes from this offset on are known
+	next        int64
+	confirmedAt time.Time // zero before the first batch
 }
 
 var _ follow.Sink = (*Copy)(nil)
@@ -69,7 +69,7 @@
 		c.known[r.Key] = r
 	}
 	c.next = b.Next
-	c.proven = b.ConfirmedAt
+	c.confirmedAt = b.ConfirmedAt
 }
 
 // page is what a copy tells.
@@ -85,10 +85,10 @@
 func (c *Copy) Since(from int64, most int) (page, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.proven.IsZero() || from < c.first {
+	if c.confirmedAt.IsZero() || from < c.first {
 		return page{}, ErrUnknown
 	}
-	p := page{next: c.next, age: c.Clock.Since(c.proven)}
+	p := page{next: c.next, age: c.Clock.Since(c.confirmedAt)}
 	for _, r := range c.known {
 		if r.Offset >= from {
 			p.records = append(p.records, c.told(r))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -192,7 +192,7 @@
 		reader := &Copy{Sink: drop{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		seen := &lastProof{}
+		seen := &lastConfirmed{}
 		f := &follow.Follower{
 			Name: "t", Topic: slowCopy{reader}, Sink: seen, Log: zerolog.Nop(), Retry: 100 * time.Millisecond,
 			Pause: func() time.Duration { return 400 * time.Millisecond },
@@ -230,22 +230,22 @@
 	return page, err
 }
 
-// lastProof keeps the newest proof.
-type lastProof struct {
-	mu     sync.Mutex
-	proven time.Time
+// lastConfirmed keeps the newest proof.
+type lastConfirmed struct {
+	mu          sync.Mutex
+	confirmedAt time.Time
 }
 
-func (l *lastProof) Apply(b follow.Batch) {
+func (l *lastConfirmed) Apply(b follow.Batch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !b.Snapshot {
-		l.proven = b.ConfirmedAt
+		l.confirmedAt = b.ConfirmedAt
 	}
 }
 
-func (l *lastProof) at() time.Time {
+func (l *lastConfirmed) at() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.proven
+	return l.confirmedAt
 }
--- a/internal/senders/senders.go
+++ b/internal/senders/senders.go
@@ -60,7 +60,7 @@
 	}
 	if r.generation != view.Generation || r.count != count {
 		r.generation, r.count, r.Nodes = view.Generation, count, view.Nodes
-		chosen := Choose(id, view.Nodes, count)
+		chosen := Select(id, view.Nodes, count)
 		r.Rank, r.Senders = slices.Index(chosen, t.Node), len(chosen)
 	}
 	r.window = window
@@ -87,9 +87,9 @@
 	r.Sent = slices.DeleteFunc(r.Sent, func(at time.Time) bool { return now.Sub(at) > r.window })
 }
 
-// Choose returns the given number of nodes for a key, in order of their rank, or all if there are
+// Select returns the given number of nodes for a key, in order of their rank, or all if there are
 // fewer.
-func Choose(key string, names []string, count int) []string {
+func Select(key string, names []string, count int) []string {
 	nodes := make([]rendezvous.Node, len(names))
 	for i, name := range names {
 		nodes[i] = rendezvous.Node{ID: name, Weight: 1}
--- a/internal/slowstart/limiter.go
+++ b/internal/slowstart/limiter.go
@@ -28,8 +28,8 @@
 
 // Endpoint is a cold endpoint.
 type Endpoint struct {
-	ID, Domain string
-	Most       int // maximum number of requests per second
+	ID, Domain   string
+	MaxPerSecond int // maximum number of requests per second
 }
 
 // Allows reports whether a request may be sent to a cold endpoint now.
@@ -53,7 +53,7 @@
 }
 
 func (l *Limiter) allows(e *Endpoint, now time.Time) (*senders.Record, bool) {
-	share := ShareOf(e.Most)
+	share := ShareOf(e.MaxPerSecond)
 	if share.Senders == 0 {
 		return nil, false
 	}
--- a/internal/slowstart/limiter_test.go
+++ b/internal/slowstart/limiter_test.go
@@ -38,7 +38,7 @@
 // TestWindow checks that a node sends its share in a window, and again after it.
 func TestWindow(t *testing.T) {
 	l, _ := limiter("a", "a")
-	e := &slowstart.Endpoint{ID: "e", Most: 16}
+	e := &slowstart.Endpoint{ID: "e", MaxPerSecond: 16}
 	now := time.Now()
 	for i := range 5 {
 		test.Eq(t, i < 2, l.Allows(e, now))
@@ -47,14 +47,14 @@
 	test.False(t, l.Take(e, now.Add(time.Second)))
 	test.True(t, l.Take(e, now.Add(1150*time.Millisecond)))
 	test.False(t, l.Take(e, now.Add(1150*time.Millisecond)))
-	test.True(t, l.Take(&slowstart.Endpoint{ID: "f", Most: 16}, now), test.Sprint("another endpoint"))
+	test.True(t, l.Take(&slowstart.Endpoint{ID: "f", MaxPerSecond: 16}, now), test.Sprint("another endpoint"))
 }
 
 // TestNodeOutsideViewSendsNothing checks that a node sends nothing while its member list lacks it or is
 // empty, as other nodes may not count it, and that it follows changes of the list.
 func TestNodeOutsideViewSendsNothing(t *testing.T) {
 	l, view := limiter("a", "b", "c")
-	e := &slowstart.Endpoint{ID: "e", Most: 16}
+	e := &slowstart.Endpoint{ID: "e", MaxPerSecond: 16}
 	now := time.Now()
 	test.False(t, l.Take(e, now))
 	*view = slowstart.View{Generation: 2, Nodes: []string{"a", "b", "c"}}
--- a/internal/slowstart/network_test.go
+++ b/internal/slowstart/network_test.go
@@ -43,7 +43,7 @@
 func newNetwork(seed uint64, nodes int, joining float64) *network {
 	n := &network{random: rand.New(rand.NewPCG(seed, 1)), sent: make(map[string][]time.Duration)}
 	for i := range coldEndpoints {
-		n.endpoints = append(n.endpoints, &slowstart.Endpoint{ID: fmt.Sprint("e", i), Domain: "d", Most: maxPerSecond})
+		n.endpoints = append(n.endpoints, &slowstart.Endpoint{ID: fmt.Sprint("e", i), Domain: "d", MaxPerSecond: maxPerSecond})
 	}
 	for _, m := range senderstest.Members(n.random, nodes, joining) {
 		member := &node{limiter: &slowstart.Limiter{Node: m.Name, View: func(string, int) slowstart.View { return m.View }}}
--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -50,7 +50,7 @@
 type Endpoint struct {
 	ID, Domain string
 	PerSecond  float64       // requests per second accepted from all nodes together
-	Age        time.Duration // time since the endpoint's last report
+	ReportAge  time.Duration // time since the endpoint's last report
 }
 
 // Allows reports whether a request may be sent to the endpoint now.
@@ -93,7 +93,7 @@
 	if quota := share.forRank(r.Rank, r.Senders); quota > 0 {
 		return r, waitTime(r.Sent, quota, share.Window, now)
 	}
-	if e.Age > max(staleAfter, staleWindows*share.Window) && len(r.Sent) == 0 && l.hasTurn(e.ID, r.Nodes, now) {
+	if e.ReportAge > max(staleAfter, staleWindows*share.Window) && len(r.Sent) == 0 && l.hasTurn(e.ID, r.Nodes, now) {
 		return r, 0
 	}
 	return r, Never
@@ -123,6 +123,6 @@
 	if nanos%int64(trialTurn) >= int64(trialTurn/2) {
 		return false
 	}
-	chosen := senders.Choose(id+" "+strconv.FormatInt(turn, 10), nodes, 1)
+	chosen := senders.Select(id+" "+strconv.FormatInt(turn, 10), nodes, 1)
 	return len(chosen) == 1 && chosen[0] == l.Node
 }
--- a/internal/throttle/limiter_test.go
+++ b/internal/throttle/limiter_test.go
@@ -77,8 +77,8 @@
 		l, _ := limiter(name, names...)
 		limiters = append(limiters, l)
 	}
-	e := &Endpoint{ID: "e", PerSecond: 0, Age: 3 * time.Minute}
-	chosen := senders.Choose(e.ID, names, 1)[0]
+	e := &Endpoint{ID: "e", PerSecond: 0, ReportAge: 3 * time.Minute}
+	chosen := senders.Select(e.ID, names, 1)[0]
 	var tried []time.Time
 	start := time.Unix(1_700_000_000, 0)
 	for at := time.Duration(0); at < time.Minute; at += 100 * time.Millisecond {
@@ -92,7 +92,7 @@
 	for i := range tried[1:] {
 		test.GreaterEq(t, boundWindow, tried[i+1].Sub(tried[i]))
 	}
-	e.Age = time.Second
+	e.ReportAge = time.Second
 	for at := time.Duration(0); at < time.Minute; at += 100 * time.Millisecond {
 		for _, l := range limiters {
 			test.False(t, l.Node != chosen && l.Allows(e, start.Add(2*time.Minute+at)))
--- a/internal/throttle/network_test.go
+++ b/internal/throttle/network_test.go
@@ -102,7 +102,7 @@
 			return // sent to an endpoint without a limit
 		}
 		known := &m.limits[e]
-		if !known.reported || allow(m, &throttle.Endpoint{ID: fmt.Sprint("e", e), PerSecond: known.perSecond, Age: at - known.at}, n.start.Add(at)) {
+		if !known.reported || allow(m, &throttle.Endpoint{ID: fmt.Sprint("e", e), PerSecond: known.perSecond, ReportAge: at - known.at}, n.start.Add(at)) {
 			n.send(m, e, at)
 			return
 		}
--- a/internal/weights/help_test.go
+++ b/internal/weights/help_test.go
@@ -98,7 +98,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.settle(at.ID)
-	return Report{Weights: []fleet.Weights{{Model: model, Version: e.version[at.ID]}}, Born: e.born[at.ID], Busy: e.next[at.ID] > 0, Orders: e.orders[at.ID], Running: 1}, nil
+	return Report{Weights: []fleet.Weights{{Model: model, Version: e.version[at.ID]}}, StartedMs: e.born[at.ID], Busy: e.next[at.ID] > 0, Orders: e.orders[at.ID], Running: 1}, nil
 }
 
 func (e *engines) Order(ctx context.Context, at *fleet.Endpoint, o Order) (Reply, error) {
@@ -262,7 +262,7 @@
 	now := time.Now()
 	for _, id := range w.ids {
 		w.engines.settle(id)
-		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: "127.0.0.1:1", Born: w.engines.born[id], Weights: []fleet.Weights{{Model: model, Version: w.engines.version[id]}}}, now)
+		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: "127.0.0.1:1", StartedMs: w.engines.born[id], Weights: []fleet.Weights{{Model: model, Version: w.engines.version[id]}}}, now)
 	}
 	f.Expire(now)
 }
--- a/internal/weights/job.go
+++ b/internal/weights/job.go
@@ -52,14 +52,14 @@
 
 // job is one start of an engine that is being brought to a version.
 type job struct {
-	model   string
-	born    int64 // start of the engine, 0 if not said
-	version int64
-	loads   int // engines of the fleet that may load at the same time
-	begun   time.Time
-	ordered time.Time // zero before an order was given
-	nextAt  time.Time // of the next look
-	heard   time.Time // of the newest report
+	model     string
+	startedMs int64 // start of the engine, 0 if not said
+	version   int64
+	loads     int // engines of the fleet that may load at the same time
+	begun     time.Time
+	ordered   time.Time // zero before an order was given
+	nextAt    time.Time // of the next look
+	heard     time.Time // of the newest report
 }
 
 // atOnce returns the number of engines that load at the same time, and the number of
@@ -112,7 +112,7 @@
 	now := s.Clock.Now()
 	for id, j := range s.jobs {
 		m := find(members, id)
-		if m == nil || j.born < m.Born {
+		if m == nil || j.startedMs < m.StartedMs {
 			delete(s.jobs, id)
 			continue
 		}
@@ -180,7 +180,7 @@
 		}
 		if _, under := s.jobs[m.ID]; !under {
 			now := s.Clock.Now()
-			s.jobs[m.ID] = &job{model: model, born: m.Born, version: version, loads: loads, begun: now, heard: now}
+			s.jobs[m.ID] = &job{model: model, startedMs: m.StartedMs, version: version, loads: loads, begun: now, heard: now}
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	s.believe(l, has)
 	if has >= j.version {
 		delete(s.jobs, m.ID)
-		s.Log.Info().Str("event", "weights_loaded").Str("endpoint", m.ID).Int64("born", j.born).Int64("version", has).
+		s.Log.Info().Str("event", "weights_loaded").Str("endpoint", m.ID).Int64("born", j.startedMs).Int64("version", has).
 			Dur("took_ms", s.Clock.Since(j.begun)).Send()
 		return false
 	}
@@ -223,7 +223,7 @@
 // concerns reports whether the report is of the start that the job is for. One that came since is
 // in the registry soon, and gets a job of its own.
 func (j *job) concerns(report *Report) bool {
-	return report.Born == j.born || report.Born == 0 || j.born == 0
+	return report.StartedMs == j.startedMs || report.StartedMs == 0 || j.startedMs == 0
 }
 
 // believe notes the version that the engine reported, which may be older than it was believed
@@ -232,11 +232,11 @@
 	if version == 0 {
 		return // it doesn't say
 	}
-	said := fleet.Statement{Weights: fleet.Weights{Model: l.job.model, Version: version}, Born: l.report.Born, At: l.asked}
+	said := fleet.WeightsReport{Weights: fleet.Weights{Model: l.job.model, Version: version}, StartedMs: l.report.StartedMs, At: l.asked}
 	if version < l.member.VersionOf(said.Model) {
 		said.At = said.At.Add(-reportAge)
 	}
-	l.member.Saw(said)
+	l.member.RecordWeights(said)
 }
 
 // loads returns the number of engines that were ordered to load and have not done so.
@@ -260,7 +260,7 @@
 		l := &looks[i]
 		s.ordered = s.Clock.Now()
 		order := s.orderFor(held, l)
-		at := target{endpoint: l.member.Endpoint(), born: l.job.born}
+		at := target{endpoint: l.member.Endpoint(), born: l.job.startedMs}
 		s.underWay.Go(func() { s.order(ctx, held, at, order) })
 	}
 }
--- a/internal/weights/restart_test.go
+++ b/internal/weights/restart_test.go
@@ -100,24 +100,24 @@
 // TestJobOfAStart drops the job of an engine that started anew.
 func TestJobOfAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &Service{jobs: map[string]*job{"a": {model: model, version: 2, born: 1, begun: time.Now(), ordered: time.Now()}}}
+		s := &Service{jobs: map[string]*job{"a": {model: model, version: 2, startedMs: 1, begun: time.Now(), ordered: time.Now()}}}
 		w := newWorld("a")
 		w.engines.restart("a")
 		f := fleetOf(w)
 		test.SliceEmpty(t, s.due(f.All()))
 		test.MapEmpty(t, s.jobs)
 		s.begin(Behind(f.All(), model, 2), model, 2, 1)
-		test.Eq(t, 2, s.jobs["a"].born)
+		test.Eq(t, 2, s.jobs["a"].startedMs)
 		test.Len(t, 1, s.due(f.All()))
 	})
 }
 
 // TestReportOfAnotherStart counts for no job: the start that it is of isn't known yet, or gone.
 func TestReportOfAnotherStart(t *testing.T) {
-	j := &job{born: 2}
+	j := &job{startedMs: 2}
 	var told []int64
 	for _, born := range []int64{0, 1, 2, 3} {
-		if j.concerns(&Report{Born: born}) {
+		if j.concerns(&Report{StartedMs: born}) {
 			told = append(told, born)
 		}
 	}
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -70,12 +70,12 @@
 
 // Report is an engine's state.
 type Report struct {
-	Weights []fleet.Weights
-	Born    int64 // start of the engine, Unix milliseconds; 0 if not said
-	Busy    bool  // an order is being carried out
-	Orders  int64 // number of orders taken since the engine's start
-	Running int
-	Waiting int
+	Weights   []fleet.Weights
+	StartedMs int64 // start of the engine, Unix milliseconds; 0 if not said
+	Busy      bool  // an order is being carried out
+	Orders    int64 // number of orders taken since the engine's start
+	Running   int
+	Waiting   int
 }
 
 // VersionOf returns the version of the model that the engine has, or 0.
