--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -21,8 +21,8 @@
 
 // Memory is the estimated memory use of one engine, in tokens.
 type Memory struct {
-	Capacity int // 0 if unknown
-	Held     int // by runs in flight or in transit to the engine
+	Capacity       int // 0 if unknown
+	OccupiedTokens int // by runs in flight or in transit to the engine
 }
 
 // usable returns the number of tokens that runs may hold.
@@ -33,13 +33,13 @@
 // small prompts don't fill the memory that large ones wait for.
 func (m Memory) deficit(need, reserve int) float64 {
 	required := min(float64(reserve), ReserveShare*float64(m.Capacity))
-	return float64(m.Held) + max(float64(need), required) - m.usable()
+	return float64(m.OccupiedTokens) + max(float64(need), required) - m.usable()
 }
 
 // Fits reports whether the engine has room for a prompt. A prompt larger than the memory is
 // accepted by an idle engine.
 func (m Memory) Fits(need, reserve int) bool {
-	return m.Capacity <= 0 || m.Held <= 0 || m.deficit(need, reserve) <= 0
+	return m.Capacity <= 0 || m.OccupiedTokens <= 0 || m.deficit(need, reserve) <= 0
 }
 
 // Wait predicts the time until a prompt fits. It assumes that the present runs end evenly spread
@@ -48,6 +48,6 @@
 	if m.Fits(need, reserve) {
 		return 0
 	}
-	share := m.deficit(need, reserve) / float64(m.Held)
+	share := m.deficit(need, reserve) / float64(m.OccupiedTokens)
 	return time.Duration(min(share, 1) * float64(run))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,13 +15,13 @@
 		want          bool
 	}{
 		{"empty", Memory{Capacity: 1000}, 300, 0, true},
-		{"just fits", Memory{Capacity: 1000, Held: 700}, 300, 0, true},
-		{"one token too many", Memory{Capacity: 1000, Held: 701}, 300, 0, false},
-		{"a small one requires a typical one's room", Memory{Capacity: 1000, Held: 701}, 10, 300, false},
-		{"the reserve is bounded", Memory{Capacity: 1000, Held: 400}, 10, 5000, true},
+		{"just fits", Memory{Capacity: 1000, OccupiedTokens: 700}, 300, 0, true},
+		{"one token too many", Memory{Capacity: 1000, OccupiedTokens: 701}, 300, 0, false},
+		{"a small one requires a typical one's room", Memory{Capacity: 1000, OccupiedTokens: 701}, 10, 300, false},
+		{"the reserve is bounded", Memory{Capacity: 1000, OccupiedTokens: 400}, 10, 5000, true},
 		{"larger than the memory, which is empty", Memory{Capacity: 1000}, 3000, 0, true},
-		{"larger than the memory", Memory{Capacity: 1000, Held: 1}, 3000, 0, false},
-		{"unknown memory", Memory{Held: 1 << 30}, 300, 300, true},
+		{"larger than the memory", Memory{Capacity: 1000, OccupiedTokens: 1}, 3000, 0, false},
+		{"unknown memory", Memory{OccupiedTokens: 1 << 30}, 300, 300, true},
 	} {
 		test.Eq(t, tc.want, tc.memory.Fits(tc.need, tc.reserve), test.Sprint(tc.name))
 	}
@@ -29,7 +29,7 @@
 
 // TestWait checks the predicted time until enough memory is freed.
 func TestWait(t *testing.T) {
-	full := Memory{Capacity: 1000, Held: 1000}
+	full := Memory{Capacity: 1000, OccupiedTokens: 1000}
 	test.Eq(t, 500*time.Millisecond, full.Wait(250, 0, 2*time.Second))
 	test.Eq(t, 2*time.Second, full.Wait(5000, 0, 2*time.Second), test.Sprint("until all runs have ended"))
 	test.Eq(t, 0, Memory{Capacity: 1000}.Wait(250, 0, 2*time.Second))
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -56,9 +56,9 @@
 	RetryWindow time.Duration
 	// Lease is the time for which a holder of orders must be the only one.
 	Lease time.Duration
-	// VersionApply is the longest time from the acknowledgement of new weights
+	// VersionApplyLimit is the longest time from the acknowledgement of new weights
 	// until no request begins on older ones.
-	VersionApply time.Duration
+	VersionApplyLimit time.Duration
 	// Evacuate is the longest time from the acknowledgement that a failure domain is evacuated until
 	// its endpoints get no more requests.
 	Evacuate time.Duration
--- a/internal/enginemodel/model.go
+++ b/internal/enginemodel/model.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// Ended records the duration of a run, from sending the prompt to the end, and the tokens that it
+// RecordRun records the duration of a run, from sending the prompt to the end, and the tokens that it
 // held in the engine's memory.
-func (m *Model) Ended(held int, took time.Duration) {
+func (m *Model) RecordRun(held int, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.run.Add(float64(took)/float64(time.Millisecond), float64(held))
--- a/internal/enginemodel/model_test.go
+++ b/internal/enginemodel/model_test.go
@@ -88,9 +88,9 @@
 	m := New()
 	for range 20 {
 		for range 4 {
-			m.Ended(2000, 100*time.Millisecond)
+			m.RecordRun(2000, 100*time.Millisecond)
 		}
-		m.Ended(12_000, 2*time.Second)
+		m.RecordRun(12_000, 2*time.Second)
 	}
 	test.Eq(t, 2000, m.Estimates().RunMs)
 }
--- a/internal/experiment/config.go
+++ b/internal/experiment/config.go
@@ -36,7 +36,7 @@
 	if p.ReserveShare != nil {
 		tuning.ReserveShare = *p.ReserveShare
 	}
-	c.Tuning, c.WaitShare = &tuning, p.WaitingShare
+	c.Tuning, c.MaxWaitShare = &tuning, p.WaitingShare
 }
 
 func (f *File) engines() []fleetmodel.EngineConfig {
--- a/internal/fleetmodel/callers.go
+++ b/internal/fleetmodel/callers.go
@@ -200,10 +200,10 @@
 
 // pause returns how long a prompt without a place waits until the next look.
 func (w *World) pause(p *forward.Placement, objective time.Duration) time.Duration {
-	if w.WaitShare == nil {
+	if w.MaxWaitShare == nil {
 		return p.Pause(objective)
 	}
-	return p.PauseWithin(time.Duration(*w.WaitShare * float64(objective)))
+	return p.PauseWithin(time.Duration(*w.MaxWaitShare * float64(objective)))
 }
 
 // refusal returns when a caller that is refused may come back.
--- a/internal/fleetmodel/tuning_test.go
+++ b/internal/fleetmodel/tuning_test.go
@@ -16,7 +16,7 @@
 	c.Length = 10 * time.Second
 	usual := describe(New(c).Play())
 	share, tuning := forward.WaitShare, placer.DefaultTuning()
-	c.WaitShare, c.Tuning = &share, &tuning
+	c.MaxWaitShare, c.Tuning = &share, &tuning
 	test.Eq(t, usual, describe(New(c).Play()))
 	for name, change := range map[string]func(*float64, *placer.Tuning){
 		"waits longer": func(share *float64, _ *placer.Tuning) { *share = 0.5 },
@@ -24,7 +24,7 @@
 	} {
 		share, tuning := forward.WaitShare, placer.DefaultTuning()
 		change(&share, &tuning)
-		c.WaitShare, c.Tuning = &share, &tuning
+		c.MaxWaitShare, c.Tuning = &share, &tuning
 		test.NotEq(t, usual, describe(New(c).Play()), test.Sprint(name))
 	}
 }
--- a/internal/fleetmodel/world.go
+++ b/internal/fleetmodel/world.go
@@ -43,8 +43,8 @@
 	Told int
 	// Tuning and WaitShare replace what nodes decide by: the shares of the placer, and the part
 	// of its objective for which a prompt waits for room. Nil keeps them.
-	Tuning    *placer.Tuning
-	WaitShare *float64
+	Tuning       *placer.Tuning
+	MaxWaitShare *float64
 }
 
 // World plays a fleet and its load.
@@ -113,11 +113,11 @@
 
 func (w *World) newPlacer(f *fleet.Fleet) *placer.Placer {
 	return &placer.Placer{
-		Domain: domain, Fleet: f, Versions: versions{}, Kept: w.index, Peers: peerload.NewTable(), Kick: func() {},
-		Usual: &kvindex.Lateness{}, Whole: func() bool { return true }, MayName: func(string, int64) bool { return true },
-		Closed:       func() []weights.Closed { return nil },
-		VersionApply: func() time.Duration { return time.Minute },
-		Services:     &placer.Services{}, Nodes: func() int { return 1 },
+		Domain: domain, Fleet: f, Versions: versions{}, Kept: w.index, Peers: peerload.NewTable(), RequestReport: func() {},
+		CommonDelay: &kvindex.Lateness{}, FullMesh: func() bool { return true }, MayReference: func(string, int64) bool { return true },
+		Closed:            func() []weights.Closed { return nil },
+		VersionApplyLimit: func() time.Duration { return time.Minute },
+		Services:          &placer.Services{}, Nodes: func() int { return 1 },
 		Now: func() time.Time { return w.now }, Random: w.random.Float64, Tuning: w.Tuning,
 	}
 }
--- a/internal/gateway/cachetracker.go
+++ b/internal/gateway/cachetracker.go
@@ -86,14 +86,14 @@
 	var engines []*kvindex.Holder
 	for _, m := range c.node.fleet.All() {
 		service := config.Service(m.Service)
-		if service == nil || service.Engine == nil || nodes > eventReadersOrDefault(service.Engine.EventReaders) {
+		if service == nil || service.Engine == nil || nodes > eventReadersOrDefault(service.Engine.MaxEventPolls) {
 			continue
 		}
 		endpoint := m.Endpoint()
 		h := kvindex.NewHolder(m.ID, endpoint.Addr, endpoint.Domain)
 		h.StartedMs = endpoint.StartedMs
 		h.Mbps = service.Engine.LinkMbps
-		h.Readers = service.Engine.EventReaders
+		h.Readers = service.Engine.MaxEventPolls
 		engines = append(engines, h)
 	}
 	return engines
@@ -115,7 +115,7 @@
 		h.Mbps = s.LinkMbps
 		h.TransferDelay = s.FirstDelay
 		h.Tokens = s.KVTokens
-		h.Readers = s.EventReaders
+		h.Readers = s.MaxEventPolls
 		stores = append(stores, h)
 	}
 	return stores
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -78,8 +78,8 @@
 // all nodes together; 0 if the rate is not limited.
 func (n *Node) maxColdRate(s *routing.Service) int {
 	bounds := n.bounds()
-	if s.ColdPerSecond <= 0 {
+	if s.MaxColdPerSecond <= 0 {
 		return 0
 	}
-	return max(int(s.ColdPerSecond*max(bounds.ColdOverage, 1)+bounds.ColdTolerance), 1)
+	return max(int(s.MaxColdPerSecond*max(bounds.ColdOverage, 1)+bounds.ColdTolerance), 1)
 }
--- a/internal/gateway/senders_test.go
+++ b/internal/gateway/senders_test.go
@@ -68,12 +68,12 @@
 func TestMaxColdRate(t *testing.T) {
 	n := &Node{}
 	n.boot.Store(&bootstrap.Node{Bounds: bootstrap.Bounds{ColdOverage: 1.5, ColdTolerance: 5}})
-	test.Eq(t, 32, n.maxColdRate(&routing.Service{ColdPerSecond: 18}))
-	test.Eq(t, 1+5, n.maxColdRate(&routing.Service{ColdPerSecond: 1}))
+	test.Eq(t, 32, n.maxColdRate(&routing.Service{MaxColdPerSecond: 18}))
+	test.Eq(t, 1+5, n.maxColdRate(&routing.Service{MaxColdPerSecond: 1}))
 	test.Zero(t, n.maxColdRate(&routing.Service{}))
 	n.boot.Store(&bootstrap.Node{})
-	test.Eq(t, 18, n.maxColdRate(&routing.Service{ColdPerSecond: 18}), test.Sprint("without a bound, the service's own limit"))
-	test.Eq(t, 1, n.maxColdRate(&routing.Service{ColdPerSecond: 0.2}))
+	test.Eq(t, 18, n.maxColdRate(&routing.Service{MaxColdPerSecond: 18}), test.Sprint("without a bound, the service's own limit"))
+	test.Eq(t, 1, n.maxColdRate(&routing.Service{MaxColdPerSecond: 0.2}))
 }
 
 // If endpoints of an evacuated failure domain become cold without a restart, no entry reports them
--- a/internal/gateway/start_begin_test.go
+++ b/internal/gateway/start_begin_test.go
@@ -19,10 +19,10 @@
 // may have been announced long before, and engines may be slow to begin.
 func TestPromptsBeginWithinStartupGrace(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
-		{VersionApply: 10 * time.Second, StableWindow: 3 * time.Second},
-		{VersionApply: 15 * time.Second, StableWindow: 4 * time.Second},
+		{VersionApplyLimit: 10 * time.Second, StableWindow: 3 * time.Second},
+		{VersionApplyLimit: 15 * time.Second, StableWindow: 4 * time.Second},
 	} {
-		t.Run(fmt.Sprint(bounds.VersionApply, bounds.StableWindow), func(t *testing.T) {
+		t.Run(fmt.Sprint(bounds.VersionApplyLimit, bounds.StableWindow), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newStarter(bounds)
 				started := time.Now()
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -33,10 +33,10 @@
 	engines.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1", Weights: []fleet.Weights{{Model: model, Version: 1}}}, time.Now())
 	index := kvindex.NewIndex(nil, nil, zerolog.Nop())
 	s.placer = &placer.Placer{
-		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kvindex.Lateness{},
-		Excused: s.state.startupGrace,
-		MayName: func(string, int64) bool { return false }, Whole: func() bool { return true }, Closed: func() []weights.Closed { return nil },
-		VersionApply: func() time.Duration { return bounds.VersionApply }, Services: &placer.Services{}, Nodes: func() int { return 1 },
+		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{},
+		ReplacedGrace: s.state.startupGrace,
+		MayReference:  func(string, int64) bool { return false }, FullMesh: func() bool { return true }, Closed: func() []weights.Closed { return nil },
+		VersionApplyLimit: func() time.Duration { return bounds.VersionApplyLimit }, Services: &placer.Services{}, Nodes: func() int { return 1 },
 		Now: time.Now, Random: rand.Float64,
 	}
 	return s
@@ -69,13 +69,13 @@
 // and a late first read would add its delay in any case.
 func TestStartWithReplacedWeights(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
-		{VersionApply: 10 * time.Second, StableWindow: 3 * time.Second},
-		{VersionApply: 12 * time.Second, StableWindow: 3 * time.Second},
-		{VersionApply: 15 * time.Second, StableWindow: 4 * time.Second},
-		{VersionApply: 12 * time.Second, StableWindow: 4 * time.Second},
+		{VersionApplyLimit: 10 * time.Second, StableWindow: 3 * time.Second},
+		{VersionApplyLimit: 12 * time.Second, StableWindow: 3 * time.Second},
+		{VersionApplyLimit: 15 * time.Second, StableWindow: 4 * time.Second},
+		{VersionApplyLimit: 12 * time.Second, StableWindow: 4 * time.Second},
 	} {
 		for _, late := range []time.Duration{10 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second} {
-			t.Run(fmt.Sprint(bounds.VersionApply, bounds.StableWindow, late), func(t *testing.T) {
+			t.Run(fmt.Sprint(bounds.VersionApplyLimit, bounds.StableWindow, late), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := newStarter(bounds)
 					started := time.Now()
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -83,7 +83,7 @@
 // right for some deployments only.
 func (s *state) assumedAnnounceTime() time.Time {
 	bounds := s.bounds()
-	return s.started.Add(bounds.StableWindow - startMargin - placer.ReplacedLimit(bounds.VersionApply))
+	return s.started.Add(bounds.StableWindow - startMargin - placer.ReplacedLimit(bounds.VersionApplyLimit))
 }
 
 // startupGrace implements placer.Placer.Excused. It returns the start of the process and the end of
--- a/internal/owner/export.go
+++ b/internal/owner/export.go
@@ -102,7 +102,7 @@
 // value weighs an export by the model's objective.
 func (s *storeHost) value(now time.Time, p *pendingOffer, weights placement.Objective, bytes int64) policy.Offer {
 	share := float64(bytes) / float64(max(bytesOf(p.req.Placements), 1))
-	kept := placement.Kept{
+	kept := placement.ExportPart{
 		Tokens:      int(float64(tokensOf(p.req.Placements)) * share),
 		Bytes:       bytes,
 		PrefillRate: p.req.PrefillRate,
@@ -110,7 +110,7 @@
 	}
 	return policy.Offer{
 		ReturnChance: s.returns.Chance(p.req.Prompt.Account, now, now.Sub(p.ended), placement.ExportUntil, keepAhead),
-		SavedSeconds: weights.Saves(kept),
+		SavedSeconds: weights.ExportSaving(kept),
 		Bytes:        bytes,
 		Uses:         p.uses,
 	}
--- a/internal/placement/export.go
+++ b/internal/placement/export.go
@@ -15,17 +15,17 @@
 	ExportRetry = 10 * time.Second
 )
 
-// Kept is the part of a prompt's prefix that an export would store.
-type Kept struct {
+// ExportPart is the part of a prompt's prefix that an export would store.
+type ExportPart struct {
 	Tokens      int
 	Bytes       int64
 	PrefillRate float64 // of the engine, tokens per second
 	LinkRate    float64 // current rate of an import, bytes per second
 }
 
-// Saves returns the cost saved by importing the part later instead of recomputing it, in the
+// ExportSaving returns the cost saved by importing the part later instead of recomputing it, in the
 // objective's units. It is negative if recomputing is cheaper.
-func (o Objective) Saves(k Kept) float64 {
+func (o Objective) ExportSaving(k ExportPart) float64 {
 	if k.PrefillRate <= 0 || k.LinkRate <= 0 {
 		return 0
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -185,9 +185,9 @@
 }
 
 func TestExportSavings(t *testing.T) {
-	k := Kept{Tokens: 2000, Bytes: 100 << 20, PrefillRate: 1000, LinkRate: 100 << 20}
-	test.InDelta(t, 1, Objective{}.Saves(k), 1e-9) // 2 s of prefill for 1 s of link
-	test.InDelta(t, 2, Objective{FirstTokenSeconds: 1, RecomputedToken: 0.001, LinkMebibyte: 0.01}.Saves(k), 1e-9)
+	k := ExportPart{Tokens: 2000, Bytes: 100 << 20, PrefillRate: 1000, LinkRate: 100 << 20}
+	test.InDelta(t, 1, Objective{}.ExportSaving(k), 1e-9) // 2 s of prefill for 1 s of link
+	test.InDelta(t, 2, Objective{FirstTokenSeconds: 1, RecomputedToken: 0.001, LinkMebibyte: 0.01}.ExportSaving(k), 1e-9)
 	// On an idle link a byte delays no other transfer; on a link that is half
 	// utilized it delays others by its own transfer time.
 	idle, busy := 1/k.LinkRate, 2/k.LinkRate
@@ -200,11 +200,11 @@
 // speed would otherwise never be learned.
 func TestAssumesHighSpeedOfNewEngines(t *testing.T) {
 	engines := []Engine{{Endpoint: "old", PrefillRate: 16000}, {Endpoint: "new"}, {Endpoint: "best", PrefillRate: 40000}}
-	AssumeBest(engines)
+	FillUnknownRates(engines)
 	must.Eq(t, 40000*unknownSpeedBonus, engines[1].PrefillRate)
 	must.Eq(t, 16000, engines[0].PrefillRate)
 	none := []Engine{{Endpoint: "a"}, {Endpoint: "b"}}
-	AssumeBest(none)
+	FillUnknownRates(none)
 	must.Eq(t, UnknownRate*unknownSpeedBonus, none[0].PrefillRate)
 	must.Eq(t, none[0].PrefillRate, none[1].PrefillRate)
 }
--- a/internal/placement/unknownspeed.go
+++ b/internal/placement/unknownspeed.go
@@ -8,10 +8,10 @@
 	unknownSpeedBonus = 1.5
 )
 
-// AssumeBest sets the PrefillRate of engines without a learned one (0) to more than the best
+// FillUnknownRates sets the PrefillRate of engines without a learned one (0) to more than the best
 // learned among the candidates. A lower rate would keep requests from a new engine, so that its
 // speed would never be learned; one prompt is enough to learn it.
-func AssumeBest(engines []Engine) {
+func FillUnknownRates(engines []Engine) {
 	best := 0.0
 	for i := range engines {
 		best = max(best, engines[i].PrefillRate)
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -60,12 +60,12 @@
 // memory returns the estimated memory use of an engine.
 func (s *search) memory(m *fleet.Member) admission.Memory {
 	capacity := s.q.Service.Engine.KVTokens
-	if !s.Whole() && !s.holdsMany {
+	if !s.FullMesh() && !s.holdsMany {
 		capacity -= int(unreportedShare * float64(capacity))
 	}
 	return admission.Memory{
-		Capacity: capacity,
-		Held:     m.Load.HeldTokens() + s.others.At(m.ID, m.StartedMs).HeldTokens,
+		Capacity:       capacity,
+		OccupiedTokens: m.Load.HeldTokens() + s.others.At(m.ID, m.StartedMs).HeldTokens,
 	}
 }
 
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -45,7 +45,7 @@
 // others.
 func (s *search) selectCandidates(candidates []*fleet.Member) []*fleet.Member {
 	s.candidateCount = len(candidates)
-	if s.Whole() {
+	if s.FullMesh() {
 		return candidates
 	}
 	local := s.localCandidates(candidates)
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -21,7 +21,7 @@
 func newDomains(t *testing.T, north, south, west int) *world {
 	t.Helper()
 	w := newWorld(t, source{})
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	random := rand.New(rand.NewPCG(1, 2))
 	w.Random = random.Float64
 	for _, domain := range []string{"south", "west"} {
@@ -136,7 +136,7 @@
 // all prompts.
 func TestNewEngineGetsBoundedShare(t *testing.T) {
 	w := newWorld(t, source{})
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	random := rand.New(rand.NewPCG(3, 4))
 	w.Random = random.Float64
 	const engines, prompts = 40, 2000
@@ -174,12 +174,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWorld(t, source{})
 			w.versions.wanted, w.versions.age = 2, 5*time.Second
-			w.VersionApply = func() time.Duration { return time.Hour }
+			w.VersionApplyLimit = func() time.Duration { return time.Hour }
 			random := rand.New(rand.NewPCG(5, 6))
 			w.Random = random.Float64
 			now := time.Now()
 			w.Now = func() time.Time { return now }
-			w.Unheard = func() (int, time.Duration) { return tc.others, 200 * time.Millisecond }
+			w.ReportLag = func() (int, time.Duration) { return tc.others, 200 * time.Millisecond }
 			w.addEngines(engines, func(i int) int64 {
 				if i < 2 {
 					return 2
@@ -209,7 +209,7 @@
 // published.
 func TestFindsRoomAtUnsampledEngine(t *testing.T) {
 	w := newWorld(t, source{})
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	q := query()
 	q.Service.Engine.KVTokens = 100_000
 	const engines = 40
@@ -231,7 +231,7 @@
 func TestReservesMemoryForUnreportedPrompts(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		w := newWorld(t, source{}, 1)
-		w.Whole = func() bool { return whole }
+		w.FullMesh = func() bool { return whole }
 		q := query()
 		q.Service.Engine.KVTokens = 100_000
 		q.Attributes.PromptTokens = 11_500
@@ -250,7 +250,7 @@
 // estimated 131,000, as prompts in transit or half read hold less than they will.
 func TestFillsMemoryThatHoldsManyPrompts(t *testing.T) {
 	w := newWorld(t, source{}, 1)
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	q := query()
 	q.Service.Engine.KVTokens = 100_000
 	q.Attributes.PromptTokens = 3000
--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -42,8 +42,8 @@
 		index.Apply(h, events)
 	}
 	p := newPlacer(f, index)
-	p.Domain, p.Whole, p.Nodes = "d0", func() bool { return engines <= 12 }, func() int { return engines }
-	p.Evacuated, p.MostCold = func(string) bool { return false }, func(*routing.Service) int { return 0 }
+	p.Domain, p.FullMesh, p.Nodes = "d0", func() bool { return engines <= 12 }, func() int { return engines }
+	p.Evacuated, p.MaxColdPerSecond = func(string) bool { return false }, func(*routing.Service) int { return 0 }
 	q := query()
 	q.Service.Engine.KVTokens = 150_000
 	return p, q
--- a/internal/placer/bound_test.go
+++ b/internal/placer/bound_test.go
@@ -12,7 +12,7 @@
 func TestNoBoundOnWeights(t *testing.T) {
 	for _, bound := range []time.Duration{0, time.Second} {
 		w := newWorld(t, source{}, 1, 1, 1)
-		w.VersionApply = func() time.Duration { return bound }
+		w.VersionApplyLimit = func() time.Duration { return bound }
 		_, ok := w.Place(query())
 		test.True(t, ok, test.Sprint(bound))
 	}
--- a/internal/placer/cold_test.go
+++ b/internal/placer/cold_test.go
@@ -16,7 +16,7 @@
 // nodes together; this node is "n".
 func (w *world) limitColdStart(perSecond int, nodes ...string) {
 	w.SlowStart = &slowstart.Limiter{Node: "n", View: func(string, int) slowstart.View { return slowstart.View{Generation: 1, Nodes: nodes} }}
-	w.MostCold = func(*routing.Service) int { return perSecond }
+	w.MaxColdPerSecond = func(*routing.Service) int { return perSecond }
 }
 
 // count places the given number of requests and returns how many went to each endpoint.
--- a/internal/placer/cost.go
+++ b/internal/placer/cost.go
@@ -67,7 +67,7 @@
 	if memory.Capacity <= 0 {
 		return 0
 	}
-	share := float64(memory.Held+holding(s.q)) / float64(memory.Capacity)
+	share := float64(memory.OccupiedTokens+holding(s.q)) / float64(memory.Capacity)
 	if s.holdsMany {
 		return s.estimates.RunMs * max(share-uncrowdedShareOfMany, 0)
 	}
--- a/internal/placer/gate.go
+++ b/internal/placer/gate.go
@@ -33,8 +33,8 @@
 
 func (p *Placer) gate(q *forward.Query) *gate {
 	g := &gate{Placer: p, q: q, now: p.Now()}
-	if p.SlowStart != nil && p.MostCold != nil {
-		g.maxCold = p.MostCold(q.Service)
+	if p.SlowStart != nil && p.MaxColdPerSecond != nil {
+		g.maxCold = p.MaxColdPerSecond(q.Service)
 	}
 	return g
 }
--- a/internal/placer/help_test.go
+++ b/internal/placer/help_test.go
@@ -92,7 +92,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return indexComplete(index, events) }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 	w.Placer = newPlacer(f, index)
 	w.Versions = w.versions
-	w.MayName = func(string, int64) bool { return w.mayName }
+	w.MayReference = func(string, int64) bool { return w.mayName }
 	w.Closed = func() []weights.Closed { return w.closed }
 	w.members = f.Members("s")
 	return w
@@ -102,11 +102,11 @@
 // the weights.
 func newPlacer(f *fleet.Fleet, index *kvindex.Index) *placer.Placer {
 	return &placer.Placer{
-		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kvindex.Lateness{}, Whole: func() bool { return true },
-		MayName:      func(string, int64) bool { return true },
-		Closed:       func() []weights.Closed { return nil },
-		VersionApply: func() time.Duration { return limit },
-		Services:     &placer.Services{}, Nodes: func() int { return 3 }, Now: time.Now, Random: rand.Float64,
+		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, Kept: index, Peers: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{}, FullMesh: func() bool { return true },
+		MayReference:      func(string, int64) bool { return true },
+		Closed:            func() []weights.Closed { return nil },
+		VersionApplyLimit: func() time.Duration { return limit },
+		Services:          &placer.Services{}, Nodes: func() int { return 3 }, Now: time.Now, Random: rand.Float64,
 	}
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -36,42 +36,42 @@
 	Fleet    *fleet.Fleet
 	Versions Versions
 	Kept     *kvindex.Index
-	// MayName reports whether requests may name parts of a version of a model at stores. Stores
+	// MayReference reports whether requests may name parts of a version of a model at stores. Stores
 	// free these some time after the version was replaced.
-	MayName func(model string, version int64) bool
+	MayReference func(model string, version int64) bool
 	// Peers holds the load reports of the other nodes.
 	Peers *peerload.Table
-	// Kick requests an early load report to the other nodes after a placement.
-	Kick func()
-	// Usual is the average delay of first events that don't depend on a store.
-	Usual *kvindex.Lateness
-	// Whole reports whether Peers covers all nodes, rather than only those of this failure domain.
-	Whole func() bool
+	// RequestReport requests an early load report to the other nodes after a placement.
+	RequestReport func()
+	// CommonDelay is the average delay of first events that don't depend on a store.
+	CommonDelay *kvindex.Lateness
+	// FullMesh reports whether Peers covers all nodes, rather than only those of this failure domain.
+	FullMesh func() bool
 	// Closed returns the engines that load weights by order of this node now.
 	Closed func() []weights.Closed
-	// VersionApply returns the operators' limit for applying new weights.
-	VersionApply func() time.Duration
+	// VersionApplyLimit returns the operators' limit for applying new weights.
+	VersionApplyLimit func() time.Duration
 	// Evacuated reports whether the endpoints of a failure domain must get no requests. Nil means
 	// that no domain is evacuated.
 	Evacuated func(domain string) bool
 	// SlowStart shares out the requests to cold endpoints between nodes. MostCold returns the
 	// maximum number of requests per second to a cold endpoint of a service, 0 for no limit. Nil
 	// means that cold endpoints get as many requests as others.
-	SlowStart *slowstart.Limiter
-	MostCold  func(s *routing.Service) int
+	SlowStart        *slowstart.Limiter
+	MaxColdPerSecond func(s *routing.Service) int
 	// Throttle shares out the requests to rate-limited endpoints between nodes. Nil means that rate
 	// limits are ignored.
 	Throttle *throttle.Limiter
-	// Excused returns when this process started, and until when runs on weights replaced before
+	// ReplacedGrace returns when this process started, and until when runs on weights replaced before
 	// then are still allowed. Nil means that none are.
-	Excused func() (started, until time.Time)
+	ReplacedGrace func() (started, until time.Time)
 	// Services holds the learned state of the services.
 	Services *Services
 	// Nodes returns the number of nodes that place requests.
 	Nodes func() int
-	// Unheard returns the number of other nodes whose load reports Peers sums up, and the age of
+	// ReportLag returns the number of other nodes whose load reports Peers sums up, and the age of
 	// these reports. Nil means that the reports are always current.
-	Unheard func() (nodes int, lag time.Duration)
+	ReportLag func() (nodes int, lag time.Duration)
 	// Now is the clock. Random returns a random number in [0, 1).
 	Now    func() time.Time
 	Random func() float64
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -236,7 +236,7 @@
 // cache computed with other weights.
 func TestVersionIsReadOnce(t *testing.T) {
 	w := newWorld(t, source{}, 1)
-	w.MayName = func(string, int64) bool {
+	w.MayReference = func(string, int64) bool {
 		w.members[0].RecordWeights(fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: 2}, At: time.Now()})
 		return true
 	}
@@ -250,7 +250,7 @@
 // skipped, and that another domain is used if too few local engines are left.
 func TestLargeSystem(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1, 1, 1)
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	w.Kept.Follow(t.Context(), nil, w.Kept.Stores()) // the index does not follow engines
 	for i := range 12 {
 		domain := []string{"north", "south"}[i%2]
--- a/internal/placer/prompt.go
+++ b/internal/placer/prompt.go
@@ -53,7 +53,7 @@
 	}
 	s.service.demand.NoteDecision(false)
 	s.service.placed.note(s.plan(best).reading, s.now)
-	p.Kick()
+	p.RequestReport()
 	return s.placement(best), true
 }
 
@@ -61,7 +61,7 @@
 // own failure domain, if enough of them are usable. Engines of other domains look idle to this
 // node, so that a busy domain would overload them unnoticed.
 func (p *Placer) localCandidates(candidates []*fleet.Member) []*fleet.Member {
-	if p.Whole() {
+	if p.FullMesh() {
 		return candidates
 	}
 	count := 0
@@ -102,10 +102,10 @@
 		BeginBy: s.rollout.beginBy(plan.version),
 		Wait:    duration(plan.waitMs),
 		First:   duration(s.firstMs(best)),
-		Held:    s.memory(best).Held,
+		Held:    s.memory(best).OccupiedTokens,
 		Reason:  plan.reason(),
 		Began:   s.firstEventObserver(best),
-		Ended:   func(took time.Duration) { s.service.model.Ended(holding(q), took) },
+		Ended:   func(took time.Duration) { s.service.model.RecordRun(holding(q), took) },
 	}
 	placement.Failed = func() { p.cancelSaves(q, &placement.Attempt) }
 	if plan.fromStore {
@@ -118,7 +118,7 @@
 // without a session.
 func (p *Placer) home(q *forward.Query) *fleet.Member {
 	parts := q.Attributes.Parts
-	if len(parts) < 2 || !p.Whole() {
+	if len(parts) < 2 || !p.FullMesh() {
 		return nil
 	}
 	members := p.localCandidates(p.notEvacuated(p.Fleet.Members(q.Service.Name)))
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -94,7 +94,7 @@
 		return l
 	}
 	l := &located{version: version, salt: saltOf(s.q, version), current: version >= s.rollout.wanted}
-	mayName := s.Kept.ClockMS() > 0 && s.MayName(s.q.Attributes.Model, version)
+	mayName := s.Kept.ClockMS() > 0 && s.MayReference(s.q.Attributes.Model, version)
 	for _, part := range s.q.Attributes.Parts {
 		p := s.locatePart(part, l.salt, mayName)
 		if version == 0 {
@@ -278,10 +278,10 @@
 		now := s.Now()
 		late := millis(after) - expected
 		if store == nil || p.fetched < minObservedFetch {
-			s.Usual.Observe(late, now)
+			s.CommonDelay.Observe(late, now)
 			s.service.model.NoteFirstEvent(m.ID, ahead, after-duration(p.fetchMs), now)
 			return
 		}
-		store.Late.Observe(late-s.Usual.MS(now), now)
+		store.Late.Observe(late-s.CommonDelay.MS(now), now)
 	}
 }
--- a/internal/placer/stores_test.go
+++ b/internal/placer/stores_test.go
@@ -53,7 +53,7 @@
 func TestEngineDelayIsNotBlamedOnStore(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for range 20 {
-		w.Usual.Observe(700, time.Now())
+		w.CommonDelay.Observe(700, time.Now())
 		p, ok := w.Place(query())
 		must.True(t, ok)
 		p.Began(800 * time.Millisecond)
--- a/internal/placer/unreported.go
+++ b/internal/placer/unreported.go
@@ -59,10 +59,10 @@
 // unreportedMs returns the time, in ms, that engines take to read the prompts that other nodes have
 // placed but not reported yet.
 func (s *search) unreportedMs() float64 {
-	if s.Unheard == nil {
+	if s.ReportLag == nil {
 		return 0
 	}
-	others, lag := s.Unheard()
+	others, lag := s.ReportLag()
 	return s.service.placed.perSecond(s.now) * float64(others) * lag.Seconds() * s.estimates.TokenMs
 }
 
--- a/internal/policybench/store.go
+++ b/internal/policybench/store.go
@@ -111,7 +111,7 @@
 
 // value weighs an export by the deployment's objective.
 func (st *store) value(f *offer, bytes int64) policy.Offer {
-	kept := placement.Kept{
+	kept := placement.ExportPart{
 		Tokens: int(bytes/blockBytes) * blockTokens, Bytes: bytes,
 		PrefillRate: f.owner.last.PrefillRate,
 		LinkRate:    st.budget.BytesPerSecond(st.s.now(), link.Import),
@@ -119,7 +119,7 @@
 	name := accountName(f.turn.conv.account)
 	return policy.Offer{
 		ReturnChance: st.s.returns.Chance(name, st.s.now(), st.s.at-f.ended, placement.ExportUntil, keepAhead),
-		SavedSeconds: st.s.profile.Objective.Saves(kept),
+		SavedSeconds: st.s.profile.Objective.ExportSaving(kept),
 		Bytes:        bytes,
 		Uses:         f.turn.number + 1,
 	}
--- a/internal/policybench/system.go
+++ b/internal/policybench/system.go
@@ -162,7 +162,7 @@
 	for i, o := range owners {
 		engines[i] = o.estimate(j)
 	}
-	placement.AssumeBest(engines)
+	placement.FillUnknownRates(engines)
 	var held []placement.Store
 	if s.policy.export != nil {
 		for _, st := range s.stores {
--- a/internal/router/estimate.go
+++ b/internal/router/estimate.go
@@ -42,7 +42,7 @@
 	for _, b := range batches {
 		go func() { replies <- reply{ownerBatch: b, resp: r.fetchEstimate(ctx, b)} }()
 	}
-	defer func() { placement.AssumeBest(engines) }()
+	defer func() { placement.FillUnknownRates(engines) }()
 	out := collectedEstimates{promptTokens: estimatePromptTokens(req)}
 	for range batches {
 		select {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -62,8 +62,8 @@
 	Priority int
 	// Public is true if requests need no key.
 	Public bool
-	// Prompts is true if requests describe a prompt by its parts.
-	Prompts bool
+	// DescribesPrompts is true if requests describe a prompt by its parts.
+	DescribesPrompts bool
 	// Resumable is true if a stream may be continued at another endpoint.
 	Resumable bool
 }
@@ -85,10 +85,10 @@
 	// ColdStart is how long an endpoint is cold after its start. ColdPerSecond is the maximum
 	// number of requests per second that a cold endpoint gets from all nodes together; 0 for no
 	// limit.
-	ColdStart     time.Duration
-	ColdPerSecond float64
-	Engine        *Engine
-	Store         *Store
+	ColdStart        time.Duration
+	MaxColdPerSecond float64
+	Engine           *Engine
+	Store            *Store
 }
 
 // Engine describes the model engines of a service.
@@ -97,10 +97,10 @@
 	KVTokens   int // tokens of KV cache that one engine's memory holds
 	TokenBytes int // bytes of KV cache per token
 	LinkMbps   float64
-	// EventReaders is the maximum number of concurrent long-poll requests for events
+	// MaxEventPolls is the maximum number of concurrent long-poll requests for events
 	// that one engine accepts; 0 if not stated.
-	EventReaders int
-	Models       []string
+	MaxEventPolls int
+	Models        []string
 }
 
 // Store describes a store of KV cache.
@@ -111,9 +111,9 @@
 	LinkMbps   float64
 	FirstDelay time.Duration // added to each transfer
 	Managed    bool          // evicts nothing by itself
-	// EventReaders is the maximum number of concurrent long-poll requests for events
+	// MaxEventPolls is the maximum number of concurrent long-poll requests for events
 	// that the store accepts; 0 if not stated.
-	EventReaders int
+	MaxEventPolls int
 }
 
 // Account is a client account.
