--- a/internal/calls/caller_deadline_test.go
+++ b/internal/calls/caller_deadline_test.go
@@ -74,7 +74,7 @@
 // caller gets the answer by repeating the call with the same ticket, without a second execution. A
 // service that takes longer than the caller waits is enough for this case to arise.
 func TestCallOutlivesItsCaller(t *testing.T) {
-	calls := map[string]Ticketed{
+	calls := map[string]TicketedCall{
 		"service": {Service: &ServiceCall{Service: "ledger", Method: http.MethodPost, Path: "/charges"}},
 		"prompt":  {Prompt: &runs.Request{Prompt: "pass or hold?"}},
 	}
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -33,15 +33,15 @@
 	Body        []byte `json:"body,omitempty"`
 }
 
-// PromptAnswer is the complete answer to a ticketed prompt.
-type PromptAnswer struct {
+// TicketedPromptAnswer is the complete answer to a ticketed prompt.
+type TicketedPromptAnswer struct {
 	Summary runs.Summary `json:"summary"`
 	Text    string       `json:"text"`
 }
 
-// Ticketed is a call as sent to the executor of its ticket. Exactly one of Service and Prompt is
+// TicketedCall is a call as sent to the executor of its ticket. Exactly one of Service and Prompt is
 // set.
-type Ticketed struct {
+type TicketedCall struct {
 	Service *ServiceCall  `json:"service,omitempty"`
 	Prompt  *runs.Request `json:"prompt,omitempty"`
 	// TimeLeft is the time until the caller's deadline.
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -65,7 +65,7 @@
 func TestUnknownCallKindRefused(t *testing.T) {
 	s, err := New(sharedKey, nil, zerolog.Nop())
 	must.NoError(t, err)
-	_, err = s.runFunc(&Ticketed{TimeLeft: time.Second})(t.Context())
+	_, err = s.runFunc(&TicketedCall{TimeLeft: time.Second})(t.Context())
 	must.Eq(t, ticket.NotRun, ticket.StateOf(err))
 	must.True(t, result.Is(err, result.MalformedBody))
 }
--- a/internal/calls/plain.go
+++ b/internal/calls/plain.go
@@ -38,15 +38,15 @@
 	View() *config.View
 }
 
-// Leaving reports endpoints on hosts that are leaving and get no new work.
-type Leaving interface {
+// LeavingHosts reports endpoints on hosts that are leaving and get no new work.
+type LeavingHosts interface {
 	HostLeaving(endpoint *pb.Endpoint) bool
 }
 
 // plainClient calls plain services. It is safe for concurrent use.
 type plainClient struct {
 	directory Directory
-	leaving   Leaving
+	leaving   LeavingHosts
 	budget    runs.Budget
 	http      *http.Client
 
@@ -55,7 +55,7 @@
 }
 
 // newPlainClient returns a client without open connections.
-func newPlainClient(directory Directory, leaving Leaving, budget runs.Budget) *plainClient {
+func newPlainClient(directory Directory, leaving LeavingHosts, budget runs.Budget) *plainClient {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
--- a/internal/calls/redeem.go
+++ b/internal/calls/redeem.go
@@ -23,7 +23,7 @@
 
 // Redeem executes a ticketed call at the ticket's executor, which may be another node. first states
 // that the caller has never sent the ticket before.
-func (s *Service) Redeem(ctx context.Context, account, text string, first bool, call *Ticketed, fp ticket.Fingerprint) ([]byte, error) {
+func (s *Service) Redeem(ctx context.Context, account, text string, first bool, call *TicketedCall, fp ticket.Fingerprint) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.TimeLeft)
 	defer cancel()
 	c := ticket.Call{Ticket: text, Account: account, Fingerprint: fp, Request: encode(call), First: first}
@@ -36,7 +36,7 @@
 }
 
 // runFunc returns a function that executes the call on this node, for a ticket of this process.
-func (s *Service) runFunc(call *Ticketed) ticket.RunFunc {
+func (s *Service) runFunc(call *TicketedCall) ticket.RunFunc {
 	return func(ctx context.Context) (ticket.Answer, error) {
 		answer, err := s.run(ctx, call)
 		if err == nil {
@@ -50,7 +50,7 @@
 }
 
 // run executes the call until ctx ends, which may be after the first caller's deadline.
-func (s *Service) run(ctx context.Context, call *Ticketed) ([]byte, error) {
+func (s *Service) run(ctx context.Context, call *TicketedCall) ([]byte, error) {
 	if call.Service != nil {
 		answer, err := s.plain.callUntil(ctx, call.Service)
 		if err != nil {
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return encode(PromptAnswer{Summary: sum, Text: string(sink.text)}), nil
+	return encode(TicketedPromptAnswer{Summary: sum, Text: string(sink.text)}), nil
 }
 
 // Forward implements ticket.Forwarder.
@@ -93,7 +93,7 @@
 	if err != nil {
 		return refusalResponse(err)
 	}
-	req, err := decode[Ticketed](call.Request)
+	req, err := decode[TicketedCall](call.Request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -85,7 +85,7 @@
 			}
 			data, err := json.Marshal(state)
 			must.NoError(b, err)
-			server, client := canned(b, data), engine.Weights{Client: engine.NewClient()}
+			server, client := canned(b, data), engine.WeightsClient{Client: engine.NewClient()}
 			perOp(b, func() {
 				got, err := client.State(b.Context(), server.URL)
 				must.NoError(b, err)
--- a/internal/endpoint/engine/engine.go
+++ b/internal/endpoint/engine/engine.go
@@ -83,12 +83,12 @@
 	return get[enginewire.State](ctx, c, base+enginewire.PathState)
 }
 
-// Weights is a client whose State omits the block ids, for callers that need only the loaded
+// WeightsClient is a client whose State omits the block ids, for callers that need only the loaded
 // weights: the block ids are most of the size of a state.
-type Weights struct{ *Client }
+type WeightsClient struct{ *Client }
 
 // State returns the engine's state without block ids.
-func (w Weights) State(ctx context.Context, base string) (*enginewire.State, error) {
+func (w WeightsClient) State(ctx context.Context, base string) (*enginewire.State, error) {
 	return get[enginewire.State](ctx, w.Client, base+enginewire.PathState+"?blocks=false")
 }
 
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -30,7 +30,7 @@
 type Calls interface {
 	Issue(account string, n int) ([]string, error)
 	Call(ctx context.Context, call *calls.ServiceCall) (*calls.ServiceAnswer, error)
-	Redeem(ctx context.Context, account, text string, first bool, call *calls.Ticketed, fp ticket.Fingerprint) ([]byte, error)
+	Redeem(ctx context.Context, account, text string, first bool, call *calls.TicketedCall, fp ticket.Fingerprint) ([]byte, error)
 }
 
 var _ Calls = (*calls.Service)(nil)
@@ -92,7 +92,7 @@
 		return s.Calls.Call(c.Request().Context(), call)
 	}
 	fp := ticket.FingerprintOf([]byte(call.Service), []byte(call.Method), []byte(call.Path), call.Body)
-	data, err := s.redeem(c, key, &calls.Ticketed{Service: call, TimeLeft: call.TimeLeft}, fp)
+	data, err := s.redeem(c, key, &calls.TicketedCall{Service: call, TimeLeft: call.TimeLeft}, fp)
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 	return answer, nil
 }
 
-func (s *Server) redeem(c echo.Context, key string, call *calls.Ticketed, fp ticket.Fingerprint) ([]byte, error) {
+func (s *Server) redeem(c echo.Context, key string, call *calls.TicketedCall, fp ticket.Fingerprint) ([]byte, error) {
 	first := c.Request().Header.Get(headerAttempt) == firstAttempt
 	return s.Calls.Redeem(c.Request().Context(), requestOf(c).accountID, key, first, call, fp)
 }
@@ -170,11 +170,11 @@
 func (s *Server) ticketedPrompt(c echo.Context, key string, body *common, req *runs.Request, object string) error {
 	info := requestOf(c)
 	fp := ticket.FingerprintOf(promptParts(req, object)...)
-	data, err := s.redeem(c, key, &calls.Ticketed{Prompt: req, TimeLeft: time.Until(req.Deadline)}, fp)
+	data, err := s.redeem(c, key, &calls.TicketedCall{Prompt: req, TimeLeft: time.Until(req.Deadline)}, fp)
 	if err != nil {
 		return err
 	}
-	var answer calls.PromptAnswer
+	var answer calls.TicketedPromptAnswer
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return result.Wrap(err, result.Internal, result.WithRunState(result.Ran))
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -38,11 +38,11 @@
 
 type freeGrant struct{ endpoint *pb.Endpoint }
 
-func (g freeGrant) Endpoint() *pb.Endpoint   { return g.endpoint }
-func (g freeGrant) Imported() (int, int64)   { return 0, 0 }
-func (g freeGrant) FirstToken(runs.Observed) {}
-func (g freeGrant) Patience() time.Duration  { return time.Minute }
-func (g freeGrant) Done(runs.Observed)       {}
+func (g freeGrant) Endpoint() *pb.Endpoint           { return g.endpoint }
+func (g freeGrant) ImportedContext() (int, int64)    { return 0, 0 }
+func (g freeGrant) FirstToken(runs.RunReport)        {}
+func (g freeGrant) FirstFrameTimeout() time.Duration { return time.Minute }
+func (g freeGrant) Done(runs.RunReport)              {}
 
 // firstPlacer takes the first engine of the model that was not tried.
 type firstPlacer struct{ fixed }
@@ -91,16 +91,16 @@
 	must.NoError(t, err)
 	directory := fixed{view}
 	s := &Server{
-		Limits:    settings.Default().Requests,
-		Directory: directory,
-		Versions:  directory,
-		Runner:    &runs.Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: firstPlacer{directory}, Budget: freely{}, Directory: directory},
-		Ready:     freely{}.ready,
-		Recorder:  freely{},
-		Admission: freely{},
-		Metrics:   freely{}.metrics,
-		Key:       key,
-		Log:       zerolog.Nop(),
+		Limits:          settings.Default().Requests,
+		Directory:       directory,
+		VersionSelector: directory,
+		Runner:          &runs.Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: firstPlacer{directory}, Budget: freely{}, Directory: directory},
+		Ready:           freely{}.ready,
+		Recorder:        freely{},
+		Admission:       freely{},
+		Metrics:         freely{}.metrics,
+		Key:             key,
+		Log:             zerolog.Nop(),
 	}
 	server := httptest.NewServer(s.Handler())
 	t.Cleanup(server.Close)
--- a/internal/entry/openai_test.go
+++ b/internal/entry/openai_test.go
@@ -25,8 +25,8 @@
 			var into completionRequest
 			must.NoError(b, decodeBody(echo.New().NewContext(r, httptest.NewRecorder()), 1<<20, &into))
 		},
-		"fingerprint": func() { (&runs.Request{Prompt: text}).Pin("v1") },
-		"draw":        func() { (&runs.Request{Prompt: text}).Draw() },
+		"fingerprint": func() { (&runs.Request{Prompt: text}).SetVersion("v1") },
+		"draw":        func() { (&runs.Request{Prompt: text}).VersionDraw() },
 		"encode": func() {
 			_, err := json.Marshal(&enginewire.RunRequest{Prompt: text})
 			must.NoError(b, err)
--- a/internal/entry/prompts.go
+++ b/internal/entry/prompts.go
@@ -130,13 +130,13 @@
 	if !ok {
 		return result.New(result.UnknownModel, result.WithField("model"))
 	}
-	version, ok := s.Versions.Serving(ctx, info.view, modelName, req.Draw())
+	version, ok := s.VersionSelector.Serving(ctx, info.view, modelName, req.VersionDraw())
 	if !ok {
 		return result.New(result.NoEndpoint, result.WithField("model"), result.WithMessage("the model has no version in service"))
 	}
 	req.Model = modelName
 	if !withAdapter {
-		req.Pin(version)
+		req.SetVersion(version)
 		return nil
 	}
 	adapter, ok := info.view.Adapter(adapterName)
@@ -144,7 +144,7 @@
 		return result.New(result.UnknownAdapter, result.WithField("model"))
 	}
 	req.Adapter = adapterName
-	req.Pin(version)
+	req.SetVersion(version)
 	return nil
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -26,9 +26,9 @@
 // headerRequestID carries the request's id in both directions.
 const headerRequestID = "X-Request-Id"
 
-// Versions chooses the weight version of a request among those that engines hold.
+// VersionSelector chooses the weight version of a request among those that engines hold.
 // The draw is the same for all requests of one conversation.
-type Versions interface {
+type VersionSelector interface {
 	Serving(ctx context.Context, view *config.View, model string, draw float64) (version string, ok bool)
 }
 
@@ -60,18 +60,18 @@
 
 // Server serves callers.
 type Server struct {
-	Limits    settings.Requests
-	Directory Directory
-	Versions  Versions
-	Runner    Runner
-	Ready     Readiness
-	Recorder  Recorder
-	Admission Admission
-	Calls     Calls
-	Metrics   http.HandlerFunc
-	Key       []byte // the nodes' shared key
-	Salter    *kvcache.Salter
-	Log       zerolog.Logger
+	Limits          settings.Requests
+	Directory       Directory
+	VersionSelector VersionSelector
+	Runner          Runner
+	Ready           Readiness
+	Recorder        Recorder
+	Admission       Admission
+	Calls           Calls
+	Metrics         http.HandlerFunc
+	Key             []byte // the nodes' shared key
+	Salter          *kvcache.Salter
+	Log             zerolog.Logger
 }
 
 // Handler returns the HTTP handler of all paths.
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -94,20 +94,20 @@
 		return err
 	}
 	s.server.Directory = s.config
-	s.server.Versions = rollouts.Versions
+	s.server.VersionSelector = rollouts.VersionSelector
 	s.server.Ready = s.ready
 	service, err := kernel.Lookup[*calls.Service](k, calls.Name)
 	if err != nil {
 		return err
 	}
 	dispatcher := &runs.Dispatcher{
-		Key:       s.server.Key,
-		Salter:    s.server.Salter,
-		Engines:   s.engines,
-		Placer:    placer,
-		Budget:    s.budget,
-		Versions:  rollouts.Versions,
-		Directory: s.config,
+		Key:             s.server.Key,
+		Salter:          s.server.Salter,
+		Engines:         s.engines,
+		Placer:          placer,
+		Budget:          s.budget,
+		VersionSelector: rollouts.VersionSelector,
+		Directory:       s.config,
 	}
 	s.server.Runner = dispatcher
 	s.server.Calls = service
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -89,7 +89,7 @@
 	ended, _, _ := m.endedCheck.Do("", func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), endedCheckTimeout)
 		defer cancel()
-		return m.Pool.Refuses(ctx), nil
+		return m.Pool.RefusesConnections(ctx), nil
 	})
 	return ended.(bool)
 }
--- a/internal/fleetmodel/callers.go
+++ b/internal/fleetmodel/callers.go
@@ -134,7 +134,7 @@
 	c.placement = placement
 	c.rank = *placement.Attempt.Priority
 	c.sent = w.now
-	placement.Member.Load.Begin(placement.Reading, placement.Holding)
+	placement.Member.Load.Begin(placement.PrefillTokens, placement.MemoryTokens)
 	w.engines[placement.Member.ID].send(c)
 }
 
@@ -164,8 +164,8 @@
 // began is called with the first token.
 func (c *call) began() {
 	after := c.world.now.Sub(c.sent)
-	c.placement.Member.Load.FirstEvent(c.placement.Reading)
-	c.placement.Began(after)
+	c.placement.Member.Load.FirstEvent(c.placement.PrefillTokens)
+	c.placement.RecordFirstEvent(after)
 	c.placement.Member.Health.RecordSuccess(c.world.now)
 	c.started = true
 	took := c.world.now.Sub(c.first)
@@ -175,23 +175,23 @@
 
 // ended is called with the last token.
 func (c *call) ended() {
-	c.placement.Member.Load.End(c.placement.Holding)
-	c.placement.Ended(c.world.now.Sub(c.sent))
+	c.placement.Member.Load.End(c.placement.MemoryTokens)
+	c.placement.RecordRun(c.world.now.Sub(c.sent))
 }
 
 // failed is called when the engine is gone. A run without a first token goes elsewhere; one
 // that is under way is broken off.
 func (c *call) failed() {
 	member := c.placement.Member
-	member.Load.End(c.placement.Holding)
+	member.Load.End(c.placement.MemoryTokens)
 	member.Health.RecordFailure(c.world.now, true)
 	if c.started {
 		c.world.Result.noteBroken(c)
 		return
 	}
-	member.Load.FirstEvent(c.placement.Reading)
-	if c.placement.Failed != nil {
-		c.placement.Failed()
+	member.Load.FirstEvent(c.placement.PrefillTokens)
+	if c.placement.RecordFailure != nil {
+		c.placement.RecordFailure()
 	}
 	c.world.Result.Resent++
 	c.tried = append(c.tried, member.ID)
@@ -201,15 +201,15 @@
 // pause returns how long a prompt without a place waits until the next look.
 func (w *World) pause(p *forward.Placement, objective time.Duration) time.Duration {
 	if w.MaxWaitShare == nil {
-		return p.Pause(objective)
+		return p.RetryDelay(objective)
 	}
-	return p.PauseWithin(time.Duration(*w.MaxWaitShare * float64(objective)))
+	return p.RetryDelayWithin(time.Duration(*w.MaxWaitShare * float64(objective)))
 }
 
 // refusal returns when a caller that is refused may come back.
 func refusal(p *forward.Placement) time.Duration {
-	if p.Refuse == nil {
+	if p.OnRefusal == nil {
 		return noEngineAfter
 	}
-	return p.Refuse()
+	return p.OnRefusal()
 }
--- a/internal/fleetmodel/tuning_test.go
+++ b/internal/fleetmodel/tuning_test.go
@@ -15,14 +15,14 @@
 	c := site(2, 5, smallMemory, 1.5)
 	c.Length = 10 * time.Second
 	usual := describe(New(c).Play())
-	share, tuning := forward.WaitShare, placer.DefaultTuning()
+	share, tuning := forward.MaxWaitShare, placer.DefaultTuning()
 	c.MaxWaitShare, c.Tuning = &share, &tuning
 	test.Eq(t, usual, describe(New(c).Play()))
 	for name, change := range map[string]func(*float64, *placer.Tuning){
 		"waits longer": func(share *float64, _ *placer.Tuning) { *share = 0.5 },
 		"no reserve":   func(_ *float64, tuning *placer.Tuning) { tuning.ReserveShare = 0 },
 	} {
-		share, tuning := forward.WaitShare, placer.DefaultTuning()
+		share, tuning := forward.MaxWaitShare, placer.DefaultTuning()
 		change(&share, &tuning)
 		c.MaxWaitShare, c.Tuning = &share, &tuning
 		test.NotEq(t, usual, describe(New(c).Play()), test.Sprint(name))
--- a/internal/forward/patience.go
+++ b/internal/forward/age_estimator.go
@@ -14,12 +14,12 @@
 	maxRecentSamples = 41
 )
 
-// Patience estimates from a caller's deadline how long ago it first tried. A caller that retries
+// AgeEstimator estimates from a caller's deadline how long ago it first tried. A caller that retries
 // after a refusal states the time that it has left, so the difference from the usual initial
 // deadline of the route is its age. Initial deadlines may differ between callers; as long as most
 // callers are on their first try, the median tells by how much. The zero value is ready for use and
 // safe for concurrent use.
-type Patience struct {
+type AgeEstimator struct {
 	mu      sync.Mutex
 	byRoute map[string]*routeDeadlines
 }
@@ -35,7 +35,7 @@
 // Age returns a lower bound for the time since a caller first tried, given the time left until its
 // deadline. It returns 0 if the caller states no deadline, or one no shorter than those of first
 // tries.
-func (p *Patience) Age(route string, left time.Duration, now time.Time) time.Duration {
+func (p *AgeEstimator) Age(route string, left time.Duration, now time.Time) time.Duration {
 	if left <= 0 {
 		return 0
 	}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -73,8 +73,8 @@
 		if v == delivered {
 			return nil
 		}
-		if (v == notRun || v == mayHaveRun) && placement.Failed != nil {
-			placement.Failed()
+		if (v == notRun || v == mayHaveRun) && placement.RecordFailure != nil {
+			placement.RecordFailure()
 		}
 		query.Tried = append(query.Tried, placement.Member.ID)
 		if v != notRun {
@@ -182,8 +182,8 @@
 	p.Attempt.Remaining = x.Clock.Until(x.deadline())
 	p.Attempt.ResumeAfter = x.attrs.ResumeAfter
 	load := p.Member.Load
-	load.Begin(p.Reading, p.Holding)
-	defer load.End(p.Holding)
+	load.Begin(p.PrefillTokens, p.MemoryTokens)
+	defer load.End(p.MemoryTokens)
 	prefilling := true
 	// The duration is measured by the monotonic clock: a suspension of this host must not count as
 	// slowness of the endpoint.
@@ -192,14 +192,14 @@
 	prefillDone := func() {
 		if prefilling {
 			prefilling = false
-			load.FirstEvent(p.Reading)
+			load.FirstEvent(p.PrefillTokens)
 			markBegun()
 		}
 	}
 	defer prefillDone()
 	first := func() {
-		if prefilling && p.Began != nil {
-			p.Began(time.Since(started))
+		if prefilling && p.RecordFirstEvent != nil {
+			p.RecordFirstEvent(time.Since(started))
 		}
 		prefillDone()
 	}
@@ -222,8 +222,8 @@
 	if v == mayHaveRun && errors.Is(context.Cause(ctx), errWithdrawn) {
 		x.cause = errWithdrawn
 	}
-	if v == delivered && p.Ended != nil {
-		p.Ended(time.Since(started))
+	if v == delivered && p.RecordRun != nil {
+		p.RecordRun(time.Since(started))
 	}
 	return v
 }
@@ -270,7 +270,7 @@
 // isOwn reports whether an answer belongs to this request. Refusals may state no request id.
 func (x *exchange) isOwn(h http.Header) bool {
 	info := x.Dialect.ReadAnswer(h)
-	return info.ID == x.attrs.ID || info.ID == "" && !info.Sealed
+	return info.ID == x.attrs.ID || info.ID == "" && !info.Signed
 }
 
 // request returns the request to send to an endpoint for one attempt.
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -31,9 +31,9 @@
 // than minNodes. Nodes whose share may also be used by others add one retry each, which the part
 // beyond budgetShare covers.
 type Budgets struct {
-	// Held reports whether the other nodes count this node; nil means always. A node that they may
+	// Counted reports whether the other nodes count this node; nil means always. A node that they may
 	// not count has no share of the fixed part, since the others divide all of it.
-	Held func() bool
+	Counted func() bool
 	// Clock times the deposits of the budgets. Nil means the monotonic clock.
 	Clock *clock.Clock
 
@@ -73,7 +73,7 @@
 // reserveShare returns the maximum balance of this node's budget for a service, in retries.
 func (b *Budgets) reserveShare() float64 {
 	share := b.bounds.RetrySlack * budgetShare / float64(max(b.nodes(), minNodes))
-	if b.Held != nil && !b.Held() {
+	if b.Counted != nil && !b.Counted() {
 		return min(share, uncountedReserve)
 	}
 	return share
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -111,7 +111,7 @@
 	held := true
 	now := time.Now()
 	budgets := forward.NewBudgets(bootstrap.Bounds{RetryRatio: 0.2, RetrySlack: 100}, func() int { return 8 })
-	budgets.Held = func() bool { return held }
+	budgets.Counted = func() bool { return held }
 	fill(budgets.ForService("s"), now)
 	held = false
 	test.Eq(t, 1, retriesAfterRequest(budgets.ForService("s"), now))
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -42,7 +42,7 @@
 		return notRun
 	}
 	success := answer.StatusCode < http.StatusMultipleChoices
-	if success && !info.Sealed {
+	if success && !info.Signed {
 		answer.Abort()
 		x.cause = eris.New("success answer without an endpoint signature")
 		return mayHaveRun
@@ -166,7 +166,7 @@
 		setContentLength(header, resp.StatusCode, length)
 	}
 	x.outcome.Status = resp.StatusCode
-	x.outcome.First = x.Clock.Since(x.arrived)
+	x.outcome.TimeToFirstByte = x.Clock.Since(x.arrived)
 	x.written = true
 	x.w.WriteHeader(resp.StatusCode)
 }
--- a/internal/forward/endpoint_signals.go
+++ b/internal/forward/endpoint_signals.go
@@ -38,9 +38,9 @@
 // not know the limit. An unreadable limit leaves the recorded one unchanged.
 func (x *exchange) recordLimit(status int, info *AnswerInfo, m *fleet.Member, sent time.Time) {
 	now := x.Clock.Now()
-	limitRemoved := status < http.StatusMultipleChoices && info.Sealed && !info.LimitUnread
+	limitRemoved := status < http.StatusMultipleChoices && info.Signed && !info.LimitUnreadable
 	switch {
-	case info.Limited:
+	case info.HasLimit:
 		if m.Signals.SetLimit(info.Limit, now) {
 			x.Log.Info().Str("event", "endpoint_limited").Str("endpoint", m.ID).Str("id", x.attrs.ID).Float64("per_s", info.Limit).Send()
 		}
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -23,13 +23,13 @@
 
 // Handler forwards requests. All fields must be set.
 type Handler struct {
-	Dialect Dialect
-	State   State
-	Placer  Placer
-	Budgets *Budgets
-	// Patience estimates how long ago a caller first tried.
-	Patience   *Patience
-	Quarantine Quarantine
+	Dialect      Dialect
+	ConfigSource ConfigSource
+	Placer       Placer
+	Budgets      *Budgets
+	// AgeEstimator estimates how long ago a caller first tried.
+	AgeEstimator *AgeEstimator
+	Quarantine   Quarantine
 	// Fleet receives the endpoints that report that they are draining.
 	Fleet Fleet
 	// Clock times requests and what their answers state about endpoints. Nil means the monotonic
@@ -48,13 +48,13 @@
 
 // Outcome is the result of a request.
 type Outcome struct {
-	Route    *routing.Route
-	Account  string
-	Code     result.Code // 0 if an endpoint's answer was delivered
-	Status   int
-	Attempts int
-	First    time.Duration // until the header of the answer was written; 0 without an answer
-	Total    time.Duration
+	Route           *routing.Route
+	Account         string
+	Code            result.Code // 0 if an endpoint's answer was delivered
+	Status          int
+	Attempts        int
+	TimeToFirstByte time.Duration // until the header of the answer was written; 0 without an answer
+	Total           time.Duration
 }
 
 var _ http.Handler = (*Handler)(nil)
@@ -103,7 +103,7 @@
 // admit matches the request to a route, client account and service, and reads its body. All its
 // errors are refusals of requests that have not run.
 func (x *exchange) admit() *result.Error {
-	x.config, x.configAge = x.State.Config()
+	x.config, x.configAge = x.ConfigSource.Config()
 	bounds := x.Bounds()
 	if x.config == nil {
 		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	x.age = x.Patience.Age(x.route.Name, x.attrs.Deadline, x.arrived)
+	x.age = x.AgeEstimator.Age(x.route.Name, x.attrs.Deadline, x.arrived)
 	x.service = x.config.Service(x.route.Choose(rand.Float64()))
 	if x.service == nil {
 		return result.New(result.NoEndpoint, result.WithRetryAfter(retryAfterNoEndpoint))
@@ -262,7 +262,7 @@
 	if err != nil {
 		event = event.Str("outcome", err.Code.String())
 	}
-	event.Int64("first_ms", x.outcome.First.Milliseconds()).Int64("total_ms", x.outcome.Total.Milliseconds()).Send()
+	event.Int64("first_ms", x.outcome.TimeToFirstByte.Milliseconds()).Int64("total_ms", x.outcome.Total.Milliseconds()).Send()
 }
 
 // rawPath returns the path as the caller sent it, without decoding.
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -132,7 +132,7 @@
 	w.placer = &orderedPlacer{members: members}
 	w.bounds = bootstrap.Bounds{Revoke: 5 * time.Second, ConfigApply: 2 * time.Second, RetryRatio: 10, RetrySlack: 1000}
 	w.handler = &forward.Handler{
-		Dialect: platform.Dialect{}, State: w.state, Placer: w.placer, Budgets: forward.NewBudgets(w.bounds, func() int { return 1 }), Patience: &forward.Patience{},
+		Dialect: platform.Dialect{}, ConfigSource: w.state, Placer: w.placer, Budgets: forward.NewBudgets(w.bounds, func() int { return 1 }), AgeEstimator: &forward.AgeEstimator{},
 		Quarantine: quarantine.NewTable(time.Now), Fleet: f,
 		Bounds: func() bootstrap.Bounds { return w.bounds }, Recorder: &recordedOutcomes{}, Log: zerolog.Nop(),
 	}
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// WaitShare is the part of the route's objective for which a request waits at this node for an
+	// MaxWaitShare is the part of the route's objective for which a request waits at this node for an
 	// endpoint. A caller refused later than that has lost time that it could have used. Callers
 	// that were refused before wait no longer than others: they would take capacity from prompts
 	// that can still meet the objective.
-	WaitShare = 0.125
+	MaxWaitShare = 0.125
 	// placeInterval is the time between two placement tries while a request waits. Capacity becomes
 	// free, and peers report it, some dozens of times a second.
 	placeInterval = 10 * time.Millisecond
@@ -28,7 +28,7 @@
 	for {
 		placement, ok := x.Placer.Place(q)
 		placement.Waited = x.Clock.Since(x.arrived)
-		pause := placement.Pause(x.route.Objective)
+		pause := placement.RetryDelay(x.route.Objective)
 		if ok || pause <= 0 || ctx.Err() != nil {
 			return placement, ok
 		}
@@ -36,16 +36,16 @@
 	}
 }
 
-// Pause returns the time for which a request without a placement waits until the next try, or 0 if
+// RetryDelay returns the time for which a request without a placement waits until the next try, or 0 if
 // it is to be refused now.
-func (p *Placement) Pause(objective time.Duration) time.Duration {
-	return p.PauseWithin(time.Duration(WaitShare * float64(objective)))
+func (p *Placement) RetryDelay(objective time.Duration) time.Duration {
+	return p.RetryDelayWithin(time.Duration(MaxWaitShare * float64(objective)))
 }
 
-// PauseWithin is like Pause with a maximum total wait of maxWait.
-func (p *Placement) PauseWithin(maxWait time.Duration) time.Duration {
+// RetryDelayWithin is like Pause with a maximum total wait of maxWait.
+func (p *Placement) RetryDelayWithin(maxWait time.Duration) time.Duration {
 	left := maxWait - p.Waited
-	if p.Wait <= 0 || p.Wait > left {
+	if p.PredictedWait <= 0 || p.PredictedWait > left {
 		return 0
 	}
 	return min(placeInterval, left)
@@ -53,8 +53,8 @@
 
 // placementRefusal returns the refusal of a request that no endpoint accepts now.
 func placementRefusal(p *Placement) *result.Error {
-	if p.Refuse != nil {
-		p.RetryAfter = p.Refuse()
+	if p.OnRefusal != nil {
+		p.RetryAfter = p.OnRefusal()
 	}
 	if p.RetryAfter <= 0 {
 		p.RetryAfter = retryAfterNoEndpoint
@@ -64,7 +64,7 @@
 
 // log adds the reason for the placement and its predictions to the request's log event.
 func (p *Placement) log(event *zerolog.Event, c *clock.Clock) *zerolog.Event {
-	event = event.Str("why", p.Reason).Int64("wait_ms", p.Wait.Milliseconds()).Int64("waited_ms", p.Waited.Milliseconds())
+	event = event.Str("why", p.Reason).Int64("wait_ms", p.PredictedWait.Milliseconds()).Int64("waited_ms", p.Waited.Milliseconds())
 	if p.Member == nil {
 		return event.Int64("retry_after_ms", p.RetryAfter.Milliseconds())
 	}
@@ -81,6 +81,6 @@
 		event = event.Int64("backoff_left_ms", c.Until(b.Until).Milliseconds())
 	}
 	return event.Str("endpoint", p.Member.ID).Int64("weights", p.Attempt.Version).
-		Int("read", p.Reading).Int("cached", p.Cached).Int("fetched", p.Fetched).Strs("saved", p.Attempt.Targets).
-		Int64("predicted_ms", p.First.Milliseconds()).Int("held", p.Held)
+		Int("read", p.PrefillTokens).Int("cached", p.Cached).Int("fetched", p.Fetched).Strs("saved", p.Attempt.Targets).
+		Int64("predicted_ms", p.PredictedFirstEvent.Milliseconds()).Int("held", p.OccupiedTokens)
 }
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -19,7 +19,7 @@
 
 func (p freeAt) Place(*Query) (Placement, bool) {
 	wait := time.Until(p.at)
-	return Placement{Wait: wait, Refuse: func() time.Duration { return 2 * wait }}, wait <= 0
+	return Placement{PredictedWait: wait, OnRefusal: func() time.Duration { return 2 * wait }}, wait <= 0
 }
 
 // exchangeAt returns an exchange of a caller that first tried age ago, with a placer that accepts
@@ -76,7 +76,7 @@
 // TestAgeOfRetries checks that the age is the difference between a caller's deadline and
 // the route's longest one.
 func TestAgeOfRetries(t *testing.T) {
-	var p Patience
+	var p AgeEstimator
 	now := time.Now()
 	test.Eq(t, 0, p.Age("r", 12*time.Second, now))
 	test.Eq(t, 3*time.Millisecond, p.Age("r", 11997*time.Millisecond, now))
@@ -96,7 +96,7 @@
 func TestAgeWithUnequalDeadlines(t *testing.T) {
 	const full, lost = 10 * time.Second, 2500 * time.Millisecond
 	for _, spread := range []float64{0, 0.05, 0.15} {
-		var p Patience
+		var p AgeEstimator
 		random := rand.New(rand.NewPCG(1, 1))
 		now := time.Now()
 		falseRetries, found, retries := 0, 0, 0
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -66,17 +66,17 @@
 type AnswerInfo struct {
 	ID      string // id of the request that is answered; empty if not stated
 	NotRun  bool   // the endpoint did not run the request
-	Sealed  bool   // the answer is signed by an endpoint
+	Signed  bool   // the answer is signed by an endpoint
 	Events  bool   // the body is a stream of events
 	Version int64  // of the weights; 0 if not stated
 	// Instance is the id of the endpoint that answered; empty if not stated.
 	Instance string
-	// Limited is true if the endpoint states a rate limit: the requests per second that it accepts
+	// HasLimit is true if the endpoint states a rate limit: the requests per second that it accepts
 	// from all nodes together, in Limit.
-	Limited bool
-	Limit   float64
-	// LimitUnread is true if the endpoint states a rate limit that could not be decoded.
-	LimitUnread bool
+	HasLimit bool
+	Limit    float64
+	// LimitUnreadable is true if the endpoint states a rate limit that could not be decoded.
+	LimitUnreadable bool
 	// Draining is true if the endpoint states that it is draining.
 	Draining bool
 	// RetryAfter is the time for which an endpoint that refuses the request wants no requests from
@@ -101,8 +101,8 @@
 	SetRetryAfter(h http.Header, d time.Duration)
 }
 
-// State provides the configuration in force.
-type State interface {
+// ConfigSource provides the configuration in force.
+type ConfigSource interface {
 	// Config returns the configuration, or nil if there is none, and the time since it was last
 	// known to be current.
 	Config() (config *routing.Config, age time.Duration)
@@ -124,8 +124,8 @@
 // that long.
 const returnedShare = 0.05
 
-// Returned reports whether the caller was refused before, as estimated from its deadline.
-func (q *Query) Returned() bool {
+// IsRetry reports whether the caller was refused before, as estimated from its deadline.
+func (q *Query) IsRetry() bool {
 	return q.Age > time.Duration(returnedShare*float64(q.Route.Objective))
 }
 
@@ -134,36 +134,36 @@
 	Member *fleet.Member
 	// Attempt is complete except for Remaining and ResumeAfter.
 	Attempt Attempt
-	// Reading is the number of prompt tokens that the endpoint is expected to prefill. Cached and
+	// PrefillTokens is the number of prompt tokens that the endpoint is expected to prefill. Cached and
 	// Fetched are those that it has in its cache or fetches from elsewhere.
-	Reading, Cached, Fetched int
-	// Holding is the number of tokens that the request is expected to occupy in the endpoint's
+	PrefillTokens, Cached, Fetched int
+	// MemoryTokens is the number of tokens that the request is expected to occupy in the endpoint's
 	// memory.
-	Holding int
+	MemoryTokens int
 	// BeginBy is the time by which the endpoint must have begun, because its weights are being
 	// replaced: an attempt without a first event by then is withdrawn. Zero means no limit.
 	BeginBy time.Time
-	// Wait, First and Held are the node's estimates behind the decision: the predicted time until
+	// PredictedWait, PredictedFirstEvent and Held are the node's estimates behind the decision: the predicted time until
 	// the endpoint has capacity and memory, the predicted time until the first event, and the
 	// tokens occupied by requests running there.
-	Wait, First time.Duration
-	Held        int
+	PredictedWait, PredictedFirstEvent time.Duration
+	OccupiedTokens                     int
 	// Waited is the time between the request's arrival and its placement.
 	Waited time.Duration
-	// Refuse is called once if the request is refused because no endpoint accepts it. It returns
+	// OnRefusal is called once if the request is refused because no endpoint accepts it. It returns
 	// the time after which the caller may retry, or 0 if that can't be predicted.
-	Refuse func() time.Duration
+	OnRefusal func() time.Duration
 	// RetryAfter is what Refuse returned.
 	RetryAfter time.Duration
 	// Reason is a short name of the reason for the decision.
 	Reason string
-	// Began, if not nil, is called with the time from the send to the first event.
-	Began func(after time.Duration)
-	// Failed, if not nil, is called if the attempt ended before its first event without an answer
+	// RecordFirstEvent, if not nil, is called with the time from the send to the first event.
+	RecordFirstEvent func(after time.Duration)
+	// RecordFailure, if not nil, is called if the attempt ended before its first event without an answer
 	// from the endpoint: the KV cache that it was to store will probably not be stored.
-	Failed func()
-	// Ended, if not nil, is called with the time that the endpoint took for the complete answer.
-	Ended func(took time.Duration)
+	RecordFailure func()
+	// RecordRun, if not nil, is called with the time that the endpoint took for the complete answer.
+	RecordRun func(took time.Duration)
 }
 
 // Quarantine records requests during which endpoints ended.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -216,20 +216,20 @@
 func (n *Node) handler() *forward.Handler {
 	boot := n.boot.Load()
 	budgets := forward.NewBudgets(boot.Bounds, n.nodes)
-	budgets.Held = n.roster.HoldsLease
+	budgets.Counted = n.roster.HoldsLease
 	budgets.Clock = n.clock
 	return &forward.Handler{
-		Dialect:    platform.Dialect{},
-		State:      n.state,
-		Placer:     n.placer(),
-		Budgets:    budgets,
-		Patience:   &forward.Patience{},
-		Quarantine: n.quarantine,
-		Fleet:      n.fleet,
-		Clock:      n.clock,
-		Bounds:     n.bounds,
-		Recorder:   n.recorder,
-		Log:        n.log,
+		Dialect:      platform.Dialect{},
+		ConfigSource: n.state,
+		Placer:       n.placer(),
+		Budgets:      budgets,
+		AgeEstimator: &forward.AgeEstimator{},
+		Quarantine:   n.quarantine,
+		Fleet:        n.fleet,
+		Clock:        n.clock,
+		Bounds:       n.bounds,
+		Recorder:     n.recorder,
+		Log:          n.log,
 	}
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -123,8 +123,8 @@
 	labels := `{class="` + classOf(o.Route) + `"`
 	r.set.GetOrCreateCounter(metricRequests + labels + `,code="` + strconv.Itoa(int(o.Code)) + `"}`).Inc()
 	r.set.GetOrCreateCounter(metricAttempts + labels + `}`).Add(o.Attempts)
-	if o.First > 0 {
-		r.set.GetOrCreatePrometheusHistogramExt(metricFirst+labels+`}`, secondsBounds).Update(o.First.Seconds())
+	if o.TimeToFirstByte > 0 {
+		r.set.GetOrCreatePrometheusHistogramExt(metricFirst+labels+`}`, secondsBounds).Update(o.TimeToFirstByte.Seconds())
 	}
 	r.set.GetOrCreatePrometheusHistogramExt(metricTotal+labels+`}`, secondsBounds).Update(o.Total.Seconds())
 }
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -29,7 +29,7 @@
 	}
 	n.boot.Store(testBoot(t))
 	r := newRecorder(n)
-	r.Forwarded(&forward.Outcome{Route: &routing.Route{}, First: time.Second, Total: time.Second})
+	r.Forwarded(&forward.Outcome{Route: &routing.Route{}, TimeToFirstByte: time.Second, Total: time.Second})
 	w := httptest.NewRecorder()
 	r.ServeHTTP(w, nil)
 	names := func(text string) []string {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -51,10 +51,10 @@
 }
 
 var (
-	_ follow.Sink     = (*state)(nil)
-	_ forward.State   = (*state)(nil)
-	_ placer.Versions = (*state)(nil)
-	_ weights.Wanted  = (*state)(nil)
+	_ follow.Sink          = (*state)(nil)
+	_ forward.ConfigSource = (*state)(nil)
+	_ placer.Versions      = (*state)(nil)
+	_ weights.Wanted       = (*state)(nil)
 )
 
 func newState(bounds func() bootstrap.Bounds, log zerolog.Logger) *state {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -107,7 +107,7 @@
 func (p *parts) innerServices() ([]kernel.Service, error) {
 	s := p.settings
 	config := configsync.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream), time.Duration(s.Requests.MaxConfigAge), p.log)
-	rollouts, err := rollout.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream+rollout.ClaimsSuffix), engine.Weights{Client: p.engines}, p.log)
+	rollouts, err := rollout.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream+rollout.ClaimsSuffix), engine.WeightsClient{Client: p.engines}, p.log)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -86,7 +86,7 @@
 // refused before is served, since it does not return a second time.
 func (s *search) isTooLate(m *fleet.Member) bool {
 	objective := millis(s.q.Route.Objective)
-	if objective <= 0 || s.q.Returned() {
+	if objective <= 0 || s.q.IsRetry() {
 		return false
 	}
 	return s.firstMs(m) > objective && s.queueMs(m) > s.tuning().QueueShare*objective
@@ -97,7 +97,7 @@
 // assigns a retry time.
 func (s *search) decline(engines []*fleet.Member, reason string) forward.Placement {
 	wait := s.expectedWait(engines)
-	return forward.Placement{Reason: reason, Wait: wait, Refuse: func() time.Duration {
+	return forward.Placement{Reason: reason, PredictedWait: wait, OnRefusal: func() time.Duration {
 		s.service.demand.NoteDecision(true)
 		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(holding(s.q), 1), 1)
 		spacing := duration(s.estimates.RunMs * float64(s.Nodes()) / float64(capacity))
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -67,7 +67,7 @@
 	var connected []*fleet.Member
 	others := make([]*fleet.Member, 0, len(local))
 	for _, m := range local {
-		if m.Pool.Kept(s.now) {
+		if m.Pool.HasIdle(s.now) {
 			connected = append(connected, m)
 		} else {
 			others = append(others, m)
--- a/internal/placer/cold_test.go
+++ b/internal/placer/cold_test.go
@@ -60,8 +60,8 @@
 	p, ok := w.Place(query())
 	must.False(t, ok)
 	test.Eq(t, "cold", p.Reason)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
-	test.Between(t, time.Second, p.Refuse(), 2*time.Second)
+	test.Zero(t, p.RetryDelay(time.Second), test.Sprint("the request is refused without waiting"))
+	test.Between(t, time.Second, p.OnRefusal(), 2*time.Second)
 }
 
 // TestColdWithoutBound checks that cold endpoints get as many requests as others where the service
--- a/internal/placer/evacuated_test.go
+++ b/internal/placer/evacuated_test.go
@@ -68,7 +68,7 @@
 	w.evacuate("north", "nowhere")
 	p, ok := w.Place(query())
 	test.False(t, ok)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
+	test.Zero(t, p.RetryDelay(time.Second), test.Sprint("the request is refused without waiting"))
 	test.Eq(t, "evacuated", p.Reason)
 	w.evacuate("nowhere")
 	_, ok = w.Place(query())
--- a/internal/placer/gate.go
+++ b/internal/placer/gate.go
@@ -116,9 +116,9 @@
 	case reasonLimited:
 		return g.declineLimited(members, shortest)
 	case reasonBackingOff:
-		return forward.Placement{Reason: reason, Wait: shortest, Refuse: func() time.Duration { return g.retryAfter(shortest, backoffSpacing) }}
+		return forward.Placement{Reason: reason, PredictedWait: shortest, OnRefusal: func() time.Duration { return g.retryAfter(shortest, backoffSpacing) }}
 	}
-	return forward.Placement{Reason: reason, Wait: shortest, Refuse: func() time.Duration { return shortest }}
+	return forward.Placement{Reason: reason, PredictedWait: shortest, OnRefusal: func() time.Duration { return shortest }}
 }
 
 // declineLimited refuses a request because of rate limits. The wait is the time until this node may
@@ -128,7 +128,7 @@
 	if wait == throttle.Never {
 		wait = 0
 	}
-	return forward.Placement{Reason: reasonLimited, Wait: wait, Refuse: func() time.Duration {
+	return forward.Placement{Reason: reasonLimited, PredictedWait: wait, OnRefusal: func() time.Duration {
 		perSecond := 0.0
 		for _, m := range members {
 			if e := g.throttleEndpoint(m); e != nil {
--- a/internal/placer/limited_test.go
+++ b/internal/placer/limited_test.go
@@ -52,14 +52,14 @@
 	p, ok := w.Place(plainQuery())
 	must.False(t, ok)
 	test.Eq(t, "limited", p.Reason)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
-	first := p.Refuse()
+	test.Zero(t, p.RetryDelay(time.Second), test.Sprint("the request is refused without waiting"))
+	first := p.OnRefusal()
 	p, ok = w.Place(plainQuery())
 	must.False(t, ok)
-	second := p.Refuse()
+	second := p.OnRefusal()
 	test.Between(t, first+100*time.Millisecond, second, first+time.Second)
 	for range 40 {
-		test.LessEq(t, 2*time.Second, p.Refuse(), test.Sprint("the retry is within the time that callers wait"))
+		test.LessEq(t, 2*time.Second, p.OnRefusal(), test.Sprint("the retry is within the time that callers wait"))
 	}
 	w.members[0].Signals.ClearLimit(time.Now(), time.Now())
 	p, ok = w.Place(plainQuery())
@@ -76,5 +76,5 @@
 	must.True(t, ok)
 	p, ok := w.Place(plainQuery())
 	must.False(t, ok)
-	test.Positive(t, p.Pause(time.Second))
+	test.Positive(t, p.RetryDelay(time.Second))
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -18,7 +18,7 @@
 	p, ok := w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, home, p.Member.ID)
-	test.Eq(t, 2000, p.Reading)
+	test.Eq(t, 2000, p.PrefillTokens)
 	test.Eq(t, "cached", p.Reason)
 	test.Eq(t, 1, p.Attempt.Version)
 }
@@ -96,7 +96,7 @@
 	p, ok := w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{large, large, ""}, p.Attempt.Targets)
-	p.Failed()
+	p.RecordFailure()
 	w.Kept.Apply(full, &kvindex.Events{Epoch: 1, Next: 2, Changes: []kvindex.Change{{Number: 1, Part: kvindex.Part{Salt: "s", ID: "x"}, Tokens: full.Tokens}}, ClockMS: 1})
 	p, ok = w.Place(query())
 	must.True(t, ok)
@@ -110,7 +110,7 @@
 	w := newWorld(t, source{}, 1, 1, 1)
 	p, ok := w.Place(query())
 	must.True(t, ok)
-	p.Failed()
+	p.RecordFailure()
 	p, ok = w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Targets)
@@ -127,7 +127,7 @@
 	must.True(t, ok)
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Sources)
 	test.Eq(t, 9500, p.Fetched)
-	test.Eq(t, 2000, p.Reading)
+	test.Eq(t, 2000, p.PrefillTokens)
 }
 
 // TestIsolation checks that an isolated account neither uses parts of other accounts nor shares its
@@ -140,7 +140,7 @@
 	must.True(t, ok)
 	test.Eq(t, salt(1, "yard"), p.Attempt.Salt)
 	test.Nil(t, p.Attempt.Sources)
-	test.Eq(t, 11500, p.Reading)
+	test.Eq(t, 11500, p.PrefillTokens)
 }
 
 // TestUsesOnlyPartsOfSameVersion checks that KV cache computed with other weights is not used.
--- a/internal/placer/prompt.go
+++ b/internal/placer/prompt.go
@@ -95,19 +95,19 @@
 			Sources:  plan.sources,
 			Targets:  p.targets(q, plan),
 		},
-		Reading: plan.reading,
-		Cached:  plan.cached,
-		Fetched: plan.fetched,
-		Holding: holding(q),
-		BeginBy: s.rollout.beginBy(plan.version),
-		Wait:    duration(plan.waitMs),
-		First:   duration(s.firstMs(best)),
-		Held:    s.memory(best).OccupiedTokens,
-		Reason:  plan.reason(),
-		Began:   s.firstEventObserver(best),
-		Ended:   func(took time.Duration) { s.service.model.RecordRun(holding(q), took) },
+		PrefillTokens:       plan.reading,
+		Cached:              plan.cached,
+		Fetched:             plan.fetched,
+		MemoryTokens:        holding(q),
+		BeginBy:             s.rollout.beginBy(plan.version),
+		PredictedWait:       duration(plan.waitMs),
+		PredictedFirstEvent: duration(s.firstMs(best)),
+		OccupiedTokens:      s.memory(best).OccupiedTokens,
+		Reason:              plan.reason(),
+		RecordFirstEvent:    s.firstEventObserver(best),
+		RecordRun:           func(took time.Duration) { s.service.model.RecordRun(holding(q), took) },
 	}
-	placement.Failed = func() { p.cancelSaves(q, &placement.Attempt) }
+	placement.RecordFailure = func() { p.cancelSaves(q, &placement.Attempt) }
 	if plan.fromStore {
 		placement.Attempt.FetchUntil = s.fetchUntil - (FetchLimit - s.fetchTimeout(best)).Milliseconds()
 	}
--- a/internal/placer/restart_test.go
+++ b/internal/placer/restart_test.go
@@ -30,7 +30,7 @@
 	test.Eq(t, addr(9), p.Member.Endpoint().Addr)
 	test.Eq(t, 2, p.Attempt.Version)
 	test.Eq(t, salt(2, ""), p.Attempt.Salt)
-	test.Zero(t, p.Wait)
+	test.Zero(t, p.PredictedWait)
 }
 
 // TestUnknownWeights checks that an engine with unknown weights gets no prompt if versions of the
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -51,7 +51,7 @@
 		fetchUntil: p.Kept.ClockMS() + FetchLimit.Milliseconds(),
 	}
 	s.holdsMany = service.demand.HoldsMany(q.Service.Engine.KVTokens)
-	s.reserve = s.tuning().reserve(service.demand.Reserve(rank, q.Returned(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
+	s.reserve = s.tuning().reserve(service.demand.Reserve(rank, q.IsRetry(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
 	return s
 }
 
@@ -64,7 +64,7 @@
 	if m == s.home {
 		cost -= homeBonusMs
 	}
-	if !m.Pool.Kept(s.now) {
+	if !m.Pool.HasIdle(s.now) {
 		cost += connectMs
 	}
 	return cost
--- a/internal/placer/stores_test.go
+++ b/internal/placer/stores_test.go
@@ -20,15 +20,15 @@
 	place := func() forward.Placement {
 		p, ok := w.Place(query())
 		must.True(t, ok)
-		must.NotNil(t, p.Began)
+		must.NotNil(t, p.RecordFirstEvent)
 		return p
 	}
 	for range 8 {
-		place().Began(2 * time.Second)
+		place().RecordFirstEvent(2 * time.Second)
 	}
 	p := place()
 	test.Nil(t, p.Attempt.Sources)
-	test.Eq(t, 11500, p.Reading)
+	test.Eq(t, 11500, p.PrefillTokens)
 	keep := w.Kept.Stores()[0]
 	for range 8 {
 		keep.Late.Observe(0, time.Now())
@@ -56,7 +56,7 @@
 		w.CommonDelay.Observe(700, time.Now())
 		p, ok := w.Place(query())
 		must.True(t, ok)
-		p.Began(800 * time.Millisecond)
+		p.RecordFirstEvent(800 * time.Millisecond)
 	}
 	test.Less(t, 250, w.Kept.Stores()[0].Late.MS(time.Now()), test.Sprint("700 of the 800 ms are common to all first events"))
 }
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -35,8 +35,8 @@
 
 // Service is the rollout service.
 type Service struct {
-	// Versions selects the weight versions of new requests. It is set by Start.
-	Versions *Versions
+	// VersionSelector selects the weight versions of new requests. It is set by Start.
+	VersionSelector *VersionSelector
 	// Counters count the actions of this node.
 	Counters *Counters
 
@@ -111,7 +111,7 @@
 		log:          s.core.log,
 		lastLogged:   make(map[string]Progress),
 	}
-	s.Versions = newVersions(sync, s.holders)
+	s.VersionSelector = newVersions(sync, s.holders)
 	peers.Handle(s.cluster.Server, methodReport, s.serveReport)
 	peers.Handle(s.cluster.Server, methodHolders, s.serveHolders)
 	return nil
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -58,9 +58,9 @@
 	return ok && !v.GetWithdrawn()
 }
 
-// Versions caches which engines hold which versions, for this node's requests. It is safe for
+// VersionSelector caches which engines hold which versions, for this node's requests. It is safe for
 // concurrent use.
-type Versions struct {
+type VersionSelector struct {
 	configSource ConfigSource
 	// fetch requests the holders from the model's board.
 	fetch func(ctx context.Context, model string) (*holdersResponse, error)
@@ -77,18 +77,18 @@
 	once        sync.Once
 }
 
-func newVersions(configSource ConfigSource, fetch func(context.Context, string) (*holdersResponse, error)) *Versions {
-	return &Versions{configSource: configSource, fetch: fetch, models: make(map[string]*cachedHolders)}
+func newVersions(configSource ConfigSource, fetch func(context.Context, string) (*holdersResponse, error)) *VersionSelector {
+	return &VersionSelector{configSource: configSource, fetch: fetch, models: make(map[string]*cachedHolders)}
 }
 
 // Serving selects the version of a new request; see ServingVersion. Only the first request of a model
 // may wait for an answer.
-func (v *Versions) Serving(ctx context.Context, view *config.View, model string, draw float64) (string, bool) {
+func (v *VersionSelector) Serving(ctx context.Context, view *config.View, model string, draw float64) (string, bool) {
 	return ServingVersion(view, model, v.holders(ctx, view, model), draw)
 }
 
 // Holding returns the engines known to hold a version, or nil if this node has no recent information.
-func (v *Versions) Holding(model, version string) []string {
+func (v *VersionSelector) Holding(model, version string) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	c := v.models[model]
@@ -106,7 +106,7 @@
 // Again selects another version after no engine accepted the request on the refused versions. It first
 // refreshes the holders. It prefers other versions that have holders, then the eligible version written
 // last that was not refused, and then any version that has holders. It returns false if there is none.
-func (v *Versions) Again(ctx context.Context, model string, refused []string, draw float64) (string, bool) {
+func (v *VersionSelector) Again(ctx context.Context, model string, refused []string, draw float64) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
 	v.refresh(ctx, model, v.entry(model))
@@ -138,7 +138,7 @@
 	return found, found != ""
 }
 
-func (v *Versions) entry(model string) *cachedHolders {
+func (v *VersionSelector) entry(model string) *cachedHolders {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	c := v.models[model]
@@ -149,7 +149,7 @@
 	return c
 }
 
-func (v *Versions) holders(ctx context.Context, view *config.View, model string) []Holders {
+func (v *VersionSelector) holders(ctx context.Context, view *config.View, model string) []Holders {
 	m, ok := view.Model(model)
 	if !ok {
 		return nil
@@ -193,7 +193,7 @@
 
 // refresh fetches the holders from the board. An answer from a board that is still incomplete does not
 // replace an earlier answer.
-func (v *Versions) refresh(ctx context.Context, model string, c *cachedHolders) {
+func (v *VersionSelector) refresh(ctx context.Context, model string, c *cachedHolders) {
 	answer, err := v.fetch(ctx, model)
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -67,11 +67,11 @@
 // Endpoint implements runs.Grant.
 func (g *grant) Endpoint() *pb.Endpoint { return g.endpoint }
 
-// Imported implements runs.Grant.
-func (g *grant) Imported() (tokens int, bytes int64) { return g.importedTokens, g.importedBytes }
+// ImportedContext implements runs.Grant.
+func (g *grant) ImportedContext() (tokens int, bytes int64) { return g.importedTokens, g.importedBytes }
 
-// Patience implements runs.Grant.
-func (g *grant) Patience() time.Duration { return g.patience }
+// FirstFrameTimeout implements runs.Grant.
+func (g *grant) FirstFrameTimeout() time.Duration { return g.patience }
 
 // acquire waits for the owner's grant. If the owner can't be reached, the run starts without a
 // grant.
@@ -159,7 +159,7 @@
 
 // FirstToken implements runs.Grant. It notifies the owner in the background; if this fails, the
 // owner uses its prediction.
-func (g *grant) FirstToken(observed runs.Observed) {
+func (g *grant) FirstToken(observed runs.RunReport) {
 	req := &owner.FirstTokenRequest{
 		Endpoint:     g.endpoint.GetName(),
 		Grant:        g.id,
@@ -170,7 +170,7 @@
 }
 
 // Done implements runs.Grant. It releases the grant in the background.
-func (g *grant) Done(observed runs.Observed) {
+func (g *grant) Done(observed runs.RunReport) {
 	g.r.mu.Lock()
 	delete(g.r.grants, g.id)
 	g.r.mu.Unlock()
@@ -179,7 +179,7 @@
 
 // release reports the result of the run to the owner and caches the engine's wait from the
 // response.
-func (g *grant) release(observed runs.Observed) {
+func (g *grant) release(observed runs.RunReport) {
 	req := &owner.ReleaseRequest{
 		Endpoint:     g.endpoint.GetName(),
 		Grant:        g.id,
@@ -206,7 +206,7 @@
 }
 
 // outcome returns how a run ended, from the owner's point of view.
-func outcome(observed runs.Observed) enginestate.Outcome {
+func outcome(observed runs.RunReport) enginestate.Outcome {
 	switch {
 	case observed.Complete:
 		return enginestate.Completed
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	r.holders = rollouts.Versions
+	r.holders = rollouts.VersionSelector
 	r.cluster.OnChange(r.notifyNewOwners)
 	return nil
 }
--- a/internal/runs/dispatcher.go
+++ b/internal/runs/dispatcher.go
@@ -28,9 +28,9 @@
 	Engines Engines
 	Placer  Placer
 	Budget  Budget
-	// Versions selects another version for a request that no engine accepted on its own; if nil,
+	// VersionSelector selects another version for a request that no engine accepted on its own; if nil,
 	// the version is never changed.
-	Versions Versions
+	VersionSelector VersionSelector
 	// Directory provides the engine of a run to resume.
 	Directory Directory
 }
@@ -154,10 +154,10 @@
 		id:      runid.New(d.Key, p.req.Account, runid.ID{Endpoint: name, Base: p.tokens}),
 		name:    name,
 	}
-	tokens, bytes := grant.Imported()
+	tokens, bytes := grant.ImportedContext()
 	p.summary.ImportedTokens += tokens
 	p.summary.ImportedBytes += bytes
-	err = r.run(ctx, grant.Patience())
+	err = r.run(ctx, grant.FirstFrameTimeout())
 	if err != nil && p.hasAllTokens() {
 		r.markComplete()
 		err = nil
@@ -194,7 +194,7 @@
 	checker    *framecheck.Checker
 	startedAt  time.Time
 	baseTokens int // tokens of the answer before this run
-	observed   Observed
+	observed   RunReport
 }
 
 func (r *engineRun) request(now time.Time) *enginewire.RunRequest {
--- a/internal/runs/dispatcher_test.go
+++ b/internal/runs/dispatcher_test.go
@@ -54,10 +54,10 @@
 
 func (f *scriptedEngine) Cancel(context.Context, string, string) error { return nil }
 func (f *scriptedEngine) Endpoint() *pb.Endpoint                       { return &pb.Endpoint{Name: "engine-1"} }
-func (f *scriptedEngine) Imported() (int, int64)                       { return 0, 0 }
-func (f *scriptedEngine) FirstToken(Observed)                          {}
-func (f *scriptedEngine) Patience() time.Duration                      { return time.Minute }
-func (f *scriptedEngine) Done(Observed)                                {}
+func (f *scriptedEngine) ImportedContext() (int, int64)                { return 0, 0 }
+func (f *scriptedEngine) FirstToken(RunReport)                         {}
+func (f *scriptedEngine) FirstFrameTimeout() time.Duration             { return time.Minute }
+func (f *scriptedEngine) Done(RunReport)                               {}
 func (f *scriptedEngine) Succeeded()                                   { f.succeeded++ }
 func (f *scriptedEngine) Retry() bool                                  { return true }
 
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -84,8 +84,8 @@
 	ImportedBytes  int64
 }
 
-// Observed is what was observed of one run, reported to the owner of the endpoint's grant.
-type Observed struct {
+// RunReport is what was observed of one run, reported to the owner of the endpoint's grant.
+type RunReport struct {
 	Started      bool
 	Complete     bool
 	Incarnation  string // of the engine
@@ -101,14 +101,14 @@
 // Grant is the right to start one run on an endpoint.
 type Grant interface {
 	Endpoint() *pb.Endpoint
-	// Imported returns the amount of cached context that was imported for the run.
-	Imported() (tokens int, bytes int64)
-	// Patience is the longest time to wait for the engine's first frame.
-	Patience() time.Duration
+	// ImportedContext returns the amount of cached context that was imported for the run.
+	ImportedContext() (tokens int, bytes int64)
+	// FirstFrameTimeout is the longest time to wait for the engine's first frame.
+	FirstFrameTimeout() time.Duration
 	// FirstToken reports that the engine has sent its first token.
-	FirstToken(Observed)
+	FirstToken(RunReport)
 	// Done releases the grant and reports what was observed.
-	Done(Observed)
+	Done(RunReport)
 }
 
 // Placer selects an engine for a request and waits for its grant. Endpoints in tried have failed
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -22,7 +22,7 @@
 type fixedPlacer struct {
 	urls     []string
 	patience time.Duration
-	observed []Observed
+	observed []RunReport
 }
 
 // fixedGrant is a grant of the engine at url.
@@ -38,11 +38,11 @@
 	return fixedGrant{l, l.urls[len(tried)]}, nil
 }
 
-func (g fixedGrant) Endpoint() *pb.Endpoint  { return &pb.Endpoint{Name: g.url, Url: g.url} }
-func (g fixedGrant) Imported() (int, int64)  { return 0, 0 }
-func (g fixedGrant) FirstToken(Observed)     {}
-func (g fixedGrant) Patience() time.Duration { return g.patience }
-func (g fixedGrant) Done(seen Observed) {
+func (g fixedGrant) Endpoint() *pb.Endpoint           { return &pb.Endpoint{Name: g.url, Url: g.url} }
+func (g fixedGrant) ImportedContext() (int, int64)    { return 0, 0 }
+func (g fixedGrant) FirstToken(RunReport)             {}
+func (g fixedGrant) FirstFrameTimeout() time.Duration { return g.patience }
+func (g fixedGrant) Done(seen RunReport) {
 	g.fixedPlacer.observed = append(g.fixedPlacer.observed, seen)
 }
 
--- a/internal/runs/version.go
+++ b/internal/runs/version.go
@@ -20,15 +20,15 @@
 	drawTokens = 256
 )
 
-// Versions selects the weight version of a request.
-type Versions interface {
+// VersionSelector selects the weight version of a request.
+type VersionSelector interface {
 	// Again selects another version after no engine accepted the request on those refused. draw is
 	// the request's Draw, in [0, 1). ok is false if there is none.
 	Again(ctx context.Context, model string, refused []string, draw float64) (version string, ok bool)
 }
 
-// Pin sets the weight version that serves the request, and the chain that depends on it.
-func (r *Request) Pin(version string) {
+// SetVersion sets the weight version that serves the request, and the chain that depends on it.
+func (r *Request) SetVersion(version string) {
 	r.Version = version
 	id := kvcache.Identity{Account: r.Account, Model: r.Model, Version: version, Adapter: r.Adapter}
 	if r.PromptIDs != nil {
@@ -38,9 +38,9 @@
 	r.Chain = id.TextChain(r.Prompt)
 }
 
-// Draw returns a number in [0, 1) that is the same for all requests of an account whose prompts
+// VersionDraw returns a number in [0, 1) that is the same for all requests of an account whose prompts
 // begin with the same prefix.
-func (r *Request) Draw() float64 {
+func (r *Request) VersionDraw() float64 {
 	h := sha256.New()
 	h.Write([]byte(r.Account + "\x00" + r.Prompt[:min(len(r.Prompt), drawBytes)]))
 	ids, _ := json.Marshal(r.PromptIDs[:min(len(r.PromptIDs), drawTokens)]) // numbers always encode
@@ -56,15 +56,15 @@
 	if !notAccepted || e.RunState != result.NotRun || p.mayHaveRun || ctx.Err() != nil {
 		return false
 	}
-	if d.Versions == nil || len(p.refusedVersions) == maxVersionSwitches {
+	if d.VersionSelector == nil || len(p.refusedVersions) == maxVersionSwitches {
 		return false
 	}
 	p.refusedVersions = append(p.refusedVersions, p.req.Version)
-	version, ok := d.Versions.Again(ctx, p.req.Model, p.refusedVersions, p.req.Draw())
+	version, ok := d.VersionSelector.Again(ctx, p.req.Model, p.refusedVersions, p.req.VersionDraw())
 	if !ok {
 		return false
 	}
-	p.req.Pin(version)
+	p.req.SetVersion(version)
 	p.tried = nil
 	return true
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -50,9 +50,9 @@
 // Dials returns the number of connections opened so far.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// Kept reports whether an idle connection that may be reused at time now is kept. The endpoint may
+// HasIdle reports whether an idle connection that may be reused at time now is kept. The endpoint may
 // have closed it since.
-func (p *Pool) Kept(now time.Time) bool {
+func (p *Pool) HasIdle(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
@@ -106,10 +106,10 @@
 	return c, nil
 }
 
-// Refuses reports whether the endpoint's address refuses connections, as after the endpoint has
+// RefusesConnections reports whether the endpoint's address refuses connections, as after the endpoint has
 // ended. It dials a connection, which is kept if dialing succeeds. An endpoint that does not answer
 // may still be running, so a timeout counts as false.
-func (p *Pool) Refuses(ctx context.Context) bool {
+func (p *Pool) RefusesConnections(ctx context.Context) bool {
 	c, err := p.dial(ctx)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
