--- a/internal/ctl/endpoints_test.go
+++ b/internal/ctl/endpoints_test.go
@@ -25,7 +25,7 @@
 		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Domain: "north", Draining: id == "drains"}, now)
 	}
 	f.Member("cold").MarkCold(now.Add(time.Minute))
-	f.Drain(f.Member("answers"), now.Add(-2*time.Second))
+	f.MarkDraining(f.Member("answers"), now.Add(-2*time.Second))
 	f.Member("limited").Signals.SetLimit(2.8, now.Add(-time.Second))
 	f.Member("backs-off").Signals.RecordBackoff(3*time.Second, now.Add(-time.Second))
 	f.Member("told").Signals.RecordRelayedLimit(fleet.RateLimit{PerSecond: 1, InForce: true, At: now})
--- a/internal/fleet/backoff.go
+++ b/internal/fleet/backoff.go
@@ -13,9 +13,9 @@
 	At    time.Time // when the endpoint last requested a backoff
 }
 
-// RecordBackoff records that the endpoint refused a request at the given time and requested a backoff of d.
-// If backoffs overlap, the one that ends last applies. It reports whether no backoff was in effect
-// before.
+// RecordBackoff records that the endpoint refused a request at the given time and requested a
+// backoff of d. If backoffs overlap, the one that ends last applies. It reports whether no backoff
+// was in effect before.
 func (s *Signals) RecordBackoff(d time.Duration, at time.Time) (started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -29,10 +29,10 @@
 	}
 }
 
-// MarkEnded records that the endpoint ended: nothing listens at its address any more, or another endpoint
-// answers there. It gets no requests until its entry has expired. A process that answers under its id
-// before that is a new start; an entry seen after that was written by a new start and states its cold
-// period itself.
+// MarkEnded records that the endpoint ended: nothing listens at its address any more, or another
+// endpoint answers there. It gets no requests until its entry has expired. A process that answers
+// under its id before that is a new start; an entry seen after that was written by a new start and
+// states its cold period itself.
 func (m *Member) MarkEnded(now time.Time) {
 	m.down.Store(true)
 	m.MarkCold(now.Add(coldAfterEnd))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,8 +29,8 @@
 	Slots    int
 	Draining bool
 	ColdLeft time.Duration // remaining cold period, in which it accepts few requests and may be slow
-	// StartedMs is the start time in Unix milliseconds, 0 if not reported. A restart under the same ID has a
-	// later one and shares no state with the previous start.
+	// StartedMs is the start time in Unix milliseconds, 0 if not reported. A restart under the same
+	// ID has a later one and shares no state with the previous start.
 	StartedMs int64
 	Weights   []Weights
 }
@@ -66,8 +66,8 @@
 	members map[string]*Member
 	byAddr  map[string]*Member // the latest member at each address
 	latest  map[string]start   // latest start by endpoint id, also of removed endpoints
-	// openBatches is the number of Together calls in progress. stale is true if the view lacks changes
-	// made in them.
+	// openBatches is the number of UpdateBatch calls in progress. stale is true if the view lacks
+	// changes made in them.
 	openBatches int
 	stale       bool
 	rebuilds    int // number of views built so far
@@ -187,10 +187,10 @@
 	f.log.Info().Str("event", "endpoint_succeeded").Str("endpoint", before.ID).Str("by", e.ID).Str("addr", e.Addr).Send()
 }
 
-// Drain records that an endpoint reported in an answer to this node that it drains. It counts as
-// draining until it restarts, whatever its entry states, also after a registry outage. Drain reports
-// whether this start had not reported it before.
-func (f *Fleet) Drain(m *Member, now time.Time) (first bool) {
+// MarkDraining records that an endpoint reported in an answer to this node that it drains. It counts as
+// draining until it restarts, whatever its entry states, also after a registry outage. MarkDraining
+// reports whether this start had not reported it before.
+func (f *Fleet) MarkDraining(m *Member, now time.Time) (first bool) {
 	if !m.Signals.MarkDraining(now) {
 		return false
 	}
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -42,9 +42,9 @@
 	h.consecutiveFailures = 0
 }
 
-// RecordFailure records a failed attempt. broken is true if the endpoint could not be reached or broke the
-// connection, which ejects it for a while; other failures eject it once the failure rate exceeds
-// ejectRate. It reports whether the endpoint became ejected by this call.
+// RecordFailure records a failed attempt. broken is true if the endpoint could not be reached or
+// broke the connection, which ejects it for a while; other failures eject it once the failure rate
+// exceeds ejectRate. It reports whether the endpoint became ejected by this call.
 func (h *Health) RecordFailure(now time.Time, broken bool) (ejected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,8 +62,8 @@
 	return usable
 }
 
-// RecordEnd records that the endpoint ended and ejects it until its entry is gone. Waiting for a refused
-// connection instead would use up one of the few send attempts of each request.
+// RecordEnd records that the endpoint ended and ejects it until its entry is gone. Waiting for a
+// refused connection instead would use up one of the few send attempts of each request.
 func (h *Health) RecordEnd(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -12,19 +12,19 @@
 
 // Begin counts a new request with the given number of prompt tokens to process and of tokens to hold in
 // memory while it runs.
-func (l *Load) Begin(reading, holding int) {
+func (l *Load) Begin(promptTokens, heldTokens int) {
 	l.running.Add(1)
-	l.pendingPromptTokens.Add(int64(reading))
-	l.heldTokens.Add(int64(holding))
+	l.pendingPromptTokens.Add(int64(promptTokens))
+	l.heldTokens.Add(int64(heldTokens))
 }
 
 // FirstEvent records that the request's prompt tokens have been processed.
 func (l *Load) FirstEvent(tokens int) { l.pendingPromptTokens.Add(-int64(tokens)) }
 
 // End records that a request which held the given number of tokens has finished.
-func (l *Load) End(holding int) {
+func (l *Load) End(heldTokens int) {
 	l.running.Add(-1)
-	l.heldTokens.Add(-int64(holding))
+	l.heldTokens.Add(-int64(heldTokens))
 }
 
 // Running returns the number of requests in flight.
--- a/internal/fleet/ratelimit.go
+++ b/internal/fleet/ratelimit.go
@@ -50,8 +50,8 @@
 	return before.InForce
 }
 
-// RecordRelayedLimit records a limit, or the end of one, relayed by another node. It is ignored unless it is
-// newer than the last report. It reports whether the limit in force changed.
+// RecordRelayedLimit records a limit, or the end of one, relayed by another node. It is ignored
+// unless it is newer than the last report. It reports whether the limit in force changed.
 func (s *Signals) RecordRelayedLimit(l RateLimit) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -25,8 +25,8 @@
 	Cold          bool   `json:"cold,omitempty"`
 }
 
-// LimitStatus is a rate limit with its age. Own is true if the endpoint reported it to this node, and
-// false if another node relayed it.
+// LimitStatus is a rate limit with its age. Direct is true if the endpoint reported it to this
+// node, and false if another node relayed it.
 type LimitStatus struct {
 	PerSecond float64 `json:"per_s"`
 	Direct    bool    `json:"own"`
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -36,9 +36,9 @@
 // Empty reports whether there is no endpoint that accepts requests.
 func (f *Fleet) Empty() bool { return len(f.view.Load().byService) == 0 }
 
-// UpdateBatch runs change and rebuilds the view once afterwards, instead of after each modification of the
-// fleet made by change. Rebuilding after each of the thousands of entries that a node reads at startup
-// takes seconds on a small host.
+// UpdateBatch runs change and rebuilds the view once afterwards, instead of after each modification of
+// the fleet made by change. Rebuilding after each of the thousands of entries that a node reads at
+// startup takes seconds on a small host.
 func (f *Fleet) UpdateBatch(change func()) {
 	f.mu.Lock()
 	f.openBatches++
@@ -60,7 +60,7 @@
 	return f.rebuilds
 }
 
-// rebuild builds a new view, sorted by endpoint id. Within Together it is deferred to the end of the
+// rebuild builds a new view, sorted by endpoint id. Within UpdateBatch it is deferred to the end of the
 // call.
 func (f *Fleet) rebuild() {
 	if f.stale = f.openBatches > 0; f.stale {
--- a/internal/fleet/weights.go
+++ b/internal/fleet/weights.go
@@ -17,7 +17,8 @@
 	refreshAfter = 500 * time.Millisecond
 )
 
-// WeightsReport is a weights version reported by the endpoint itself, in an answer or in a status report.
+// WeightsReport is a weights version reported by the endpoint itself, in an answer or in a status
+// report.
 type WeightsReport struct {
 	Weights
 	StartedMs int64     // start time of the reporting endpoint; 0 if unknown
@@ -44,8 +45,8 @@
 	return m.Endpoint().VersionOf(model)
 }
 
-// UnlistedWeights returns the weights that the endpoint reported to this node and that its registry entry does not
-// contain yet. It returns false if there are none.
+// UnlistedWeights returns the weights that the endpoint reported to this node and that its registry
+// entry does not contain yet. It returns false if there are none.
 func (m *Member) UnlistedWeights() (WeightsReport, bool) {
 	est := m.estimate.Load()
 	if est == nil || !est.direct || est.Version == m.Endpoint().VersionOf(est.Model) {
@@ -54,10 +55,10 @@
 	return WeightsReport{Weights: est.Weights, StartedMs: m.StartedMs, At: est.at}, true
 }
 
-// RecordWeights records the weights that the endpoint reported to this node. The newest report applies even if it
-// names an older version, since a delayed order, or one undone by a crash, can bring older weights
-// back. Reports by another start of the endpoint are discarded, and so are answers to requests that
-// were sent before the entry announced newer weights.
+// RecordWeights records the weights that the endpoint reported to this node. The newest report
+// applies even if it names an older version, since a delayed order, or one undone by a crash, can
+// bring older weights back. Reports by another start of the endpoint are discarded, and so are
+// answers to requests that were sent before the entry announced newer weights.
 func (m *Member) RecordWeights(s WeightsReport) { m.recordReport(s, true) }
 
 // RecordRelayedWeights records weights that the endpoint reported to another node.
@@ -88,9 +89,10 @@
 	return s.At.Before(est.at) || same && s.At.Sub(est.at) < refreshAfter
 }
 
-// RecordVersionRefusal records that the endpoint refused a request because it does not have the expected version.
-// The estimate becomes the version in its entry or, if that is the refused one, the next version. If
-// the refused version was itself a guess, the version is unknown until the endpoint reports it.
+// RecordVersionRefusal records that the endpoint refused a request because it does not have the
+// expected version. The estimate becomes the version in its entry or, if that is the refused one,
+// the next version. If the refused version was itself a guess, the version is unknown until the
+// endpoint reports it.
 func (m *Member) RecordVersionRefusal(model string, version int64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleetmodel/world.go
+++ b/internal/fleetmodel/world.go
@@ -41,7 +41,7 @@
 	// Told is the memory that the configuration states for each engine; 0 where it states
 	// none, so that nothing is refused for want of room.
 	Told int
-	// Tuning and WaitShare replace what nodes decide by: the shares of the placer, and the part
+	// Tuning and MaxWaitShare replace what nodes decide by: the shares of the placer, and the part
 	// of its objective for which a prompt waits for room. Nil keeps them.
 	Tuning       *placer.Tuning
 	MaxWaitShare *float64
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,7 +1,7 @@
 // Package follow maintains a local copy of a compacted topic: it reads the newest record of each
 // key once, then the changes, and determines how current the copy is.
 //
-// Guarantees: records reach the sink in the order of their offsets, each at least once. ProvenAt
+// Guarantees: records reach the sink in the order of their offsets, each at least once. ConfirmedAt
 // is a time at which the copy was certainly current. It is taken before a read is sent, never when
 // the response arrives, so that a delayed response or a frozen process can't make the copy seem
 // fresher than it is. A record that can't be decoded is skipped and doesn't stop the copy.
@@ -68,7 +68,7 @@
 	ConfirmedAt time.Time
 	// Next is the offset after the newest record in the copy.
 	Next int64
-	// Gap is the time from the previous ProvenAt, or from the start, to ProvenAt. The topic may
+	// Gap is the time from the previous ConfirmedAt, or from the start, to ConfirmedAt. The topic may
 	// have been unreachable during it.
 	Gap time.Duration
 	// Failed is true if a read failed since the previous batch. If it is false, a long Gap is a
@@ -179,7 +179,7 @@
 	}
 }
 
-// recordSuccess ends the backoff and any outage, and keeps the batch's ProvenAt from decreasing.
+// recordSuccess ends the backoff and any outage, and keeps the batch's ConfirmedAt from decreasing.
 func (f *Follower) recordSuccess(b *Batch) {
 	f.backoff = 0
 	if f.failing {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -107,9 +107,9 @@
 	})
 }
 
-// TestProvenAtPrecedesRead checks that a slow response doesn't make the copy seem fresher than
+// TestConfirmedAtPrecedesRead checks that a slow response doesn't make the copy seem fresher than
 // it is.
-func TestProvenAtPrecedesRead(t *testing.T) {
+func TestConfirmedAtPrecedesRead(t *testing.T) {
 	runFollower(t, &scriptedTopic{delay: 3 * time.Second}, func(s *recordingSink) {
 		started := time.Now()
 		time.Sleep(10 * time.Second)
--- a/internal/follow/suspended_test.go
+++ b/internal/follow/suspended_test.go
@@ -31,7 +31,7 @@
 	return follow.Page{Next: from}, nil
 }
 
-// ageSink is a sink that records the age of each batch's ProvenAt on arrival.
+// ageSink is a sink that records the age of each batch's ConfirmedAt on arrival.
 type ageSink struct {
 	host *clocktest.Host
 	list []time.Duration
--- a/internal/forward/endpoint_signals.go
+++ b/internal/forward/endpoint_signals.go
@@ -19,7 +19,7 @@
 		x.Log.Warn().Str("event", "answer_unreadable").Str("endpoint", m.ID).Str("id", x.attrs.ID).Str("headers", headers).Send()
 	}
 	x.recordLimit(status, info, m, sent)
-	if info.Draining && x.Fleet.Drain(m, x.Clock.Now()) {
+	if info.Draining && x.Fleet.MarkDraining(m, x.Clock.Now()) {
 		x.Log.Info().Str("event", "endpoint_draining").Str("endpoint", m.ID).Str("id", x.attrs.ID).Send()
 	}
 	if isRefusal(status) && info.RetryAfter > 0 && m.Signals.RecordBackoff(info.RetryAfter, x.Clock.Now()) {
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -57,7 +57,7 @@
 	return c.Index()
 }
 
-// fixedState is a forward.State with a fixed configuration and age.
+// fixedState is a forward.ConfigSource with a fixed configuration and age.
 type fixedState struct {
 	config *routing.Config
 	age    time.Duration
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -42,7 +42,7 @@
 	return p.RetryDelayWithin(time.Duration(MaxWaitShare * float64(objective)))
 }
 
-// RetryDelayWithin is like Pause with a maximum total wait of maxWait.
+// RetryDelayWithin is like RetryDelay with a maximum total wait of maxWait.
 func (p *Placement) RetryDelayWithin(maxWait time.Duration) time.Duration {
 	left := maxWait - p.Waited
 	if p.PredictedWait <= 0 || p.PredictedWait > left {
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -46,7 +46,7 @@
 		Stringer("fingerprint", f).Bool("ended", ended).AnErr("cause", x.cause).Send()
 	if ended {
 		p.Member.MarkEnded(x.Clock.Now())
-		x.Quarantine.Note(quarantine.Ending{Fingerprint: f, Endpoint: p.Member.StartID()})
+		x.Quarantine.RecordEnd(quarantine.Ending{Fingerprint: f, Endpoint: p.Member.StartID()})
 	}
 }
 
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -143,9 +143,9 @@
 	// BeginBy is the time by which the endpoint must have begun, because its weights are being
 	// replaced: an attempt without a first event by then is withdrawn. Zero means no limit.
 	BeginBy time.Time
-	// PredictedWait, PredictedFirstEvent and Held are the node's estimates behind the decision: the predicted time until
-	// the endpoint has capacity and memory, the predicted time until the first event, and the
-	// tokens occupied by requests running there.
+	// PredictedWait, PredictedFirstEvent and OccupiedTokens are the node's estimates behind the
+	// decision: the predicted time until the endpoint has capacity and memory, the predicted time
+	// until the first event, and the tokens occupied by requests running there.
 	PredictedWait, PredictedFirstEvent time.Duration
 	OccupiedTokens                     int
 	// Waited is the time between the request's arrival and its placement.
@@ -153,14 +153,14 @@
 	// OnRefusal is called once if the request is refused because no endpoint accepts it. It returns
 	// the time after which the caller may retry, or 0 if that can't be predicted.
 	OnRefusal func() time.Duration
-	// RetryAfter is what Refuse returned.
+	// RetryAfter is what OnRefusal returned.
 	RetryAfter time.Duration
 	// Reason is a short name of the reason for the decision.
 	Reason string
 	// RecordFirstEvent, if not nil, is called with the time from the send to the first event.
 	RecordFirstEvent func(after time.Duration)
-	// RecordFailure, if not nil, is called if the attempt ended before its first event without an answer
-	// from the endpoint: the KV cache that it was to store will probably not be stored.
+	// RecordFailure, if not nil, is called if the attempt ended before its first event without an
+	// answer from the endpoint: the KV cache that it was to store will probably not be stored.
 	RecordFailure func()
 	// RecordRun, if not nil, is called with the time that the endpoint took for the complete answer.
 	RecordRun func(took time.Duration)
@@ -172,9 +172,9 @@
 	Empty() bool
 	// HeldUntil returns the time until which a request must not be sent, or zero if it may be sent.
 	HeldUntil(f quarantine.Fingerprint) time.Time
-	// Note records that an endpoint ended while running a request, and reports whether the request
+	// RecordEnd records that an endpoint ended while running a request, and reports whether the request
 	// is quarantined from now on.
-	Note(e quarantine.Ending) (held bool)
+	RecordEnd(e quarantine.Ending) (held bool)
 	// Clear records that an endpoint completed a request, and reports whether the request was
 	// recorded before.
 	Clear(f quarantine.Fingerprint) (known bool)
@@ -182,14 +182,14 @@
 
 // Fleet holds the endpoints.
 type Fleet interface {
-	// Drain records that an endpoint reported that it is draining, and reports whether that is new.
-	// The endpoint receives no further requests.
-	Drain(m *fleet.Member, now time.Time) (news bool)
+	// MarkDraining records that an endpoint reported that it is draining, and reports whether that
+	// is new. The endpoint receives no further requests.
+	MarkDraining(m *fleet.Member, now time.Time) (news bool)
 }
 
 // Placer selects endpoints.
 type Placer interface {
 	// Place returns a placement, or false if no endpoint accepts the request now. In that case only
-	// Reason, Wait and Refuse are set, as far as they are known.
+	// Reason, PredictedWait and OnRefusal are set, as far as they are known.
 	Place(q *Query) (Placement, bool)
 }
--- a/internal/gateway/cachetracker.go
+++ b/internal/gateway/cachetracker.go
@@ -48,9 +48,9 @@
 
 // cacheTracker tracks which KV-cache parts engines and stores hold, and frees outdated parts.
 type cacheTracker struct {
-	node   *Node
-	index  *kvindex.Index
-	floors versionFloors
+	node       *Node
+	index      *kvindex.Index
+	watermarks versionWatermarks
 }
 
 var _ kvindex.SaltFilter = (*cacheTracker)(nil)
@@ -121,9 +121,9 @@
 	return stores
 }
 
-// pace returns how long a read of a holder's events waits, and the time between the start of two
+// intervals returns how long a read of a holder's events waits, and the time between the start of two
 // reads. In a large system only a few nodes poll the holder.
-func (c *cacheTracker) pace(h *kvindex.Holder) (wait, pause time.Duration) {
+func (c *cacheTracker) intervals(h *kvindex.Holder) (wait, pause time.Duration) {
 	return intervals.EventIntervals(c.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
 }
 
--- a/internal/gateway/cachetracker_test.go
+++ b/internal/gateway/cachetracker_test.go
@@ -69,7 +69,7 @@
 }
 
 // TestUnreferencedPartsFreedEarly checks that parts of replaced weights are freed once no engine
-// has the weights and all nodes have committed to no longer reference them, long before freeDelay.
+// has the weights and all nodes' watermarks are above them, long before freeDelay.
 func TestUnreferencedPartsFreedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		freer, reader := newView("freer"), newView("reader")
@@ -84,7 +84,7 @@
 		time.Sleep(3 * time.Second)
 		test.True(t, reader.mayReference(model, 1), test.Sprint("an engine still has it"))
 		freer.setEngineVersion(2)
-		freer.referencedFloors()
+		freer.referencedWatermarks()
 		time.Sleep(unreferencedDelay + freeSlots*freeSlotInterval)
 		test.False(t, freer.Outdated(salt(1)), test.Sprint("the other node may reference it"))
 		reader.setEngineVersion(2)
@@ -97,14 +97,14 @@
 		test.True(t, freer.Outdated(salt(1)))
 		test.False(t, freer.Outdated(salt(2)))
 		freer.setNodes(t, "freer", "reader", "silent")
-		test.False(t, freer.Outdated(salt(1)), test.Sprint("a node without a commitment counts"))
+		test.False(t, freer.Outdated(salt(1)), test.Sprint("a node without a watermark counts"))
 	})
 }
 
-// TestPartsNotFreedBeforeCommitment simulates engines that load at random times, and a reader whose
+// TestPartsNotFreedBeforeWatermark simulates engines that load at random times, and a reader whose
 // messages arrive at random times. No part may be freed within the longest fetch after it was
 // referenced.
-func TestPartsNotFreedBeforeCommitment(t *testing.T) {
+func TestPartsNotFreedBeforeWatermark(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
@@ -131,7 +131,7 @@
 						freer.setEngineVersion(int64(v + 1))
 					}
 				}
-				freer.referencedFloors()
+				freer.referencedWatermarks()
 				for version := int64(1); version <= 3; version++ {
 					if reader.mayReference(model, version) {
 						referenced[version] = time.Now()
@@ -151,10 +151,10 @@
 	}
 }
 
-// TestPartsNotFreedBeforeCommitmentLargeSystem is the same with nodes whose commitments reach the
-// freeing node through the reporter of their failure domain, with messages at random times. Parts
+// TestPartsNotFreedBeforeWatermarkLargeSystem is the same with nodes whose watermarks reach the
+// freeing node through the representative of their failure domain, with messages at random times. Parts
 // must be freed within some seconds after the last engine has loaded.
-func TestPartsNotFreedBeforeCommitmentLargeSystem(t *testing.T) {
+func TestPartsNotFreedBeforeWatermarkLargeSystem(t *testing.T) {
 	const seenLate = 80 // maximum steps until a node knows that the last engine has loaded
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
@@ -184,7 +184,7 @@
 						v.setEngineVersion(2)
 					}
 				}
-				freer.referencedFloors()
+				freer.referencedWatermarks()
 				for _, v := range all {
 					if v.mayReference(model, 1) {
 						referenced = time.Now()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -80,11 +80,11 @@
 // New opens the node's listeners and creates its services. load reads the boot file again, to
 // detect changes.
 func New(boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
-	return NewOn(clock.System(), boot, load, log)
+	return NewWithClock(clock.System(), boot, load, log)
 }
 
-// NewOn is New for a host with the given clock, which must count time spent in suspension.
-func NewOn(host *clock.Clock, boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
+// NewWithClock is New for a host with the given clock, which must count time spent in suspension.
+func NewWithClock(host *clock.Clock, boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
 	limitMemory(boot.MemoryBytes)
 	n := &Node{
 		kernel: kernel.New(boot.Bounds.Grace - stopMargin),
@@ -117,7 +117,7 @@
 	boot := n.boot.Load()
 	engines := platform.NewEngines()
 	n.cacheTracker = &cacheTracker{node: n}
-	n.cacheTracker.index = kvindex.NewIndex(engines, n.cacheTracker.pace, n.log)
+	n.cacheTracker.index = kvindex.NewIndex(engines, n.cacheTracker.intervals, n.log)
 	n.cacheTracker.index.ReceivesRelays = n.relayed
 	n.cacheTracker.index.Clock = n.clock
 	n.conn, err = datagram.Listen(peerAddr(boot), n.log)
@@ -135,7 +135,7 @@
 		Member:     n.fleet.Member,
 		Late:       n.cacheTracker.lateStores,
 		Orders:     n.orderStatus,
-		References: n.cacheTracker.referencedFloors,
+		References: n.cacheTracker.referencedWatermarks,
 		Neighbours: n.domainPeers,
 		Role:       func() peerload.Role { return n.roster.role() },
 		LinkBytes:  boot.LinkBytes,
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -25,7 +25,7 @@
 	defer n.conn.Close()
 	defer n.callers.listener.Close()
 	defer n.readyServer.listener.Close()
-	_, pause := n.cacheTracker.pace(kvindex.NewHolder("e", "127.0.0.1:9", "north"))
+	_, pause := n.cacheTracker.intervals(kvindex.NewHolder("e", "127.0.0.1:9", "north"))
 	test.Eq(t, 250*time.Millisecond, pause)
 	test.Eq(t, 400*time.Millisecond, n.registryPause())
 	test.Eq(t, 900*time.Millisecond, n.configWait())
--- a/internal/gateway/lease.go
+++ b/internal/gateway/lease.go
@@ -8,9 +8,9 @@
 
 const (
 	// leaseDuration is how long a node considers itself counted by the others after its entry was
-	// last known to be in the topic. It covers the maximum age of that proof in normal operation,
-	// 20 s (a read that waits 10 s proves the state at the time it was sent, and the next read
-	// takes as long), plus a store outage of 40 s.
+	// last known to be in the topic. It covers the maximum age of that confirmation in normal
+	// operation, 20 s (a read that waits 10 s confirms the state at the time it was sent, and the
+	// next read takes as long), plus a store outage of 40 s.
 	leaseDuration = 60 * time.Second
 	// timerSlack is added to the time that other nodes wait beyond the lease, since timers fire
 	// late.
@@ -35,39 +35,39 @@
 // marked, and only if it was not written since. A removed node has no valid lease until the others
 // have read its new entry, or have no valid lease themselves.
 type lease struct {
-	grace      time.Duration
-	proven     time.Time // last time the entry was known to be present; initially the node's start
-	everListed bool      // the entry has been present
-	removed    bool      // the entry was present and has disappeared
-	validFrom  time.Time // the lease is invalid before this time
+	grace         time.Duration
+	lastConfirmed time.Time // last time the entry was known to be present; initially the node's start
+	everListed    bool      // the entry has been present
+	removed       bool      // the entry was present and has disappeared
+	validFrom     time.Time // the lease is invalid before this time
 }
 
 // entryObservation is the state of a node's own entry according to a read of the topic.
 type entryObservation struct {
-	listed, gone bool
-	updated      bool // the read returned a record of the entry
-	provenAt, at time.Time
+	listed, gone    bool
+	updated         bool // the read returned a record of the entry
+	confirmedAt, at time.Time
 }
 
 // observe updates the lease from a read of the topic. If an entry was removed and written again
-// between two reads, the only evidence is a record that arrives after the proof has expired.
+// between two reads, the only evidence is a record that arrives after the confirmation has expired.
 func (l *lease) observe(o entryObservation) {
 	switch {
 	case !o.listed:
 		l.removed = l.everListed
 	case !o.gone:
-		lapsed := l.everListed && o.updated && o.provenAt.Sub(l.proven) >= leaseDuration
+		lapsed := l.everListed && o.updated && o.confirmedAt.Sub(l.lastConfirmed) >= leaseDuration
 		if l.removed || lapsed {
 			l.validFrom = o.at.Add(l.grace)
 		}
 		l.everListed, l.removed = true, false
-		if o.provenAt.After(l.proven) {
-			l.proven = o.provenAt
+		if o.confirmedAt.After(l.lastConfirmed) {
+			l.lastConfirmed = o.confirmedAt
 		}
 	}
 }
 
 // valid reports whether the other nodes are certain to count this node.
 func (l *lease) valid(now time.Time) bool {
-	return !l.removed && !now.Before(l.validFrom) && now.Sub(l.proven) < leaseDuration
+	return !l.removed && !now.Before(l.validFrom) && now.Sub(l.lastConfirmed) < leaseDuration
 }
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -157,7 +157,7 @@
 			early += simulateRemovedNode(t, random, s, freer, reader)
 		})
 	}
-	test.Positive(t, early, test.Sprint("times that parts were freed early without the removed node's commitment"))
+	test.Positive(t, early, test.Sprint("times that parts were freed early without the removed node's watermark"))
 }
 
 // simulateRemovedNode simulates some minutes and returns how often a part was freed before
@@ -193,7 +193,7 @@
 			reader.setEngineVersion(newest)
 		}
 		freer.setEngineVersion(newest)
-		freer.referencedFloors()
+		freer.referencedWatermarks()
 		freer.receiveFrom(viewReferencing("n1", newest), int64(i+1))
 		for v := int64(1); v <= newest; v++ {
 			if reader.mayReference(model, v) {
@@ -212,9 +212,9 @@
 	return early
 }
 
-// viewReferencing returns a view that has committed to reference nothing older than a version.
+// viewReferencing returns a view whose watermark is at a version.
 func viewReferencing(name string, version int64) view {
 	v := newView(name)
-	v.floors.raise(model, version, time.Now())
+	v.watermarks.raise(model, version, time.Now())
 	return v
 }
--- a/internal/gateway/references.go
+++ b/internal/gateway/references.go
@@ -15,47 +15,47 @@
 	"github.com/cherryward/cherryward/internal/placer"
 )
 
-// unreferencedDelay is the time from the last node's statement that it no longer references a
+// unreferencedDelay is the time from the last node's report that it no longer references a
 // version until its parts may be freed: the longest fetch that may have started before, plus a
 // margin for clock differences.
 const unreferencedDelay = placer.FetchLimit + 300*time.Millisecond
 
-// versionFloors records the oldest version of each model whose parts this node references at
-// stores. A floor rises once no engine has an older version, and never falls. The zero value is
+// versionWatermarks records the oldest version of each model whose parts this node references at
+// stores. A watermark rises once no engine has an older version, and never falls. The zero value is
 // ready for use, and it is safe for concurrent use.
-type versionFloors struct {
+type versionWatermarks struct {
 	mu       sync.Mutex
-	versions map[string]versionFloor
+	versions map[string]versionWatermark
 }
 
-// versionFloor is the oldest referenced version, and the time since which nothing older is
+// versionWatermark is the oldest referenced version, and the time since which nothing older is
 // referenced.
-type versionFloor struct {
+type versionWatermark struct {
 	version int64
 	since   time.Time
 }
 
-// raise sets the floor of a model to version if that is higher than the present one.
-func (f *versionFloors) raise(model string, version int64, now time.Time) {
+// raise sets the watermark of a model to version if that is higher than the present one.
+func (f *versionWatermarks) raise(model string, version int64, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.versions == nil {
-		f.versions = make(map[string]versionFloor)
+		f.versions = make(map[string]versionWatermark)
 	}
 	if version > f.versions[model].version {
-		f.versions[model] = versionFloor{version: version, since: now}
+		f.versions[model] = versionWatermark{version: version, since: now}
 	}
 }
 
-// get returns the floor of a model; the zero value if none was set.
-func (f *versionFloors) get(model string) versionFloor {
+// get returns the watermark of a model; the zero value if none was set.
+func (f *versionWatermarks) get(model string) versionWatermark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.versions[model]
 }
 
-// list returns the floors of all models, sorted by model.
-func (f *versionFloors) list() []peerload.OldestReferenced {
+// list returns the watermarks of all models, sorted by model.
+func (f *versionWatermarks) list() []peerload.OldestReferenced {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := make([]peerload.OldestReferenced, 0, len(f.versions))
@@ -66,16 +66,16 @@
 	return list
 }
 
-// referencedFloors returns the oldest version of each model whose parts this node references, after
-// raising it to what the engines have loaded. The result is a commitment: other nodes may free
-// older parts.
-func (c *cacheTracker) referencedFloors() []peerload.OldestReferenced {
+// referencedWatermarks returns the oldest version of each model whose parts this node references, after
+// raising it to what the engines have loaded. Other nodes may free older parts, since a watermark
+// never falls.
+func (c *cacheTracker) referencedWatermarks() []peerload.OldestReferenced {
 	now := c.node.clock.Now()
 	for model, version := range c.minEngineVersions() {
 		wanted, _ := c.node.state.Wanted(model)
-		c.floors.raise(model, min(version, wanted), now)
+		c.watermarks.raise(model, min(version, wanted), now)
 	}
-	return c.floors.list()
+	return c.watermarks.list()
 }
 
 // minEngineVersions returns the oldest version of each model that any engine has.
@@ -100,14 +100,14 @@
 
 // mayReference reports whether this node may reference parts of a version at stores.
 //
-// A part is freed freeDelay after its version was replaced, or once all nodes have committed to no
-// longer reference it. A node that saw the replacement promptly stops referencing the old version
-// in time by its own clock. A node that saw it late, because it was disconnected or frozen,
+// A part is freed freeDelay after its version was replaced, or once the watermarks of all nodes
+// are above it. A node that saw the replacement promptly stops referencing the old version in time
+// by its own clock. A node that saw it late, because it was disconnected or frozen,
 // references the wanted version only, and if it remains disconnected, it stops doing so before
 // other nodes may free those parts. A node that the others may not count references nothing, since
-// they do not wait for its commitment.
+// they do not wait for its watermark.
 func (c *cacheTracker) mayReference(model string, version int64) bool {
-	if version < c.floors.get(model).version || !c.node.roster.HoldsLease() {
+	if version < c.watermarks.get(model).version || !c.node.roster.HoldsLease() {
 		return false
 	}
 	if by, replaced := c.node.state.replaced(model, version); replaced {
@@ -117,7 +117,7 @@
 	return age < maxReferenceConfigAge
 }
 
-// Outdated implements kvindex.Outdated.
+// Outdated implements kvindex.SaltFilter.
 func (c *cacheTracker) Outdated(text string) bool {
 	salt, ok := kvindex.ParseSalt(text)
 	if !ok {
@@ -131,13 +131,13 @@
 	return c.node.clock.Since(by.seen) > freeDelay+stagger || c.unreferenced(salt.Model, salt.Version, stagger)
 }
 
-// unreferenced reports whether all nodes have stated long enough ago that they do not reference a
+// unreferenced reports whether all nodes have reported long enough ago that they do not reference a
 // version. This makes room for the parts of new weights sooner than freeDelay alone: while stores
 // are full of parts of the previous version, shared prompt parts are computed again.
 func (c *cacheTracker) unreferenced(model string, version int64, stagger time.Duration) bool {
-	own := c.floors.get(model)
+	own := c.watermarks.get(model)
 	if !c.node.roster.HoldsLease() {
-		return false // its list of the nodes whose commitment is required may be outdated
+		return false // its list of the nodes whose watermark is required may be outdated
 	}
 	if own.version <= version || c.node.clock.Since(own.since) < unreferencedDelay+stagger {
 		return false
@@ -147,9 +147,9 @@
 }
 
 // unreferencedByOthers returns the time since which all other nodes have referenced only newer
-// versions; false if not all have. In a large system, the reporter of each failure domain confirms
-// this for the nodes of its domain: it must have received their messages itself and know the same
-// nodes as this one. A reporter checks the nodes of its own domain itself.
+// versions; false if not all have. In a large system, the representative of each failure domain
+// confirms this for the nodes of its domain: it must have received their messages itself and know
+// the same nodes as this one. A representative checks the nodes of its own domain itself.
 func (c *cacheTracker) unreferencedByOthers(model string, version int64) (since time.Time, all bool) {
 	table := c.node.peers.Table
 	if intervals.FullMesh(c.node.roster.Nodes()) {
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -86,7 +86,7 @@
 func newRoster(node string, own nodeEntry, topic entryWriter, setPeers func([]peerload.Peer), peerAlive func(string) bool, log zerolog.Logger) *roster {
 	r := &roster{
 		node: node, own: own, topic: topic, setPeers: setPeers, peerAlive: peerAlive, log: log, rejected: newRejected(log),
-		lease:   lease{proven: time.Now(), grace: removalGrace(0)},
+		lease:   lease{lastConfirmed: time.Now(), grace: removalGrace(0)},
 		entries: make(map[string]nodeEntry), writtenAt: make(map[string]time.Time),
 	}
 	r.recompute()
@@ -105,7 +105,7 @@
 	}
 	r.recordWrites(&b)
 	r.loaded, r.end = true, b.Next
-	r.members.proven = b.ConfirmedAt
+	r.members.confirmedAt = b.ConfirmedAt
 	r.recompute()
 	peers := make([]peerload.Peer, 0, len(r.entries))
 	for name, e := range r.entries {
@@ -165,7 +165,7 @@
 		}
 	}
 	own, listed := r.entries[r.node]
-	r.lease.observe(entryObservation{listed: listed, gone: own.Gone, updated: updated, provenAt: b.ConfirmedAt, at: now})
+	r.lease.observe(entryObservation{listed: listed, gone: own.Gone, updated: updated, confirmedAt: b.ConfirmedAt, at: now})
 }
 
 // recompute updates everything that is derived from the entries: the number of nodes, the lists of
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -18,10 +18,10 @@
 // that are gone remain members until their entries are removed: all nodes read the same entries,
 // whereas the messages that they receive differ.
 type members struct {
-	generation int64
-	proven     time.Time // last time the list was known to be current
-	all        []string
-	byDomain   map[string][]string
+	generation  int64
+	confirmedAt time.Time // last time the list was known to be current
+	all         []string
+	byDomain    map[string][]string
 }
 
 // update replaces the members by the nodes in entries. Marks of nodes as gone are ignored.
@@ -68,7 +68,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, listed := r.entries[r.node]
-	if !listed || r.clock.Since(r.members.proven) > maxAge {
+	if !listed || r.clock.Since(r.members.confirmedAt) > maxAge {
 		return senders.View{Generation: -1}
 	}
 	return senders.View{Generation: r.members.generation, Nodes: r.members.forDomain(domain, minSenders)}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -32,7 +32,7 @@
 	// onConfig, if not nil, is called after a new configuration takes effect.
 	onConfig    func()
 	evacuations evacuations
-	provenAt    atomic.Pointer[time.Time]
+	confirmedAt atomic.Pointer[time.Time]
 
 	mu       sync.Mutex
 	versions map[string][]announcedVersion // by model, in increasing order
@@ -86,8 +86,8 @@
 	return s.started.Add(bounds.StableWindow - startMargin - placer.ReplacedLimit(bounds.VersionApplyLimit))
 }
 
-// startupGrace implements placer.Placer.Excused. It returns the start of the process and the end of
-// the stable window that follows it.
+// startupGrace implements placer.Placer.ReplacedGrace. It returns the start of the process and the
+// end of the stable window that follows it.
 func (s *state) startupGrace() (started, until time.Time) {
 	return s.started, s.started.Add(s.bounds().StableWindow)
 }
@@ -97,7 +97,7 @@
 // state for fresher than it is.
 func (s *state) Apply(b follow.Batch) {
 	obs := observation{at: s.clock.Now(), notBefore: s.assumedAnnounceTime()}
-	if before := s.provenAt.Load(); before != nil {
+	if before := s.confirmedAt.Load(); before != nil {
 		obs.notBefore = *before
 		obs.timely = b.ConfirmedAt.Sub(*before) < maxFreshConfigAge
 	}
@@ -107,7 +107,7 @@
 	for i := range b.Records {
 		s.applyRecord(&b.Records[i], &obs)
 	}
-	s.provenAt.Store(&b.ConfirmedAt)
+	s.confirmedAt.Store(&b.ConfirmedAt)
 }
 
 func (s *state) applyRecord(r *follow.Record, obs *observation) {
@@ -176,13 +176,13 @@
 	}
 }
 
-// Config implements forward.State.
+// Config implements forward.ConfigSource.
 func (s *state) Config() (*routing.Config, time.Duration) {
-	proven := s.provenAt.Load()
-	if proven == nil {
+	confirmedAt := s.confirmedAt.Load()
+	if confirmedAt == nil {
 		return nil, 0
 	}
-	return s.config.Load(), s.clock.Since(*proven)
+	return s.config.Load(), s.clock.Since(*confirmedAt)
 }
 
 // Evacuated reports whether operators have evacuated a failure domain, so that its endpoints must
--- a/internal/gateway/views_test.go
+++ b/internal/gateway/views_test.go
@@ -51,10 +51,10 @@
 	v.node.roster.Apply(batch)
 }
 
-// receiveFrom receives another view's newest version floors.
+// receiveFrom receives another view's newest watermarks.
 func (v view) receiveFrom(from view, seq int64) {
 	name := from.node.boot.Load().Name
-	v.node.peers.Table.Record(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, References: from.referencedFloors()}, time.Now())
+	v.node.peers.Table.Record(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, References: from.referencedWatermarks()}, time.Now())
 }
 
 // readVersions applies the versions announced since the last read, as a read that was sent now.
@@ -109,10 +109,10 @@
 func domainOf(node int) string { return fmt.Sprint("d", min(node, 1)) }
 
 // receiveDomain receives a node's report on its failure domain.
-func (v view) receiveDomain(reporter view, seq int64) {
-	domainNodes := reporter.node.roster.othersByDomain()[reporter.node.roster.own.Domain]
+func (v view) receiveDomain(representative view, seq int64) {
+	domainNodes := representative.node.roster.othersByDomain()[representative.node.roster.own.Domain]
 	v.node.peers.Table.RecordDomainDigest(peerload.DomainDigest{
-		Node: reporter.node.boot.Load().Name, Domain: reporter.node.roster.own.Domain, Incarnation: 1, Seq: seq,
-		Members: peerload.MembersOf(domainNodes...) + peerload.MembersOf(reporter.node.boot.Load().Name), References: reporter.node.peers.Table.DomainReferences(reporter.referencedFloors(), domainNodes),
+		Node: representative.node.boot.Load().Name, Domain: representative.node.roster.own.Domain, Incarnation: 1, Seq: seq,
+		Members: peerload.MembersOf(domainNodes...) + peerload.MembersOf(representative.node.boot.Load().Name), References: representative.node.peers.Table.DomainReferences(representative.referencedWatermarks(), domainNodes),
 	}, time.Now())
 }
--- a/internal/gatewaydemo/gateway_test.go
+++ b/internal/gatewaydemo/gateway_test.go
@@ -124,7 +124,7 @@
 	test.Eq(t, http.StatusUnauthorized, status)
 }
 
-// TestStoreAway refuses keys once the configuration's proof is too old, and serves
+// TestStoreAway refuses keys once the configuration was confirmed too long ago, and serves
 // again when the store is back with its history gone.
 func TestStoreAway(t *testing.T) {
 	s, members := start(t, 1)
--- a/internal/gatewaydemo/gatewaydemo.go
+++ b/internal/gatewaydemo/gatewaydemo.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := gateway.NewOn(host, boot, load, log)
+	n, err := gateway.NewWithClock(host, boot, load, log)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/kvindex/epoch.go
+++ b/internal/kvindex/epoch.go
@@ -5,23 +5,23 @@
 const (
 	// FetchTimeout is the maximum duration of a fetch from a store.
 	FetchTimeout = 1500 * time.Millisecond
-	// namingWindow is how long a part may be named as the source of a fetch after its store's epoch
-	// was last confirmed. An events request waits up to 0.8 s, the next one starts 0.25 s later,
-	// and its response reaches other nodes after another 0.5 s.
-	namingWindow = 2500 * time.Millisecond
-	// maxFetchTime is the maximum time from naming a part to the end of its fetch, with a margin
+	// referenceWindow is how long a part may be referenced as the source of a fetch after its
+	// store's epoch was last confirmed. An events request waits up to 0.8 s, the next one starts
+	// 0.25 s later, and its response reaches other nodes after another 0.5 s.
+	referenceWindow = 2500 * time.Millisecond
+	// maxFetchTime is the maximum time from referencing a part to the end of its fetch, with a margin
 	// for clock differences.
 	maxFetchTime = FetchTimeout + 300*time.Millisecond
 	// emptyStoreDelay is how long no part is sent to a store after this node saw that it is empty.
-	emptyStoreDelay = namingWindow + maxFetchTime
+	emptyStoreDelay = referenceWindow + maxFetchTime
 )
 
-// A store that restarts loses its parts, but nodes that have not yet seen the restart still name
+// A store that restarts loses its parts, but nodes that have not yet seen the restart still reference
 // it as a source of fetches. Fetching a missing part is harmless, because the engine then computes
 // it, but a part that is being saved again would be fetched although it is incomplete. Therefore
-// no node saves to a restarted store until all nodes have stopped naming its former parts: a node
-// names a part only for namingWindow after it last confirmed the part's epoch, which was before the
-// restart. A node that starts waits in the same way for a store that keeps nothing.
+// no node saves to a restarted store until all nodes have stopped referencing its former parts: a node
+// references a part only for referenceWindow after it last confirmed the part's epoch, which was
+// before the restart. A node that starts waits in the same way for a store that keeps nothing.
 
 // confirmEpoch updates the time at which the holder's epoch was last confirmed. If the events
 // start a new epoch, it delays saves by emptyStoreDelay.
@@ -35,12 +35,12 @@
 	}
 }
 
-// ConfirmedRecently reports whether parts of the store may be named as the source of a fetch: the store is
-// reachable and its epoch was confirmed less than namingWindow ago.
+// ConfirmedRecently reports whether parts of the store may be referenced as the source of a fetch:
+// the store is reachable and its epoch was confirmed less than referenceWindow ago.
 func (h *Holder) ConfirmedRecently(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.unreachable && now.Sub(h.epochConfirmedAt) < namingWindow
+	return !h.unreachable && now.Sub(h.epochConfirmedAt) < referenceWindow
 }
 
 // AcceptsSaves reports whether parts may be sent to the store.
--- a/internal/kvindex/epoch_test.go
+++ b/internal/kvindex/epoch_test.go
@@ -9,11 +9,11 @@
 
 // Guards against a request answered from KV cache that was incomplete at its source: a store of
 // the same failure domain had been unreachable for 2.5 s and was back empty, other nodes sent
-// parts to it at once, and a node that had not seen the restart still named what the store had
+// parts to it at once, and a node that had not seen the restart still referenced what the store had
 // kept before.
 
 // TestNoSavesAfterStoreRestart checks that nothing is sent to a restarted store before all nodes
-// have stopped naming its former parts, for a node that confirmed the former epoch as late as
+// have stopped referencing its former parts, for a node that confirmed the former epoch as late as
 // possible.
 func TestNoSavesAfterStoreRestart(t *testing.T) {
 	h, other := newStore(), newStore()
@@ -25,7 +25,7 @@
 	restart := now.Add(time.Millisecond)
 	h.apply(&Events{Epoch: 6, Next: 1, ConfirmedAt: restart}, restart) // the earliest time at which a node can see the restart
 	test.True(t, other.ConfirmedRecently(restart))
-	from := restart.Add(namingWindow)
+	from := restart.Add(referenceWindow)
 	test.False(t, other.ConfirmedRecently(from), test.Sprint("no node can confirm the former epoch any more"))
 	test.False(t, h.AcceptsSaves(from.Add(maxFetchTime-time.Millisecond)), test.Sprint("the last fetch is in progress"))
 	test.True(t, h.AcceptsSaves(from.Add(maxFetchTime)))
--- a/internal/kvindex/free.go
+++ b/internal/kvindex/free.go
@@ -19,7 +19,7 @@
 
 // SaltFilter decides which salts are no longer in use.
 type SaltFilter interface {
-	// Outdated reports whether parts under the salt may be freed: every node has stopped naming
+	// Outdated reports whether parts under the salt may be freed: every node has stopped referencing
 	// them, and each fetch that had started has ended.
 	Outdated(salt string) bool
 }
--- a/internal/kvindex/kvindex_test.go
+++ b/internal/kvindex/kvindex_test.go
@@ -43,9 +43,9 @@
 	test.Eq(t, 1, h.nextEvent())
 }
 
-// TestMissed checks that a sent part is reported once no event has confirmed it for saveTimeout,
+// TestSaveOverdue checks that a sent part is reported once no event has confirmed it for saveTimeout,
 // until one does.
-func TestMissed(t *testing.T) {
+func TestSaveOverdue(t *testing.T) {
 	h, now := newStore(), time.Now()
 	test.False(t, h.SaveOverdue(part, now), test.Sprint("never sent"))
 	must.True(t, h.BeginSave(part, 40, now))
@@ -99,7 +99,7 @@
 	h.apply(&Events{Epoch: 7, Next: 1}, now)
 	test.False(t, h.BeginSave(part, 40, now), test.Sprint("the save is in progress"))
 	h.apply(&Events{Epoch: 8, Next: 1}, now)
-	test.False(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay-time.Millisecond)), test.Sprint("other nodes may still name its former parts"))
+	test.False(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay-time.Millisecond)), test.Sprint("other nodes may still reference its former parts"))
 	test.True(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay)), test.Sprint("the restart discarded it"))
 }
 
--- a/internal/kvindex/restart_test.go
+++ b/internal/kvindex/restart_test.go
@@ -10,9 +10,9 @@
 // TestRestartedEngine checks that the recorded parts of an engine are discarded when the engine
 // has restarted under the same id or has another address.
 func TestRestartedEngine(t *testing.T) {
-	engine := func(addr string, born int64) *Holder {
+	engine := func(addr string, startedMs int64) *Holder {
 		h := NewHolder("e", addr, "north")
-		h.StartedMs = born
+		h.StartedMs = startedMs
 		return h
 	}
 	tests := map[string]struct {
--- a/internal/peerload/domain.go
+++ b/internal/peerload/domain.go
@@ -21,7 +21,7 @@
 	Domain      string `json:"domain"`
 	Incarnation int64  `json:"incarnation"`
 	Seq         int64  `json:"seq"`
-	// References are the oldest versions whose parts any node of the domain still names at stores.
+	// References are the oldest versions whose parts any node of the domain still references at stores.
 	// Members identifies the nodes that confirmed this, including the representative.
 	References []OldestReferenced `json:"names,omitempty"`
 	Members    Members            `json:"members"`
@@ -40,7 +40,7 @@
 	return sum
 }
 
-// Neighbours are the other nodes of this node's failure domain. Speaks is true if this node
+// Neighbours are the other nodes of this node's failure domain. Represents is true if this node
 // represents them.
 type Neighbours struct {
 	Others     []string
@@ -83,9 +83,9 @@
 	return watermarks
 }
 
-// RecordDomainDigest records a representative's digest of its failure domain. A digest that is older than
-// the latest one of the same representative is dropped. With two representatives, the digest
-// received last is used.
+// RecordDomainDigest records a representative's digest of its failure domain. A digest that is
+// older than the latest one of the same representative is dropped. With two representatives, the
+// digest received last is used.
 func (t *Table) RecordDomainDigest(d DomainDigest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,9 +118,9 @@
 	return active
 }
 
-// UnreferencedInDomainSince returns the time since which the nodes of another failure domain have named only
-// versions of a model newer than the given one. It returns false if the domain's watermark is
-// older or was confirmed by another set of members.
+// UnreferencedInDomainSince returns the time since which the nodes of another failure domain have
+// referenced only versions of a model newer than the given one. It returns false if the domain's
+// watermark is older or was confirmed by another set of members.
 func (t *Table) UnreferencedInDomainSince(domain string, members Members, model string, version int64) (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,8 +128,8 @@
 	return p.since, p.oldest > version && p.members == members
 }
 
-// oldestReferenced returns the oldest version of a model that any of the nodes still names, or 0 if one
-// of them has not reported any.
+// oldestReferenced returns the oldest version of a model that any of the nodes still references, or
+// 0 if one of them has not reported any.
 func (t *Table) oldestReferenced(model string, nodes []string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,19 +164,19 @@
 }
 
 // DomainReferences returns the oldest version of each model that this node, given in own, or any of the
-// others still names at stores. Models for which one of the nodes has not reported a version are
+// others still references at stores. Models for which one of the nodes has not reported a version are
 // left out.
 func (t *Table) DomainReferences(own []OldestReferenced, others []string) []OldestReferenced {
-	var names []OldestReferenced
+	var references []OldestReferenced
 	for _, n := range own {
 		if len(others) > 0 {
 			n.Oldest = min(n.Oldest, t.oldestReferenced(n.Model, others))
 		}
 		if n.Oldest > 0 {
-			names = append(names, n)
+			references = append(references, n)
 		}
 	}
-	return names
+	return references
 }
 
 // receiveDomainDigest handles a digest of another failure domain.
--- a/internal/peerload/exchange.go
+++ b/internal/peerload/exchange.go
@@ -27,10 +27,10 @@
 	// load, to other failure domains. They go to the two representatives of each domain (12
 	// domains at 1,000 nodes), or to all nodes of a domain without an active representative.
 	remoteInterval = 250 * time.Millisecond
-	// referencesInterval is the interval between two messages with unchanged names, some of which may
-	// be lost.
+	// referencesInterval is the interval between two messages with unchanged references, some of
+	// which may be lost.
 	referencesInterval = 500 * time.Millisecond
-	// requestDelay is the delay after a kick that lets the request which caused it be counted.
+	// requestDelay is the delay after RequestReport that lets the request which caused it be counted.
 	requestDelay = time.Millisecond
 	// collectorWarmUp is how long a node must have been collecting before it represents its
 	// failure domain. When all nodes start together, each of them collects until it receives the
@@ -67,7 +67,7 @@
 	// Orders returns the engines that this node has closed to load weights, and whether it holds
 	// the claim to give orders.
 	Orders func() (closed []weights.Closed, leads bool)
-	// References returns the oldest versions whose parts this node still names at stores.
+	// References returns the oldest versions whose parts this node still references at stores.
 	References func() []OldestReferenced
 	// Neighbours returns the other nodes of this node's failure domain.
 	Neighbours func() Neighbours
@@ -115,7 +115,7 @@
 	// domainDigestSentAt is the time of the last digest of this failure domain.
 	domainDigestSentAt time.Time
 	remoteActive       bool // the last message to remote nodes reported orders or loads
-	// sentReferences are the names last sent to peers, and namesSentAt is when.
+	// sentReferences are the references last sent to peers, and referencesSentAt is when.
 	sentReferences   []OldestReferenced
 	referencesSentAt time.Time
 }
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// awaitRequest returns after d or shortly after a kick. It returns at once if d is not positive,
+// awaitRequest returns after d or shortly after RequestReport. It returns at once if d is not positive,
 // without creating a timer: in a synctest bubble, a timer that fires on the goroutine that waits
 // for it shares one race context with other timers of the bubble, which crashes the race
 // detector's runtime (SIGSEGV or a failed epoch check).
@@ -238,16 +238,16 @@
 	return intervals.MaxMessageSize(peers, e.config.LinkBytes, sendTime)
 }
 
-// referencesToSend returns the oldest versions that this node still names, if they changed or
-// namesInterval has passed, else nil. They hold until a newer message, so they needn't be in each
+// referencesToSend returns the oldest versions that this node still references, if they changed or
+// referencesInterval has passed, else nil. They hold until a newer message, so they needn't be in each
 // one.
 func (e *Exchange) referencesToSend() []OldestReferenced {
-	names := e.config.References()
-	if slices.Equal(names, e.sentReferences) && e.config.Clock.Since(e.referencesSentAt) < referencesInterval {
+	references := e.config.References()
+	if slices.Equal(references, e.sentReferences) && e.config.Clock.Since(e.referencesSentAt) < referencesInterval {
 		return nil
 	}
-	e.sentReferences, e.referencesSentAt = names, e.config.Clock.Now()
-	return names
+	e.sentReferences, e.referencesSentAt = references, e.config.Clock.Now()
+	return references
 }
 
 // sendRemote sends this node's orders to the collectors of other failure domains. If this domain
--- a/internal/peerload/limits.go
+++ b/internal/peerload/limits.go
@@ -55,8 +55,8 @@
 func newestLimits(list []Limit) []Limit {
 	slices.SortStableFunc(list, func(a, b Limit) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
 	type start struct {
-		endpoint string
-		born     int64
+		endpoint  string
+		startedMs int64
 	}
 	seen := make(map[start]bool, len(list))
 	list = slices.DeleteFunc(list, func(l Limit) bool {
--- a/internal/peerload/network_test.go
+++ b/internal/peerload/network_test.go
@@ -219,7 +219,7 @@
 	}
 }
 
-// startRequest starts a request at an engine and kicks the exchange to report it.
+// startRequest starts a request at an engine and has the exchange report it.
 func (n *networkNode) startRequest(engine string) {
 	for _, m := range n.fleet.All() {
 		if m.ID == engine {
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -30,14 +30,14 @@
 	ForMs   int64    `json:"for_ms,omitempty"`
 	// Leads is true if this node holds the claim to give orders.
 	Leads bool `json:"leads,omitempty"`
-	// References are the oldest versions whose parts this node still names at stores. They only rise,
-	// also across restarts of the node.
+	// References are the oldest versions whose parts this node still references at stores. They
+	// only rise, also across restarts of the node.
 	References []OldestReferenced `json:"names,omitempty"`
 	// Aggregate is set if the node is a collector.
 	Aggregate *Aggregate `json:"collected,omitempty"`
 }
 
-// OldestReferenced is the oldest version of a model whose parts a node still names at stores.
+// OldestReferenced is the oldest version of a model whose parts a node still references at stores.
 type OldestReferenced struct {
 	Model  string `json:"model"`
 	Oldest int64  `json:"oldest"`
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestDomainNames checks that a domain's digest holds the oldest version that any of its nodes
-// names, once all have reported one, and that the domain's watermark lasts.
-func TestDomainNames(t *testing.T) {
+// TestDomainReferences checks that a domain's digest holds the oldest version that any of its nodes
+// references, once all have reported one, and that the domain's watermark lasts.
+func TestDomainReferences(t *testing.T) {
 	near := NewTable()
 	own := []OldestReferenced{{Model: "m", Oldest: 3}}
 	test.SliceEmpty(t, near.DomainReferences(own, []string{"a", "b"}))
@@ -268,15 +268,15 @@
 // nodes was replaced doesn't count for the new set of nodes, although their number is the same.
 func TestReplacedNodeResetsWatermark(t *testing.T) {
 	far := NewTable()
-	names := []OldestReferenced{{Model: "m", Oldest: 2}}
-	far.RecordDomainDigest(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 1, Members: MembersOf("a", "b", "gone"), References: names}, now)
+	references := []OldestReferenced{{Model: "m", Oldest: 2}}
+	far.RecordDomainDigest(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 1, Members: MembersOf("a", "b", "gone"), References: references}, now)
 	successors := MembersOf("a", "b", "new")
 	_, ok := far.UnreferencedInDomainSince("d0", successors, "m", 1)
 	test.False(t, ok)
 	reportedAt := now.Add(time.Second)
 	for i := range int64(3) {
 		at := reportedAt.Add(time.Duration(i) * time.Second)
-		far.RecordDomainDigest(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 2 + i, Members: successors, References: names}, at)
+		far.RecordDomainDigest(DomainDigest{Node: "a", Domain: "d0", Incarnation: 1, Seq: 2 + i, Members: successors, References: references}, at)
 	}
 	since, ok := far.UnreferencedInDomainSince("d0", successors, "m", 1)
 	test.True(t, ok)
--- a/internal/peerload/receive.go
+++ b/internal/peerload/receive.go
@@ -9,8 +9,8 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// applyUnlistedWeights applies the weight versions that engines reported to peers. Each entry counts from the
-// time of the engine's report, so that a late digest can't override a newer report.
+// applyUnlistedWeights applies the weight versions that engines reported to peers. Each entry
+// counts from the time of the engine's report, so that a late digest can't override a newer report.
 func (e *Exchange) applyUnlistedWeights(seen []UnlistedWeights, now time.Time) {
 	if len(seen) == 0 {
 		return
--- a/internal/peerload/seen.go
+++ b/internal/peerload/seen.go
@@ -18,9 +18,9 @@
 	AgesMs    []int64 `json:"ages_ms,omitempty"`
 }
 
-// UnlistedWeightsOf returns the versions that engines reported to this node directly and that the registry
-// doesn't list yet. Versions received from other nodes are left out, because two nodes could
-// otherwise keep a wrong version alive.
+// UnlistedWeightsOf returns the versions that engines reported to this node directly and that the
+// registry doesn't list yet. Versions received from other nodes are left out, because two nodes
+// could otherwise keep a wrong version alive.
 func UnlistedWeightsOf(members []*fleet.Member, now time.Time) []UnlistedWeights {
 	var list []UnlistedWeights
 	for _, m := range members {
--- a/internal/peerload/seen_test.go
+++ b/internal/peerload/seen_test.go
@@ -14,10 +14,10 @@
 
 const model = "m"
 
-func memberOf(t *testing.T, born, version int64) (*fleet.Fleet, *fleet.Member) {
+func memberOf(t *testing.T, startedMs, version int64) (*fleet.Fleet, *fleet.Member) {
 	t.Helper()
 	f := fleet.New(zerolog.Nop())
-	f.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", StartedMs: born, Weights: []fleet.Weights{{Model: model, Version: version}}}, now)
+	f.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", StartedMs: startedMs, Weights: []fleet.Weights{{Model: model, Version: version}}}, now)
 	return f, f.All()[0]
 }
 
--- a/internal/peerload/start_test.go
+++ b/internal/peerload/start_test.go
@@ -10,8 +10,8 @@
 // endpoint are left out.
 func TestLoadsOfAnotherStart(t *testing.T) {
 	table := NewTable()
-	receive := func(node string, born int64) {
-		f, m := memberOf(t, born, 1)
+	receive := func(node string, startedMs int64) {
+		f, m := memberOf(t, startedMs, 1)
 		m.Load.Begin(10, 20)
 		for range 5 {
 			m.Health.RecordFailure(now, false)
--- a/internal/peerload/sum.go
+++ b/internal/peerload/sum.go
@@ -15,11 +15,11 @@
 type StartTag int
 
 // startTagOf returns the tag of a start time in Unix milliseconds; 0 if the time is unknown.
-func startTagOf(born int64) StartTag {
-	if born <= 0 {
+func startTagOf(startedMs int64) StartTag {
+	if startedMs <= 0 {
 		return 0
 	}
-	return StartTag(1 + born%startTagCount)
+	return StartTag(1 + startedMs%startTagCount)
 }
 
 // Sum is the combined load that all peers report for an endpoint.
@@ -78,12 +78,12 @@
 
 // At returns the load at one start of an endpoint, given in Unix milliseconds. Reports without a
 // start count for each start.
-func (s Sums) At(id string, born int64) Sum {
+func (s Sums) At(id string, startedMs int64) Sum {
 	sum := s[keyOf(id, 0)]
-	if born == 0 {
+	if startedMs == 0 {
 		return sum
 	}
-	return sum.plus(s[keyOf(id, startTagOf(born))])
+	return sum.plus(s[keyOf(id, startTagOf(startedMs))])
 }
 
 // Loads returns the load that the peers report; the result must not be modified. It is based on a
--- a/internal/peerload/table.go
+++ b/internal/peerload/table.go
@@ -38,16 +38,16 @@
 	aggregate  *receivedAggregate          // nil if the peer is no collector
 }
 
-// versionWatermark is the oldest version that a node still names, and the time at which it was
+// versionWatermark is the oldest version that a node still references, and the time at which it was
 // first reported.
 type versionWatermark struct {
 	oldest int64
 	since  time.Time
 }
 
-// updateWatermarks applies the names in a node's latest digest to its watermarks, which only rise.
-func updateWatermarks(watermarks map[string]versionWatermark, named []OldestReferenced, now time.Time) map[string]versionWatermark {
-	for _, n := range named {
+// updateWatermarks applies the references in a node's latest digest to its watermarks, which only rise.
+func updateWatermarks(watermarks map[string]versionWatermark, references []OldestReferenced, now time.Time) map[string]versionWatermark {
+	for _, n := range references {
 		if watermarks == nil {
 			watermarks = make(map[string]versionWatermark)
 		}
@@ -156,8 +156,8 @@
 	}
 }
 
-// UnreferencedSince returns the time since which all of the nodes have named only versions of a model newer
-// than the given one at stores, and false if one of them has not reported that.
+// UnreferencedSince returns the time since which all of the nodes have referenced only versions of
+// a model newer than the given one at stores, and false if one of them has not reported that.
 func (t *Table) UnreferencedSince(model string, version int64, nodes []string) (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,7 +209,8 @@
 	return known && now.Sub(p.at) < within
 }
 
-// ReceivedFromDomain reports whether a digest of the other failure domain arrived within the given time.
+// ReceivedFromDomain reports whether a digest of the other failure domain arrived within the given
+// time.
 func (t *Table) ReceivedFromDomain(domain string, now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,7 +218,8 @@
 	return known && now.Sub(d.at) < within
 }
 
-// ReceivedFromOtherDomains reports whether a digest of any other failure domain arrived within the given time.
+// ReceivedFromOtherDomains reports whether a digest of any other failure domain arrived within the
+// given time.
 func (t *Table) ReceivedFromOtherDomains(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -93,7 +93,7 @@
 }
 
 // decline returns why the prompt can't be placed, with the time until one of the engines may have
-// room. A waiting prompt is declined at each attempt to place it; only Refuse records a refusal and
+// room. A waiting prompt is declined at each attempt to place it; only OnRefusal records a refusal and
 // assigns a retry time.
 func (s *search) decline(engines []*fleet.Member, reason string) forward.Placement {
 	wait := s.expectedWait(engines)
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -229,16 +229,16 @@
 // TestReservesMemoryForUnreportedPrompts checks that a node of a large system refuses a prompt that
 // would fill an engine's memory beyond 0.85, and that a node of a small system accepts it.
 func TestReservesMemoryForUnreportedPrompts(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, fullMesh := range []bool{true, false} {
 		w := newWorld(t, source{}, 1)
-		w.FullMesh = func() bool { return whole }
+		w.FullMesh = func() bool { return fullMesh }
 		q := query()
 		q.Service.Engine.KVTokens = 100_000
 		q.Attributes.PromptTokens = 11_500
 		w.members[0].Load.Begin(0, 80_000)
 		p, ok := w.Place(q)
-		test.Eq(t, whole, ok)
-		if !whole {
+		test.Eq(t, fullMesh, ok)
+		if !fullMesh {
 			test.Eq(t, "no_room", p.Reason)
 		}
 	}
--- a/internal/placer/help_test.go
+++ b/internal/placer/help_test.go
@@ -57,10 +57,10 @@
 // world is a placer in a small system of engines and one store, with its fakes.
 type world struct {
 	*placer.Placer
-	versions *versions
-	members  []*fleet.Member
-	mayName  bool
-	closed   []weights.Closed
+	versions     *versions
+	members      []*fleet.Member
+	mayReference bool
+	closed       []weights.Closed
 }
 
 func addr(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
@@ -73,7 +73,7 @@
 		events = maps.Clone(events)
 		events[store] = []kvindex.Change{{Part: kvindex.Part{Salt: salt(1, ""), ID: "another's"}, Tokens: 64}}
 	}
-	w := &world{versions: &versions{wanted: 1}, mayName: true}
+	w := &world{versions: &versions{wanted: 1}, mayReference: true}
 	f := fleet.New(zerolog.Nop())
 	index := kvindex.NewIndex(events, func(*kvindex.Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
 	var engines []*kvindex.Holder
@@ -92,7 +92,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return indexComplete(index, events) }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 	w.Placer = newPlacer(f, index)
 	w.Versions = w.versions
-	w.MayReference = func(string, int64) bool { return w.mayName }
+	w.MayReference = func(string, int64) bool { return w.mayReference }
 	w.Closed = func() []weights.Closed { return w.closed }
 	w.members = f.Members("s")
 	return w
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -36,8 +36,8 @@
 	Fleet    *fleet.Fleet
 	Versions Versions
 	Kept     *kvindex.Index
-	// MayReference reports whether requests may name parts of a version of a model at stores. Stores
-	// free these some time after the version was replaced.
+	// MayReference reports whether requests may reference parts of a version of a model at stores.
+	// Stores free these some time after the version was replaced.
 	MayReference func(model string, version int64) bool
 	// Peers holds the load reports of the other nodes.
 	Peers *peerload.Table
@@ -54,7 +54,7 @@
 	// Evacuated reports whether the endpoints of a failure domain must get no requests. Nil means
 	// that no domain is evacuated.
 	Evacuated func(domain string) bool
-	// SlowStart shares out the requests to cold endpoints between nodes. MostCold returns the
+	// SlowStart shares out the requests to cold endpoints between nodes. MaxColdPerSecond returns the
 	// maximum number of requests per second to a cold endpoint of a service, 0 for no limit. Nil
 	// means that cold endpoints get as many requests as others.
 	SlowStart        *slowstart.Limiter
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -46,13 +46,13 @@
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Sources)
 	test.Greater(t, 1000, p.Attempt.FetchUntil)
 	test.Nil(t, p.Attempt.Targets, test.Sprint("parts that the store keeps are not saved again"))
-	w.mayName = false
+	w.mayReference = false
 	p, ok = w.Place(query())
 	must.True(t, ok)
-	test.Nil(t, p.Attempt.Sources, test.Sprint("a part that the store may free is not named"))
+	test.Nil(t, p.Attempt.Sources, test.Sprint("a part that the store may free is not referenced"))
 }
 
-// TestBacksUpCachedParts checks that the store is named as a backup source for parts the engine is
+// TestBacksUpCachedParts checks that the store is referenced as a backup source for parts the engine is
 // expected to hold, as they may have been evicted, and the fastest holder for missing parts.
 func TestBacksUpCachedParts(t *testing.T) {
 	w := newWorld(t, source{addr(2): shared(1, ""), addr(1): shared(1, ""), store: shared(1, "")}, 1, 1, 1)
@@ -103,9 +103,9 @@
 	test.Eq(t, []string{small, small, ""}, p.Attempt.Targets)
 }
 
-// TestFailedAttemptCancelsSaves checks that the store is named again as a target if the engine that
-// should have sent the parts did not run the request. Otherwise no node would save them for 4 s,
-// and all requests that use them would read them.
+// TestFailedAttemptCancelsSaves checks that the store is referenced again as a target if the engine
+// that should have sent the parts did not run the request. Otherwise no node would save them for 4
+// s, and all requests that use them would read them.
 func TestFailedAttemptCancelsSaves(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	p, ok := w.Place(query())
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -13,7 +13,7 @@
 const (
 	// FetchLimit is the maximum duration of a fetch from a store. A later result is discarded, and
 	// the engine reads the prompt. Outdated parts are freed only when this has passed since the
-	// last node named them.
+	// last node referenced them.
 	FetchLimit = kvindex.FetchTimeout
 	// fetchTolerance is the factor on the expected duration that each fetch is allowed at least,
 	// and minFetchMs the minimum timeout of a fetch.
--- a/internal/placer/rollout.go
+++ b/internal/placer/rollout.go
@@ -31,12 +31,12 @@
 
 // rollout is the state of the rollout of a model's wanted version.
 type rollout struct {
-	model    string
-	wanted   int64
-	versions Versions
-	limit    time.Duration // age of replaced weights from which no request is placed on them
-	bound    time.Duration // age of replaced weights from which no run may begin on them
-	excused  func() (started, until time.Time)
+	model         string
+	wanted        int64
+	versions      Versions
+	limit         time.Duration // age of replaced weights from which no request is placed on them
+	bound         time.Duration // age of replaced weights from which no run may begin on them
+	replacedGrace func() (started, until time.Time)
 	// closed holds the engines that load new weights now. The value is true if they take no
 	// requests at all, and false if they take short ones.
 	closed map[string]bool
@@ -47,15 +47,15 @@
 func (p *Placer) rollout(q *forward.Query) *rollout {
 	wanted, _ := p.Versions.Wanted(q.Attributes.Model)
 	r := &rollout{
-		model:    q.Attributes.Model,
-		wanted:   wanted,
-		versions: p.Versions,
-		limit:    ReplacedLimit(p.VersionApplyLimit()),
-		bound:    p.VersionApplyLimit(),
-		excused:  p.ReplacedGrace,
-		closed:   p.Peers.Closed(p.Now()),
-		short:    q.Attributes.OutputTokens <= shortAnswer,
-		now:      p.Now(),
+		model:         q.Attributes.Model,
+		wanted:        wanted,
+		versions:      p.Versions,
+		limit:         ReplacedLimit(p.VersionApplyLimit()),
+		bound:         p.VersionApplyLimit(),
+		replacedGrace: p.ReplacedGrace,
+		closed:        p.Peers.Closed(p.Now()),
+		short:         q.Attributes.OutputTokens <= shortAnswer,
+		now:           p.Now(),
 	}
 	for _, c := range p.Closed() {
 		r.closed[c.Endpoint] = r.closed[c.Endpoint] || c.Loads
@@ -90,11 +90,11 @@
 		return time.Time{}
 	}
 	by := since.Add(r.bound)
-	if r.excused == nil {
+	if r.replacedGrace == nil {
 		return by.Add(-withdrawMargin)
 	}
 	// Weights found replaced at the start of this process may have been replaced at any time before.
-	if started, until := r.excused(); since.Before(started) && until.Before(by) {
+	if started, until := r.replacedGrace(); since.Before(started) && until.Before(by) {
 		by = until
 	}
 	return by.Add(-withdrawMargin)
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -34,8 +34,8 @@
 	holdsMany      bool     // an engine's memory holds many prompts
 	sources        []source // of the parts that reusable examined last
 	// fetchUntil is when fetches are discarded, on the engines' clock in ms. It is read before the
-	// check which parts may be named, so that a node that is suspended in between does not name
-	// parts for longer than allowed.
+	// check which parts may be referenced, so that a node that is suspended in between does not
+	// reference parts for longer than allowed.
 	fetchUntil int64
 }
 
@@ -78,7 +78,7 @@
 	parts   []locatedPart
 }
 
-// locatedPart is where one part is kept in full. Only holders that may be named are included.
+// locatedPart is where one part is kept in full. Only holders that may be referenced are included.
 type locatedPart struct {
 	forward.Part
 	engines map[string]*kvindex.Holder // by ID
@@ -94,9 +94,9 @@
 		return l
 	}
 	l := &located{version: version, salt: saltOf(s.q, version), current: version >= s.rollout.wanted}
-	mayName := s.Kept.ClockMS() > 0 && s.MayReference(s.q.Attributes.Model, version)
+	mayReference := s.Kept.ClockMS() > 0 && s.MayReference(s.q.Attributes.Model, version)
 	for _, part := range s.q.Attributes.Parts {
-		p := s.locatePart(part, l.salt, mayName)
+		p := s.locatePart(part, l.salt, mayReference)
 		if version == 0 {
 			p.stores, p.holders = nil, nil
 		}
@@ -106,7 +106,7 @@
 	return l
 }
 
-func (s *search) locatePart(part forward.Part, salt string, mayName bool) locatedPart {
+func (s *search) locatePart(part forward.Part, salt string, mayReference bool) locatedPart {
 	key := kvindex.Part{Salt: salt, ID: part.ID}
 	located := locatedPart{Part: part}
 	for id, h := range s.Kept.Engines() {
@@ -120,7 +120,7 @@
 			located.holders = append(located.holders, h)
 		}
 	}
-	if !mayName {
+	if !mayReference {
 		return located
 	}
 	for _, h := range s.Kept.Stores() {
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -87,9 +87,9 @@
 	return s
 }
 
-// Note records an ending that this node saw, and reports it to other nodes. It returns true if the
+// RecordEnd records an ending that this node saw, and reports it to other nodes. It returns true if the
 // request becomes held.
-func (s *Service) Note(e Ending) (held bool) {
+func (s *Service) RecordEnd(e Ending) (held bool) {
 	held = s.recordEnding(e)
 	s.enqueue(outgoingReport{Ending: e})
 	return held
@@ -112,7 +112,7 @@
 }
 
 func (s *Service) recordEnding(e Ending) (held bool) {
-	held = s.Table.Note(e)
+	held = s.Table.RecordEnd(e)
 	if held {
 		s.config.Log.Warn().Str("event", "request_held").Stringer("fingerprint", e.Fingerprint).
 			Str("endpoint", e.Endpoint).Time("until", s.HeldUntil(e.Fingerprint)).Send()
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -28,7 +28,7 @@
 				nodes := w.startAll(size)
 				f := print("guilty")
 				for i := range 3 {
-					nodes[(i*7)%size].Note(Ending{f, fmt.Sprint("e", i)})
+					nodes[(i*7)%size].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 				}
 				time.Sleep(bound)
 				synctest.Wait()
@@ -49,7 +49,7 @@
 		nodes := w.startAll(6)
 		f := print("guilty")
 		for i := range 3 {
-			nodes[i].Note(Ending{f, fmt.Sprint("e", i)})
+			nodes[i].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(10 * time.Second)
 		test.Eq(t, 6, holdingNodes(nodes, f))
@@ -71,15 +71,15 @@
 		w := newNetwork(t, 1)
 		nodes := w.startAll(3)
 		f := print("guilty")
-		nodes[2].Note(Ending{f, "e0"})
-		nodes[1].Note(Ending{f, "e1"})
+		nodes[2].RecordEnd(Ending{f, "e0"})
+		nodes[1].RecordEnd(Ending{f, "e1"})
 		time.Sleep(2 * resendFor)
 		w.kill(nodes[2])
 		nodes[2] = w.start(2)
 		time.Sleep(resendInterval)
 		synctest.Wait()
 		test.Eq(t, 0, holdingNodes(nodes, f))
-		nodes[2].Note(Ending{f, "e2"})
+		nodes[2].RecordEnd(Ending{f, "e2"})
 		time.Sleep(time.Second)
 		synctest.Wait()
 		test.Eq(t, 3, holdingNodes(nodes, f))
@@ -98,13 +98,13 @@
 		w := newNetwork(t, 1)
 		nodes := w.startAll(1)
 		f := print("guilty")
-		nodes[0].Note(Ending{f, "e0"})
-		nodes[0].Note(Ending{f, "e1"})
+		nodes[0].RecordEnd(Ending{f, "e0"})
+		nodes[0].RecordEnd(Ending{f, "e1"})
 		time.Sleep(2 * resendFor)
 		nodes = append(nodes, w.start(1), w.start(2))
 		time.Sleep(resendInterval)
 		synctest.Wait()
-		nodes[1].Note(Ending{f, "e2"})
+		nodes[1].RecordEnd(Ending{f, "e2"})
 		time.Sleep(resendInterval)
 		synctest.Wait()
 		test.Eq(t, 3, holdingNodes(nodes, f))
@@ -121,7 +121,7 @@
 		f := print("popular")
 		for round, endpoints := range [][]string{{"e0", "e1"}, {"e2", "e3", "e4"}} {
 			for i, e := range endpoints {
-				nodes[i%2].Note(Ending{f, e})
+				nodes[i%2].RecordEnd(Ending{f, e})
 			}
 			time.Sleep(2 * time.Second)
 			test.Eq(t, 4*round, holdingNodes(nodes, f))
@@ -146,7 +146,7 @@
 		nodes := w.startAll(5)
 		f := print("guilty")
 		for i := range 3 {
-			nodes[0].Note(Ending{f, fmt.Sprint("e", i)})
+			nodes[0].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(firstHold + retention - time.Minute)
 		test.Eq(t, 1, w.writeCount())
@@ -169,7 +169,7 @@
 		f := print("guilty")
 		nodes[0].disconnected = true
 		for i := range 3 {
-			nodes[1].Note(Ending{f, fmt.Sprint("e", i)})
+			nodes[1].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -222,7 +222,7 @@
 		nodes := w.startAll(4)
 		f := print("guilty")
 		for i := range 3 {
-			nodes[i].Note(Ending{f, fmt.Sprint("e", i)})
+			nodes[i].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 4, holdingNodes(nodes, f))
@@ -231,6 +231,6 @@
 		synctest.Wait()
 		test.Eq(t, 0, holdingNodes(nodes, f))
 		test.Eq(t, 2, w.writeCount())
-		test.False(t, nodes[0].Note(Ending{f, "e4"}))
+		test.False(t, nodes[0].RecordEnd(Ending{f, "e4"}))
 	})
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -86,9 +86,9 @@
 	return h.Until
 }
 
-// Note records an ending, and reports whether the request becomes held by it. It is idempotent. Endings
-// during a hold belong to runs that had already started, and do not prolong it.
-func (t *Table) Note(e Ending) (held bool) {
+// RecordEnd records an ending, and reports whether the request becomes held by it. It is
+// idempotent. Endings during a hold belong to runs that had already started, and do not prolong it.
+func (t *Table) RecordEnd(e Ending) (held bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer t.updateCount()
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -25,7 +25,7 @@
 func recordEndings(t *Table, f Fingerprint, endpoints ...string) bool {
 	held := false
 	for _, e := range endpoints {
-		held = t.Note(Ending{f, e}) || held
+		held = t.RecordEnd(Ending{f, e}) || held
 	}
 	return held
 }
@@ -93,7 +93,7 @@
 	guilty := print("guilty")
 	must.True(t, recordEndings(table, guilty, "e1", "e2", "e3"))
 	for i := range 3 * maxSuspects {
-		table.Note(Ending{print(fmt.Sprint(i)), "e4"})
+		table.RecordEnd(Ending{print(fmt.Sprint(i)), "e4"})
 	}
 	test.Eq(t, maxSuspects+1, int(table.entries.Load()))
 	test.False(t, table.HeldUntil(guilty).IsZero())
--- a/internal/relay/help_test.go
+++ b/internal/relay/help_test.go
@@ -43,9 +43,9 @@
 // sameFirst takes values with the same first letter for the same.
 func sameFirst(before, after []byte) bool { return before[0] == after[0] }
 
-func filled(provenAt time.Time) *Copy {
+func filled(confirmedAt time.Time) *Copy {
 	c := &Copy{Sink: drop{}, Same: sameFirst}
-	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("a", "x1", 3), record("b", "y1", 7)}, Next: 10, ConfirmedAt: provenAt})
+	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("a", "x1", 3), record("b", "y1", 7)}, Next: 10, ConfirmedAt: confirmedAt})
 	return c
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -186,7 +186,7 @@
 }
 
 // TestProofOfACopy plays a follower that asks a copy: at each moment the time of its
-// proof is not later than the copy's.
+// confirmation is not later than the copy's.
 func TestProofOfACopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader := &Copy{Sink: drop{}}
@@ -197,17 +197,17 @@
 			Name: "t", Topic: slowCopy{reader}, Sink: seen, Log: zerolog.Nop(), Retry: 100 * time.Millisecond,
 			Pause: func() time.Duration { return 400 * time.Millisecond },
 		}
-		proven := time.Now()
-		reader.Apply(follow.Batch{Snapshot: true, Next: 10, ConfirmedAt: proven})
+		confirmedAt := time.Now()
+		reader.Apply(follow.Batch{Snapshot: true, Next: 10, ConfirmedAt: confirmedAt})
 		done := make(chan error, 1)
 		go func() { done <- f.Run(ctx) }()
 		for i := range 200 {
 			time.Sleep(70 * time.Millisecond)
 			if i%13 == 0 && (i < 60 || i > 120) { // the reader loses the store for 4 s
-				proven = time.Now().Add(-30 * time.Millisecond)
-				reader.Apply(follow.Batch{Next: 10, ConfirmedAt: proven})
+				confirmedAt = time.Now().Add(-30 * time.Millisecond)
+				reader.Apply(follow.Batch{Next: 10, ConfirmedAt: confirmedAt})
 			}
-			test.False(t, seen.at().After(proven), test.Sprint("step ", i))
+			test.False(t, seen.at().After(confirmedAt), test.Sprint("step ", i))
 		}
 		test.False(t, seen.at().IsZero())
 		cancel()
@@ -230,7 +230,7 @@
 	return page, err
 }
 
-// lastConfirmed keeps the newest proof.
+// lastConfirmed keeps the latest time at which the state was confirmed.
 type lastConfirmed struct {
 	mu          sync.Mutex
 	confirmedAt time.Time
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -103,10 +103,11 @@
 	return nil
 }
 
-// Again selects another version after no engine accepted the request on the refused versions. It first
-// refreshes the holders. It prefers other versions that have holders, then the eligible version written
-// last that was not refused, and then any version that has holders. It returns false if there is none.
-func (v *VersionSelector) Again(ctx context.Context, model string, refused []string, draw float64) (string, bool) {
+// Reselect selects another version after no engine accepted the request on the refused versions. It
+// first refreshes the holders. It prefers other versions that have holders, then the eligible version
+// written last that was not refused, and then any version that has holders. It returns false if there
+// is none.
+func (v *VersionSelector) Reselect(ctx context.Context, model string, refused []string, draw float64) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
 	v.refresh(ctx, model, v.entry(model))
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -30,16 +30,16 @@
 
 // grant is the permission for one run, as held by the entry node.
 type grant struct {
-	r         *Router
-	id        string
-	endpoint  *pb.Endpoint
-	prompt    owner.Prompt
-	class     int
-	weight    float64
-	tokens    int
-	createdAt time.Time
-	deadline  time.Time
-	patience  time.Duration
+	r                 *Router
+	id                string
+	endpoint          *pb.Endpoint
+	prompt            owner.Prompt
+	class             int
+	weight            float64
+	tokens            int
+	createdAt         time.Time
+	deadline          time.Time
+	firstFrameTimeout time.Duration
 
 	importedTokens int
 	importedBytes  int64
@@ -51,16 +51,16 @@
 
 func (r *Router) newGrant(req *runs.Request, endpoint *pb.Endpoint, choice placement.Choice) *grant {
 	return &grant{
-		r:         r,
-		id:        runid.Nonce(),
-		endpoint:  endpoint,
-		prompt:    promptOf(req),
-		class:     int(req.Class),
-		weight:    req.Weight,
-		tokens:    max(choice.Cached+choice.Recompute+choice.Import.Tokens, estimatePromptTokens(req), 1),
-		createdAt: time.Now(),
-		deadline:  req.Deadline,
-		patience:  firstFrameBase + firstFrameFactor*choice.FirstToken,
+		r:                 r,
+		id:                runid.Nonce(),
+		endpoint:          endpoint,
+		prompt:            promptOf(req),
+		class:             int(req.Class),
+		weight:            req.Weight,
+		tokens:            max(choice.Cached+choice.Recompute+choice.Import.Tokens, estimatePromptTokens(req), 1),
+		createdAt:         time.Now(),
+		deadline:          req.Deadline,
+		firstFrameTimeout: firstFrameBase + firstFrameFactor*choice.FirstToken,
 	}
 }
 
@@ -71,7 +71,7 @@
 func (g *grant) ImportedContext() (tokens int, bytes int64) { return g.importedTokens, g.importedBytes }
 
 // FirstFrameTimeout implements runs.Grant.
-func (g *grant) FirstFrameTimeout() time.Duration { return g.patience }
+func (g *grant) FirstFrameTimeout() time.Duration { return g.firstFrameTimeout }
 
 // acquire waits for the owner's grant. If the owner can't be reached, the run starts without a
 // grant.
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -82,7 +82,7 @@
 	Name       string
 	HealthPath string
 	MaxConns   int // connections to one endpoint, from all nodes together
-	// ColdStart is how long an endpoint is cold after its start. ColdPerSecond is the maximum
+	// ColdStart is how long an endpoint is cold after its start. MaxColdPerSecond is the maximum
 	// number of requests per second that a cold endpoint gets from all nodes together; 0 for no
 	// limit.
 	ColdStart        time.Duration
--- a/internal/runs/dispatcher.go
+++ b/internal/runs/dispatcher.go
@@ -220,13 +220,13 @@
 }
 
 // run starts the run on the engine and reads its answer. An engine that sends no first frame within
-// patience, or no further frame within stallTimeout, counts as broken off.
-func (r *engineRun) run(ctx context.Context, patience time.Duration) error {
+// firstFrameTimeout, or no further frame within stallTimeout, counts as broken off.
+func (r *engineRun) run(ctx context.Context, firstFrameTimeout time.Duration) error {
 	r.startedAt = time.Now()
 	r.baseTokens = r.p.tokens
 	req := r.request(r.startedAt)
 	r.checker = framecheck.NewChecker(framecheck.Expected{Run: r.id, Version: req.Version, CacheSalt: req.CacheSalt})
-	w := newWatchdog(ctx, patience)
+	w := newWatchdog(ctx, firstFrameTimeout)
 	defer w.stop()
 	stream, err := r.d.Engines.Start(w.ctx, r.baseURL, req)
 	if err == nil {
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -20,9 +20,9 @@
 
 // fixedPlacer grants its engines one after the other.
 type fixedPlacer struct {
-	urls     []string
-	patience time.Duration
-	observed []RunReport
+	urls              []string
+	firstFrameTimeout time.Duration
+	observed          []RunReport
 }
 
 // fixedGrant is a grant of the engine at url.
@@ -41,7 +41,7 @@
 func (g fixedGrant) Endpoint() *pb.Endpoint           { return &pb.Endpoint{Name: g.url, Url: g.url} }
 func (g fixedGrant) ImportedContext() (int, int64)    { return 0, 0 }
 func (g fixedGrant) FirstToken(RunReport)             {}
-func (g fixedGrant) FirstFrameTimeout() time.Duration { return g.patience }
+func (g fixedGrant) FirstFrameTimeout() time.Duration { return g.firstFrameTimeout }
 func (g fixedGrant) Done(seen RunReport) {
 	g.fixedPlacer.observed = append(g.fixedPlacer.observed, seen)
 }
@@ -73,7 +73,7 @@
 	t.Helper()
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	w := &testCluster{placer: &fixedPlacer{patience: time.Minute}}
+	w := &testCluster{placer: &fixedPlacer{firstFrameTimeout: time.Minute}}
 	for range engines {
 		e := enginestandin.New(enginestandin.Config{Loaded: []enginewire.Loaded{{Model: "m", Version: "v"}}, TimeScale: 1, DecodeStep: 2 * time.Millisecond})
 		server := httptest.NewServer(e.Handler())
@@ -148,7 +148,7 @@
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newTestCluster(t, 2)
-			w.placer.patience = 150 * time.Millisecond
+			w.placer.firstFrameTimeout = 150 * time.Millisecond
 			setFaults(w.engines[0], fault)
 			got, err := w.runPrompt(t, time.Minute)
 			must.NoError(t, err)
--- a/internal/runs/version.go
+++ b/internal/runs/version.go
@@ -22,9 +22,9 @@
 
 // VersionSelector selects the weight version of a request.
 type VersionSelector interface {
-	// Again selects another version after no engine accepted the request on those refused. draw is
-	// the request's Draw, in [0, 1). ok is false if there is none.
-	Again(ctx context.Context, model string, refused []string, draw float64) (version string, ok bool)
+	// Reselect selects another version after no engine accepted the request on those refused. draw is
+	// the request's VersionDraw, in [0, 1). ok is false if there is none.
+	Reselect(ctx context.Context, model string, refused []string, draw float64) (version string, ok bool)
 }
 
 // SetVersion sets the weight version that serves the request, and the chain that depends on it.
@@ -60,7 +60,7 @@
 		return false
 	}
 	p.refusedVersions = append(p.refusedVersions, p.req.Version)
-	version, ok := d.VersionSelector.Again(ctx, p.req.Model, p.refusedVersions, p.req.VersionDraw())
+	version, ok := d.VersionSelector.Reselect(ctx, p.req.Model, p.refusedVersions, p.req.VersionDraw())
 	if !ok {
 		return false
 	}
--- a/internal/runs/watchdog.go
+++ b/internal/runs/watchdog.go
@@ -24,11 +24,11 @@
 	stalled atomic.Bool
 }
 
-// newWatchdog returns a watchdog that allows patience until the first frame.
-func newWatchdog(ctx context.Context, patience time.Duration) *watchdog {
+// newWatchdog returns a watchdog that allows firstFrameTimeout until the first frame.
+func newWatchdog(ctx context.Context, firstFrameTimeout time.Duration) *watchdog {
 	w := &watchdog{}
 	w.ctx, w.cancel = context.WithCancel(ctx)
-	w.timer = time.AfterFunc(patience, func() {
+	w.timer = time.AfterFunc(firstFrameTimeout, func() {
 		w.stalled.Store(true)
 		w.cancel()
 	})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -106,9 +106,9 @@
 	return c, nil
 }
 
-// RefusesConnections reports whether the endpoint's address refuses connections, as after the endpoint has
-// ended. It dials a connection, which is kept if dialing succeeds. An endpoint that does not answer
-// may still be running, so a timeout counts as false.
+// RefusesConnections reports whether the endpoint's address refuses connections, as after the
+// endpoint has ended. It dials a connection, which is kept if dialing succeeds. An endpoint that
+// does not answer may still be running, so a timeout counts as false.
 func (p *Pool) RefusesConnections(ctx context.Context) bool {
 	c, err := p.dial(ctx)
 	if err != nil {
--- a/internal/weights/help_test.go
+++ b/internal/weights/help_test.go
@@ -73,18 +73,18 @@
 
 // engines load what they are ordered to, in loadTime.
 type engines struct {
-	mu      sync.Mutex
-	version map[string]int64
-	done    map[string]time.Time // end of the load under way
-	next    map[string]int64
-	orders  map[string]int64
-	given   []given
-	loading int // the most at once
-	lose    int // answers still to be lost, with the order done
-	born    map[string]int64
-	hold    int            // orders still to be held on their way
-	held    []given        // orders on their way
-	silent  map[string]int // orders to an engine that are still to be neither answered nor done
+	mu        sync.Mutex
+	version   map[string]int64
+	done      map[string]time.Time // end of the load under way
+	next      map[string]int64
+	orders    map[string]int64
+	given     []given
+	loading   int // the most at once
+	lose      int // answers still to be lost, with the order done
+	startedMs map[string]int64
+	hold      int            // orders still to be held on their way
+	held      []given        // orders on their way
+	silent    map[string]int // orders to an engine that are still to be neither answered nor done
 }
 
 func (e *engines) settle(id string) {
@@ -98,7 +98,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.settle(at.ID)
-	return Report{Weights: []fleet.Weights{{Model: model, Version: e.version[at.ID]}}, StartedMs: e.born[at.ID], Busy: e.next[at.ID] > 0, Orders: e.orders[at.ID], Running: 1}, nil
+	return Report{Weights: []fleet.Weights{{Model: model, Version: e.version[at.ID]}}, StartedMs: e.startedMs[at.ID], Busy: e.next[at.ID] > 0, Orders: e.orders[at.ID], Running: 1}, nil
 }
 
 func (e *engines) Order(ctx context.Context, at *fleet.Endpoint, o Order) (Reply, error) {
@@ -206,11 +206,11 @@
 func newWorld(ids ...string) *world {
 	w := &world{
 		log: &memLog{}, wanted: &wanted{version: 1}, ids: ids, services: map[string]*Service{},
-		engines: &engines{version: map[string]int64{}, done: map[string]time.Time{}, next: map[string]int64{}, orders: map[string]int64{}, born: map[string]int64{}, silent: map[string]int{}},
+		engines: &engines{version: map[string]int64{}, done: map[string]time.Time{}, next: map[string]int64{}, orders: map[string]int64{}, startedMs: map[string]int64{}, silent: map[string]int{}},
 	}
 	for _, id := range ids {
 		w.engines.version[id] = 1
-		w.engines.born[id] = 1
+		w.engines.startedMs[id] = 1
 	}
 	return w
 }
@@ -262,7 +262,7 @@
 	now := time.Now()
 	for _, id := range w.ids {
 		w.engines.settle(id)
-		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: "127.0.0.1:1", StartedMs: w.engines.born[id], Weights: []fleet.Weights{{Model: model, Version: w.engines.version[id]}}}, now)
+		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: "127.0.0.1:1", StartedMs: w.engines.startedMs[id], Weights: []fleet.Weights{{Model: model, Version: w.engines.version[id]}}}, now)
 	}
 	f.Expire(now)
 }
--- a/internal/weights/job.go
+++ b/internal/weights/job.go
@@ -260,15 +260,15 @@
 		l := &looks[i]
 		s.ordered = s.Clock.Now()
 		order := s.orderFor(held, l)
-		at := target{endpoint: l.member.Endpoint(), born: l.job.startedMs}
+		at := target{endpoint: l.member.Endpoint(), startedMs: l.job.startedMs}
 		s.underWay.Go(func() { s.order(ctx, held, at, order) })
 	}
 }
 
 // target is the start of an engine that an order goes to.
 type target struct {
-	endpoint *fleet.Endpoint
-	born     int64
+	endpoint  *fleet.Endpoint
+	startedMs int64
 }
 
 // orderFor returns the order that brings an engine to the version of its job.
@@ -289,7 +289,7 @@
 	}
 	defer cancel()
 	reply, err := s.Engines.Order(bounded, at.endpoint, o)
-	s.Log.Info().Str("event", "order").Str("endpoint", at.endpoint.ID).Int64("born", at.born).Str("model", o.Model).Int64("version", o.Version).
+	s.Log.Info().Str("event", "order").Str("endpoint", at.endpoint.ID).Int64("born", at.startedMs).Str("model", o.Model).Int64("version", o.Version).
 		Int64("token", o.Token).Int64("expected", o.Expected).Str("reply", reply.String()).AnErr("error", err).Send()
 	if reply == Fenced {
 		s.lost.Store(true)
--- a/internal/weights/restart_test.go
+++ b/internal/weights/restart_test.go
@@ -19,7 +19,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.settle(id)
-	e.born[id]++
+	e.startedMs[id]++
 	delete(e.next, id)
 	e.orders[id] = 0
 }
@@ -116,9 +116,9 @@
 func TestReportOfAnotherStart(t *testing.T) {
 	j := &job{startedMs: 2}
 	var told []int64
-	for _, born := range []int64{0, 1, 2, 3} {
-		if j.concerns(&Report{StartedMs: born}) {
-			told = append(told, born)
+	for _, startedMs := range []int64{0, 1, 2, 3} {
+		if j.concerns(&Report{StartedMs: startedMs}) {
+			told = append(told, startedMs)
 		}
 	}
 	test.True(t, slices.Equal([]int64{0, 2}, told))
