--- a/internal/fleetmodel/callers.go
+++ b/internal/fleetmodel/callers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
@@ -93,8 +93,8 @@
 }
 
 // key returns under what a shared part is kept.
-func (c *call) key(i int) kept.Part {
-	return kept.Part{Salt: c.placement.Attempt.Salt, ID: c.request.Shared[i].ID}
+func (c *call) key(i int) kvindex.Part {
+	return kvindex.Part{Salt: c.placement.Attempt.Salt, ID: c.request.Shared[i].ID}
 }
 
 // target returns where a shared part is to be saved.
@@ -134,7 +134,7 @@
 	c.placement = placement
 	c.rank = *placement.Attempt.Priority
 	c.sent = w.now
-	placement.Member.Load.Begin(placement.Reading, placement.Holding)
+	placement.Member.Load.Begin(placement.PrefillTokens, placement.MemoryTokens)
 	w.engines[placement.Member.ID].send(c)
 }
 
@@ -164,9 +164,9 @@
 // began is called with the first token.
 func (c *call) began() {
 	after := c.world.now.Sub(c.sent)
-	c.placement.Member.Load.FirstEvent(c.placement.Reading)
-	c.placement.Began(after)
-	c.placement.Member.Health.Succeeded(c.world.now)
+	c.placement.Member.Load.FirstEvent(c.placement.PrefillTokens)
+	c.placement.RecordFirstEvent(after)
+	c.placement.Member.Health.RecordSuccess(c.world.now)
 	c.started = true
 	took := c.world.now.Sub(c.first)
 	c.late = took > c.class.Objective
@@ -175,23 +175,23 @@
 
 // ended is called with the last token.
 func (c *call) ended() {
-	c.placement.Member.Load.End(c.placement.Holding)
-	c.placement.Ended(c.world.now.Sub(c.sent))
+	c.placement.Member.Load.End(c.placement.MemoryTokens)
+	c.placement.RecordRun(c.world.now.Sub(c.sent))
 }
 
 // failed is called when the engine is gone. A run without a first token goes elsewhere; one
 // that is under way is broken off.
 func (c *call) failed() {
 	member := c.placement.Member
-	member.Load.End(c.placement.Holding)
-	member.Health.Failed(c.world.now, true)
+	member.Load.End(c.placement.MemoryTokens)
+	member.Health.RecordFailure(c.world.now, true)
 	if c.started {
 		c.world.Result.noteBroken(c)
 		return
 	}
-	member.Load.FirstEvent(c.placement.Reading)
-	if c.placement.Failed != nil {
-		c.placement.Failed()
+	member.Load.FirstEvent(c.placement.PrefillTokens)
+	if c.placement.RecordFailure != nil {
+		c.placement.RecordFailure()
 	}
 	c.world.Result.Resent++
 	c.tried = append(c.tried, member.ID)
@@ -200,16 +200,16 @@
 
 // pause returns how long a prompt without a place waits until the next look.
 func (w *World) pause(p *forward.Placement, objective time.Duration) time.Duration {
-	if w.WaitShare == nil {
-		return p.Pause(objective)
+	if w.MaxWaitShare == nil {
+		return p.RetryDelay(objective)
 	}
-	return p.PauseWithin(time.Duration(*w.WaitShare * float64(objective)))
+	return p.RetryDelayWithin(time.Duration(*w.MaxWaitShare * float64(objective)))
 }
 
 // refusal returns when a caller that is refused may come back.
 func refusal(p *forward.Placement) time.Duration {
-	if p.Refuse == nil {
+	if p.OnRefusal == nil {
 		return noEngineAfter
 	}
-	return p.Refuse()
+	return p.OnRefusal()
 }
--- a/internal/follow/suspended_test.go
+++ b/internal/follow/suspended_test.go
@@ -31,13 +31,13 @@
 	return follow.Page{Next: from}, nil
 }
 
-// ageSink is a sink that records the age of each batch's ProvenAt on arrival.
+// ageSink is a sink that records the age of each batch's ConfirmedAt on arrival.
 type ageSink struct {
 	host *clocktest.Host
 	list []time.Duration
 }
 
-func (a *ageSink) Apply(b follow.Batch) { a.list = append(a.list, a.host.Since(b.ProvenAt)) }
+func (a *ageSink) Apply(b follow.Batch) { a.list = append(a.list, a.host.Since(b.ConfirmedAt)) }
 
 // TestReadDuringSuspension checks that a response that was buffered while the host was suspended
 // counts as current when the read was sent, before the suspension.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -73,8 +73,8 @@
 		if v == delivered {
 			return nil
 		}
-		if (v == notRun || v == mayHaveRun) && placement.Failed != nil {
-			placement.Failed()
+		if (v == notRun || v == mayHaveRun) && placement.RecordFailure != nil {
+			placement.RecordFailure()
 		}
 		query.Tried = append(query.Tried, placement.Member.ID)
 		if v != notRun {
@@ -124,14 +124,14 @@
 	endpointEnded := v == notRun && (x.endpointReplaced || x.refused())
 	unreachable := v == notRun && x.unreachable()
 	if endpointEnded {
-		p.Member.Ends(now)
+		p.Member.MarkEnded(now)
 	}
 	switch {
 	case v == delivered:
-		health.Succeeded(now)
+		health.RecordSuccess(now)
 	case v == notRun && !unreachable && !endpointEnded:
-		health.Refused(now, refusalBackoff)
-	case health.Failed(now, unreachable):
+		health.RecordRefusal(now, refusalBackoff)
+	case health.RecordFailure(now, unreachable):
 		x.Log.Warn().Str("event", "endpoint_avoided").Str("endpoint", p.Member.ID).Str("id", x.attrs.ID).
 			Float64("failure_rate", health.FailureRate(now)).AnErr("cause", x.cause).Send()
 	}
@@ -182,8 +182,8 @@
 	p.Attempt.Remaining = x.Clock.Until(x.deadline())
 	p.Attempt.ResumeAfter = x.attrs.ResumeAfter
 	load := p.Member.Load
-	load.Begin(p.Reading, p.Holding)
-	defer load.End(p.Holding)
+	load.Begin(p.PrefillTokens, p.MemoryTokens)
+	defer load.End(p.MemoryTokens)
 	prefilling := true
 	// The duration is measured by the monotonic clock: a suspension of this host must not count as
 	// slowness of the endpoint.
@@ -192,14 +192,14 @@
 	prefillDone := func() {
 		if prefilling {
 			prefilling = false
-			load.FirstEvent(p.Reading)
+			load.FirstEvent(p.PrefillTokens)
 			markBegun()
 		}
 	}
 	defer prefillDone()
 	first := func() {
-		if prefilling && p.Began != nil {
-			p.Began(time.Since(started))
+		if prefilling && p.RecordFirstEvent != nil {
+			p.RecordFirstEvent(time.Since(started))
 		}
 		prefillDone()
 	}
@@ -216,14 +216,14 @@
 	misdirected := answer.StatusCode == http.StatusMisdirectedRequest
 	x.endpointReplaced = misdirected && info.Instance != "" && info.Instance != p.Member.ID
 	if !misdirected { // a misdirected answer may come from another endpoint
-		p.Member.Answered(x.Clock.Now(), x.service.ColdStart)
+		p.Member.RecordAnswer(x.Clock.Now(), x.service.ColdStart)
 	}
 	v := x.deliver(answer, &info, first)
 	if v == mayHaveRun && errors.Is(context.Cause(ctx), errWithdrawn) {
 		x.cause = errWithdrawn
 	}
-	if v == delivered && p.Ended != nil {
-		p.Ended(time.Since(started))
+	if v == delivered && p.RecordRun != nil {
+		p.RecordRun(time.Since(started))
 	}
 	return v
 }
@@ -247,10 +247,10 @@
 	model := x.attrs.Model
 	switch {
 	case info.Version > 0:
-		p.Member.Saw(fleet.Statement{Weights: fleet.Weights{Model: model, Version: info.Version}, At: sent})
+		p.Member.RecordWeights(fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: info.Version}, At: sent})
 	case status == http.StatusMisdirectedRequest && p.Attempt.Version > 0 && (info.Instance == "" || info.Instance == p.Member.ID):
 		// The right endpoint answered, so its weights differ from those recorded for it.
-		p.Member.Refuted(model, p.Attempt.Version, x.Clock.Now())
+		p.Member.RecordVersionRefusal(model, p.Attempt.Version, x.Clock.Now())
 	}
 }
 
@@ -270,7 +270,7 @@
 // isOwn reports whether an answer belongs to this request. Refusals may state no request id.
 func (x *exchange) isOwn(h http.Header) bool {
 	info := x.Dialect.ReadAnswer(h)
-	return info.ID == x.attrs.ID || info.ID == "" && !info.Sealed
+	return info.ID == x.attrs.ID || info.ID == "" && !info.Signed
 }
 
 // request returns the request to send to an endpoint for one attempt.
--- a/internal/forward/endpoint_signals.go
+++ b/internal/forward/endpoint_signals.go
@@ -19,10 +19,10 @@
 		x.Log.Warn().Str("event", "answer_unreadable").Str("endpoint", m.ID).Str("id", x.attrs.ID).Str("headers", headers).Send()
 	}
 	x.recordLimit(status, info, m, sent)
-	if info.Draining && x.Fleet.Drain(m, x.Clock.Now()) {
+	if info.Draining && x.Fleet.MarkDraining(m, x.Clock.Now()) {
 		x.Log.Info().Str("event", "endpoint_draining").Str("endpoint", m.ID).Str("id", x.attrs.ID).Send()
 	}
-	if isRefusal(status) && info.RetryAfter > 0 && m.Signals.BackOff(info.RetryAfter, x.Clock.Now()) {
+	if isRefusal(status) && info.RetryAfter > 0 && m.Signals.RecordBackoff(info.RetryAfter, x.Clock.Now()) {
 		x.Log.Info().Str("event", "endpoint_backoff").Str("endpoint", m.ID).Str("id", x.attrs.ID).
 			Int64("asked_ms", info.RetryAfter.Milliseconds()).Int64("for_ms", min(info.RetryAfter, fleet.MaxBackoff).Milliseconds()).Send()
 	}
@@ -38,9 +38,9 @@
 // not know the limit. An unreadable limit leaves the recorded one unchanged.
 func (x *exchange) recordLimit(status int, info *AnswerInfo, m *fleet.Member, sent time.Time) {
 	now := x.Clock.Now()
-	limitRemoved := status < http.StatusMultipleChoices && info.Sealed && !info.LimitUnread
+	limitRemoved := status < http.StatusMultipleChoices && info.Signed && !info.LimitUnreadable
 	switch {
-	case info.Limited:
+	case info.HasLimit:
 		if m.Signals.SetLimit(info.Limit, now) {
 			x.Log.Info().Str("event", "endpoint_limited").Str("endpoint", m.ID).Str("id", x.attrs.ID).Float64("per_s", info.Limit).Send()
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,9 +18,9 @@
 	"github.com/cherryward/cherryward/internal/datagram"
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/kernel"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 	"github.com/cherryward/cherryward/internal/quarantine"
@@ -64,7 +64,7 @@
 	callers       *server
 	readyServer   *server // readiness checks of the balancer, metrics
 	cacheTracker  *cacheTracker
-	events        *kept.Peers // exchanges the stores' contents with other nodes
+	events        *kvindex.Peers // exchanges the stores' contents with other nodes
 	orders        *weights.Service
 	conn          *datagram.Conn // messages to and from other nodes
 	peers         *peerload.Exchange
@@ -80,11 +80,11 @@
 // New opens the node's listeners and creates its services. load reads the boot file again, to
 // detect changes.
 func New(boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
-	return NewOn(clock.System(), boot, load, log)
+	return NewWithClock(clock.System(), boot, load, log)
 }
 
-// NewOn is New for a host with the given clock, which must count time spent in suspension.
-func NewOn(host *clock.Clock, boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
+// NewWithClock is New for a host with the given clock, which must count time spent in suspension.
+func NewWithClock(host *clock.Clock, boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
 	limitMemory(boot.MemoryBytes)
 	n := &Node{
 		kernel: kernel.New(boot.Bounds.Grace - stopMargin),
@@ -117,15 +117,15 @@
 	boot := n.boot.Load()
 	engines := platform.NewEngines()
 	n.cacheTracker = &cacheTracker{node: n}
-	n.cacheTracker.index = kept.NewIndex(engines, n.cacheTracker.pace, n.log)
-	n.cacheTracker.index.Relayed = n.relayed
+	n.cacheTracker.index = kvindex.NewIndex(engines, n.cacheTracker.intervals, n.log)
+	n.cacheTracker.index.ReceivesRelays = n.relayed
 	n.cacheTracker.index.Clock = n.clock
 	n.conn, err = datagram.Listen(peerAddr(boot), n.log)
 	if err != nil {
 		return err
 	}
-	n.conn.Bound(pace.AnswerRate(boot.LinkBytes))
-	n.events = &kept.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
+	n.conn.Bound(intervals.AnswerRate(boot.LinkBytes))
+	n.events = &kvindex.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
 	n.events.Serve()
 	n.peers = peerload.New(peerload.Config{
 		Node:       boot.Name,
@@ -135,7 +135,7 @@
 		Member:     n.fleet.Member,
 		Late:       n.cacheTracker.lateStores,
 		Orders:     n.orderStatus,
-		Names:      n.cacheTracker.referencedFloors,
+		References: n.cacheTracker.referencedWatermarks,
 		Neighbours: n.domainPeers,
 		Role:       func() peerload.Role { return n.roster.role() },
 		LinkBytes:  boot.LinkBytes,
@@ -216,46 +216,46 @@
 func (n *Node) handler() *forward.Handler {
 	boot := n.boot.Load()
 	budgets := forward.NewBudgets(boot.Bounds, n.nodes)
-	budgets.Held = n.roster.HoldsLease
+	budgets.Counted = n.roster.HoldsLease
 	budgets.Clock = n.clock
 	return &forward.Handler{
-		Dialect:    platform.Dialect{},
-		State:      n.state,
-		Placer:     n.placer(),
-		Budgets:    budgets,
-		Patience:   &forward.Patience{},
-		Quarantine: n.quarantine,
-		Fleet:      n.fleet,
-		Clock:      n.clock,
-		Bounds:     n.bounds,
-		Recorder:   n.recorder,
-		Log:        n.log,
+		Dialect:      platform.Dialect{},
+		ConfigSource: n.state,
+		Placer:       n.placer(),
+		Budgets:      budgets,
+		AgeEstimator: &forward.AgeEstimator{},
+		Quarantine:   n.quarantine,
+		Fleet:        n.fleet,
+		Clock:        n.clock,
+		Bounds:       n.bounds,
+		Recorder:     n.recorder,
+		Log:          n.log,
 	}
 }
 
 func (n *Node) placer() *placer.Placer {
 	return &placer.Placer{
-		Domain:       n.boot.Load().Domain,
-		Fleet:        n.fleet,
-		Versions:     n.state,
-		Kept:         n.cacheTracker.index,
-		MayName:      n.cacheTracker.mayReference,
-		Peers:        n.peers.Table,
-		Kick:         n.peers.Kick,
-		Usual:        &kept.Lateness{},
-		Whole:        n.peers.Whole,
-		Closed:       n.orders.Closed,
-		VersionApply: func() time.Duration { return n.bounds().VersionApply },
-		Evacuated:    n.state.Evacuated,
-		SlowStart:    &slowstart.Limiter{Node: n.boot.Load().Name, View: n.roster.senders},
-		MostCold:     n.maxColdRate,
-		Throttle:     &throttle.Limiter{Node: n.boot.Load().Name, View: n.roster.throttlers},
-		Excused:      n.state.startupGrace,
-		Services:     &placer.Services{},
-		Nodes:        n.nodes,
-		Unheard:      n.peers.Unheard,
-		Now:          n.clock.Now,
-		Random:       rand.Float64,
+		Domain:            n.boot.Load().Domain,
+		Fleet:             n.fleet,
+		Versions:          n.state,
+		Kept:              n.cacheTracker.index,
+		MayReference:      n.cacheTracker.mayReference,
+		Peers:             n.peers.Table,
+		RequestReport:     n.peers.RequestReport,
+		CommonDelay:       &kvindex.Lateness{},
+		FullMesh:          n.peers.FullMesh,
+		Closed:            n.orders.Closed,
+		VersionApplyLimit: func() time.Duration { return n.bounds().VersionApplyLimit },
+		Evacuated:         n.state.Evacuated,
+		SlowStart:         &slowstart.Limiter{Node: n.boot.Load().Name, View: n.roster.senders},
+		MaxColdPerSecond:  n.maxColdRate,
+		Throttle:          &throttle.Limiter{Node: n.boot.Load().Name, View: n.roster.throttlers},
+		ReplacedGrace:     n.state.startupGrace,
+		Services:          &placer.Services{},
+		Nodes:             n.nodes,
+		ReportLag:         n.peers.ReportLag,
+		Now:               n.clock.Now,
+		Random:            rand.Float64,
 	}
 }
 
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -106,7 +106,7 @@
 		own, err := json.Marshal(nodeEntry{Addr: "10.0.0.1:1"})
 		must.NoError(t, err)
 		applyEntry := func(value []byte) {
-			v.node.roster.Apply(follow.Batch{ProvenAt: time.Now(), Records: []follow.Record{{Key: "n", Value: value}}})
+			v.node.roster.Apply(follow.Batch{ConfirmedAt: time.Now(), Records: []follow.Record{{Key: "n", Value: value}}})
 			v.readVersions(t)
 		}
 		applyEntry(nil)
@@ -115,7 +115,7 @@
 		applyEntry(own)
 		test.False(t, v.mayReference(model, 1), test.Sprint("the others may not have read the entry yet"))
 		for range int(removalGrace(0)/nodesWait) + 1 {
-			v.node.roster.Apply(follow.Batch{ProvenAt: time.Now()})
+			v.node.roster.Apply(follow.Batch{ConfirmedAt: time.Now()})
 			time.Sleep(nodesWait)
 		}
 		v.readVersions(t)
@@ -136,7 +136,7 @@
 		v.setNodes(t, "n")
 		time.Sleep(2 * leaseDuration)
 		test.False(t, v.node.roster.HoldsLease())
-		v.node.roster.Apply(follow.Batch{ProvenAt: time.Now()})
+		v.node.roster.Apply(follow.Batch{ConfirmedAt: time.Now()})
 		test.True(t, v.node.roster.HoldsLease())
 	})
 }
@@ -157,7 +157,7 @@
 			early += simulateRemovedNode(t, random, s, freer, reader)
 		})
 	}
-	test.Positive(t, early, test.Sprint("times that parts were freed early without the removed node's commitment"))
+	test.Positive(t, early, test.Sprint("times that parts were freed early without the removed node's watermark"))
 }
 
 // simulateRemovedNode simulates some minutes and returns how often a part was freed before
@@ -193,7 +193,7 @@
 			reader.setEngineVersion(newest)
 		}
 		freer.setEngineVersion(newest)
-		freer.referencedFloors()
+		freer.referencedWatermarks()
 		freer.receiveFrom(viewReferencing("n1", newest), int64(i+1))
 		for v := int64(1); v <= newest; v++ {
 			if reader.mayReference(model, v) {
@@ -212,9 +212,9 @@
 	return early
 }
 
-// viewReferencing returns a view that has committed to reference nothing older than a version.
+// viewReferencing returns a view whose watermark is at a version.
 func viewReferencing(name string, version int64) view {
 	v := newView(name)
-	v.floors.raise(model, version, time.Now())
+	v.watermarks.raise(model, version, time.Now())
 	return v
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -76,18 +76,18 @@
 		return 0
 	})
 	set.NewGauge(metricCollects, func() float64 {
-		if n.peers.Collects() {
+		if n.peers.IsCollector() {
 			return 1
 		}
 		return 0
 	})
 	set.NewGauge(metricLoadAge, func() float64 {
-		age, _ := n.peers.Table.CollectedAge(n.clock.Now())
+		age, _ := n.peers.Table.AggregateAge(n.clock.Now())
 		return age.Seconds()
 	})
-	set.NewGauge(metricHeld, func() float64 { return float64(n.quarantine.Held()) })
+	set.NewGauge(metricHeld, func() float64 { return float64(n.quarantine.HeldCount()) })
 	set.NewGauge(metricSuspended, func() float64 { return n.clock.Suspended().Seconds() })
-	set.NewGauge(metricSuspects, func() float64 { return float64(n.quarantine.Suspects()) })
+	set.NewGauge(metricSuspects, func() float64 { return float64(n.quarantine.SuspectCount()) })
 	set.NewGauge(metricEvacuated, func() float64 { return float64(len(n.state.evacuations.activeDomains())) })
 	set.NewGauge(metricCold, func() float64 { return n.countEndpoints((*fleet.Member).Cold) })
 	set.NewGauge(metricLimited, func() float64 { return n.countEndpoints(isLimited) })
@@ -123,8 +123,8 @@
 	labels := `{class="` + classOf(o.Route) + `"`
 	r.set.GetOrCreateCounter(metricRequests + labels + `,code="` + strconv.Itoa(int(o.Code)) + `"}`).Inc()
 	r.set.GetOrCreateCounter(metricAttempts + labels + `}`).Add(o.Attempts)
-	if o.First > 0 {
-		r.set.GetOrCreatePrometheusHistogramExt(metricFirst+labels+`}`, secondsBounds).Update(o.First.Seconds())
+	if o.TimeToFirstByte > 0 {
+		r.set.GetOrCreatePrometheusHistogramExt(metricFirst+labels+`}`, secondsBounds).Update(o.TimeToFirstByte.Seconds())
 	}
 	r.set.GetOrCreatePrometheusHistogramExt(metricTotal+labels+`}`, secondsBounds).Update(o.Total.Seconds())
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -12,7 +12,7 @@
 
 	"github.com/cherryward/cherryward/internal/clock"
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/quarantine"
 )
@@ -86,7 +86,7 @@
 func newRoster(node string, own nodeEntry, topic entryWriter, setPeers func([]peerload.Peer), peerAlive func(string) bool, log zerolog.Logger) *roster {
 	r := &roster{
 		node: node, own: own, topic: topic, setPeers: setPeers, peerAlive: peerAlive, log: log, rejected: newRejected(log),
-		lease:   lease{proven: time.Now(), grace: removalGrace(0)},
+		lease:   lease{lastConfirmed: time.Now(), grace: removalGrace(0)},
 		entries: make(map[string]nodeEntry), writtenAt: make(map[string]time.Time),
 	}
 	r.recompute()
@@ -105,7 +105,7 @@
 	}
 	r.recordWrites(&b)
 	r.loaded, r.end = true, b.Next
-	r.members.proven = b.ProvenAt
+	r.members.confirmedAt = b.ConfirmedAt
 	r.recompute()
 	peers := make([]peerload.Peer, 0, len(r.entries))
 	for name, e := range r.entries {
@@ -165,7 +165,7 @@
 		}
 	}
 	own, listed := r.entries[r.node]
-	r.lease.observe(entryObservation{listed: listed, gone: own.Gone, updated: updated, provenAt: b.ProvenAt, at: now})
+	r.lease.observe(entryObservation{listed: listed, gone: own.Gone, updated: updated, confirmedAt: b.ConfirmedAt, at: now})
 }
 
 // recompute updates everything that is derived from the entries: the number of nodes, the lists of
@@ -188,7 +188,7 @@
 	r.byDomain = r.groupOthersByDomain()
 	r.members.update(r.entries)
 	r.count.Store(int64(nodes))
-	r.standby.Store(pace.Whole(nodes) || lowerHashes < orderStandbys)
+	r.standby.Store(intervals.FullMesh(nodes) || lowerHashes < orderStandbys)
 }
 
 // Others returns the names of all other listed nodes.
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -14,7 +14,7 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/follow"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/placer"
 	"github.com/cherryward/cherryward/internal/routing"
@@ -31,12 +31,12 @@
 	s := &starter{state: newState(func() bootstrap.Bounds { return bounds }, zerolog.Nop())}
 	engines := fleet.New(zerolog.Nop())
 	engines.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1", Weights: []fleet.Weights{{Model: model, Version: 1}}}, time.Now())
-	index := kept.NewIndex(nil, nil, zerolog.Nop())
+	index := kvindex.NewIndex(nil, nil, zerolog.Nop())
 	s.placer = &placer.Placer{
-		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), Kick: func() {}, Usual: &kept.Lateness{},
-		Excused: s.state.startupGrace,
-		MayName: func(string, int64) bool { return false }, Whole: func() bool { return true }, Closed: func() []weights.Closed { return nil },
-		VersionApply: func() time.Duration { return bounds.VersionApply }, Services: &placer.Services{}, Nodes: func() int { return 1 },
+		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{},
+		ReplacedGrace: s.state.startupGrace,
+		MayReference:  func(string, int64) bool { return false }, FullMesh: func() bool { return true }, Closed: func() []weights.Closed { return nil },
+		VersionApplyLimit: func() time.Duration { return bounds.VersionApplyLimit }, Services: &placer.Services{}, Nodes: func() int { return 1 },
 		Now: time.Now, Random: rand.Float64,
 	}
 	return s
@@ -45,7 +45,7 @@
 // readNewVersion applies a first read of the store that finds version 2.
 func (s *starter) readNewVersion() {
 	record := follow.Record{Key: "version/" + model, Value: fmt.Appendf(nil, `{"model":%q,"version":2}`, model)}
-	s.state.Apply(follow.Batch{Records: []follow.Record{record}, Snapshot: true, ProvenAt: time.Now()})
+	s.state.Apply(follow.Batch{Records: []follow.Record{record}, Snapshot: true, ConfirmedAt: time.Now()})
 }
 
 // canPlace reports whether a prompt is placed on the engine.
@@ -69,13 +69,13 @@
 // and a late first read would add its delay in any case.
 func TestStartWithReplacedWeights(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
-		{VersionApply: 10 * time.Second, StableWindow: 3 * time.Second},
-		{VersionApply: 12 * time.Second, StableWindow: 3 * time.Second},
-		{VersionApply: 15 * time.Second, StableWindow: 4 * time.Second},
-		{VersionApply: 12 * time.Second, StableWindow: 4 * time.Second},
+		{VersionApplyLimit: 10 * time.Second, StableWindow: 3 * time.Second},
+		{VersionApplyLimit: 12 * time.Second, StableWindow: 3 * time.Second},
+		{VersionApplyLimit: 15 * time.Second, StableWindow: 4 * time.Second},
+		{VersionApplyLimit: 12 * time.Second, StableWindow: 4 * time.Second},
 	} {
 		for _, late := range []time.Duration{10 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second} {
-			t.Run(fmt.Sprint(bounds.VersionApply, bounds.StableWindow, late), func(t *testing.T) {
+			t.Run(fmt.Sprint(bounds.VersionApplyLimit, bounds.StableWindow, late), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := newStarter(bounds)
 					started := time.Now()
--- a/internal/gateway/sweep.go
+++ b/internal/gateway/sweep.go
@@ -12,7 +12,7 @@
 
 	"github.com/cherryward/cherryward/coord/retry"
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 const (
@@ -62,11 +62,11 @@
 		roster: n.roster,
 		alive: func(name, domain string, within time.Duration) bool {
 			now := n.clock.Now()
-			return table.Heard(name, now, within) || domain != n.roster.own.Domain && table.HeardOf(domain, now, within)
+			return table.ReceivedFrom(name, now, within) || domain != n.roster.own.Domain && table.ReceivedFromDomain(domain, now, within)
 		},
 		connected: func(within time.Duration) bool {
 			now := n.clock.Now()
-			return table.Hears(now, within) || table.HearsAfar(now, within)
+			return table.ReceivedFromAny(now, within) || table.ReceivedFromOtherDomains(now, within)
 		},
 	}
 }
@@ -190,7 +190,7 @@
 // of a small system, or of each failure domain of a large one. They also watch the nodes of failure
 // domains from which no message arrives.
 func (r *roster) isSweeper() bool {
-	small := pace.Whole(r.Nodes())
+	small := intervals.FullMesh(r.Nodes())
 	r.mu.Lock()
 	group := r.sortedNodes(func(e nodeEntry) bool { return small || e.Domain == r.own.Domain })
 	r.mu.Unlock()
--- a/internal/gateway/views_test.go
+++ b/internal/gateway/views_test.go
@@ -12,7 +12,7 @@
 	"github.com/cherryward/cherryward/internal/bootstrap"
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/follow"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
@@ -51,16 +51,16 @@
 	v.node.roster.Apply(batch)
 }
 
-// receiveFrom receives another view's newest version floors.
+// receiveFrom receives another view's newest watermarks.
 func (v view) receiveFrom(from view, seq int64) {
 	name := from.node.boot.Load().Name
-	v.node.peers.Table.Take(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, Names: from.referencedFloors()}, time.Now())
+	v.node.peers.Table.Record(peerload.Digest{Node: name, Incarnation: 1, Seq: seq, References: from.referencedWatermarks()}, time.Now())
 }
 
 // readVersions applies the versions announced since the last read, as a read that was sent now.
 func (v view) readVersions(t *testing.T, versions ...int64) {
 	t.Helper()
-	batch := follow.Batch{ProvenAt: time.Now()}
+	batch := follow.Batch{ConfirmedAt: time.Now()}
 	for _, version := range versions {
 		value, err := json.Marshal(map[string]any{"model": model, "version": version})
 		must.NoError(t, err)
@@ -69,7 +69,7 @@
 	v.state.Apply(batch)
 }
 
-func salt(version int64) string { return kept.Salt{Model: model, Version: version}.String() }
+func salt(version int64) string { return kvindex.Salt{Model: model, Version: version}.String() }
 
 // newLargeViews returns the views of a large system's nodes. The freer is alone in its failure
 // domain and is a standby, so that it frees early; the others share a second failure domain.
@@ -109,10 +109,10 @@
 func domainOf(node int) string { return fmt.Sprint("d", min(node, 1)) }
 
 // receiveDomain receives a node's report on its failure domain.
-func (v view) receiveDomain(reporter view, seq int64) {
-	domainNodes := reporter.node.roster.othersByDomain()[reporter.node.roster.own.Domain]
-	v.node.peers.Table.TakeDomain(peerload.DomainDigest{
-		Node: reporter.node.boot.Load().Name, Domain: reporter.node.roster.own.Domain, Incarnation: 1, Seq: seq,
-		Members: peerload.MembersOf(domainNodes...) + peerload.MembersOf(reporter.node.boot.Load().Name), Names: reporter.node.peers.Table.DomainNames(reporter.referencedFloors(), domainNodes),
+func (v view) receiveDomain(representative view, seq int64) {
+	domainNodes := representative.node.roster.othersByDomain()[representative.node.roster.own.Domain]
+	v.node.peers.Table.RecordDomainDigest(peerload.DomainDigest{
+		Node: representative.node.boot.Load().Name, Domain: representative.node.roster.own.Domain, Incarnation: 1, Seq: seq,
+		Members: peerload.MembersOf(domainNodes...) + peerload.MembersOf(representative.node.boot.Load().Name), References: representative.node.peers.Table.DomainReferences(representative.referencedWatermarks(), domainNodes),
 	}, time.Now())
 }
--- a/internal/kept/kept_test.go
+++ b/internal/kvindex/kvindex_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvindex
 
 import (
 	"fmt"
@@ -43,16 +43,16 @@
 	test.Eq(t, 1, h.nextEvent())
 }
 
-// TestMissed checks that a sent part is reported once no event has confirmed it for saveTimeout,
+// TestSaveOverdue checks that a sent part is reported once no event has confirmed it for saveTimeout,
 // until one does.
-func TestMissed(t *testing.T) {
+func TestSaveOverdue(t *testing.T) {
 	h, now := newStore(), time.Now()
-	test.False(t, h.Missed(part, now), test.Sprint("never sent"))
+	test.False(t, h.SaveOverdue(part, now), test.Sprint("never sent"))
 	must.True(t, h.BeginSave(part, 40, now))
-	test.False(t, h.Missed(part, now.Add(saveTimeout-time.Millisecond)), test.Sprint("in progress"))
-	test.True(t, h.Missed(part, now.Add(saveTimeout)))
+	test.False(t, h.SaveOverdue(part, now.Add(saveTimeout-time.Millisecond)), test.Sprint("in progress"))
+	test.True(t, h.SaveOverdue(part, now.Add(saveTimeout)))
 	h.apply(&Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}}, now)
-	test.False(t, h.Missed(part, now.Add(saveTimeout)), test.Sprint("kept"))
+	test.False(t, h.SaveOverdue(part, now.Add(saveTimeout)), test.Sprint("kept"))
 }
 
 // TestPendingSavesAreBounded checks that the number of recorded saves stays bounded if no event
@@ -99,7 +99,7 @@
 	h.apply(&Events{Epoch: 7, Next: 1}, now)
 	test.False(t, h.BeginSave(part, 40, now), test.Sprint("the save is in progress"))
 	h.apply(&Events{Epoch: 8, Next: 1}, now)
-	test.False(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay-time.Millisecond)), test.Sprint("other nodes may still name its former parts"))
+	test.False(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay-time.Millisecond)), test.Sprint("other nodes may still reference its former parts"))
 	test.True(t, h.BeginSave(part, 40, now.Add(emptyStoreDelay)), test.Sprint("the restart discarded it"))
 }
 
--- a/internal/peerload/limits.go
+++ b/internal/peerload/limits.go
@@ -27,7 +27,7 @@
 // Limit is a rate limit that an endpoint reported to a node.
 type Limit struct {
 	Endpoint  string  `json:"endpoint"`
-	Born      int64   `json:"born,omitempty"` // the endpoint's start in Unix milliseconds, 0 if unknown
+	StartedMs int64   `json:"born,omitempty"` // the endpoint's start in Unix milliseconds, 0 if unknown
 	PerSecond float64 `json:"per_s"`          // requests per second that it accepts from all nodes together
 	Ended     bool    `json:"ended,omitempty"`
 	AgeMs     int64   `json:"age_ms"`
@@ -40,11 +40,11 @@
 	var list []Limit
 	for _, m := range members {
 		limit, known := m.Signals.RateLimit()
-		if !known || !limit.Own || now.Sub(limit.At) > limitLifetime {
+		if !known || !limit.Direct || now.Sub(limit.At) > limitLifetime {
 			continue
 		}
 		list = append(list, Limit{
-			Endpoint: m.ID, Born: m.Born, PerSecond: min(limit.PerSecond, maxPerSecond), Ended: !limit.InForce,
+			Endpoint: m.ID, StartedMs: m.StartedMs, PerSecond: min(limit.PerSecond, maxPerSecond), Ended: !limit.InForce,
 			AgeMs: max(now.Sub(limit.At), 0).Milliseconds(),
 		})
 	}
@@ -55,12 +55,12 @@
 func newestLimits(list []Limit) []Limit {
 	slices.SortStableFunc(list, func(a, b Limit) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
 	type start struct {
-		endpoint string
-		born     int64
+		endpoint  string
+		startedMs int64
 	}
 	seen := make(map[start]bool, len(list))
 	list = slices.DeleteFunc(list, func(l Limit) bool {
-		key := start{l.Endpoint, l.Born}
+		key := start{l.Endpoint, l.StartedMs}
 		duplicate := seen[key]
 		seen[key] = true
 		return duplicate
@@ -115,11 +115,11 @@
 	for i := range limits {
 		l := &limits[i]
 		m := member(l.Endpoint)
-		if m == nil || l.Born != 0 && m.Born != 0 && l.Born != m.Born {
+		if m == nil || l.StartedMs != 0 && m.StartedMs != 0 && l.StartedMs != m.StartedMs {
 			continue
 		}
 		at := now.Add(-time.Duration(l.AgeMs)*time.Millisecond - limitAgeMargin)
-		changed := m.Signals.HearLimit(fleet.RateLimit{PerSecond: l.PerSecond, InForce: !l.Ended, At: at})
+		changed := m.Signals.RecordRelayedLimit(fleet.RateLimit{PerSecond: l.PerSecond, InForce: !l.Ended, At: at})
 		if changed {
 			e.log.Info().Str("event", "endpoint_limit_heard").Str("endpoint", m.ID).Float64("per_s", l.PerSecond).
 				Bool("in_force", !l.Ended).Int64("age_ms", l.AgeMs).Send()
--- a/internal/peerload/recipients.go
+++ b/internal/peerload/recipients.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/cherryward/cherryward/internal/pace"
+	"github.com/cherryward/cherryward/internal/intervals"
 )
 
 // Peer is another node of the system.
@@ -52,7 +52,7 @@
 // SetPeers replaces the nodes that digests are sent to. Peers with invalid addresses are skipped.
 func (e *Exchange) SetPeers(peers []Peer) {
 	own := e.config.Conn.Addr()
-	fullMesh := pace.Whole(len(peers))
+	fullMesh := intervals.FullMesh(len(peers))
 	next := &recipients{remoteByDomain: make(map[string][]namedAddr)}
 	for _, p := range peers {
 		if p.Addr == own {
@@ -73,9 +73,9 @@
 	e.peers.Store(next)
 }
 
-// Whole reports whether digests are exchanged among all nodes, as in a small system, rather than
+// FullMesh reports whether digests are exchanged among all nodes, as in a small system, rather than
 // within each failure domain only.
-func (e *Exchange) Whole() bool {
+func (e *Exchange) FullMesh() bool {
 	peers := e.peers.Load()
 	return peers == nil || len(peers.remote) == 0
 }
@@ -93,10 +93,10 @@
 // large system a collector by another.
 const digestAgeIntervals = 3
 
-// Unheard returns the number of nodes that report their load to this one, and the mean age of the
+// ReportLag returns the number of nodes that report their load to this one, and the mean age of the
 // reported loads.
-func (e *Exchange) Unheard() (nodes int, lag time.Duration) {
+func (e *Exchange) ReportLag() (nodes int, lag time.Duration) {
 	nodes = e.localCount()
-	spacing, _ := pace.Digests(nodes)
+	spacing, _ := intervals.DigestIntervals(nodes)
 	return nodes, digestAgeIntervals * spacing
 }
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -60,12 +60,12 @@
 // memory returns the estimated memory use of an engine.
 func (s *search) memory(m *fleet.Member) admission.Memory {
 	capacity := s.q.Service.Engine.KVTokens
-	if !s.Whole() && !s.holdsMany {
+	if !s.FullMesh() && !s.holdsMany {
 		capacity -= int(unreportedShare * float64(capacity))
 	}
 	return admission.Memory{
-		Capacity: capacity,
-		Held:     m.Load.Holding() + s.others.Of(m.ID, m.Born).Holding,
+		Capacity:       capacity,
+		OccupiedTokens: m.Load.HeldTokens() + s.others.At(m.ID, m.StartedMs).HeldTokens,
 	}
 }
 
@@ -86,18 +86,18 @@
 // refused before is served, since it does not return a second time.
 func (s *search) isTooLate(m *fleet.Member) bool {
 	objective := millis(s.q.Route.Objective)
-	if objective <= 0 || s.q.Returned() {
+	if objective <= 0 || s.q.IsRetry() {
 		return false
 	}
 	return s.firstMs(m) > objective && s.queueMs(m) > s.tuning().QueueShare*objective
 }
 
 // decline returns why the prompt can't be placed, with the time until one of the engines may have
-// room. A waiting prompt is declined at each attempt to place it; only Refuse records a refusal and
+// room. A waiting prompt is declined at each attempt to place it; only OnRefusal records a refusal and
 // assigns a retry time.
 func (s *search) decline(engines []*fleet.Member, reason string) forward.Placement {
 	wait := s.expectedWait(engines)
-	return forward.Placement{Reason: reason, Wait: wait, Refuse: func() time.Duration {
+	return forward.Placement{Reason: reason, PredictedWait: wait, OnRefusal: func() time.Duration {
 		s.service.demand.NoteDecision(true)
 		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(holding(s.q), 1), 1)
 		spacing := duration(s.estimates.RunMs * float64(s.Nodes()) / float64(capacity))
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -45,7 +45,7 @@
 // others.
 func (s *search) selectCandidates(candidates []*fleet.Member) []*fleet.Member {
 	s.candidateCount = len(candidates)
-	if s.Whole() {
+	if s.FullMesh() {
 		return candidates
 	}
 	local := s.localCandidates(candidates)
@@ -67,7 +67,7 @@
 	var connected []*fleet.Member
 	others := make([]*fleet.Member, 0, len(local))
 	for _, m := range local {
-		if m.Pool.Kept(s.now) {
+		if m.Pool.HasIdle(s.now) {
 			connected = append(connected, m)
 		} else {
 			others = append(others, m)
@@ -113,7 +113,7 @@
 			byDomain = append(byDomain, &domainUse{domain: endpoint.Domain})
 		}
 		u := byDomain[i]
-		running := m.Load.Running() + s.others.Of(m.ID, m.Born).Running
+		running := m.Load.Running() + s.others.At(m.ID, m.StartedMs).Running
 		u.engines = append(u.engines, m)
 		u.running, u.slots = u.running+running, u.slots+endpoint.Slots
 		all.running, all.slots = all.running+running, all.slots+endpoint.Slots
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -21,11 +21,11 @@
 func newDomains(t *testing.T, north, south, west int) *world {
 	t.Helper()
 	w := newWorld(t, source{})
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	random := rand.New(rand.NewPCG(1, 2))
 	w.Random = random.Float64
 	for _, domain := range []string{"south", "west"} {
-		must.NoError(t, w.Peers.TakeOuter(&peerload.OuterLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
+		must.NoError(t, w.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
 	}
 	number := 0
 	for domain, running := range map[string]int{"north": north, "south": south, "west": west} {
@@ -97,7 +97,7 @@
 		test.True(t, ok)
 		test.Eq(t, "north", p.Member.Endpoint().Domain)
 	}
-	must.NoError(t, w.Peers.TakeOuter(&peerload.OuterLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
+	must.NoError(t, w.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
 	south := 0
 	for range 100 {
 		p, ok := w.Place(query())
@@ -136,7 +136,7 @@
 // all prompts.
 func TestNewEngineGetsBoundedShare(t *testing.T) {
 	w := newWorld(t, source{})
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	random := rand.New(rand.NewPCG(3, 4))
 	w.Random = random.Float64
 	const engines, prompts = 40, 2000
@@ -174,12 +174,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWorld(t, source{})
 			w.versions.wanted, w.versions.age = 2, 5*time.Second
-			w.VersionApply = func() time.Duration { return time.Hour }
+			w.VersionApplyLimit = func() time.Duration { return time.Hour }
 			random := rand.New(rand.NewPCG(5, 6))
 			w.Random = random.Float64
 			now := time.Now()
 			w.Now = func() time.Time { return now }
-			w.Unheard = func() (int, time.Duration) { return tc.others, 200 * time.Millisecond }
+			w.ReportLag = func() (int, time.Duration) { return tc.others, 200 * time.Millisecond }
 			w.addEngines(engines, func(i int) int64 {
 				if i < 2 {
 					return 2
@@ -209,7 +209,7 @@
 // published.
 func TestFindsRoomAtUnsampledEngine(t *testing.T) {
 	w := newWorld(t, source{})
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	q := query()
 	q.Service.Engine.KVTokens = 100_000
 	const engines = 40
@@ -229,16 +229,16 @@
 // TestReservesMemoryForUnreportedPrompts checks that a node of a large system refuses a prompt that
 // would fill an engine's memory beyond 0.85, and that a node of a small system accepts it.
 func TestReservesMemoryForUnreportedPrompts(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, fullMesh := range []bool{true, false} {
 		w := newWorld(t, source{}, 1)
-		w.Whole = func() bool { return whole }
+		w.FullMesh = func() bool { return fullMesh }
 		q := query()
 		q.Service.Engine.KVTokens = 100_000
 		q.Attributes.PromptTokens = 11_500
 		w.members[0].Load.Begin(0, 80_000)
 		p, ok := w.Place(q)
-		test.Eq(t, whole, ok)
-		if !whole {
+		test.Eq(t, fullMesh, ok)
+		if !fullMesh {
 			test.Eq(t, "no_room", p.Reason)
 		}
 	}
@@ -250,7 +250,7 @@
 // estimated 131,000, as prompts in transit or half read hold less than they will.
 func TestFillsMemoryThatHoldsManyPrompts(t *testing.T) {
 	w := newWorld(t, source{}, 1)
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	q := query()
 	q.Service.Engine.KVTokens = 100_000
 	q.Attributes.PromptTokens = 3000
--- a/internal/placer/evacuated_test.go
+++ b/internal/placer/evacuated_test.go
@@ -53,7 +53,7 @@
 		}
 		q.Tried = nil
 		for _, m := range w.Fleet.Members("s") {
-			m.Health.Failed(time.Now(), true)
+			m.Health.RecordFailure(time.Now(), true)
 		}
 		p, ok := w.Place(q)
 		must.True(t, ok, must.Sprint("failing endpoints are used where no other is allowed"))
@@ -68,7 +68,7 @@
 	w.evacuate("north", "nowhere")
 	p, ok := w.Place(query())
 	test.False(t, ok)
-	test.Zero(t, p.Pause(time.Second), test.Sprint("the request is refused without waiting"))
+	test.Zero(t, p.RetryDelay(time.Second), test.Sprint("the request is refused without waiting"))
 	test.Eq(t, "evacuated", p.Reason)
 	w.evacuate("nowhere")
 	_, ok = w.Place(query())
--- a/internal/placer/gate.go
+++ b/internal/placer/gate.go
@@ -33,8 +33,8 @@
 
 func (p *Placer) gate(q *forward.Query) *gate {
 	g := &gate{Placer: p, q: q, now: p.Now()}
-	if p.SlowStart != nil && p.MostCold != nil {
-		g.maxCold = p.MostCold(q.Service)
+	if p.SlowStart != nil && p.MaxColdPerSecond != nil {
+		g.maxCold = p.MaxColdPerSecond(q.Service)
 	}
 	return g
 }
@@ -43,7 +43,7 @@
 func (g *gate) isCold(m *fleet.Member) bool { return g.maxCold > 0 && m.Cold(g.now) }
 
 func (g *gate) slowStartEndpoint(m *fleet.Member) *slowstart.Endpoint {
-	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, Most: g.maxCold}
+	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, MaxPerSecond: g.maxCold}
 }
 
 // throttleEndpoint returns the rate limit of an endpoint in the throttle's form, or nil if it has
@@ -53,7 +53,7 @@
 	if !known || !limit.InForce || g.Throttle == nil {
 		return nil
 	}
-	return &throttle.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, PerSecond: limit.PerSecond, Age: g.now.Sub(limit.At)}
+	return &throttle.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, PerSecond: limit.PerSecond, ReportAge: g.now.Sub(limit.At)}
 }
 
 // blocked returns why no request may be sent to an endpoint now, and for how long. The reason is
@@ -116,9 +116,9 @@
 	case reasonLimited:
 		return g.declineLimited(members, shortest)
 	case reasonBackingOff:
-		return forward.Placement{Reason: reason, Wait: shortest, Refuse: func() time.Duration { return g.retryAfter(shortest, backoffSpacing) }}
+		return forward.Placement{Reason: reason, PredictedWait: shortest, OnRefusal: func() time.Duration { return g.retryAfter(shortest, backoffSpacing) }}
 	}
-	return forward.Placement{Reason: reason, Wait: shortest, Refuse: func() time.Duration { return shortest }}
+	return forward.Placement{Reason: reason, PredictedWait: shortest, OnRefusal: func() time.Duration { return shortest }}
 }
 
 // declineLimited refuses a request because of rate limits. The wait is the time until this node may
@@ -128,7 +128,7 @@
 	if wait == throttle.Never {
 		wait = 0
 	}
-	return forward.Placement{Reason: reasonLimited, Wait: wait, Refuse: func() time.Duration {
+	return forward.Placement{Reason: reasonLimited, PredictedWait: wait, OnRefusal: func() time.Duration {
 		perSecond := 0.0
 		for _, m := range members {
 			if e := g.throttleEndpoint(m); e != nil {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -12,7 +12,7 @@
 
 	"github.com/cherryward/cherryward/internal/fleet"
 	"github.com/cherryward/cherryward/internal/forward"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/peerload"
 	"github.com/cherryward/cherryward/internal/routing"
 	"github.com/cherryward/cherryward/internal/slowstart"
@@ -35,43 +35,43 @@
 	Domain   string // failure domain of this node
 	Fleet    *fleet.Fleet
 	Versions Versions
-	Kept     *kept.Index
-	// MayName reports whether requests may name parts of a version of a model at stores. Stores
-	// free these some time after the version was replaced.
-	MayName func(model string, version int64) bool
+	Kept     *kvindex.Index
+	// MayReference reports whether requests may reference parts of a version of a model at stores.
+	// Stores free these some time after the version was replaced.
+	MayReference func(model string, version int64) bool
 	// Peers holds the load reports of the other nodes.
 	Peers *peerload.Table
-	// Kick requests an early load report to the other nodes after a placement.
-	Kick func()
-	// Usual is the average delay of first events that don't depend on a store.
-	Usual *kept.Lateness
-	// Whole reports whether Peers covers all nodes, rather than only those of this failure domain.
-	Whole func() bool
+	// RequestReport requests an early load report to the other nodes after a placement.
+	RequestReport func()
+	// CommonDelay is the average delay of first events that don't depend on a store.
+	CommonDelay *kvindex.Lateness
+	// FullMesh reports whether Peers covers all nodes, rather than only those of this failure domain.
+	FullMesh func() bool
 	// Closed returns the engines that load weights by order of this node now.
 	Closed func() []weights.Closed
-	// VersionApply returns the operators' limit for applying new weights.
-	VersionApply func() time.Duration
+	// VersionApplyLimit returns the operators' limit for applying new weights.
+	VersionApplyLimit func() time.Duration
 	// Evacuated reports whether the endpoints of a failure domain must get no requests. Nil means
 	// that no domain is evacuated.
 	Evacuated func(domain string) bool
-	// SlowStart shares out the requests to cold endpoints between nodes. MostCold returns the
+	// SlowStart shares out the requests to cold endpoints between nodes. MaxColdPerSecond returns the
 	// maximum number of requests per second to a cold endpoint of a service, 0 for no limit. Nil
 	// means that cold endpoints get as many requests as others.
-	SlowStart *slowstart.Limiter
-	MostCold  func(s *routing.Service) int
+	SlowStart        *slowstart.Limiter
+	MaxColdPerSecond func(s *routing.Service) int
 	// Throttle shares out the requests to rate-limited endpoints between nodes. Nil means that rate
 	// limits are ignored.
 	Throttle *throttle.Limiter
-	// Excused returns when this process started, and until when runs on weights replaced before
+	// ReplacedGrace returns when this process started, and until when runs on weights replaced before
 	// then are still allowed. Nil means that none are.
-	Excused func() (started, until time.Time)
+	ReplacedGrace func() (started, until time.Time)
 	// Services holds the learned state of the services.
 	Services *Services
 	// Nodes returns the number of nodes that place requests.
 	Nodes func() int
-	// Unheard returns the number of other nodes whose load reports Peers sums up, and the age of
+	// ReportLag returns the number of other nodes whose load reports Peers sums up, and the age of
 	// these reports. Nil means that the reports are always current.
-	Unheard func() (nodes int, lag time.Duration)
+	ReportLag func() (nodes int, lag time.Duration)
 	// Now is the clock. Random returns a random number in [0, 1).
 	Now    func() time.Time
 	Random func() float64
@@ -157,7 +157,7 @@
 	now := p.Now()
 	others := p.Peers.Loads(now)
 	best := gate.takeCheapest(score(candidates, func(m *fleet.Member) float64 {
-		reported := others.Of(m.ID, m.Born)
+		reported := others.At(m.ID, m.StartedMs)
 		cost := float64(m.Load.Running()+reported.Running) + failurePenalty*failureRate(m, reported, now) + tieJitter*p.Random()
 		if m.Endpoint().Domain != p.Domain {
 			cost += crossDomainCost
@@ -231,7 +231,7 @@
 
 // saltOf returns the salt under which the request's parts are kept.
 func saltOf(q *forward.Query, version int64) string {
-	salt := kept.Salt{Model: q.Attributes.Model, Version: version}
+	salt := kvindex.Salt{Model: q.Attributes.Model, Version: version}
 	if q.Account != nil && q.Account.Isolated {
 		salt.Account = q.Account.Name
 	}
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/cherryward/cherryward/internal/fleet"
-	"github.com/cherryward/cherryward/internal/kept"
+	"github.com/cherryward/cherryward/internal/kvindex"
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
@@ -18,7 +18,7 @@
 	p, ok := w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, home, p.Member.ID)
-	test.Eq(t, 2000, p.Reading)
+	test.Eq(t, 2000, p.PrefillTokens)
 	test.Eq(t, "cached", p.Reason)
 	test.Eq(t, 1, p.Attempt.Version)
 }
@@ -46,13 +46,13 @@
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Sources)
 	test.Greater(t, 1000, p.Attempt.FetchUntil)
 	test.Nil(t, p.Attempt.Targets, test.Sprint("parts that the store keeps are not saved again"))
-	w.mayName = false
+	w.mayReference = false
 	p, ok = w.Place(query())
 	must.True(t, ok)
-	test.Nil(t, p.Attempt.Sources, test.Sprint("a part that the store may free is not named"))
+	test.Nil(t, p.Attempt.Sources, test.Sprint("a part that the store may free is not referenced"))
 }
 
-// TestBacksUpCachedParts checks that the store is named as a backup source for parts the engine is
+// TestBacksUpCachedParts checks that the store is referenced as a backup source for parts the engine is
 // expected to hold, as they may have been evicted, and the fastest holder for missing parts.
 func TestBacksUpCachedParts(t *testing.T) {
 	w := newWorld(t, source{addr(2): shared(1, ""), addr(1): shared(1, ""), store: shared(1, "")}, 1, 1, 1)
@@ -88,29 +88,29 @@
 func TestFullStoreIsSkipped(t *testing.T) {
 	const large, small = "10.9.0.2:1", "10.9.0.3:1"
 	w := newWorld(t, source{}, 1, 1, 1)
-	full := kept.NewHolder(large, large, "north")
+	full := kvindex.NewHolder(large, large, "north")
 	full.Tokens = 1_000_000_000
-	roomy := kept.NewHolder(small, small, "north")
+	roomy := kvindex.NewHolder(small, small, "north")
 	roomy.Tokens = 20_000
-	w.Kept.Replace(nil, []*kept.Holder{full, roomy})
+	w.Kept.Replace(nil, []*kvindex.Holder{full, roomy})
 	p, ok := w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{large, large, ""}, p.Attempt.Targets)
-	p.Failed()
-	w.Kept.Take(full, &kept.Events{Epoch: 1, Next: 2, Changes: []kept.Change{{Number: 1, Part: kept.Part{Salt: "s", ID: "x"}, Tokens: full.Tokens}}, ClockMS: 1})
+	p.RecordFailure()
+	w.Kept.Apply(full, &kvindex.Events{Epoch: 1, Next: 2, Changes: []kvindex.Change{{Number: 1, Part: kvindex.Part{Salt: "s", ID: "x"}, Tokens: full.Tokens}}, ClockMS: 1})
 	p, ok = w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{small, small, ""}, p.Attempt.Targets)
 }
 
-// TestFailedAttemptCancelsSaves checks that the store is named again as a target if the engine that
-// should have sent the parts did not run the request. Otherwise no node would save them for 4 s,
-// and all requests that use them would read them.
+// TestFailedAttemptCancelsSaves checks that the store is referenced again as a target if the engine
+// that should have sent the parts did not run the request. Otherwise no node would save them for 4
+// s, and all requests that use them would read them.
 func TestFailedAttemptCancelsSaves(t *testing.T) {
 	w := newWorld(t, source{}, 1, 1, 1)
 	p, ok := w.Place(query())
 	must.True(t, ok)
-	p.Failed()
+	p.RecordFailure()
 	p, ok = w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Targets)
@@ -121,13 +121,13 @@
 func TestFetchesSmallPartsBeforeLargeOnes(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1)
 	for range 20 {
-		w.Kept.Stores()[0].Late.Note(300, time.Now())
+		w.Kept.Stores()[0].Late.Observe(300, time.Now())
 	}
 	p, ok := w.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{store, store, ""}, p.Attempt.Sources)
 	test.Eq(t, 9500, p.Fetched)
-	test.Eq(t, 2000, p.Reading)
+	test.Eq(t, 2000, p.PrefillTokens)
 }
 
 // TestIsolation checks that an isolated account neither uses parts of other accounts nor shares its
@@ -140,7 +140,7 @@
 	must.True(t, ok)
 	test.Eq(t, salt(1, "yard"), p.Attempt.Salt)
 	test.Nil(t, p.Attempt.Sources)
-	test.Eq(t, 11500, p.Reading)
+	test.Eq(t, 11500, p.PrefillTokens)
 }
 
 // TestUsesOnlyPartsOfSameVersion checks that KV cache computed with other weights is not used.
@@ -222,7 +222,7 @@
 	must.True(t, ok)
 	test.Eq(t, "e1", p.Member.ID)
 	for _, m := range w.members {
-		m.Health.Failed(time.Now(), true)
+		m.Health.RecordFailure(time.Now(), true)
 	}
 	_, ok = w.Place(q)
 	test.True(t, ok, test.Sprint("if all endpoints are unhealthy, all are used"))
@@ -236,8 +236,8 @@
 // cache computed with other weights.
 func TestVersionIsReadOnce(t *testing.T) {
 	w := newWorld(t, source{}, 1)
-	w.MayName = func(string, int64) bool {
-		w.members[0].Saw(fleet.Statement{Weights: fleet.Weights{Model: model, Version: 2}, At: time.Now()})
+	w.MayReference = func(string, int64) bool {
+		w.members[0].RecordWeights(fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: 2}, At: time.Now()})
 		return true
 	}
 	p, ok := w.Place(query())
@@ -250,7 +250,7 @@
 // skipped, and that another domain is used if too few local engines are left.
 func TestLargeSystem(t *testing.T) {
 	w := newWorld(t, source{store: shared(1, "")}, 1, 1, 1)
-	w.Whole = func() bool { return false }
+	w.FullMesh = func() bool { return false }
 	w.Kept.Follow(t.Context(), nil, w.Kept.Stores()) // the index does not follow engines
 	for i := range 12 {
 		domain := []string{"north", "south"}[i%2]
--- a/internal/placer/prompt.go
+++ b/internal/placer/prompt.go
@@ -53,7 +53,7 @@
 	}
 	s.service.demand.NoteDecision(false)
 	s.service.placed.note(s.plan(best).reading, s.now)
-	p.Kick()
+	p.RequestReport()
 	return s.placement(best), true
 }
 
@@ -61,7 +61,7 @@
 // own failure domain, if enough of them are usable. Engines of other domains look idle to this
 // node, so that a busy domain would overload them unnoticed.
 func (p *Placer) localCandidates(candidates []*fleet.Member) []*fleet.Member {
-	if p.Whole() {
+	if p.FullMesh() {
 		return candidates
 	}
 	count := 0
@@ -95,19 +95,19 @@
 			Sources:  plan.sources,
 			Targets:  p.targets(q, plan),
 		},
-		Reading: plan.reading,
-		Cached:  plan.cached,
-		Fetched: plan.fetched,
-		Holding: holding(q),
-		BeginBy: s.rollout.beginBy(plan.version),
-		Wait:    duration(plan.waitMs),
-		First:   duration(s.firstMs(best)),
-		Held:    s.memory(best).Held,
-		Reason:  plan.reason(),
-		Began:   s.firstEventObserver(best),
-		Ended:   func(took time.Duration) { s.service.model.Ended(holding(q), took) },
+		PrefillTokens:       plan.reading,
+		Cached:              plan.cached,
+		Fetched:             plan.fetched,
+		MemoryTokens:        holding(q),
+		BeginBy:             s.rollout.beginBy(plan.version),
+		PredictedWait:       duration(plan.waitMs),
+		PredictedFirstEvent: duration(s.firstMs(best)),
+		OccupiedTokens:      s.memory(best).OccupiedTokens,
+		Reason:              plan.reason(),
+		RecordFirstEvent:    s.firstEventObserver(best),
+		RecordRun:           func(took time.Duration) { s.service.model.RecordRun(holding(q), took) },
 	}
-	placement.Failed = func() { p.cancelSaves(q, &placement.Attempt) }
+	placement.RecordFailure = func() { p.cancelSaves(q, &placement.Attempt) }
 	if plan.fromStore {
 		placement.Attempt.FetchUntil = s.fetchUntil - (FetchLimit - s.fetchTimeout(best)).Milliseconds()
 	}
@@ -118,7 +118,7 @@
 // without a session.
 func (p *Placer) home(q *forward.Query) *fleet.Member {
 	parts := q.Attributes.Parts
-	if len(parts) < 2 || !p.Whole() {
+	if len(parts) < 2 || !p.FullMesh() {
 		return nil
 	}
 	members := p.localCandidates(p.notEvacuated(p.Fleet.Members(q.Service.Name)))
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -86,9 +86,9 @@
 	return h.Until
 }
 
-// Note records an ending, and reports whether the request becomes held by it. It is idempotent. Endings
-// during a hold belong to runs that had already started, and do not prolong it.
-func (t *Table) Note(e Ending) (held bool) {
+// RecordEnd records an ending, and reports whether the request becomes held by it. It is
+// idempotent. Endings during a hold belong to runs that had already started, and do not prolong it.
+func (t *Table) RecordEnd(e Ending) (held bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer t.updateCount()
@@ -197,8 +197,8 @@
 	return holds
 }
 
-// Held returns the number of requests that are held now.
-func (t *Table) Held() (count int) {
+// HeldCount returns the number of requests that are held now.
+func (t *Table) HeldCount() (count int) {
 	now := t.now()
 	for _, h := range t.Holds() {
 		if now.Before(h.Until) {
@@ -208,8 +208,8 @@
 	return count
 }
 
-// Suspects returns the number of requests that have endings but are not held.
-func (t *Table) Suspects() int {
+// SuspectCount returns the number of requests that have endings but are not held.
+func (t *Table) SuspectCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.suspects.Len()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -34,10 +34,10 @@
 // too long or not there.
 func TestAsksAnotherNode(t *testing.T) {
 	long := filled(time.Now())
-	long.Apply(follow.Batch{Records: []follow.Record{record("long", noise(datagram.MaxBytes), 10)}, Next: 11, ProvenAt: time.Now()})
+	long.Apply(follow.Batch{Records: []follow.Record{record("long", noise(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
 	old := filled(time.Now().Add(-MaxAge))
 	young := filled(time.Now().Add(-time.Second))
-	young.Apply(follow.Batch{Records: []follow.Record{record("b", "z", 10)}, Next: 11, ProvenAt: time.Now().Add(-time.Second)})
+	young.Apply(follow.Batch{Records: []follow.Record{record("b", "z", 10)}, Next: 11, ConfirmedAt: time.Now().Add(-time.Second)})
 	for _, tc := range []struct {
 		name    string
 		copy    *Copy
@@ -145,7 +145,7 @@
 func TestStoreIsAskedForLongRecords(t *testing.T) {
 	own, _ := relayOf(t, nil)
 	held := filled(time.Now())
-	held.Apply(follow.Batch{Records: []follow.Record{record("config", noise(datagram.MaxBytes), 10)}, Next: 11, ProvenAt: time.Now()})
+	held.Apply(follow.Batch{Records: []follow.Record{record("config", noise(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
 	_, reader := relayOf(t, held)
 	store := &storeTopic{away: true}
 	topic := patientTopic(own, store, reader)
@@ -186,28 +186,28 @@
 }
 
 // TestProofOfACopy plays a follower that asks a copy: at each moment the time of its
-// proof is not later than the copy's.
+// confirmation is not later than the copy's.
 func TestProofOfACopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader := &Copy{Sink: drop{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		seen := &lastProof{}
+		seen := &lastConfirmed{}
 		f := &follow.Follower{
 			Name: "t", Topic: slowCopy{reader}, Sink: seen, Log: zerolog.Nop(), Retry: 100 * time.Millisecond,
 			Pause: func() time.Duration { return 400 * time.Millisecond },
 		}
-		proven := time.Now()
-		reader.Apply(follow.Batch{Snapshot: true, Next: 10, ProvenAt: proven})
+		confirmedAt := time.Now()
+		reader.Apply(follow.Batch{Snapshot: true, Next: 10, ConfirmedAt: confirmedAt})
 		done := make(chan error, 1)
 		go func() { done <- f.Run(ctx) }()
 		for i := range 200 {
 			time.Sleep(70 * time.Millisecond)
 			if i%13 == 0 && (i < 60 || i > 120) { // the reader loses the store for 4 s
-				proven = time.Now().Add(-30 * time.Millisecond)
-				reader.Apply(follow.Batch{Next: 10, ProvenAt: proven})
+				confirmedAt = time.Now().Add(-30 * time.Millisecond)
+				reader.Apply(follow.Batch{Next: 10, ConfirmedAt: confirmedAt})
 			}
-			test.False(t, seen.at().After(proven), test.Sprint("step ", i))
+			test.False(t, seen.at().After(confirmedAt), test.Sprint("step ", i))
 		}
 		test.False(t, seen.at().IsZero())
 		cancel()
@@ -230,22 +230,22 @@
 	return page, err
 }
 
-// lastProof keeps the newest proof.
-type lastProof struct {
-	mu     sync.Mutex
-	proven time.Time
+// lastConfirmed keeps the latest time at which the state was confirmed.
+type lastConfirmed struct {
+	mu          sync.Mutex
+	confirmedAt time.Time
 }
 
-func (l *lastProof) Apply(b follow.Batch) {
+func (l *lastConfirmed) Apply(b follow.Batch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !b.Snapshot {
-		l.proven = b.ProvenAt
+		l.confirmedAt = b.ConfirmedAt
 	}
 }
 
-func (l *lastProof) at() time.Time {
+func (l *lastConfirmed) at() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.proven
+	return l.confirmedAt
 }
--- a/internal/runs/dispatcher.go
+++ b/internal/runs/dispatcher.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/cherryward/cherryward/api/wire/enginewire"
-	"github.com/cherryward/cherryward/internal/answer"
 	"github.com/cherryward/cherryward/internal/endpoint/engine"
+	"github.com/cherryward/cherryward/internal/framecheck"
 	"github.com/cherryward/cherryward/internal/kvcache"
 	"github.com/cherryward/cherryward/internal/result"
 	"github.com/cherryward/cherryward/internal/runid"
@@ -28,9 +28,9 @@
 	Engines Engines
 	Placer  Placer
 	Budget  Budget
-	// Versions selects another version for a request that no engine accepted on its own; if nil,
+	// VersionSelector selects another version for a request that no engine accepted on its own; if nil,
 	// the version is never changed.
-	Versions Versions
+	VersionSelector VersionSelector
 	// Directory provides the engine of a run to resume.
 	Directory Directory
 }
@@ -154,10 +154,10 @@
 		id:      runid.New(d.Key, p.req.Account, runid.ID{Endpoint: name, Base: p.tokens}),
 		name:    name,
 	}
-	tokens, bytes := grant.Imported()
+	tokens, bytes := grant.ImportedContext()
 	p.summary.ImportedTokens += tokens
 	p.summary.ImportedBytes += bytes
-	err = r.run(ctx, grant.Patience())
+	err = r.run(ctx, grant.FirstFrameTimeout())
 	if err != nil && p.hasAllTokens() {
 		r.markComplete()
 		err = nil
@@ -191,10 +191,10 @@
 	baseURL    string
 	name       string
 	id         string
-	checker    *answer.Checker
+	checker    *framecheck.Checker
 	startedAt  time.Time
 	baseTokens int // tokens of the answer before this run
-	observed   Observed
+	observed   RunReport
 }
 
 func (r *engineRun) request(now time.Time) *enginewire.RunRequest {
@@ -220,13 +220,13 @@
 }
 
 // run starts the run on the engine and reads its answer. An engine that sends no first frame within
-// patience, or no further frame within stallTimeout, counts as broken off.
-func (r *engineRun) run(ctx context.Context, patience time.Duration) error {
+// firstFrameTimeout, or no further frame within stallTimeout, counts as broken off.
+func (r *engineRun) run(ctx context.Context, firstFrameTimeout time.Duration) error {
 	r.startedAt = time.Now()
 	r.baseTokens = r.p.tokens
 	req := r.request(r.startedAt)
-	r.checker = answer.NewChecker(answer.Expected{Run: r.id, Version: req.Version, CacheSalt: req.CacheSalt})
-	w := newWatchdog(ctx, patience)
+	r.checker = framecheck.NewChecker(framecheck.Expected{Run: r.id, Version: req.Version, CacheSalt: req.CacheSalt})
+	w := newWatchdog(ctx, firstFrameTimeout)
 	defer w.stop()
 	stream, err := r.d.Engines.Start(w.ctx, r.baseURL, req)
 	if err == nil {
