--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// ErrExpired is returned when the remaining time of a claim is too short for the operation,
+// ErrNotValid is returned when the remaining time of a claim is too short for the operation,
 // when the claim was released, or when a later claim has replaced it.
-var ErrExpired = errors.New("claim: expired")
+var ErrNotValid = errors.New("claim: no longer valid")
 
 // Claim is the exclusive right to send orders for a resource until the claim expires or is
 // released.
@@ -34,9 +34,9 @@
 	}
 }
 
-// cancelBeforeExpiry creates the claim's context and cancels it when the remaining time falls
-// to the order timeout.
-func (c *Claim) cancelBeforeExpiry() {
+// startContext creates the claim's context and cancels it when the remaining time falls to the
+// order timeout.
+func (c *Claim) startContext() {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	go func() {
 		defer c.cancel()
@@ -56,7 +56,7 @@
 	return c.expires - c.claimer.config.Clock.Now()
 }
 
-// Valid reports whether the claim was not released and expires more than margin from now.
+// Valid reports whether the claim was not released and remains in effect for longer than margin.
 func (c *Claim) Valid(margin time.Duration) bool {
 	return !c.released.Load() && c.Remaining() > margin
 }
@@ -67,25 +67,25 @@
 func (c *Claim) Context() context.Context { return c.ctx }
 
 // Order returns a context for one order, derived from ctx and limited by the order timeout. It
-// returns ErrExpired if the order could outlast the claim.
+// returns ErrNotValid if the order could outlast the claim or the claim was released.
 func (c *Claim) Order(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	timeout := c.claimer.config.OrderTimeout
 	if !c.Valid(timeout) {
-		return nil, nil, ErrExpired
+		return nil, nil, ErrNotValid
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	return bounded, cancel, nil
 }
 
-// Release ends the claim, so that other contenders need not wait until it expires. The claim is
+// Release ends the claim, so that contenders need not wait until it expires. The claim is
 // invalid in this process from the call on, whether or not the append succeeds. After an error
-// the claim expires as usual, and Release may be called again. A holder whose last order has an
+// contenders may wait as if it had not been released, and Release may be called again. A holder whose last order has an
 // uncertain outcome should let the claim expire instead, so that the grace period protects the
 // next holder.
 func (c *Claim) Release(ctx context.Context) error {
 	c.released.Store(true)
 	c.cancel()
-	e := entry{Kind: kindRelease, ID: c.id, Resource: c.resource, Holder: c.claimer.config.Holder}
+	e := recordContent{Kind: kindRelease, ID: c.id, Resource: c.resource, Holder: c.claimer.config.Holder}
 	_, err := c.claimer.config.Log.Append(ctx, e.encode())
 	return err
 }
--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -40,12 +40,13 @@
 	fmt.Println("late order", endpoint.Check("engine-7", held.Token()))
 	// Output:
 	// order <nil>
-	// after release: claim: expired
+	// after release: claim: no longer valid
 	// next holder <nil>
 	// late order claim: token is lower than one already accepted: got 0, highest accepted is 2
 }
 
-// delayedReadLog delays the response to the first read, as a long poll does.
+// delayedReadLog delays the first read, which, like a long poll, also returns records appended
+// during the delay.
 type delayedReadLog struct {
 	*memLog
 	delay time.Duration
@@ -108,7 +109,7 @@
 				}
 				next := <-won
 				waited := time.Since(start)
-				test.False(t, held.Valid(0), test.Sprint("both holders find their claim valid"))
+				test.False(t, held.Valid(0), test.Sprint("both claims are valid"))
 				test.Error(t, held.Context().Err())
 				test.Greater(t, held.Token(), next.Token())
 				test.LessEq(t, tc.maxWait, waited)
@@ -120,8 +121,8 @@
 }
 
 // TestClaimLifecycle checks that acquiring and releasing a free slot costs two appends, that
-// orders end with the order timeout before expiry, that slots limit the number of holders, and
-// that a failed release still invalidates the claim.
+// no order starts once only the order timeout remains, that slots limit the number of holders,
+// and that a failed release still invalidates the claim.
 func TestClaimLifecycle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memLog{}
@@ -141,7 +142,7 @@
 		time.Sleep(ttl - orderTimeout)
 		synctest.Wait()
 		_, _, err = last.Order(t.Context())
-		test.ErrorIs(t, err, claim.ErrExpired)
+		test.ErrorIs(t, err, claim.ErrNotValid)
 		test.ErrorIs(t, last.Context().Err(), context.Canceled)
 		test.True(t, last.Valid(0))
 		time.Sleep(2 * orderTimeout)
--- a/coord/claim/claimer.go
+++ b/coord/claim/claimer.go
@@ -36,17 +36,18 @@
 	}, nil
 }
 
-// Acquire claims the resource for ttl. It waits until the resource is free and returns the
-// cause of the end of ctx if that comes first. Claiming a free resource costs one append. It
-// returns an error for a ttl outside OrderTimeout to MaxTTL. If ctx ends first, a record may
-// already have been appended; it blocks other contenders no longer than a claim for ttl would.
+// Acquire claims the resource for ttl. It waits until the resource is free and returns
+// context.Cause(ctx) if ctx ends first. Claiming a free resource costs one append. It returns an
+// error unless ttl is greater than OrderTimeout and at most MaxTTL. If ctx ends first, a record
+// may already have been appended; it blocks contenders no longer than a claim for ttl would.
 func (c *Claimer) Acquire(ctx context.Context, resource string, ttl time.Duration) (*Claim, error) {
 	return c.acquire(ctx, []string{resource}, ttl)
 }
 
 // AcquireAny claims one of the numbered slots of the resource, which limits the number of
-// holders to slots. All contenders must use the same number. After the number is lowered,
-// holders of slots above it keep them until their claims expire.
+// holders to slots. Claim.Resource then returns the name of the slot, "resource#0" for the
+// first. All contenders must use the same number. After the number is lowered, holders of slots
+// above it keep them until their claims expire.
 func (c *Claimer) AcquireAny(ctx context.Context, resource string, slots int, ttl time.Duration) (*Claim, error) {
 	names := make([]string, slots)
 	for i := range names {
@@ -62,7 +63,7 @@
 	start    time.Duration // clock reading before the log read that the record is based on
 }
 
-// acquireState is what one pass over the log yields for a call to acquire.
+// acquireState is the result of reading the log for a call to acquire.
 type acquireState struct {
 	wonClaim   *Claim
 	free       string // a resource that can be claimed now; empty if none is free
@@ -104,10 +105,10 @@
 	return nil, context.Cause(ctx)
 }
 
-// append appends a claim record and returns its offset, or -1 after an error. An error does not
-// show whether the record was added; later reads of the log show it.
+// append adds a claim record to the log and returns its offset. After an error it waits for the
+// poll interval and returns -1; only later reads of the log show whether the record was added.
 func (c *Claimer) append(ctx context.Context, a attempt, readOffset int64, ttl time.Duration) int64 {
-	e := entry{Kind: kindClaim, ID: a.id, Resource: a.resource, Holder: c.config.Holder, TTL: ttl, ReadOffset: readOffset}
+	e := recordContent{Kind: kindClaim, ID: a.id, Resource: a.resource, Holder: c.config.Holder, TTL: ttl, ReadOffset: readOffset}
 	offset, err := c.config.Log.Append(ctx, e.encode())
 	if err != nil {
 		c.config.Clock.Sleep(ctx, c.config.Poll)
@@ -137,7 +138,7 @@
 	var s acquireState
 	err := c.withCurrentView(ctx, func() {
 		s.wonClaim = c.wonClaim(attempts, ttl)
-		s.readOffset = c.view.position
+		s.readOffset = c.view.nextOffset
 		s.free, s.freeAt = c.chooseResource(names)
 	})
 	return s, err
@@ -151,17 +152,17 @@
 		if h == nil || h.id != a.id {
 			continue
 		}
-		wonClaim := newClaim(c, a, h.offset, ttl)
-		if wonClaim.Valid(c.config.OrderTimeout) {
-			wonClaim.cancelBeforeExpiry()
-			return wonClaim
+		won := newClaim(c, a, h.offset, ttl)
+		if won.Valid(c.config.OrderTimeout) {
+			won.startContext()
+			return won
 		}
 	}
 	return nil
 }
 
 // chooseResource returns a random free resource, or an empty name if none is free, and the
-// earliest time at which one becomes free.
+// earliest time at which one becomes free, at most MaxTTL from now.
 func (c *Claimer) chooseResource(names []string) (string, time.Duration) {
 	now := c.config.Clock.Now()
 	var free []string
@@ -179,19 +180,20 @@
 	return free[c.config.Random(int64(len(free)))], earliest
 }
 
-// Holding is a claim in effect, as derived from the log.
+// Holding is a claim for which contenders still wait, as derived from the log.
 type Holding struct {
 	Resource string
 	Holder   string
 	Token    int64
-	FreeIn   time.Duration // time until another contender can claim the resource
-	// Unsure marks claim records whose outcome this node cannot determine, because log
+	FreeIn   time.Duration // time until a contender can claim the resource
+	// Uncertain marks claim records whose outcome this process cannot determine, because log
 	// retention removed the records that they are based on. Contenders wait for them to expire.
-	Unsure bool
+	// Token is then the offset of the newest such record, and Holder is empty.
+	Uncertain bool
 }
 
-// Holdings reads the log and returns the claims that were not released and have not expired,
-// sorted by resource. It is meant for display to operators.
+// Holdings reads the log and returns the claims that were not released and for which
+// contenders still wait, sorted by resource. It is meant for display to operators.
 func (c *Claimer) Holdings(ctx context.Context) ([]Holding, error) {
 	var all []Holding
 	err := c.withCurrentView(ctx, func() { all = c.holdings() })
@@ -206,7 +208,7 @@
 			all = append(all, Holding{Resource: name, Holder: h.holder, Token: h.offset, FreeIn: h.freeAt - now})
 		}
 		if r.uncertainUntil > now {
-			all = append(all, Holding{Resource: name, Token: r.uncertainThrough, FreeIn: r.uncertainUntil - now, Unsure: true})
+			all = append(all, Holding{Resource: name, Token: r.uncertainThrough, FreeIn: r.uncertainUntil - now, Uncertain: true})
 		}
 	}
 	slices.SortFunc(all, func(a, b Holding) int { return strings.Compare(a.Resource, b.Resource) })
--- a/coord/claim/config.go
+++ b/coord/claim/config.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Config configures a Claimer. All fields but Grace are required.
+// Config configures a Claimer. All fields but Holder and Grace are required.
 type Config struct {
 	Log    Log
 	Clock  Clock
 	Holder string // identifies this process in the log, for operators
-	// OrderTimeout limits the duration of one order. A claim allows an order only if it can
-	// finish within this timeout before the claim expires.
+	// OrderTimeout limits the duration of one order. An order may start only while the claim
+	// remains in effect for longer than this.
 	OrderTimeout time.Duration
 	// Grace is the additional time that contenders wait after a claim expired without a
 	// release. For endpoints that ignore tokens it must be at least the longest time in which
 	// an order that was sent can still take effect.
 	Grace time.Duration
 	// MaxTTL limits the duration of each claim. It must be the same for all processes that use
-	// a log: records with a longer TTL come from another writer, would block a resource for
-	// that time, and are ignored. The log must retain records many times longer than MaxTTL.
+	// a log: records with a longer TTL are ignored, since they come from a writer with another
+	// configuration and would block the resource for too long. The log must retain records many times longer than MaxTTL.
 	MaxTTL time.Duration
 	// Poll is the interval between log reads while waiting for a claim.
 	Poll time.Duration
--- a/coord/claim/fence.go
+++ b/coord/claim/fence.go
@@ -13,8 +13,8 @@
 // state is lost when the endpoint restarts; until the first order of the current holder it then
 // accepts a late order of an earlier holder, which a [Reconciler] corrects.
 type Fence struct {
-	mu     sync.Mutex
-	newest map[string]int64
+	mu      sync.Mutex
+	highest map[string]int64
 }
 
 // Check accepts an order for the resource, or returns an error that wraps ErrStale if the token
@@ -22,12 +22,12 @@
 func (f *Fence) Check(resource string, token int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if newest, ok := f.newest[resource]; ok && token < newest {
-		return fmt.Errorf("%w: got %d, highest accepted is %d", ErrStale, token, newest)
+	if highest, ok := f.highest[resource]; ok && token < highest {
+		return fmt.Errorf("%w: got %d, highest accepted is %d", ErrStale, token, highest)
 	}
-	if f.newest == nil {
-		f.newest = make(map[string]int64)
+	if f.highest == nil {
+		f.highest = make(map[string]int64)
 	}
-	f.newest[resource] = token
+	f.highest[resource] = token
 	return nil
 }
--- a/coord/claim/invariant_test.go
+++ b/coord/claim/invariant_test.go
@@ -33,12 +33,12 @@
 
 const (
 	correct               simVariant = iota
-	countsTTLFromGrant               // the holder starts the TTL after the append and read
+	countsTTLFromGrant               // the holder starts the TTL after the append and the read
 	excessiveSkew                    // clock rates differ by more than the margin allows
 	missesConcurrentClaim            // a contender does not read a claim appended just before its own
 )
 
-// validPeriod is a period in which a holder finds its claim valid.
+// validPeriod is a period in which a claim is valid according to its holder.
 type validPeriod struct {
 	resource    string
 	token       int64
@@ -51,16 +51,16 @@
 	slices.SortFunc(periods, func(a, b validPeriod) int {
 		return cmp.Or(cmp.Compare(a.resource, b.resource), a.from.Compare(b.from))
 	})
-	for i, b := range periods[:max(0, len(periods)-1)] {
+	for i, period := range periods[:max(0, len(periods)-1)] {
 		next := periods[i+1]
-		if next.resource != b.resource {
+		if next.resource != period.resource {
 			continue
 		}
-		if next.from.Before(b.until) {
-			return fmt.Errorf("%s: tokens %d and %d valid at once for %v", b.resource, b.token, next.token, b.until.Sub(next.from))
+		if next.from.Before(period.until) {
+			return fmt.Errorf("%s: tokens %d and %d valid at once for %v", period.resource, period.token, next.token, period.until.Sub(next.from))
 		}
-		if next.token <= b.token {
-			return fmt.Errorf("%s: token %d after %d, want a higher one", b.resource, next.token, b.token)
+		if next.token <= period.token {
+			return fmt.Errorf("%s: token %d after %d, want a higher one", period.resource, next.token, period.token)
 		}
 	}
 	return nil
@@ -93,8 +93,8 @@
 	return records, next, err
 }
 
-// simulation runs contenders against an unreliable log and records when each found its claim
-// valid.
+// simulation runs contenders against an unreliable log and records the periods in
+// which each had a valid claim.
 type simulation struct {
 	variant simVariant
 	log     *memLog
@@ -145,15 +145,15 @@
 	if s.variant == countsTTLFromGrant {
 		remaining = ttl
 	}
-	b := validPeriod{held.Resource(), held.Token(), time.Now(), time.Now().Add(clock.real(remaining))}
+	period := validPeriod{held.Resource(), held.Token(), time.Now(), time.Now().Add(clock.real(remaining))}
 	time.Sleep(time.Duration(random.IntN(30)) * time.Second)
 	if random.IntN(2) == 0 && held.Valid(0) {
-		b.until = time.Now()
+		period.until = time.Now()
 		held.Release(context.Background())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.periods = append(s.periods, b)
+	s.periods = append(s.periods, period)
 }
 
 func simulate(t *testing.T, variant simVariant, seed uint64, slots int) *simulation {
--- a/coord/claim/log.go
+++ b/coord/claim/log.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Record is one record of the log.
+// Record is the content of the log at one offset.
 type Record struct {
 	Offset int64
 	Data   []byte
--- a/coord/claim/log_test.go
+++ b/coord/claim/log_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	errLost = errors.New("answer lost")
+	errLost = errors.New("response lost")
 	errDown = errors.New("log unavailable")
 )
 
 // memLog is an in-memory log with latency, lost responses, outages, lagging reads and
-// retention. Without a random source it has none of these faults.
+// retention. Without a random source only the fields down and retain cause faults.
 type memLog struct {
 	mu      sync.Mutex
 	records []storedRecord
--- a/coord/claim/reconciler.go
+++ b/coord/claim/reconciler.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Endpoint is the control interface of an endpoint with states S, which accepts orders O.
-// Orders are idempotent: each one names the desired state.
+// Endpoint controls one endpoint. S is the type of its state, O the type of its orders. Orders
+// are idempotent: each one names the desired state.
 type Endpoint[S, O any] interface {
 	// Observe returns the current state.
 	Observe(ctx context.Context) (S, error)
@@ -16,64 +16,64 @@
 	Order(ctx context.Context, token int64, order O) error
 }
 
-// Diff returns the next order that brings the observed state closer to the desired state, or
-// false if no order is needed or the endpoint is still executing one. It must not have side
+// PlanOrder returns the next order that brings the observed state closer to the desired state,
+// or false if no order is needed or the endpoint is still executing one. It must not have side
 // effects.
-type Diff[S, O any] func(desired, observed S) (O, bool)
+type PlanOrder[S, O any] func(desired, observed S) (O, bool)
 
-// Pending is an order whose outcome is uncertain.
+// Pending records whether the outcome of the latest order is uncertain.
 type Pending struct {
 	Uncertain bool
-	Until     time.Duration // when the order can no longer take effect
+	Until     time.Duration // clock reading from which the order can no longer take effect
 }
 
-// Step is the decision of Next.
+// Step is the step to take, as returned by Decide.
 type Step uint8
 
-// The possible steps.
 const (
-	Settled Step = iota // no order is needed, or the endpoint is executing one
-	Wait                // an uncertain order may still take effect
-	Act                 // send the returned order
+	NoOrder   Step = iota // no order is needed, or the endpoint is executing one
+	Wait                  // an uncertain order may still take effect
+	SendOrder             // send the returned order
 )
 
-// Next decides what to do after an observation made at now. It has no side effects.
-func Next[S, O any](diff Diff[S, O], desired, observed S, pending Pending, now time.Duration) (Step, O) {
-	order, differs := diff(desired, observed)
+// Decide returns the step to take after an observation that completed at time now. The returned
+// order is valid only for SendOrder. Decide has no side effects.
+func Decide[S, O any](plan PlanOrder[S, O], desired, observed S, pending Pending, now time.Duration) (Step, O) {
+	order, needed := plan(desired, observed)
 	switch {
-	case !differs:
-		return Settled, order
+	case !needed:
+		return NoOrder, order
 	case pending.Uncertain && now < pending.Until:
 		return Wait, order
 	}
-	return Act, order
+	return SendOrder, order
 }
 
 // Reconciler keeps one endpoint in the desired state. Any number of nodes may run one for the
 // same endpoint: only the holder of the claim sends orders. An observation precedes each order
 // and shows the outcome of an earlier uncertain order. The effect of a late order of an earlier
-// holder is corrected within Interval plus the duration of a claim and of one order. All fields
-// are required.
+// holder is corrected within Interval plus the duration, margin and grace period of a claim and
+// the duration of one order, while the log is available. All fields are required.
 type Reconciler[S, O any] struct {
 	Claimer  *Claimer
 	Resource string
 	TTL      time.Duration // of each claim
 	Endpoint Endpoint[S, O]
-	// Desired returns the state required by the newest accepted configuration known to this
-	// node, or false if no configuration is known.
+	// Desired returns the state required by the newest accepted configuration that this
+	// process has received, or false if it has received none.
 	Desired func() (S, bool)
-	Diff    Diff[S, O]
+	Plan    PlanOrder[S, O]
 	// Interval is the time between observations.
 	Interval time.Duration
-	// Settle is the longest time in which an order with an uncertain outcome can still take
-	// effect; no further order is sent before that time has passed.
-	Settle time.Duration
+	// MaxEffectDelay is the longest time in which an order with an uncertain outcome can still
+	// take effect; no further order is sent before that time has passed.
+	MaxEffectDelay time.Duration
 
 	claim   *Claim
 	pending Pending
 }
 
-// Run observes and corrects the endpoint until ctx ends, and returns the cause.
+// Run observes and corrects the endpoint until ctx ends, and returns context.Cause(ctx).
 func (r *Reconciler[S, O]) Run(ctx context.Context) error {
 	defer r.releaseClaim()
 	for ctx.Err() == nil {
@@ -87,17 +87,17 @@
 // reconcileOnce makes one observation and sends an order or acquires the claim if needed. It
 // returns true if the next observation should follow immediately.
 func (r *Reconciler[S, O]) reconcileOnce(ctx context.Context) bool {
-	desired, known := r.Desired()
-	if !known {
+	desired, ok := r.Desired()
+	if !ok {
 		return false
 	}
 	observed, err := r.observe(ctx)
 	if err != nil {
 		return false
 	}
-	step, order := Next(r.Diff, desired, observed, r.pending, r.Claimer.config.Clock.Now())
+	step, order := Decide(r.Plan, desired, observed, r.pending, r.Claimer.config.Clock.Now())
 	switch step {
-	case Settled:
+	case NoOrder:
 		r.releaseClaim()
 		return false
 	case Wait:
@@ -106,7 +106,7 @@
 	if r.claim == nil || !r.claim.Valid(r.Claimer.config.OrderTimeout) {
 		return r.acquire(ctx)
 	}
-	return r.order(ctx, order)
+	return r.sendOrder(ctx, order)
 }
 
 func (r *Reconciler[S, O]) observe(ctx context.Context) (S, error) {
@@ -116,8 +116,8 @@
 }
 
 // acquire tries to acquire the claim and returns true if it did. The earlier observation may
-// then be out of date. It waits for at most the order timeout, since the current holder may
-// establish the desired state.
+// then be out of date. It waits for at most the order timeout; then the endpoint is observed
+// again, since the current holder may have corrected it.
 func (r *Reconciler[S, O]) acquire(ctx context.Context) bool {
 	bounded, cancel := context.WithTimeout(ctx, r.Claimer.config.OrderTimeout)
 	defer cancel()
@@ -126,9 +126,9 @@
 	return err == nil
 }
 
-// order sends an order under the claim. It returns true if the claim expires too soon and a new
-// one is needed.
-func (r *Reconciler[S, O]) order(ctx context.Context, order O) bool {
+// sendOrder sends an order under the claim. It returns true if the claim expires too soon and a
+// new one is needed.
+func (r *Reconciler[S, O]) sendOrder(ctx context.Context, order O) bool {
 	bounded, cancel, err := r.claim.Order(ctx)
 	if err != nil {
 		return true
@@ -143,7 +143,7 @@
 		r.claim = nil
 		return false
 	}
-	r.pending = Pending{Uncertain: true, Until: r.Claimer.config.Clock.Now() + r.Settle}
+	r.pending = Pending{Uncertain: true, Until: r.Claimer.config.Clock.Now() + r.MaxEffectDelay}
 	return false
 }
 
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), r.Claimer.config.OrderTimeout)
 	defer cancel()
 	if r.claim.Valid(0) {
-		r.claim.Release(ctx) // expires if the release fails
+		r.claim.Release(ctx) // if the release fails, the claim expires
 	}
 	r.claim = nil
 }
--- a/coord/claim/reconciler_test.go
+++ b/coord/claim/reconciler_test.go
@@ -15,13 +15,13 @@
 
 // engine is an endpoint whose state is the loaded weight version.
 type engine struct {
-	mu          sync.Mutex
-	fence       *claim.Fence // nil if the engine ignores tokens
-	version     int
-	orders      int
-	stale       int
-	lostAnswers int           // number of responses to lose after the order took effect
-	effectDelay time.Duration // delay from the response to the effect, for one order
+	mu            sync.Mutex
+	fence         *claim.Fence // nil if the engine ignores tokens
+	version       int
+	orders        int
+	stale         int
+	lostResponses int           // number of responses to lose after the order took effect
+	effectDelay   time.Duration // delay from the response to the effect, for one order
 }
 
 func (g *engine) loadedVersion() int {
@@ -49,9 +49,9 @@
 		return errors.New("timeout")
 	}
 	g.version = version
-	if g.lostAnswers > 0 {
-		g.lostAnswers--
-		return errors.New("answer lost")
+	if g.lostResponses > 0 {
+		g.lostResponses--
+		return errors.New("response lost")
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 	return p.engine.Order(ctx, token, version)
 }
 
-// desiredVersion is the newest accepted configuration known to a node.
+// desiredVersion is the version in the newest configuration that a node has received.
 type desiredVersion struct {
 	mu      sync.Mutex
 	version int
@@ -103,33 +103,33 @@
 	d.version = version
 }
 
-func diffVersions(desired, observed int) (int, bool) { return desired, desired != observed }
+func planVersion(desired, observed int) (int, bool) { return desired, desired != observed }
 
 // TestReconcilerFaults checks that the endpoint reaches the desired configuration despite lost
 // responses, delayed effects, restarts and a holder that sends an order after its claim
 // expired.
 func TestReconcilerFaults(t *testing.T) {
 	tests := map[string]struct {
-		ignoresTokens bool
-		pause         time.Duration // of the first node
-		lostAnswers   int
-		effectDelay   time.Duration
-		restart       bool
-		stale         int // orders rejected by the fence
-		orders        int // orders sent in total
-		settleTime    time.Duration
+		ignoresTokens   bool
+		pause           time.Duration // of the first node
+		lostResponses   int
+		effectDelay     time.Duration
+		restart         bool
+		stale           int // orders rejected by the fence
+		orders          int // orders sent in total
+		convergenceTime time.Duration
 	}{
-		"no fault":                         {orders: 2, settleTime: 3 * time.Second},
-		"answer lost after its effect":     {lostAnswers: 1, orders: 2, settleTime: 8 * time.Second},
-		"effect long after the answer":     {ignoresTokens: true, effectDelay: 4 * time.Second, orders: 2, settleTime: 8 * time.Second},
-		"restarted in the middle":          {restart: true, orders: 3, settleTime: 3 * time.Second},
-		"paused holder, fencing endpoint":  {pause: time.Minute, stale: 1, orders: 2, settleTime: 3 * time.Second},
-		"paused holder, ignoring endpoint": {ignoresTokens: true, pause: time.Minute, orders: 3, settleTime: 3 * time.Second},
+		"no fault":                                          {orders: 2, convergenceTime: 3 * time.Second},
+		"response lost after its effect":                    {lostResponses: 1, orders: 2, convergenceTime: 8 * time.Second},
+		"effect long after the response":                    {ignoresTokens: true, effectDelay: 4 * time.Second, orders: 2, convergenceTime: 8 * time.Second},
+		"endpoint restarted after the second configuration": {restart: true, orders: 3, convergenceTime: 3 * time.Second},
+		"paused holder, endpoint checks tokens":             {pause: time.Minute, stale: 1, orders: 2, convergenceTime: 3 * time.Second},
+		"paused holder, endpoint ignores tokens":            {ignoresTokens: true, pause: time.Minute, orders: 3, convergenceTime: 3 * time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &engine{lostAnswers: tc.lostAnswers, effectDelay: tc.effectDelay}
+				g := &engine{lostResponses: tc.lostResponses, effectDelay: tc.effectDelay}
 				if !tc.ignoresTokens {
 					g.fence = &claim.Fence{}
 				}
@@ -140,7 +140,7 @@
 				run := func(name string, d *desiredVersion, e claim.Endpoint[int, int]) {
 					r := &claim.Reconciler[int, int]{
 						Claimer: newClaimer(t, log, name), Resource: "engine", TTL: ttl, Endpoint: e,
-						Desired: d.get, Diff: diffVersions, Interval: time.Second, Settle: 5 * time.Second,
+						Desired: d.get, Plan: planVersion, Interval: time.Second, MaxEffectDelay: 5 * time.Second,
 					}
 					nodes.Go(func() { r.Run(ctx) })
 				}
@@ -148,7 +148,7 @@
 				run("a", a, &pausingEndpoint{g, tc.pause})
 				synctest.Wait()
 				run("b", b, g)
-				time.Sleep(tc.settleTime)
+				time.Sleep(tc.convergenceTime)
 				if tc.pause == 0 {
 					test.Eq(t, 1, g.loadedVersion(), test.Sprint("first configuration"))
 				}
@@ -163,7 +163,7 @@
 					g.restart()
 				}
 				time.Sleep(time.Until(start.Add(tc.pause))) // a sends its late order now
-				time.Sleep(tc.settleTime)
+				time.Sleep(tc.convergenceTime)
 				test.Eq(t, 2, g.loadedVersion(), test.Sprint("after the late order"))
 				stop()
 				nodes.Wait()
@@ -174,19 +174,19 @@
 	}
 }
 
-func TestNextWaitsForUncertainOrders(t *testing.T) {
+func TestDecideWaitsForUncertainOrders(t *testing.T) {
 	pending := claim.Pending{Uncertain: true, Until: 9}
 	steps := []struct {
 		desired, observed int
 		now               time.Duration
 		want              claim.Step
 	}{
-		{1, 1, 5, claim.Settled},
+		{1, 1, 5, claim.NoOrder},
 		{1, 0, 5, claim.Wait},
-		{1, 0, 9, claim.Act},
+		{1, 0, 9, claim.SendOrder},
 	}
 	for _, s := range steps {
-		step, order := claim.Next(diffVersions, s.desired, s.observed, pending, s.now)
+		step, order := claim.Decide(planVersion, s.desired, s.observed, pending, s.now)
 		test.Eq(t, s.want, step)
 		test.Eq(t, s.desired, order)
 	}
--- a/coord/claim/renew_test.go
+++ b/coord/claim/renew_test.go
@@ -70,13 +70,13 @@
 		must.NoError(t, err)
 		time.Sleep(renewTTL)
 		_, err = a.Renew(t.Context(), held, renewTTL)
-		test.ErrorIs(t, err, claim.ErrExpired)
+		test.ErrorIs(t, err, claim.ErrNotValid)
 
 		next, err := b.Acquire(t.Context(), "r", renewTTL)
 		must.NoError(t, err)
 		must.NoError(t, next.Release(t.Context()))
 		_, err = b.Renew(t.Context(), next, renewTTL)
-		test.ErrorIs(t, err, claim.ErrExpired)
+		test.ErrorIs(t, err, claim.ErrNotValid)
 	})
 }
 
--- a/coord/claim/view.go
+++ b/coord/claim/view.go
@@ -21,20 +21,20 @@
 	kindRelease entryKind = "release"
 )
 
-// entry is the JSON content of a log record.
-type entry struct {
+// recordContent is the JSON content of a log record.
+type recordContent struct {
 	Kind     entryKind     `json:"kind"`
 	ID       string        `json:"id"` // unique ID of the claim
 	Resource string        `json:"resource"`
 	Holder   string        `json:"holder"`
 	TTL      time.Duration `json:"ttl_ns,omitempty"`
-	// ReadOffset is the offset up to which the writer had read the log before it appended the
-	// claim.
+	// ReadOffset is the offset at which the writer's next read would have started when it
+	// appended the claim.
 	ReadOffset int64 `json:"seen,omitempty"`
 }
 
-func (e entry) encode() []byte {
-	data, err := json.Marshal(e)
+func (c recordContent) encode() []byte {
+	data, err := json.Marshal(c)
 	if err != nil {
 		panic(err) // strings and numbers always encode
 	}
@@ -46,7 +46,7 @@
 	offset   int64
 	id       string
 	holder   string
-	freeAt   time.Duration // when other contenders can claim the resource
+	freeAt   time.Duration // when contenders can claim the resource
 	released bool
 }
 
@@ -54,27 +54,26 @@
 type resourceState struct {
 	current *grantedClaim // the newest claim that took effect; it may have expired
 	// Claims based on records that are no longer retained may or may not have taken effect.
-	// Contenders wait for those up to this offset until this time.
-	uncertainThrough int64
-	uncertainUntil   time.Duration
+	uncertainThrough int64         // offset of the newest such claim, or -1
+	uncertainUntil   time.Duration // clock reading until which contenders wait for such claims
 }
 
-// view is the content of the log that has been read so far. All readers of the log derive the
-// same granted claims from it.
+// view is the state derived from the log records read so far. All readers of the same records
+// derive the same granted claims.
 type view struct {
 	log            Log
 	clock          Clock
 	grace          time.Duration
 	maxTTL         time.Duration // claims with a longer TTL are ignored
-	contiguousFrom int64         // all records from here up to position were read
-	position       int64
+	contiguousFrom int64         // all records from here up to nextOffset were read
+	nextOffset     int64         // offset at which the next read starts
 	resources      map[string]*resourceState
 }
 
 // sync reads to the end of the log. The log may not yet return the most recent appends.
 func (v *view) sync(ctx context.Context) error {
 	for {
-		records, next, err := v.log.Read(ctx, v.position, readLimit)
+		records, next, err := v.log.Read(ctx, v.nextOffset, readLimit)
 		if err != nil {
 			return err
 		}
@@ -93,20 +92,20 @@
 
 // skipTo advances to a later offset; the records in between are no longer retained.
 func (v *view) skipTo(offset int64) {
-	if offset > v.position {
-		v.contiguousFrom, v.position = offset, offset
+	if offset > v.nextOffset {
+		v.contiguousFrom, v.nextOffset = offset, offset
 	}
 }
 
 // apply adds one record to the view. Records of other formats or with invalid values are
 // ignored.
 func (v *view) apply(r Record, now time.Duration) {
-	if r.Offset < v.position {
+	if r.Offset < v.nextOffset {
 		return
 	}
 	v.skipTo(r.Offset)
-	v.position = r.Offset + 1
-	var e entry
+	v.nextOffset = r.Offset + 1
+	var e recordContent
 	if json.Unmarshal(r.Data, &e) != nil {
 		return
 	}
@@ -122,10 +121,10 @@
 	}
 }
 
-func (v *view) applyClaim(offset int64, e entry, now time.Duration) {
+func (v *view) applyClaim(offset int64, e recordContent, now time.Duration) {
 	r := v.resource(e.Resource)
 	if r.current != nil && r.current.offset >= e.ReadOffset {
-		return // another claim took effect after the writer's read
+		return // another claim took effect that the writer had not read
 	}
 	freeAt := now + e.TTL + e.TTL/SkewDivisor + v.grace
 	if e.ReadOffset < v.contiguousFrom || e.ReadOffset <= r.uncertainThrough {
@@ -136,7 +135,7 @@
 	r.current = &grantedClaim{offset: offset, id: e.ID, holder: e.Holder, freeAt: freeAt}
 }
 
-func (v *view) applyRelease(e entry) {
+func (v *view) applyRelease(e recordContent) {
 	r := v.resource(e.Resource)
 	if r.current != nil && r.current.id == e.ID {
 		r.current.released = true
