--- a/coord/fairqueue/bench_test.go
+++ b/coord/fairqueue/bench_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkExpire searches for expired items where there are none.
+// BenchmarkExpire calls Expire on a queue without expired items.
 func BenchmarkExpire(b *testing.B) {
 	for _, accounts := range []int{10, 100, 1300} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// BenchmarkExpireNearDeadline searches items that are all close to expiry, which is the worst
-// case.
+// BenchmarkExpireNearDeadline calls Expire on items that are all close to expiry, which is the
+// worst case.
 func BenchmarkExpireNearDeadline(b *testing.B) {
 	for _, items := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("items=%d", items), func(b *testing.B) {
--- a/coord/fairqueue/class.go
+++ b/coord/fairqueue/class.go
@@ -22,8 +22,8 @@
 // class is the state of one priority class.
 type class[V any] struct {
 	weight float64
-	// startTag is the start tag of the class among all classes while items are queued, and its
-	// finish tag otherwise.
+	// startTag is, while items are queued, the queue's virtual time at which the next one starts,
+	// and otherwise that at which the last one finished.
 	startTag float64
 	// virtualTime is the start tag of the item that was popped last.
 	virtualTime float64
@@ -59,18 +59,18 @@
 	a.queued++
 	a.lastStartTag = e.startTag
 	a.finishTag = e.startTag + e.item.Cost/e.item.Account.Weight
-	e.owner = a
+	e.accountState = a
 	c.root = insert(c.root, e)
 }
 
 // dequeue removes e from the tree and from the item count of its account.
 func (c *class[V]) dequeue(e *entry[V]) {
 	c.root = remove(c.root, e)
-	e.owner.queued--
-	if e.owner.queued == 0 {
-		heap.Push(&c.idle, e.owner)
+	e.accountState.queued--
+	if e.accountState.queued == 0 {
+		heap.Push(&c.idle, e.accountState)
 	}
-	e.owner = nil
+	e.accountState = nil
 	e.queued = false
 }
 
@@ -102,7 +102,7 @@
 
 // evictIdleAccounts removes the accounts without queued items whose finish tag has been
 // reached. If the class has no queued items, it removes all accounts, since no account is
-// waiting for its fair share.
+// waiting for its fair share, and resets the virtual time.
 func (c *class[V]) evictIdleAccounts() {
 	if c.root == nil {
 		c.accounts = nil
--- a/coord/fairqueue/item.go
+++ b/coord/fairqueue/item.go
@@ -38,7 +38,8 @@
 type Reason int
 
 const (
-	// QueueFull means that the account cannot queue more items at present.
+	// QueueFull means that the account has too many queued items to add another at present.
+	// The queue as a whole need not be full.
 	QueueFull Reason = iota + 1
 	// DeadlineUnmeetable means that the predicted start time is after the deadline.
 	DeadlineUnmeetable
@@ -57,13 +58,14 @@
 }
 
 // RefusedError is returned by Push for a rejected item. The item was not queued or executed;
-// pushing it again after RetryAfter is safe.
+// it is safe to push it again.
 type RefusedError struct {
 	Reason Reason
 	// Wait is the predicted time until the item would have been popped.
 	Wait time.Duration
-	// RetryAfter is the time after which the same item is expected to be accepted, provided
-	// that no other items are pushed until then. It is always positive.
+	// RetryAfter is the time after which an item with the same cost and the same time left until
+	// its deadline is expected to be accepted, provided that no other items are pushed until
+	// then. It is always positive.
 	RetryAfter time.Duration
 }
 
--- a/coord/fairqueue/property_test.go
+++ b/coord/fairqueue/property_test.go
@@ -21,13 +21,13 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// scheduler is the part of a queue that the fairness checker uses.
+// scheduler has the methods that runRandomOperations calls.
 type scheduler interface {
 	push(Item[int])
 	pop() (Item[int], bool)
 }
 
-// fairScheduler adapts a Queue.
+// fairScheduler adapts a Queue to scheduler.
 type fairScheduler struct{ q *Queue[int] }
 
 func (f fairScheduler) push(it Item[int]) {
@@ -57,11 +57,11 @@
 // checker verifies the bound stated in the package comment for each pair of accounts, that an
 // item leaves exactly once, and that pop returns an item whenever one is queued.
 type checker struct {
-	accounts []Account
-	queued   []int
-	maxCost  []float64
-	gaps     map[[2]int]*serviceGap
-	waiting  map[int]int // account index by item value
+	accounts  []Account
+	queued    []int
+	maxCost   []float64
+	gaps      map[[2]int]*serviceGap
+	accountOf map[int]int // account index by item value, for the queued items
 }
 
 func newChecker(accounts []Account) *checker {
@@ -72,21 +72,21 @@
 func (c *checker) recordPush(a int, it Item[int]) {
 	c.queued[a]++
 	c.maxCost[a] = max(c.maxCost[a], it.Cost)
-	c.waiting[it.Value] = a
+	c.accountOf[it.Value] = a
 }
 
 func (c *checker) recordPop(it Item[int], ok bool) error {
 	if !ok {
-		if len(c.waiting) > 0 {
-			return fmt.Errorf("pop returned no item although %d are queued", len(c.waiting))
+		if len(c.accountOf) > 0 {
+			return fmt.Errorf("pop returned no item although %d are queued", len(c.accountOf))
 		}
 		return nil
 	}
-	a, found := c.waiting[it.Value]
+	a, found := c.accountOf[it.Value]
 	if !found {
 		return fmt.Errorf("item %d popped twice or never pushed", it.Value)
 	}
-	delete(c.waiting, it.Value)
+	delete(c.accountOf, it.Value)
 	if err := c.recordService(a, it.Cost/c.accounts[a].Weight); err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 		s.minDiff, s.maxDiff = min(s.minDiff, s.diff), max(s.maxDiff, s.diff)
 		bound := c.maxCost[a]/c.accounts[a].Weight + c.maxCost[b]/c.accounts[b].Weight
 		if s.maxDiff-s.minDiff > bound+1e-6 {
-			return fmt.Errorf("accounts %d and %d differ by %.1f, bound %.1f", a, b, s.maxDiff-s.minDiff, bound)
+			return fmt.Errorf("service of accounts %d and %d differs by %.1f, bound %.1f", a, b, s.maxDiff-s.minDiff, bound)
 		}
 	}
 	return nil
@@ -127,7 +127,7 @@
 
 // runRandomOperations pushes bursts of items and pops items at random. It returns the first
 // violation.
-func runRandomOperations(t *rapid.T, o scheduler) error {
+func runRandomOperations(t *rapid.T, s scheduler) error {
 	accounts := make([]Account, 5)
 	costs := make([]float64, len(accounts))
 	for i := range accounts {
@@ -143,17 +143,17 @@
 			it := Item[int]{Account: accounts[a], Value: serial}
 			it.Cost = costs[a] * rapid.Float64Range(0.1, 1).Draw(t, "cost")
 			serial++
-			o.push(it)
+			s.push(it)
 			c.recordPush(a, it)
 		}
 		for range rapid.IntRange(0, 8).Draw(t, "pops") {
-			if err := c.recordPop(o.pop()); err != nil {
+			if err := c.recordPop(s.pop()); err != nil {
 				return err
 			}
 		}
 	}
-	for len(c.waiting) > 0 {
-		if err := c.recordPop(o.pop()); err != nil {
+	for len(c.accountOf) > 0 {
+		if err := c.recordPop(s.pop()); err != nil {
 			return err
 		}
 	}
--- a/coord/fairqueue/queue.go
+++ b/coord/fairqueue/queue.go
@@ -30,22 +30,23 @@
 type Config struct {
 	// Classes are the priority classes; items refer to them by index.
 	Classes []Class
-	// MaxLen is the maximum number of queued items. A single account can use at most half of
-	// it.
+	// MaxLen is the maximum number of queued items. Within one class, an account can use at
+	// most half of it.
 	MaxLen int
 	// Rate is the initial service rate in cost units per second; SetRate changes it. Zero means
 	// unknown: predicted waits are then zero.
 	Rate float64
 }
 
-// Queue is a fair queue. See the package comment for its guarantees.
+// Queue holds pending items and returns them in fair order. See the package comment for its
+// guarantees.
 type Queue[V any] struct {
 	classes     []class[V]
 	maxLen      int
 	rate        float64
 	epoch       time.Time
 	random      *rand.PCG
-	virtualTime float64
+	virtualTime float64 // start tag of the last popped class, as of that pop
 	len         int
 	seq         uint64
 }
@@ -70,7 +71,8 @@
 // Len returns the number of queued items.
 func (q *Queue[V]) Len() int { return q.len }
 
-// Accounts returns the number of accounts whose state is kept, over all classes.
+// Accounts returns the number of accounts whose state is kept, over all classes; an account
+// with state in two classes counts twice.
 func (q *Queue[V]) Accounts() int {
 	var n int
 	for i := range q.classes {
@@ -108,7 +110,7 @@
 	return Handle[V]{entry: e}, nil
 }
 
-// admit returns a *RefusedError if the account of item may not queue more items, or if item,
+// admit returns a *RefusedError if the account of item must not queue more items, or if item,
 // with the given start tag, is predicted to start after its deadline.
 func (q *Queue[V]) admit(now time.Time, item *Item[V], startTag float64) error {
 	c := &q.classes[item.Account.Class]
@@ -158,9 +160,9 @@
 	return lowest
 }
 
-// Cancel removes a queued item and refunds its cost to the account, as far as the order of the
-// account's later items allows. It returns false if the item is no longer queued; calling it
-// again is safe.
+// Cancel removes a queued item and refunds its cost to the account. The refund affects only
+// items pushed later, which never precede those that the account has already queued. Cancel
+// returns false if the item is no longer queued; calling it again is safe.
 func (q *Queue[V]) Cancel(h Handle[V]) bool {
 	e := h.entry
 	if e == nil || !e.queued {
@@ -173,7 +175,7 @@
 // removeUnserved removes an entry that was not served and refunds its cost to the account.
 func (q *Queue[V]) removeUnserved(e *entry[V]) {
 	c := &q.classes[e.item.Account.Class]
-	e.owner.finishTag -= e.item.Cost / e.item.Account.Weight
+	e.accountState.finishTag -= e.item.Cost / e.item.Account.Weight
 	q.removeEntry(c, e)
 }
 
@@ -193,9 +195,10 @@
 }
 
 // Charge corrects the cost charged to an account once the actual cost of a popped item is
-// known: delta is the actual minus the estimated cost. It affects only items that the account
-// pushes later; queued items keep their position. It has no effect for a class without queued
-// items, since no account is waiting for its share, or if the class or weight is invalid.
+// known: delta is the actual minus the estimated cost. Within the class it affects only items
+// that the account pushes later; it also changes the order in which the queued items of the
+// class are popped relative to those of other classes. It has no effect for a class without
+// queued items, since no account is waiting for its share, or if the class or weight is invalid.
 func (q *Queue[V]) Charge(account Account, delta float64) {
 	if account.Class < 0 || account.Class >= len(q.classes) || account.Weight <= 0 {
 		return
--- a/coord/fairqueue/queue_test.go
+++ b/coord/fairqueue/queue_test.go
@@ -58,7 +58,7 @@
 	must.Eq(t, map[string]int{"a": 400, "b": 100}, counts)
 }
 
-func TestPushRefuses(t *testing.T) {
+func TestPushRejects(t *testing.T) {
 	newQueue := func() *Queue[int] {
 		q := New[int](epoch, Config{Classes: []Class{{3}, {1}}, MaxLen: 100, Rate: 10})
 		push(t, q, 10, item("a", 0, 10, 0)) // 10 s of work
@@ -66,18 +66,21 @@
 		return q
 	}
 	tests := []struct {
-		name   string
-		item   Item[int]
-		reason Reason
-		wait   time.Duration
-		retry  time.Duration
+		name       string
+		item       Item[int]
+		reason     Reason
+		wait       time.Duration
+		retryAfter time.Duration
 	}{
-		{"a new account waits for one item and a third of it for the other class", item("c", 0, 10, 1334*time.Millisecond), 0, 0, 0},
-		{"a new account just too late", item("c", 0, 10, 1333*time.Millisecond), DeadlineUnmeetable, 1333 * time.Millisecond, 100 * time.Millisecond},
-		{"behind its own items and a third of them for the other class", item("a", 0, 10, 10*time.Second), DeadlineUnmeetable, 13333 * time.Millisecond, 3333 * time.Millisecond},
-		{"the other class empties first", item("b", 1, 10, 5*time.Second), DeadlineUnmeetable, 20 * time.Second, 15 * time.Second},
+		// A new account waits for one item of account a and a third of that for the other class.
+		{"new account, deadline met", item("c", 0, 10, 1334*time.Millisecond), 0, 0, 0},
+		{"new account, deadline 1 ms too early", item("c", 0, 10, 1333*time.Millisecond), DeadlineUnmeetable, 1333 * time.Millisecond, 100 * time.Millisecond},
+		// Account a waits for its own items and a third of their cost for the other class.
+		{"own items ahead, deadline too early", item("a", 0, 10, 10*time.Second), DeadlineUnmeetable, 13333 * time.Millisecond, 3333 * time.Millisecond},
+		{"other class becomes empty first, deadline too early", item("b", 1, 10, 5*time.Second), DeadlineUnmeetable, 20 * time.Second, 15 * time.Second},
+		// The deadline is 1 ns ahead.
 		{"past", item("a", 0, 10, 1), DeadlineUnmeetable, 13333 * time.Millisecond, 13333 * time.Millisecond},
-		{"in time", item("a", 0, 10, 14*time.Second), 0, 0, 0},
+		{"own items ahead, deadline met", item("a", 0, 10, 14*time.Second), 0, 0, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -87,11 +90,11 @@
 				must.NoError(t, err)
 				return
 			}
-			var refused *RefusedError
-			must.True(t, errors.As(err, &refused))
-			must.Eq(t, tc.reason, refused.Reason)
-			must.Eq(t, tc.wait, refused.Wait.Truncate(time.Millisecond))
-			must.Eq(t, tc.retry, refused.RetryAfter.Truncate(time.Millisecond))
+			var rejected *RefusedError
+			must.True(t, errors.As(err, &rejected))
+			must.Eq(t, tc.reason, rejected.Reason)
+			must.Eq(t, tc.wait, rejected.Wait.Truncate(time.Millisecond))
+			must.Eq(t, tc.retryAfter, rejected.RetryAfter.Truncate(time.Millisecond))
 			must.Eq(t, 20, q.Len())
 		})
 	}
@@ -109,10 +112,10 @@
 	for err == nil {
 		_, err = q.Push(epoch, item("large", 0, 1, 0))
 	}
-	var refused *RefusedError
-	must.True(t, errors.As(err, &refused))
-	must.Eq(t, QueueFull, refused.Reason)
-	must.Positive(t, refused.RetryAfter)
+	var rejected *RefusedError
+	must.True(t, errors.As(err, &rejected))
+	must.Eq(t, QueueFull, rejected.Reason)
+	must.Positive(t, rejected.RetryAfter)
 	must.Eq(t, 500, q.Len())
 	for i := range 499 {
 		push(t, q, 1, item(fmt.Sprint("small", i), 1, 1, 0))
@@ -120,7 +123,7 @@
 }
 
 // TestExpire checks that Expire, which skips subtrees, returns the items whose predicted wait
-// exceeds the deadline.
+// exceeds the time until the deadline.
 func TestExpire(t *testing.T) {
 	q := New[int](epoch, Config{Classes: []Class{{1}}, MaxLen: 1000, Rate: 10})
 	for i := range 20 {
@@ -139,8 +142,9 @@
 	must.Eq(t, 0, q.Accounts())
 }
 
-// TestChargeCorrectsShares has one account whose items cost four times the estimate. With
-// Charge it receives an equal share of the actual service; without, four times as much.
+// TestChargeCorrectsShares has one account, "liar", whose items cost four times the estimate. With
+// Charge it receives an equal share of the actual service; without it, four times that of the
+// other account.
 func TestChargeCorrectsShares(t *testing.T) {
 	for _, charged := range []bool{true, false} {
 		q := newTestQueue(10000)
--- a/coord/fairqueue/tree.go
+++ b/coord/fairqueue/tree.go
@@ -5,13 +5,13 @@
 // entry is a queued item and a node of its class's treap, which is ordered by start tag and
 // then by arrival. Each node holds the total cost and the earliest deadline of its subtree.
 type entry[V any] struct {
-	item     Item[V]
-	owner    *account
-	startTag float64
-	seq      uint64
+	item         Item[V]
+	accountState *account
+	startTag     float64
+	seq          uint64
 	// deadlineOffset is the deadline as time since the queue's epoch.
 	deadlineOffset time.Duration
-	queued         bool
+	queued         bool // false once the entry was removed from the queue
 
 	priority         uint64
 	left, right      *entry[V]
@@ -27,8 +27,9 @@
 	return e.seq < o.seq
 }
 
-// update recomputes the total cost and the earliest deadline of e from its children.
-func (e *entry[V]) update() {
+// updateSubtree recomputes the total cost and the earliest deadline of e's subtree from e and its
+// children.
+func (e *entry[V]) updateSubtree() {
 	e.subtreeCost = e.item.Cost
 	e.earliestDeadline = e.deadlineOffset
 	for _, child := range [2]*entry[V]{e.left, e.right} {
@@ -48,11 +49,11 @@
 	return e.subtreeCost
 }
 
-// insert adds e to the subtree root and returns the new root.
+// insert adds e to the subtree with the given root and returns the new root.
 func insert[V any](root, e *entry[V]) *entry[V] {
 	if root == nil || e.priority > root.priority {
 		e.left, e.right = split(root, e)
-		e.update()
+		e.updateSubtree()
 		return e
 	}
 	if e.before(root) {
@@ -60,11 +61,12 @@
 	} else {
 		root.right = insert(root.right, e)
 	}
-	root.update()
+	root.updateSubtree()
 	return root
 }
 
-// remove removes e from the subtree root, which must contain it, and returns the new root.
+// remove removes e from the subtree with the given root, which must contain it, and returns the
+// new root.
 func remove[V any](root, e *entry[V]) *entry[V] {
 	if root == e {
 		rest := merge(e.left, e.right)
@@ -76,11 +78,11 @@
 	} else {
 		root.right = remove(root.right, e)
 	}
-	root.update()
+	root.updateSubtree()
 	return root
 }
 
-// firstEntry returns the entry that is popped next.
+// firstEntry returns the entry of the class that is popped next; root must not be nil.
 func firstEntry[V any](root *entry[V]) *entry[V] {
 	for root.left != nil {
 		root = root.left
@@ -102,18 +104,18 @@
 	return sum
 }
 
-// split divides the subtree root into the entries before and after e.
+// split divides the subtree with the given root into the entries before and after e.
 func split[V any](root, e *entry[V]) (before, after *entry[V]) {
 	if root == nil {
 		return nil, nil
 	}
 	if root.before(e) {
 		root.right, after = split(root.right, e)
-		root.update()
+		root.updateSubtree()
 		return root, after
 	}
 	before, root.left = split(root.left, e)
-	root.update()
+	root.updateSubtree()
 	return before, root
 }
 
@@ -127,10 +129,10 @@
 	}
 	if a.priority > b.priority {
 		a.right = merge(a.right, b)
-		a.update()
+		a.updateSubtree()
 		return a
 	}
 	b.left = merge(a, b.left)
-	b.update()
+	b.updateSubtree()
 	return b
 }
