--- a/coord/rendezvous/example_test.go
+++ b/coord/rendezvous/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/cherryward/cherryward/coord/rendezvous"
 )
 
-// Every process that uses the same nodes finds the same owner, and the loss of a node moves
-// only the keys that it owned.
+// Every process that uses the same nodes computes the same owner, and the removal of a node moves
+// only the keys that it owned. Here n1 owns none of the keys, so no owner changes.
 func Example() {
 	nodes := []rendezvous.Node{{ID: "n1", Weight: 1}, {ID: "n2", Weight: 1}, {ID: "n3", Weight: 2}}
 	for _, key := range []string{"melt-1", "melt-2", "melt-3"} {
--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -5,12 +5,12 @@
 //
 //   - Every process that uses the same set of nodes computes the same owner.
 //   - Disruption is minimal: removing a node moves only the keys that it owned, and adding a
-//     node moves keys only to it. The same holds for each rank of a Top result.
-//   - A node owns a share of the keys proportional to its weight.
+//     node moves keys only to it. In a Top result the remaining nodes keep their order.
+//   - A node's expected share of the keys is proportional to its weight.
 //
 // Owner and Top hash the node IDs on every call. A Set hashes them once. Slots caches the
 // result for a fixed number of key slots, which makes the cost of a lookup independent of the
-// number of nodes. A Table keeps the owners of a set of keys up to date while nodes change.
+// number of nodes. A Table keeps the owners of tracked keys up to date while nodes change.
 package rendezvous
 
 import (
@@ -73,12 +73,12 @@
 
 // selectTop returns the best k candidates among nodes, best first. best must be empty and
 // provides the buffer.
-func selectTop(best []candidate, k int, key uint64, nodes []Node) []candidate {
+func selectTop(best []candidate, k int, keyHash uint64, nodes []Node) []candidate {
 	for _, n := range nodes {
 		if !usableWeight(n.Weight) {
 			continue
 		}
-		h := pairHash(key, xxhash.Sum64String(n.ID))
+		h := pairHash(keyHash, xxhash.Sum64String(n.ID))
 		best, _ = insert(best, k, candidate{id: n.ID, hash: h, cost: cost(h, n.Weight)})
 	}
 	return best
@@ -113,10 +113,10 @@
 }
 
 // pairHash combines the hashes of a key and of a node ID.
-func pairHash(key, node uint64) uint64 {
+func pairHash(keyHash, nodeHash uint64) uint64 {
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:8], key)
-	binary.LittleEndian.PutUint64(b[8:], node)
+	binary.LittleEndian.PutUint64(b[:8], keyHash)
+	binary.LittleEndian.PutUint64(b[8:], nodeHash)
 	return xxhash.Sum64(b[:])
 }
 
--- a/coord/rendezvous/rendezvous_test.go
+++ b/coord/rendezvous/rendezvous_test.go
@@ -56,7 +56,8 @@
 	})
 }
 
-// TestSharesMatchWeights bounds the deviation of each node's share of the keys from its weight.
+// TestSharesMatchWeights bounds the relative deviation of each node's share of the keys from its
+// expected share.
 func TestSharesMatchWeights(t *testing.T) {
 	const keys = 60_000
 	nodes := makeNodes(9)
--- a/coord/rendezvous/set.go
+++ b/coord/rendezvous/set.go
@@ -14,8 +14,8 @@
 	size    int
 }
 
-// weightClass contains the nodes of one weight. Within a class, the order by hash is the order
-// by cost, so the logarithm is computed only for nodes that can rank among the best.
+// weightClass contains the nodes of one weight. Within a class, a higher hash means a lower
+// cost, so the logarithm is computed only for nodes that can rank among the best.
 type weightClass struct {
 	weight float64
 	ids    []string
@@ -67,36 +67,38 @@
 // AppendTop appends the IDs of the first k nodes for key to dst, best first. If k is at most
 // 16, it allocates only to grow dst.
 func (s *Set) AppendTop(dst []string, k int, key string) []string {
-	return s.appendTop(dst, k, xxhash.Sum64String(key))
+	return s.appendTopOfHash(dst, k, xxhash.Sum64String(key))
 }
 
-func (s *Set) appendTop(dst []string, k int, key uint64) []string {
+// appendTopOfHash does the work of AppendTop for a key whose hash is keyHash.
+func (s *Set) appendTopOfHash(dst []string, k int, keyHash uint64) []string {
 	var buf [stackCandidates]candidate
-	return appendIDs(dst, s.selectTop(buf[:0], k, key))
+	return appendIDs(dst, s.selectTop(buf[:0], k, keyHash))
 }
 
 // selectTop returns the best k candidates, best first. best must be empty and provides the
 // buffer.
-func (s *Set) selectTop(best []candidate, k int, key uint64) []candidate {
+func (s *Set) selectTop(best []candidate, k int, keyHash uint64) []candidate {
 	for i := range s.classes {
-		best = s.classes[i].selectTop(best, k, key)
+		best = s.classes[i].mergeInto(best, k, keyHash)
 	}
 	return best
 }
 
-// selectTop merges the nodes of the class into best, which has at most k entries.
-func (c *weightClass) selectTop(best []candidate, k int, key uint64) []candidate {
-	// rejected is the highest hash of this class that was too low for the best k.
-	var rejected uint64
-	for i, node := range c.hashes {
-		h := pairHash(key, node)
-		if h < rejected {
+// mergeInto adds the nodes of the class that rank among the best k to best, which is sorted and
+// has at most k entries.
+func (c *weightClass) mergeInto(best []candidate, k int, keyHash uint64) []candidate {
+	// rejectedHash is the highest hash of this class that was too low for the best k.
+	var rejectedHash uint64
+	for i, nodeHash := range c.hashes {
+		h := pairHash(keyHash, nodeHash)
+		if h < rejectedHash {
 			continue
 		}
 		var inserted bool
 		best, inserted = insert(best, k, candidate{id: c.ids[i], hash: h, cost: cost(h, c.weight)})
 		if !inserted {
-			rejected = h
+			rejectedHash = h
 		}
 	}
 	return best
--- a/coord/rendezvous/slots.go
+++ b/coord/rendezvous/slots.go
@@ -14,16 +14,16 @@
 // concurrent use.
 //
 // The number of slots must be the same in every process and must not depend on the number of
-// nodes. A node's share of the keys deviates from its weight by about sqrt(nodes/(slots*k))
-// relative to its expectation; slots*k should be at least 16 times the number of nodes.
+// nodes. The relative deviation of a node's share of the keys from its expected share is about
+// sqrt(nodes/(slots*k)); slots*k should be at least 16 times the number of nodes.
 type Slots struct {
 	set   *Set
 	k     int
-	shift int
-	top   []atomic.Pointer[[]string]
+	shift int                        // slot = key hash >> shift
+	top   []atomic.Pointer[[]string] // node IDs of each slot; nil until first use
 }
 
-// NewSlots returns a table over set with count slots, rounded up to a power of two, of k nodes
+// NewSlots returns Slots over set with count slots, rounded up to a power of two, of k nodes
 // each. No slot is computed yet.
 func NewSlots(set *Set, count, k int) *Slots {
 	width := bits.Len(uint(max(count, 1) - 1))
@@ -42,7 +42,7 @@
 	if top := s.top[slot].Load(); top != nil {
 		return *top
 	}
-	top := s.set.appendTop(make([]string, 0, min(s.k, s.set.Len())), s.k, slot)
+	top := s.set.appendTopOfHash(make([]string, 0, min(s.k, s.set.Len())), s.k, slot)
 	s.top[slot].Store(&top)
 	return top
 }
--- a/coord/rendezvous/table.go
+++ b/coord/rendezvous/table.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Table maintains the owners of a set of tracked keys while the node set changes. The owners
-// are always those of the current Set.
+// Table maintains the owners of tracked keys while the node set changes. They are always the
+// owners that the current Set returns.
 //
 // A change of the node set costs one hash of 16 bytes for each pair of key and added node, and
 // one lookup in the whole set for each key whose owner was removed. Owner costs a map lookup. A
@@ -118,12 +118,12 @@
 }
 
 // updateOwner replaces the owner if a node of the set ranks above it. Among nodes of the same
-// weight, the order by hash is the order by cost, so lower hashes are skipped.
+// weight, a higher hash means a lower cost, so lower hashes are skipped.
 func (k *trackedKey) updateOwner(set *Set) {
 	for i := range set.classes {
 		c := &set.classes[i]
-		for j, node := range c.hashes {
-			h := pairHash(k.hash, node)
+		for j, nodeHash := range c.hashes {
+			h := pairHash(k.hash, nodeHash)
 			if c.weight == k.weight && h < k.owner.hash {
 				continue
 			}
--- a/coord/rendezvous/table_test.go
+++ b/coord/rendezvous/table_test.go
@@ -38,12 +38,12 @@
 				owners[key], _ = table.Add(key)
 			}
 			must.Eq(t, len(owners), table.Len())
-			for k, kept := range owners {
+			for k, reported := range owners {
 				want, ok := set.Owner(k)
 				got, gotOK := table.Owner(k)
 				must.Eq(t, want, got)
 				must.Eq(t, ok, gotOK)
-				must.Eq(t, want, kept)
+				must.Eq(t, want, reported)
 			}
 			_, ok := table.Owner("untracked")
 			must.False(t, ok)
