--- a/coord/retry/amplification_test.go
+++ b/coord/retry/amplification_test.go
@@ -13,14 +13,14 @@
 	random    *rand.Rand
 	endpoints int
 	failing   int
-	load      int // number of attempts that reached an endpoint
+	attempts  int // number of attempts that reached an endpoint
 }
 
 const simulatedRequests = 100_000
 
-// endpoint is the hop furthest from the caller.
+// endpoint simulates an attempt at a randomly chosen endpoint.
 func (s *simulation) endpoint(time.Time, Attempt) error {
-	s.load++
+	s.attempts++
 	if s.random.IntN(s.endpoints) < s.failing {
 		return &AttemptError{State: NotRun, Err: errTest}
 	}
@@ -30,12 +30,12 @@
 type hop func(now time.Time, a Attempt) error
 
 // budgetedHop returns a hop that calls next and retries by the policy. If honorDownstream is
-// set, it does not retry when a hop nearer to the caller is responsible for retries.
+// set, it does not retry when an upstream hop is responsible for retries.
 func budgetedHop(p *Policy, next hop, honorDownstream bool) hop {
 	return func(now time.Time, a Attempt) error {
-		s := p.Start(Call{Downstream: honorDownstream && a.Downstream})
+		s := p.NewSequence(Call{Downstream: honorDownstream && a.Downstream})
 		for {
-			err := next(now, s.Attempt(now))
+			err := next(now, s.StartAttempt(now))
 			if err == nil {
 				s.Succeeded(now)
 				return nil
@@ -62,16 +62,17 @@
 	}
 }
 
-// run returns the load amplification and the share of requests that succeeded.
-func (s *simulation) run(outer hop) (amplification, answered float64) {
-	var ok int
+// run returns the load amplification (attempts per request) and the share of requests that
+// succeeded.
+func (s *simulation) run(outer hop) (amplification, successShare float64) {
+	var succeeded int
 	for i := range simulatedRequests {
 		now := epoch.Add(time.Duration(i) * time.Millisecond)
 		if outer(now, Attempt{}) == nil {
-			ok++
+			succeeded++
 		}
 	}
-	return float64(s.load) / simulatedRequests, float64(ok) / simulatedRequests
+	return float64(s.attempts) / simulatedRequests, float64(succeeded) / simulatedRequests
 }
 
 // TestAmplification checks that with a budget the load amplification stays below 1.1 whatever
@@ -103,8 +104,8 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &simulation{random: rand.New(rand.NewPCG(4, 4)), endpoints: 9, failing: tc.failing}
-			amplification, answered := s.run(tc.build(s.endpoint))
-			t.Logf("amplification %.4f, answered %.1f%%", amplification, 100*answered)
+			amplification, successShare := s.run(tc.build(s.endpoint))
+			t.Logf("amplification %.4f, succeeded %.1f%%", amplification, 100*successShare)
 			must.Between(t, tc.minAmplification, amplification, tc.maxAmplification)
 		})
 	}
--- a/coord/retry/budget.go
+++ b/coord/retry/budget.go
@@ -11,17 +11,18 @@
 	Ratio float64
 	// Reserve is the capacity of the bucket in retries.
 	Reserve float64
-	// MinPerSecond is the number of retries added per second regardless of traffic, so that
+	// AddedPerSecond is the number of retries added per second regardless of traffic, so that
 	// calls to a rarely used target can occasionally be retried.
-	MinPerSecond float64
+	AddedPerSecond float64
 }
 
-// DefaultBudget limits the load amplification to less than 1.1.
-var DefaultBudget = BudgetConfig{Ratio: 0.1, Reserve: 10, MinPerSecond: 0.1}
+// DefaultBudget limits the load amplification to less than 1.1 in the long run if AddedPerSecond
+// is small compared with the rate of calls.
+var DefaultBudget = BudgetConfig{Ratio: 0.1, Reserve: 10, AddedPerSecond: 0.1}
 
-// Budget is a token bucket of retries that is filled by successful calls. It starts empty, so
-// that a process that restarts during a brownout does not add a burst of retries. It is safe
-// for concurrent use.
+// Budget is a token bucket of retries that is filled by successful first attempts and with
+// time. It starts empty, so that a process that restarts while endpoints fail does not add a
+// burst of retries. It is safe for concurrent use.
 type Budget struct {
 	mu         sync.Mutex
 	cfg        BudgetConfig
@@ -70,5 +71,5 @@
 		return
 	}
 	b.lastRefill = now
-	b.tokens = min(b.tokens+elapsed*b.cfg.MinPerSecond, b.cfg.Reserve)
+	b.tokens = min(b.tokens+elapsed*b.cfg.AddedPerSecond, b.cfg.Reserve)
 }
--- a/coord/retry/errors.go
+++ b/coord/retry/errors.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// AttemptError describes the failure of an attempt.
+// AttemptError is returned by an attempt to state whether it ran and whether a retry can help.
 type AttemptError struct {
 	State RunState
 	// Permanent means that the same call would fail again, for example because the request is
@@ -48,7 +48,7 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// Reason is the reason why a failed call was not repeated.
+// Reason is the reason why a failed call was not retried.
 type Reason int
 
 const (
@@ -56,26 +56,27 @@
 	NotRepeatable Reason = iota + 1
 	// Permanent means that the same call would fail again.
 	Permanent
-	// Downstream means that a hop nearer to the caller is responsible for retries.
+	// Downstream means that an upstream hop, nearer to the caller, is responsible for retries.
 	Downstream
-	// AttemptsSpent means that the maximum number of attempts was made.
-	AttemptsSpent
+	// MaxAttemptsReached means that the maximum number of attempts was made.
+	MaxAttemptsReached
 	// DeadlineTooClose means that a retry could not finish before the deadline.
 	DeadlineTooClose
-	// BudgetSpent means that the budget has no retry left.
-	BudgetSpent
-	// Canceled means that the context ended during the wait for a retry.
-	Canceled
+	// BudgetExhausted means that the budget has less than one retry left.
+	BudgetExhausted
+	// ContextEnded means that the context was canceled or its deadline passed during the wait
+	// for a retry.
+	ContextEnded
 )
 
 var reasonNames = map[Reason]string{
-	NotRepeatable:    "call may have run and is not idempotent",
-	Permanent:        "permanent failure",
-	Downstream:       "upstream hop is responsible for retries",
-	AttemptsSpent:    "maximum number of attempts reached",
-	DeadlineTooClose: "retry cannot finish before the deadline",
-	BudgetSpent:      "retry budget exhausted",
-	Canceled:         "canceled",
+	NotRepeatable:      "call may have run and is not idempotent",
+	Permanent:          "permanent failure",
+	Downstream:         "upstream hop is responsible for retries",
+	MaxAttemptsReached: "maximum number of attempts reached",
+	DeadlineTooClose:   "retry cannot finish before the deadline",
+	BudgetExhausted:    "retry budget exhausted",
+	ContextEnded:       "canceled",
 }
 
 // String implements fmt.Stringer.
@@ -86,11 +87,12 @@
 	Reason Reason
 	// Attempts is the number of attempts made.
 	Attempts int
-	// State is the least repeatable state of all attempts. Repeating the call is safe only if
-	// it is NotRun or the call is idempotent.
+	// State is Ran if any attempt ran, else MayHaveRun if any may have run, else NotRun.
+	// Repeating the call is safe only if it is NotRun or the call is idempotent.
 	State RunState
 	// RetryAfter is the time after which the caller may repeat the call. It is zero if
-	// repeating the call is unsafe or would not help.
+	// repeating the call is unsafe or would not help, if the context ended, or, for Downstream,
+	// if the server requested no wait.
 	RetryAfter time.Duration
 	// Err is the error of the last attempt.
 	Err error
@@ -98,7 +100,7 @@
 
 // Error implements error.
 func (e *GaveUpError) Error() string {
-	return fmt.Sprintf("retry: %s after %d attempts: %v", e.Reason, e.Attempts, e.Err)
+	return fmt.Sprintf("retry: %s (attempts: %d): %v", e.Reason, e.Attempts, e.Err)
 }
 
 // Unwrap returns the error of the last attempt.
@@ -118,8 +120,9 @@
 	return &AttemptError{State: MayHaveRun, Err: err}
 }
 
-// lessRepeatable returns the less repeatable of two states.
-func lessRepeatable(a, b RunState) RunState {
+// worseState returns the state of two attempts: Ran if either ran, else MayHaveRun if either may
+// have run, else NotRun.
+func worseState(a, b RunState) RunState {
 	if a == Ran || b == Ran {
 		return Ran
 	}
--- a/coord/retry/example_test.go
+++ b/coord/retry/example_test.go
@@ -22,6 +22,6 @@
 		fmt.Println(gaveUp.State, gaveUp.RetryAfter > 0)
 	}
 	// Output:
-	// retry: retry budget exhausted after 1 attempts: not_run: connection refused
+	// retry: retry budget exhausted (attempts: 1): not_run: connection refused
 	// not_run true
 }
--- a/coord/retry/policy.go
+++ b/coord/retry/policy.go
@@ -10,7 +10,8 @@
 // maxAttempts limits the attempts of one call, including the first.
 const maxAttempts = 4
 
-// Intervals are the limits of the jittered exponential backoff.
+// Intervals are the first and the longest interval of the exponential backoff, before jitter. A
+// wait may be up to 1.5 times as long.
 type Intervals struct {
 	Initial time.Duration
 	Max     time.Duration
@@ -19,15 +20,15 @@
 // DefaultIntervals suit calls that take from a second to minutes.
 var DefaultIntervals = Intervals{Initial: 50 * time.Millisecond, Max: 5 * time.Second}
 
-// Call describes a call that may be repeated.
+// Call describes a call that may be retried.
 type Call struct {
 	// Deadline is the deadline of the caller. Zero means no deadline.
 	Deadline time.Time
 	// MinTime is the shortest time in which an attempt can finish.
 	MinTime time.Duration
-	// Idempotent means that repeating the call is harmless even if it ran.
+	// Idempotent means that running the call again is harmless even if it ran.
 	Idempotent bool
-	// Downstream means that a hop nearer to the caller is responsible for retries.
+	// Downstream means that an upstream hop, nearer to the caller, is responsible for retries.
 	Downstream bool
 }
 
@@ -65,13 +66,13 @@
 	backoff  *backoff.ExponentialBackOff
 }
 
-// Start returns a Sequence for a call, without an attempt yet.
-func (p *Policy) Start(call Call) *Sequence {
+// NewSequence returns a Sequence for a call, before its first attempt.
+func (p *Policy) NewSequence(call Call) *Sequence {
 	return &Sequence{policy: p, call: call, state: NotRun}
 }
 
-// Attempt counts the attempt that starts now and returns its description.
-func (s *Sequence) Attempt(now time.Time) Attempt {
+// StartAttempt counts an attempt that starts at now and returns its description.
+func (s *Sequence) StartAttempt(now time.Time) Attempt {
 	s.attempts++
 	a := Attempt{Number: s.attempts, Downstream: true}
 	if !s.call.Deadline.IsZero() {
@@ -80,7 +81,8 @@
 	return a
 }
 
-// Succeeded records that the latest attempt succeeded.
+// Succeeded reports that the latest attempt succeeded. It adds to the budget if that was the
+// first attempt.
 func (s *Sequence) Succeeded(now time.Time) {
 	if s.attempts == 1 {
 		s.policy.budget.Deposit(now)
@@ -92,7 +94,7 @@
 // for a granted retry.
 func (s *Sequence) Failed(now time.Time, err error) (time.Duration, *GaveUpError) {
 	failure := asAttemptError(err)
-	s.state = lessRepeatable(s.state, failure.State)
+	s.state = worseState(s.state, failure.State)
 	if failure.State != NotRun && !s.call.Idempotent {
 		return 0, s.giveUp(NotRepeatable, 0, err)
 	}
@@ -104,13 +106,13 @@
 		return 0, s.giveUp(Downstream, failure.RetryAfter, err)
 	}
 	if s.attempts >= maxAttempts {
-		return 0, s.giveUp(AttemptsSpent, wait, err)
+		return 0, s.giveUp(MaxAttemptsReached, wait, err)
 	}
 	if !s.fitsDeadline(now, wait) {
 		return 0, s.giveUp(DeadlineTooClose, wait, err)
 	}
 	if !s.policy.budget.Withdraw(now) {
-		return 0, s.giveUp(BudgetSpent, wait, err)
+		return 0, s.giveUp(BudgetExhausted, wait, err)
 	}
 	return wait, nil
 }
@@ -135,23 +137,24 @@
 	return s.backoff.NextBackOff()
 }
 
-// giveUp returns the error for a call that is not retried; after is its RetryAfter.
-func (s *Sequence) giveUp(reason Reason, after time.Duration, err error) *GaveUpError {
-	return &GaveUpError{Reason: reason, Attempts: s.attempts, State: s.state, RetryAfter: after, Err: err}
+// giveUp returns the error for a call that is not retried.
+func (s *Sequence) giveUp(reason Reason, retryAfter time.Duration, err error) *GaveUpError {
+	return &GaveUpError{Reason: reason, Attempts: s.attempts, State: s.state, RetryAfter: retryAfter, Err: err}
 }
 
-// Do calls attempt until it succeeds or the policy allows no further attempt, and then returns
-// a *GaveUpError without waiting. The context passed to attempt ends at the call's deadline. Do
-// must not be repeated unless the error shows that this is safe.
+// Do calls attempt until it succeeds, and returns nil, or until the policy allows no further
+// attempt or ctx ends during a wait, and returns a *GaveUpError. It does not wait after the last
+// attempt. The context passed to attempt ends at the call's deadline. Do must not be repeated
+// unless the error shows that this is safe.
 func (p *Policy) Do(ctx context.Context, call Call, attempt func(context.Context, Attempt) error) error {
 	if !call.Deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, call.Deadline)
 		defer cancel()
 	}
-	s := p.Start(call)
+	s := p.NewSequence(call)
 	for {
-		err := attempt(ctx, s.Attempt(time.Now()))
+		err := attempt(ctx, s.StartAttempt(time.Now()))
 		if err == nil {
 			s.Succeeded(time.Now())
 			return nil
@@ -161,13 +164,13 @@
 			return gaveUp
 		}
 		if !Sleep(ctx, wait) {
-			return s.giveUp(Canceled, 0, err)
+			return s.giveUp(ContextEnded, 0, err)
 		}
 	}
 }
 
-// Sleep waits and returns true, or returns false if ctx ends first. For a wait that is not
-// positive it starts no timer.
+// Sleep waits and returns true, or returns false if ctx ends first. If wait is not positive, it
+// reports without waiting whether ctx is still active.
 func Sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -15,7 +15,7 @@
 	errTest = errors.New("probe")
 )
 
-// fullBudget returns a budget with n retries available that earns no more without deposits.
+// fullBudget returns a budget with n retries available to which time adds none.
 func fullBudget(now time.Time, n float64) *Budget {
 	b := NewBudget(now, BudgetConfig{Ratio: n, Reserve: n})
 	b.Deposit(now)
@@ -41,16 +41,16 @@
 		{"idempotent, ran", Call{Idempotent: true}, lost, 1, 0},
 		{"permanent", Call{}, &AttemptError{State: NotRun, Permanent: true}, 1, Permanent},
 		{"downstream", Call{Downstream: true}, notRun, 1, Downstream},
-		{"no budget", Call{}, notRun, 0.9, BudgetSpent},
-		{"in time", Call{Deadline: soon, MinTime: 900 * time.Millisecond}, notRun, 1, 0},
-		{"too late", Call{Deadline: soon, MinTime: 980 * time.Millisecond}, notRun, 1, DeadlineTooClose},
-		{"asked to wait past the deadline", Call{Deadline: soon}, &AttemptError{State: NotRun, RetryAfter: 2 * time.Second}, 1, DeadlineTooClose},
+		{"no budget", Call{}, notRun, 0.9, BudgetExhausted},
+		{"retry fits the deadline", Call{Deadline: soon, MinTime: 900 * time.Millisecond}, notRun, 1, 0},
+		{"retry does not fit the deadline", Call{Deadline: soon, MinTime: 980 * time.Millisecond}, notRun, 1, DeadlineTooClose},
+		{"server requests a wait past the deadline", Call{Deadline: soon}, &AttemptError{State: NotRun, RetryAfter: 2 * time.Second}, 1, DeadlineTooClose},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			budget := fullBudget(epoch, tc.budget)
-			s := NewPolicy(budget, DefaultIntervals).Start(tc.call)
-			s.Attempt(epoch)
+			s := NewPolicy(budget, DefaultIntervals).NewSequence(tc.call)
+			s.StartAttempt(epoch)
 			wait, gaveUp := s.Failed(epoch, tc.err)
 			if tc.reason == 0 {
 				must.Nil(t, gaveUp)
@@ -87,7 +87,7 @@
 		var gaveUp *GaveUpError
 		must.True(t, errors.As(err, &gaveUp))
 		must.ErrorIs(t, err, errTest)
-		must.Eq(t, AttemptsSpent, gaveUp.Reason)
+		must.Eq(t, MaxAttemptsReached, gaveUp.Reason)
 		must.Eq(t, maxAttempts, gaveUp.Attempts)
 		must.Eq(t, 34*time.Second, time.Since(begin))
 
@@ -97,23 +97,23 @@
 		call.Deadline = begin.Add(time.Minute)
 		err = policy.Do(ctx, call, run)
 		must.True(t, errors.As(err, &gaveUp))
-		must.Eq(t, Canceled, gaveUp.Reason)
+		must.Eq(t, ContextEnded, gaveUp.Reason)
 		must.Eq(t, 5*time.Second, time.Since(begin))
 	})
 }
 
 func TestBudgetBound(t *testing.T) {
-	b := NewBudget(epoch, BudgetConfig{Ratio: 0.1, Reserve: 5, MinPerSecond: 0.5})
-	must.False(t, b.Withdraw(epoch), must.Sprint("starts empty"))
-	var taken int
+	b := NewBudget(epoch, BudgetConfig{Ratio: 0.1, Reserve: 5, AddedPerSecond: 0.5})
+	must.False(t, b.Withdraw(epoch), must.Sprint("a new budget is empty"))
+	var granted int
 	for i := range 1000 {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 		b.Deposit(now)
 		if b.Withdraw(now) {
-			taken++
+			granted++
 		}
 	}
-	must.Eq(t, 104, taken) // 0.1 * 1000 + 0.5 * 10 s, minus the fraction that remains
+	must.Eq(t, 104, granted) // 0.1 * 1000 + 0.5 * 10 s, minus the fraction that remains
 	now := epoch.Add(time.Hour)
 	for range 5 {
 		must.True(t, b.Withdraw(now))
