--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -35,12 +35,12 @@
 	placed  placedRate
 }
 
-// of returns the state of a service and creates it on first use.
-func (s *Services) of(name string) *service {
+// forName returns the state of a service, and creates it on first use.
+func (s *Services) forName(name string) *service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.byName[name]; known != nil {
-		return known
+	if existing := s.byName[name]; existing != nil {
+		return existing
 	}
 	if s.byName == nil {
 		s.byName = make(map[string]*service)
@@ -52,26 +52,26 @@
 
 // unreportedShare is the share of an engine's memory that a node of a large system leaves free for
 // prompts that other nodes placed there since their last load report: an engine of 12 slots gets 8
-// prompts a second, of which two are not reported yet. It is not applied where an engine's memory
-// holds many prompts: there the unreported prompts are offset by prompts that are in transit or
-// only half read, whose memory is counted in full already.
+// prompts per second, and about two of them are unreported at any time. It is not applied where an
+// engine's memory holds many prompts: there the unreported prompts are offset by prompts that are
+// in transit or only partly read, whose memory is already counted in full.
 const unreportedShare = 0.15
 
 // memory returns the estimated memory use of an engine.
-func (s *search) memory(m *fleet.Member) admission.Memory {
+func (s *selection) memory(m *fleet.Member) admission.Memory {
 	capacity := s.q.Service.Engine.KVTokens
 	if !s.FullMesh() && !s.holdsMany {
 		capacity -= int(unreportedShare * float64(capacity))
 	}
 	return admission.Memory{
 		Capacity:       capacity,
-		OccupiedTokens: m.Load.HeldTokens() + s.others.At(m.ID, m.StartedMs).HeldTokens,
+		OccupiedTokens: m.Load.HeldTokens() + s.peerLoads.At(m.ID, m.StartedMs).HeldTokens,
 	}
 }
 
 // withRoom returns the engines that have enough free memory for the prompt.
-func (s *search) withRoom(candidates []*fleet.Member) []*fleet.Member {
-	need := holding(s.q)
+func (s *selection) withRoom(candidates []*fleet.Member) []*fleet.Member {
+	need := averageHeldTokens(s.q)
 	fitting := make([]*fleet.Member, 0, len(candidates))
 	for _, m := range candidates {
 		if s.memory(m).Fits(need, s.reserve) {
@@ -82,9 +82,9 @@
 }
 
 // isTooLate reports whether the prompt should be refused because queueing at the engine would delay
-// its first event past the objective. Such a prompt would make others late, too. A caller that was
-// refused before is served, since it does not return a second time.
-func (s *search) isTooLate(m *fleet.Member) bool {
+// its first event past the objective. Such a prompt would also delay others. A caller that was
+// refused before is served, since callers retry only once.
+func (s *selection) isTooLate(m *fleet.Member) bool {
 	objective := millis(s.q.Route.Objective)
 	if objective <= 0 || s.q.IsRetry() {
 		return false
@@ -93,13 +93,13 @@
 }
 
 // decline returns why the prompt can't be placed, with the time until one of the engines may have
-// room. A waiting prompt is declined at each attempt to place it; only OnRefusal records a refusal and
-// assigns a retry time.
-func (s *search) decline(engines []*fleet.Member, reason string) forward.Placement {
+// room. A waiting prompt is declined at each attempt to place it; only OnRefusal records a refusal
+// and assigns a retry time.
+func (s *selection) decline(engines []*fleet.Member, reason string) forward.Placement {
 	wait := s.expectedWait(engines)
 	return forward.Placement{Reason: reason, PredictedWait: wait, OnRefusal: func() time.Duration {
 		s.service.demand.NoteDecision(true)
-		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(holding(s.q), 1), 1)
+		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(averageHeldTokens(s.q), 1), 1)
 		spacing := duration(s.estimates.RunMs * float64(s.Nodes()) / float64(capacity))
 		maxDelay := time.Duration(maxRetryShare * float64(s.q.Attributes.Deadline))
 		return s.service.retries.After(s.Now(), wait, spacing, maxDelay)
@@ -108,10 +108,10 @@
 
 // expectedWait predicts the time until one of the engines has free memory and a short enough queue
 // for the prompt.
-func (s *search) expectedWait(engines []*fleet.Member) time.Duration {
+func (s *selection) expectedWait(engines []*fleet.Member) time.Duration {
 	var shortest time.Duration
 	for i, m := range engines {
-		wait := s.memory(m).Wait(holding(s.q), s.reserve, duration(s.estimates.RunMs))
+		wait := s.memory(m).Wait(averageHeldTokens(s.q), s.reserve, duration(s.estimates.RunMs))
 		wait = max(wait, duration(s.queueMs(m)))
 		if i == 0 || wait < shortest {
 			shortest = wait
--- a/internal/placer/alloc_test.go
+++ b/internal/placer/alloc_test.go
@@ -8,16 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// maxAllocs bounds the allocations of one placement among nine engines. A placement takes 69.
+// maxAllocs bounds the allocations of one placement among nine engines.
 const maxAllocs = 80
 
-// TestPlacementAllocates bounds the allocations of a placement, as each request pays for them.
+// TestPlacementAllocates bounds the allocations of a placement, as they occur for each request.
 func TestPlacementAllocates(t *testing.T) {
-	w := newWorld(t, source{addr(2): shared(1, ""), store: shared(1, "")}, 1, 1, 1, 1, 1, 1, 1, 1, 1)
+	fx := newFixture(t, fakeEvents{addr(2): shared(1, ""), store: shared(1, "")}, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	q := query()
 	q.Service.Engine.KVTokens = 1_000_000
 	allocs := testing.AllocsPerRun(200, func() {
-		_, ok := w.Place(q)
+		_, ok := fx.Place(q)
 		must.True(t, ok)
 	})
 	t.Logf("%.0f allocations", allocs)
@@ -29,7 +29,7 @@
 // hosts.
 func TestPlacementDoesNotCopyAllEngines(t *testing.T) {
 	const engines, runs, pointer = 3000, 50, 8
-	p, q := largeWorld(engines)
+	p, q := largeFixture(engines)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range runs {
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// remoteGain is the share of a failure domain's prompts sent to other domains, for each unit by
-	// which its utilization exceeds that of all engines. The value closes most of a gap without
-	// oscillating, as load reports are younger than runs are long.
+	// remoteGain determines the share of a failure domain's prompts that is sent to other domains:
+	// remoteGain times the difference between the domain's utilization and that of all engines. The
+	// value closes most of the difference without oscillating, because the age of load reports is
+	// shorter than the duration of a run.
 	remoteGain = 3.0
 	// maxRemoteShare bounds that share, as load reports of other domains are old and coarse.
 	maxRemoteShare = 0.5
@@ -29,7 +30,7 @@
 	running, slots int
 }
 
-// share returns the utilized part of the slots; more than 1 if requests are queued.
+// share returns the utilization, as a share of the slots; more than 1 if requests are queued.
 func (u *domainUse) share() float64 { return float64(u.running) / float64(max(u.slots, 1)) }
 
 // spareRequests returns how many more requests the domain would run at the given utilization of all
@@ -43,7 +44,7 @@
 // far the utilization of that domain exceeds the utilization of all. Callers and engines are spread
 // unevenly over domains: without this, callers of a busier domain would get slower answers than
 // others.
-func (s *search) selectCandidates(candidates []*fleet.Member) []*fleet.Member {
+func (s *selection) selectCandidates(candidates []*fleet.Member) []*fleet.Member {
 	s.candidateCount = len(candidates)
 	if s.FullMesh() {
 		return candidates
@@ -59,31 +60,31 @@
 }
 
 // sampleLocal returns the engines to which this node has an open connection, and a few random
-// others. A new engine, or one that restarted empty, looks the least busy to all nodes until the
-// next load report. If all nodes chose among all engines, it would get all prompts placed in that
-// time. Also, a node that uses few engines often opens fewer connections than one that uses all of
-// them rarely.
-func (s *search) sampleLocal(local []*fleet.Member) []*fleet.Member {
+// others. A new engine, or one that restarted empty, has the lowest load in all nodes' view until
+// the next load report. If all nodes chose among all engines, it would get all prompts placed in
+// that time. Using few engines often also takes fewer new connections than using all engines
+// rarely.
+func (s *selection) sampleLocal(local []*fleet.Member) []*fleet.Member {
 	var connected []*fleet.Member
-	others := make([]*fleet.Member, 0, len(local))
+	unconnected := make([]*fleet.Member, 0, len(local))
 	for _, m := range local {
 		if m.Pool.HasIdle(s.now) {
 			connected = append(connected, m)
 		} else {
-			others = append(others, m)
+			unconnected = append(unconnected, m)
 		}
 	}
-	return append(connected, s.sample(others, localChoices)...)
+	return append(connected, s.sample(unconnected, localChoices)...)
 }
 
 // remoteCandidates returns a few engines of another failure domain, or none if the prompt should
-// stay in this one. Only domains with a known load count, as the engines of others would look idle.
-func (s *search) remoteCandidates(candidates []*fleet.Member) []*fleet.Member {
-	known := s.Peers.Domains(s.now)
-	if len(known) == 0 {
+// stay in this one. Domains without load reports are left out, as their engines would appear idle.
+func (s *selection) remoteCandidates(candidates []*fleet.Member) []*fleet.Member {
+	reported := s.Peers.Domains(s.now)
+	if len(reported) == 0 {
 		return nil
 	}
-	uses, all := s.domainUses(candidates, known)
+	uses, all := s.domainUses(candidates, reported)
 	own := slices.IndexFunc(uses, func(u *domainUse) bool { return u.domain == s.Domain })
 	if own < 0 {
 		return nil
@@ -92,19 +93,19 @@
 	if share <= 0 || s.Random() >= share {
 		return nil
 	}
-	target := s.emptierDomain(uses, all.share())
+	target := s.lessUtilizedDomain(uses, all.share())
 	if target == nil {
 		return nil
 	}
 	return s.sample(target.engines, remoteChoices)
 }
 
-// domainUses returns the utilization of each failure domain, and of all of them together. Only this
-// domain and the known ones count.
-func (s *search) domainUses(candidates []*fleet.Member, known []string) (byDomain []*domainUse, all domainUse) {
+// domainUses returns the utilization of each failure domain, and of all of them together. Domains
+// other than this one and the reported ones are left out.
+func (s *selection) domainUses(candidates []*fleet.Member, reported []string) (byDomain []*domainUse, all domainUse) {
 	for _, m := range candidates {
 		endpoint := m.Endpoint()
-		if endpoint.Domain != s.Domain && !slices.Contains(known, endpoint.Domain) {
+		if endpoint.Domain != s.Domain && !slices.Contains(reported, endpoint.Domain) {
 			continue
 		}
 		i := slices.IndexFunc(byDomain, func(u *domainUse) bool { return u.domain == endpoint.Domain })
@@ -113,7 +114,7 @@
 			byDomain = append(byDomain, &domainUse{domain: endpoint.Domain})
 		}
 		u := byDomain[i]
-		running := m.Load.Running() + s.others.At(m.ID, m.StartedMs).Running
+		running := m.Load.Running() + s.peerLoads.At(m.ID, m.StartedMs).Running
 		u.engines = append(u.engines, m)
 		u.running, u.slots = u.running+running, u.slots+endpoint.Slots
 		all.running, all.slots = all.running+running, all.slots+endpoint.Slots
@@ -121,26 +122,26 @@
 	return byDomain, all
 }
 
-// emptierDomain returns a random failure domain with a lower utilization than that of all, weighted
-// by its spare requests. It returns nil if there is none.
-func (s *search) emptierDomain(uses []*domainUse, all float64) *domainUse {
+// lessUtilizedDomain returns a random failure domain whose utilization is below that of all
+// engines, weighted by its spare requests. It returns nil if there is none.
+func (s *selection) lessUtilizedDomain(uses []*domainUse, all float64) *domainUse {
 	sum := 0.0
 	for _, u := range uses {
 		sum += u.spareRequests(all)
 	}
-	target := s.Random() * sum
+	draw := s.Random() * sum
 	for _, u := range uses {
 		spare := u.spareRequests(all)
-		if spare > 0 && target < spare {
+		if spare > 0 && draw < spare {
 			return u
 		}
-		target -= spare
+		draw -= spare
 	}
 	return nil
 }
 
 // sample returns up to count engines, chosen at random.
-func (s *search) sample(engines []*fleet.Member, count int) []*fleet.Member {
+func (s *selection) sample(engines []*fleet.Member, count int) []*fleet.Member {
 	list := make([]*fleet.Member, 0, count)
 	for i := range engines {
 		remaining, missing := len(engines)-i, count-len(list)
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -16,27 +16,27 @@
 // slotsPerEngine is the number of slots of each engine in these tests.
 const slotsPerEngine = 12
 
-// newDomains returns a world with four engines in each of three failure domains, with the given
-// number of slots taken on each engine.
-func newDomains(t *testing.T, north, south, west int) *world {
+// newDomains returns a fixture with four engines in each of three failure domains, with the given
+// number of occupied slots on each engine.
+func newDomains(t *testing.T, north, south, west int) *fixture {
 	t.Helper()
-	w := newWorld(t, source{})
-	w.FullMesh = func() bool { return false }
+	fx := newFixture(t, fakeEvents{})
+	fx.FullMesh = func() bool { return false }
 	random := rand.New(rand.NewPCG(1, 2))
-	w.Random = random.Float64
+	fx.Random = random.Float64
 	for _, domain := range []string{"south", "west"} {
-		must.NoError(t, w.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
+		must.NoError(t, fx.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
 	}
 	number := 0
 	for domain, running := range map[string]int{"north": north, "south": south, "west": west} {
 		for i := range 4 {
 			number++
-			w.Fleet.Update(&fleet.Endpoint{
+			fx.Fleet.Update(&fleet.Endpoint{
 				ID: fmt.Sprint(domain, i), Service: "s", Addr: addr(number), Domain: domain, Slots: slotsPerEngine,
 				Weights: []fleet.Weights{{Model: model, Version: 1}},
 			}, time.Now())
 		}
-		for _, m := range w.Fleet.Members("s") {
+		for _, m := range fx.Fleet.Members("s") {
 			for range running {
 				if m.Endpoint().Domain == domain {
 					m.Load.Begin(0, 1000)
@@ -44,27 +44,27 @@
 			}
 		}
 	}
-	return w
+	return fx
 }
 
 // addEngines adds engines e0, e1, ... to this node's failure domain; version returns the version of
 // the weights of each.
-func (w *world) addEngines(n int, version func(i int) int64) {
+func (fx *fixture) addEngines(n int, version func(i int) int64) {
 	for i := range n {
-		w.Fleet.Update(&fleet.Endpoint{
+		fx.Fleet.Update(&fleet.Endpoint{
 			ID: fmt.Sprint("e", i), Service: "s", Addr: addr(i), Domain: "north", Slots: slotsPerEngine,
 			Weights: []fleet.Weights{{Model: model, Version: version(i)}},
 		}, time.Now())
 	}
 }
 
-// TestPromptsMoveToEmptierDomains checks that the share of prompts sent to other failure domains
-// grows with how far the utilization of this domain exceeds theirs, that each gets prompts in
-// proportion to its spare slots, and that none are sent where the other domains are equally or more
-// utilized.
-func TestPromptsMoveToEmptierDomains(t *testing.T) {
+// TestPromptsMoveToLessUtilizedDomains checks that the share of prompts sent to other failure
+// domains grows with how far the utilization of this domain exceeds theirs, that each gets prompts
+// in proportion to its spare slots, and that none are sent where the other domains are equally or
+// more utilized.
+func TestPromptsMoveToLessUtilizedDomains(t *testing.T) {
 	for _, tc := range []struct {
-		north, south, west int // slots taken of each engine
+		north, south, west int // occupied slots of each engine
 		minSouth, maxSouth int // of 100 prompts
 		minWest, maxWest   int
 	}{
@@ -75,10 +75,10 @@
 		{12, 9, 6, 0, 0, 40, 60},
 		{40, 3, 3, 18, 32, 18, 32},
 	} {
-		w := newDomains(t, tc.north, tc.south, tc.west)
+		fx := newDomains(t, tc.north, tc.south, tc.west)
 		placed := make(map[string]int)
 		for range 100 {
-			p, ok := w.Place(query())
+			p, ok := fx.Place(query())
 			test.True(t, ok)
 			placed[p.Member.Endpoint().Domain]++
 		}
@@ -87,20 +87,20 @@
 	}
 }
 
-// TestUnknownDomainsGetNothing checks that no prompt is sent to a failure domain without load
-// reports, because its collectors failed or are unreachable: its engines only look idle.
-func TestUnknownDomainsGetNothing(t *testing.T) {
-	w := newDomains(t, 12, 6, 0)
-	w.Peers = peerload.NewTable()
+// TestUnreportedDomainsGetNoPrompts checks that no prompt is sent to a failure domain without load
+// reports, because its collectors failed or are unreachable: its engines only appear idle.
+func TestUnreportedDomainsGetNoPrompts(t *testing.T) {
+	fx := newDomains(t, 12, 6, 0)
+	fx.Peers = peerload.NewTable()
 	for range 100 {
-		p, ok := w.Place(query())
+		p, ok := fx.Place(query())
 		test.True(t, ok)
 		test.Eq(t, "north", p.Member.Endpoint().Domain)
 	}
-	must.NoError(t, w.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
+	must.NoError(t, fx.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
 	south := 0
 	for range 100 {
-		p, ok := w.Place(query())
+		p, ok := fx.Place(query())
 		test.True(t, ok)
 		test.NotEq(t, "west", p.Member.Endpoint().Domain)
 		if p.Member.Endpoint().Domain == "south" {
@@ -111,17 +111,17 @@
 }
 
 // TestRemotePromptsSpread checks that prompts sent to another failure domain use all its engines,
-// though one looks the least busy to all nodes.
+// though one has the lowest reported load.
 func TestRemotePromptsSpread(t *testing.T) {
-	w := newDomains(t, 30, 6, 30)
-	for _, m := range w.Fleet.Members("s") {
+	fx := newDomains(t, 30, 6, 30)
+	for _, m := range fx.Fleet.Members("s") {
 		if m.ID == "south0" {
 			m.Load.End(1000)
 		}
 	}
 	placed := make(map[string]int)
 	for range 400 {
-		p, ok := w.Place(query())
+		p, ok := fx.Place(query())
 		test.True(t, ok)
 		placed[p.Member.ID]++
 	}
@@ -131,17 +131,17 @@
 }
 
 // TestNewEngineGetsBoundedShare has the nodes of a failure domain place prompts between two load
-// reports, just after an engine joined. The engine looks the least busy to all of them. Its share
-// must be bounded by the number of engines among which each node chooses; otherwise it would get
-// all prompts.
+// reports, just after an engine joined. The engine has the lowest load in the view of all of them.
+// Its share must be bounded by the number of engines among which each node chooses; otherwise it
+// would get all prompts.
 func TestNewEngineGetsBoundedShare(t *testing.T) {
-	w := newWorld(t, source{})
-	w.FullMesh = func() bool { return false }
+	fx := newFixture(t, fakeEvents{})
+	fx.FullMesh = func() bool { return false }
 	random := rand.New(rand.NewPCG(3, 4))
-	w.Random = random.Float64
+	fx.Random = random.Float64
 	const engines, prompts = 40, 2000
-	w.addEngines(engines, func(int) int64 { return 1 })
-	for _, m := range w.Fleet.Members("s") {
+	fx.addEngines(engines, func(int) int64 { return 1 })
+	for _, m := range fx.Fleet.Members("s") {
 		for range 9 {
 			if m.ID != "e0" {
 				m.Load.Begin(500, 6000)
@@ -150,7 +150,7 @@
 	}
 	placed := make(map[string]int)
 	for range prompts {
-		p, ok := w.Place(query())
+		p, ok := fx.Place(query())
 		test.True(t, ok)
 		placed[p.Member.ID]++
 	}
@@ -159,8 +159,8 @@
 
 // TestIdleEnginesGetBoundedShare has nodes place prompts before they receive each other's load
 // reports, where two of twenty engines have just loaded new weights. The two must get more prompts
-// than others, but not all: if each node sent all its prompts there, 50,000 tokens in 11 prompts
-// would be queued before each new one.
+// than others, but not all: if each node sent all its prompts there, each new prompt would be
+// queued behind many others.
 func TestIdleEnginesGetBoundedShare(t *testing.T) {
 	const engines, prompts = 20, 2000
 	for _, tc := range []struct {
@@ -172,15 +172,15 @@
 		{"among 24 nodes", 23, 3 * prompts / engines, prompts / 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, source{})
-			w.versions.wanted, w.versions.age = 2, 5*time.Second
-			w.VersionApplyLimit = func() time.Duration { return time.Hour }
+			fx := newFixture(t, fakeEvents{})
+			fx.versions.wanted, fx.versions.age = 2, 5*time.Second
+			fx.VersionApplyLimit = func() time.Duration { return time.Hour }
 			random := rand.New(rand.NewPCG(5, 6))
-			w.Random = random.Float64
+			fx.Random = random.Float64
 			now := time.Now()
-			w.Now = func() time.Time { return now }
-			w.ReportLag = func() (int, time.Duration) { return tc.others, 200 * time.Millisecond }
-			w.addEngines(engines, func(i int) int64 {
+			fx.Now = func() time.Time { return now }
+			fx.ReportLag = func() (int, time.Duration) { return tc.others, 200 * time.Millisecond }
+			fx.addEngines(engines, func(i int) int64 {
 				if i < 2 {
 					return 2
 				}
@@ -191,7 +191,7 @@
 			onNew := 0
 			for range prompts {
 				now = now.Add(100 * time.Millisecond) // 10 a second of each node
-				p, ok := w.Place(q)
+				p, ok := fx.Place(q)
 				must.True(t, ok)
 				if p.Member.ID == "e0" || p.Member.ID == "e1" {
 					onNew++
@@ -205,22 +205,21 @@
 // TestFindsRoomAtUnsampledEngine checks that the only engine of the failure domain with free memory
 // gets every prompt. A node first considers only engines with an open connection and two others. If
 // it did not consider all others after that, callers would be refused and retry late though some
-// engine has room: 105 of 480 attempts of the largest prompts in the 4 s after new weights were
-// published.
+// engine has room. This affects the largest prompts most, just after new weights were published.
 func TestFindsRoomAtUnsampledEngine(t *testing.T) {
-	w := newWorld(t, source{})
-	w.FullMesh = func() bool { return false }
+	fx := newFixture(t, fakeEvents{})
+	fx.FullMesh = func() bool { return false }
 	q := query()
 	q.Service.Engine.KVTokens = 100_000
 	const engines = 40
-	w.addEngines(engines, func(int) int64 { return 1 })
-	for _, m := range w.Fleet.Members("s") {
+	fx.addEngines(engines, func(int) int64 { return 1 })
+	for _, m := range fx.Fleet.Members("s") {
 		if m.ID != "e7" {
 			m.Load.Begin(0, 100_000)
 		}
 	}
 	for range 20 {
-		p, ok := w.Place(q)
+		p, ok := fx.Place(q)
 		must.True(t, ok)
 		test.Eq(t, "e7", p.Member.ID)
 	}
@@ -230,13 +229,13 @@
 // would fill an engine's memory beyond 0.85, and that a node of a small system accepts it.
 func TestReservesMemoryForUnreportedPrompts(t *testing.T) {
 	for _, fullMesh := range []bool{true, false} {
-		w := newWorld(t, source{}, 1)
-		w.FullMesh = func() bool { return fullMesh }
+		fx := newFixture(t, fakeEvents{}, 1)
+		fx.FullMesh = func() bool { return fullMesh }
 		q := query()
 		q.Service.Engine.KVTokens = 100_000
 		q.Attributes.PromptTokens = 11_500
-		w.members[0].Load.Begin(0, 80_000)
-		p, ok := w.Place(q)
+		fx.members[0].Load.Begin(0, 80_000)
+		p, ok := fx.Place(q)
 		test.Eq(t, fullMesh, ok)
 		if !fullMesh {
 			test.Eq(t, "no_room", p.Reason)
@@ -246,19 +245,19 @@
 
 // TestFillsMemoryThatHoldsManyPrompts checks that a prompt may fill an engine's memory beyond 0.85
 // where it holds many such prompts. Otherwise callers of the largest prompts are refused and retry
-// late though there is room: engines reported 94,000 of 149,000 tokens held while nodes
-// estimated 131,000, as prompts in transit or half read hold less than they will.
+// late though there is room: the nodes' estimate exceeds the memory in use, as prompts in transit
+// or partly read do not hold all of their memory yet.
 func TestFillsMemoryThatHoldsManyPrompts(t *testing.T) {
-	w := newWorld(t, source{}, 1)
-	w.FullMesh = func() bool { return false }
+	fx := newFixture(t, fakeEvents{}, 1)
+	fx.FullMesh = func() bool { return false }
 	q := query()
 	q.Service.Engine.KVTokens = 100_000
 	q.Attributes.PromptTokens = 3000
-	w.members[0].Load.Begin(0, 90_000)
-	_, ok := w.Place(q)
+	fx.members[0].Load.Begin(0, 90_000)
+	_, ok := fx.Place(q)
 	test.True(t, ok)
-	w.members[0].Load.Begin(0, 8000)
-	p, ok := w.Place(q)
+	fx.members[0].Load.Begin(0, 8000)
+	p, ok := fx.Place(q)
 	test.False(t, ok)
 	test.Eq(t, "no_room", p.Reason)
 }
--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// largeWorld returns the placer of a node in a large system, with the given number of engines in
+// largeFixture returns the placer of a node in a large system, with the given number of engines in
 // three failure domains and a store for every fifteenth engine, and a query to place.
-func largeWorld(engines int) (*placer.Placer, *forward.Query) {
+func largeFixture(engines int) (*placer.Placer, *forward.Query) {
 	f := fleet.New(zerolog.Nop())
 	index := kvindex.NewIndex(nil, nil, zerolog.Nop())
 	now := time.Now()
@@ -54,7 +54,7 @@
 func BenchmarkPlace(b *testing.B) {
 	for _, engines := range []int{10, 60, 204, 1000, 3000} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
-			p, q := largeWorld(engines)
+			p, q := largeFixture(engines)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := p.Place(q); !ok {
--- a/internal/placer/cost.go
+++ b/internal/placer/cost.go
@@ -15,25 +15,25 @@
 	failureMs = 400.0
 	// crossDomainMs is the cost of using another failure domain.
 	crossDomainMs = 2.0
-	// connectMs is the cost of opening a connection in addition to the time it takes: its price
-	// relative to that of a late answer.
+	// connectMs is the cost of opening a connection in addition to the time it takes: a surcharge
+	// that weighs it against late answers.
 	connectMs = 25.0
-	// movedMsPerGB is the cost of moving KV cache in addition to the time it takes: its price
-	// relative to that of a late answer.
+	// movedMsPerGB is the cost of moving KV cache in addition to the time it takes: a surcharge
+	// that weighs it against late answers.
 	movedMsPerGB = 40.0
-	// uncrowdedShare is the part of an engine's memory that running requests may hold at no cost;
-	// uncrowdedShareOfMany applies where the memory holds many prompts. The rest is a margin for
-	// memory that the estimate may be missing.
-	uncrowdedShare       = 0.6
-	uncrowdedShareOfMany = 0.85
+	// freeOfCostShare is the share of an engine's memory that running requests may occupy without a
+	// cost. freeOfCostShareMany is this share where the memory holds many prompts. The rest is a
+	// margin for errors of the estimated memory use.
+	freeOfCostShare     = 0.6
+	freeOfCostShareMany = 0.85
 )
 
 // engineCost returns the cost of an engine that does not depend on the prompt's parts, in ms: its
 // queue, memory, failure rate and failure domain.
-func (s *search) engineCost(m *fleet.Member) float64 {
-	others := s.others.At(m.ID, m.StartedMs)
+func (s *selection) engineCost(m *fleet.Member) float64 {
+	peerLoad := s.peerLoads.At(m.ID, m.StartedMs)
 	cost := s.queueMs(m) + s.memoryMs(m)
-	cost += failureMs * failureRate(m, others, s.now)
+	cost += failureMs * failureRate(m, peerLoad, s.now)
 	if m.Endpoint().Domain != s.Domain {
 		cost += crossDomainMs
 	}
@@ -42,14 +42,14 @@
 
 // queueMs returns the time, in ms, until the engine has read the prompts queued before this one and
 // has a free slot.
-func (s *search) queueMs(m *fleet.Member) float64 {
-	others := s.others.At(m.ID, m.StartedMs)
-	running := m.Load.Running() + others.Running
-	return s.readingMs(m, m.Load.PendingPromptTokens()+others.PendingPromptTokens) + runningMs*float64(running) + s.slotMs(m, running)
+func (s *selection) queueMs(m *fleet.Member) float64 {
+	peerLoad := s.peerLoads.At(m.ID, m.StartedMs)
+	running := m.Load.Running() + peerLoad.Running
+	return s.readingMs(m, m.Load.PendingPromptTokens()+peerLoad.PendingPromptTokens) + runningMs*float64(running) + s.slotMs(m, running)
 }
 
 // slotMs returns the time, in ms, until one of the engine's slots is free.
-func (s *search) slotMs(m *fleet.Member, running int) float64 {
+func (s *selection) slotMs(m *fleet.Member, running int) float64 {
 	slots := m.Endpoint().Slots
 	if slots <= 0 || running < slots {
 		return 0
@@ -57,37 +57,37 @@
 	return s.estimates.RunMs * float64(running+1-slots) / float64(slots)
 }
 
-// memoryMs returns the cost, in ms, of an engine whose memory is nearly full. For a full engine
-// this is about the time until a run ends there. Where memory holds many prompts, run ends are
-// spread evenly over the duration of a run, and the cost is the time until they free the memory
-// that the engine may hold beyond the estimate. A higher cost would make prompts queue at engines
-// with empty memory while others have room and nothing to read.
-func (s *search) memoryMs(m *fleet.Member) float64 {
+// memoryMs returns the cost, in ms, of an engine whose memory is nearly full. Where the memory
+// holds few prompts, the cost of a full engine is about the time until a run ends there. Where it
+// holds many prompts, run ends are spread evenly over the duration of a run, and the cost is the
+// time until they free as much memory as the estimate may be wrong by. A higher cost would make
+// prompts queue at engines with empty memory while others have room and nothing to read.
+func (s *selection) memoryMs(m *fleet.Member) float64 {
 	memory := s.memory(m)
 	if memory.Capacity <= 0 {
 		return 0
 	}
-	share := float64(memory.OccupiedTokens+holding(s.q)) / float64(memory.Capacity)
+	share := float64(memory.OccupiedTokens+averageHeldTokens(s.q)) / float64(memory.Capacity)
 	if s.holdsMany {
-		return s.estimates.RunMs * max(share-uncrowdedShareOfMany, 0)
+		return s.estimates.RunMs * max(share-freeOfCostShareMany, 0)
 	}
-	return s.estimates.RunMs * max(share-uncrowdedShare, 0) / (1 - uncrowdedShare)
+	return s.estimates.RunMs * max(share-freeOfCostShare, 0) / (1 - freeOfCostShare)
 }
 
 // firstMs returns the predicted time to the first event at an engine, in ms.
-func (s *search) firstMs(m *fleet.Member) float64 {
+func (s *selection) firstMs(m *fleet.Member) float64 {
 	plan := s.plan(m)
 	return s.queueMs(m) + plan.fetchMs + s.readingMs(m, plan.reading) + s.estimates.FirstMs
 }
 
 // readingMs returns the time, in ms, that an engine takes to read the given number of tokens.
-func (s *search) readingMs(m *fleet.Member, tokens int) float64 {
+func (s *selection) readingMs(m *fleet.Member, tokens int) float64 {
 	return s.service.model.Slowdown(m.ID, s.now) * s.estimates.TokenMs * float64(tokens)
 }
 
-// holding estimates the average number of tokens that a request holds in memory while it runs: its
-// prompt and half of its answer.
-func holding(q *forward.Query) int {
+// averageHeldTokens estimates the average number of tokens that a request holds in memory while it
+// runs: its prompt and half of its answer.
+func averageHeldTokens(q *forward.Query) int {
 	return q.Attributes.PromptTokens + q.Attributes.OutputTokens/2
 }
 
--- a/internal/placer/cost_test.go
+++ b/internal/placer/cost_test.go
@@ -9,30 +9,30 @@
 
 // TestMemoryCostIsWaitTime checks that an engine with room and nothing to read is preferred to one
 // with empty memory and a queue. If memory three quarters full counted as a wait of a second,
-// callers would get first events after 600 to 900 ms from engines that just loaded weights and have
-// 50,000 tokens queued, while engines beside them respond within 100 ms.
+// callers would get late first events from engines that have just loaded weights and have long
+// queues, while other engines would respond at once.
 func TestMemoryCostIsWaitTime(t *testing.T) {
 	const memory, reading = 150_000, 2000
-	w := newWorld(t, source{}, 1, 1)
+	fx := newFixture(t, fakeEvents{}, 1, 1)
 	q := query()
 	q.Attributes.Parts = nil
 	q.Attributes.PromptTokens = 1000
 	q.Service.Engine.KVTokens = memory
-	for _, m := range w.members {
+	for _, m := range fx.members {
 		if m.ID == "e0" {
 			m.Load.Begin(0, memory*3/4)
 		} else {
 			m.Load.Begin(reading, reading)
 		}
 	}
-	p, ok := w.Place(q)
+	p, ok := fx.Place(q)
 	must.True(t, ok)
 	test.Eq(t, "e0", p.Member.ID)
 
 	// Between two idle engines, the fuller one costs the time until a run frees memory.
-	w.members[0].Load.Begin(0, memory/5)
-	w.members[1].Load.FirstEvent(reading)
-	p, ok = w.Place(q)
+	fx.members[0].Load.Begin(0, memory/5)
+	fx.members[1].Load.FirstEvent(reading)
+	p, ok = fx.Place(q)
 	must.True(t, ok)
 	test.Eq(t, "e1", p.Member.ID)
 }
--- a/internal/placer/help_test.go
+++ b/internal/placer/fixture_test.go
@@ -28,10 +28,10 @@
 	home  = "e2" // home engine of the query's session among e0, e1 and e2
 )
 
-// source returns each holder's events once, by the holder's address.
-type source map[string][]kvindex.Change
+// fakeEvents returns each holder's events once, by the holder's address.
+type fakeEvents map[string][]kvindex.Change
 
-func (s source) Events(_ context.Context, addr string, since int64, _ time.Duration) (kvindex.Events, error) {
+func (s fakeEvents) Events(_ context.Context, addr string, since int64, _ time.Duration) (kvindex.Events, error) {
 	e := kvindex.Events{Epoch: 1, Next: 1, ClockMS: 1000}
 	if since == 0 {
 		e.Changes = s[addr]
@@ -39,7 +39,7 @@
 	return e, nil
 }
 
-func (source) Free(context.Context, string, []kvindex.Part, int64) error { return nil }
+func (fakeEvents) Free(context.Context, string, []kvindex.Part, int64) error { return nil }
 
 // versions returns the version of the weights that the operators want, and how long ago it was
 // published.
@@ -54,8 +54,8 @@
 	return time.Now().Add(-v.age), version < v.wanted
 }
 
-// world is a placer in a small system of engines and one store, with its fakes.
-type world struct {
+// fixture is a placer in a small system of engines and one store, with its fakes.
+type fixture struct {
 	*placer.Placer
 	versions     *versions
 	members      []*fleet.Member
@@ -65,19 +65,19 @@
 
 func addr(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-// newWorld returns a world with engines that have the given versions of the weights, and a store.
-// The store keeps a part of an unrelated prompt if events lists none for it.
-func newWorld(t *testing.T, events source, has ...int64) *world {
+// newFixture returns a fixture with engines that have the given versions of the weights, and a
+// store. The store keeps a part of an unrelated prompt if events lists none for it.
+func newFixture(t *testing.T, events fakeEvents, weightVersions ...int64) *fixture {
 	t.Helper()
 	if events[store] == nil {
 		events = maps.Clone(events)
 		events[store] = []kvindex.Change{{Part: kvindex.Part{Salt: salt(1, ""), ID: "another's"}, Tokens: 64}}
 	}
-	w := &world{versions: &versions{wanted: 1}, mayReference: true}
+	fx := &fixture{versions: &versions{wanted: 1}, mayReference: true}
 	f := fleet.New(zerolog.Nop())
 	index := kvindex.NewIndex(events, func(*kvindex.Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
 	var engines []*kvindex.Holder
-	for i, version := range has {
+	for i, version := range weightVersions {
 		id := fmt.Sprint("e", i)
 		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: addr(i), Domain: "north", Weights: []fleet.Weights{{Model: model, Version: version}}}, time.Now())
 		h := kvindex.NewHolder(id, addr(i), "north")
@@ -90,16 +90,16 @@
 	index.Follow(ctx, engines, []*kvindex.Holder{keep})
 	t.Cleanup(func() { cancel(); index.Wait() })
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return indexComplete(index, events) }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
-	w.Placer = newPlacer(f, index)
-	w.Versions = w.versions
-	w.MayReference = func(string, int64) bool { return w.mayReference }
-	w.Closed = func() []weights.Closed { return w.closed }
-	w.members = f.Members("s")
-	return w
+	fx.Placer = newPlacer(f, index)
+	fx.Versions = fx.versions
+	fx.MayReference = func(string, int64) bool { return fx.mayReference }
+	fx.Closed = func() []weights.Closed { return fx.closed }
+	fx.members = f.Members("s")
+	return fx
 }
 
-// newPlacer returns the placer of a node in a small system of three nodes that wants version 1 of
-// the weights.
+// newPlacer returns the placer of a node in a small system of three nodes whose wanted version of
+// the weights is 1.
 func newPlacer(f *fleet.Fleet, index *kvindex.Index) *placer.Placer {
 	return &placer.Placer{
 		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, Kept: index, Peers: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{}, FullMesh: func() bool { return true },
@@ -111,7 +111,7 @@
 }
 
 // indexComplete reports whether the index has received all events.
-func indexComplete(index *kvindex.Index, s source) bool {
+func indexComplete(index *kvindex.Index, s fakeEvents) bool {
 	holders := index.Stores()
 	for _, h := range index.Engines() {
 		holders = append(holders, h)
--- a/internal/placer/gate.go
+++ b/internal/placer/gate.go
@@ -10,11 +10,12 @@
 	"github.com/cherryward/cherryward/internal/throttle"
 )
 
-// Reasons for which this node may send no request to any endpoint now.
+// Reasons for which this node may send no request to any endpoint now. Where the endpoints differ,
+// the reason is that of the endpoint available first.
 const (
-	reasonCold       = "cold"        // all have just started
-	reasonLimited    = "limited"     // all have a rate limit, and this node's share is used up
-	reasonBackingOff = "backing_off" // all requested a backoff
+	reasonCold       = "cold"        // the endpoint available first has just started
+	reasonLimited    = "limited"     // the endpoint available first has a rate limit, and this node's share is used up
+	reasonBackingOff = "backing_off" // the endpoint available first has requested a backoff
 )
 
 // backoffSpacing is the time between the retries of successive callers that are refused because all
@@ -26,24 +27,25 @@
 // cost.
 type gate struct {
 	*Placer
-	q       *forward.Query
-	now     time.Time
-	maxCold int // requests per second that a cold endpoint may get; 0 for no limit
+	q                *forward.Query
+	now              time.Time
+	maxColdPerSecond int // requests per second that a cold endpoint may get; 0 for no limit
 }
 
 func (p *Placer) gate(q *forward.Query) *gate {
 	g := &gate{Placer: p, q: q, now: p.Now()}
 	if p.SlowStart != nil && p.MaxColdPerSecond != nil {
-		g.maxCold = p.MaxColdPerSecond(q.Service)
+		g.maxColdPerSecond = p.MaxColdPerSecond(q.Service)
 	}
 	return g
 }
 
-// isCold reports whether an endpoint is cold and its requests are limited.
-func (g *gate) isCold(m *fleet.Member) bool { return g.maxCold > 0 && m.Cold(g.now) }
+// isColdLimited reports whether an endpoint is cold and the service limits requests to cold
+// endpoints.
+func (g *gate) isColdLimited(m *fleet.Member) bool { return g.maxColdPerSecond > 0 && m.Cold(g.now) }
 
 func (g *gate) slowStartEndpoint(m *fleet.Member) *slowstart.Endpoint {
-	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, MaxPerSecond: g.maxCold}
+	return &slowstart.Endpoint{ID: m.ID, Domain: m.Endpoint().Domain, MaxPerSecond: g.maxColdPerSecond}
 }
 
 // throttleEndpoint returns the rate limit of an endpoint in the throttle's form, or nil if it has
@@ -62,7 +64,7 @@
 	if b, backsOff := m.Signals.Backoff(g.now); backsOff {
 		return reasonBackingOff, b.Until.Sub(g.now)
 	}
-	if g.isCold(m) && !g.SlowStart.Allows(g.slowStartEndpoint(m), g.now) {
+	if g.isColdLimited(m) && !g.SlowStart.Allows(g.slowStartEndpoint(m), g.now) {
 		return reasonCold, m.ColdUntil().Sub(g.now)
 	}
 	if e := g.throttleEndpoint(m); e != nil {
@@ -81,12 +83,13 @@
 	})
 }
 
-// takeCheapest returns the endpoint of least cost that accepts a request under its limits, and
-// counts the request. It returns nil if requests placed in the meantime used up all limits.
+// takeCheapest returns the endpoint with the lowest cost whose limits allow a request, and counts
+// the request against these limits. It returns nil if requests placed in the meantime used up all
+// limits.
 func (g *gate) takeCheapest(list []scored) *fleet.Member {
 	for len(list) > 0 {
 		best := slices.MinFunc(list, byCost).member
-		if g.tryCount(best) {
+		if g.countIfAllowed(best) {
 			return best
 		}
 		list = slices.DeleteFunc(list, func(s scored) bool { return s.member == best })
@@ -94,15 +97,16 @@
 	return nil
 }
 
-// tryCount counts a request to an endpoint against its limits, and reports whether they allow it.
-func (g *gate) tryCount(m *fleet.Member) bool {
+// countIfAllowed counts a request to an endpoint if the endpoint's limits allow it, and reports
+// whether they do.
+func (g *gate) countIfAllowed(m *fleet.Member) bool {
 	if e := g.throttleEndpoint(m); e != nil && !g.Throttle.Take(e, g.now) {
 		return false
 	}
-	return !g.isCold(m) || g.SlowStart.Take(g.slowStartEndpoint(m), g.now)
+	return !g.isColdLimited(m) || g.SlowStart.Take(g.slowStartEndpoint(m), g.now)
 }
 
-// decline returns why no endpoint may get the request, based on the endpoint that is unblocked
+// decline returns why no endpoint may get the request, based on the endpoint that becomes available
 // first.
 func (g *gate) decline(members []*fleet.Member) forward.Placement {
 	var reason string
@@ -143,9 +147,9 @@
 }
 
 // retryAfter returns the delay after which the caller may retry: at least wait, and at least
-// spacing after the retry of the previously refused caller, but bounded by a share of the caller's
-// deadline.
+// spacing after the retry of the previously refused caller, but bounded by maxRetryShare of the
+// time left until the caller's deadline.
 func (g *gate) retryAfter(wait, spacing time.Duration) time.Duration {
 	maxDelay := time.Duration(maxRetryShare * float64(g.q.Attributes.Deadline))
-	return g.Services.of(g.q.Service.Name).retries.After(g.now, wait, spacing, maxDelay)
+	return g.Services.forName(g.q.Service.Name).retries.After(g.now, wait, spacing, maxDelay)
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -1,8 +1,8 @@
 // Package placer chooses the endpoint for each request of a gateway node.
 //
 // A placement has three steps: filter the endpoints that may take the request, score the remaining
-// ones by the predicted time to the first event, and select the one with the lowest cost. The
-// reason is returned with the choice.
+// ones by the predicted time to the first event (without model engines: by the requests in flight),
+// and select the one with the lowest cost. The reason is returned with the choice.
 package placer
 
 import (
@@ -22,11 +22,11 @@
 
 // Versions provides the versions of weights that the operators want.
 type Versions interface {
-	// Wanted returns the wanted version of a model and a time at which it was not published yet; 0
-	// if none was published.
+	// Wanted returns the wanted version of a model and the latest time at which it was certainly
+	// not published yet; version 0 if none was published.
 	Wanted(model string) (version int64, since time.Time)
-	// Replaced returns since when a version may have been replaced, and false if it is the wanted
-	// one.
+	// Replaced returns the earliest time at which a version may have been replaced, and false if it
+	// is the wanted one.
 	Replaced(model string, version int64) (since time.Time, ok bool)
 }
 
@@ -45,32 +45,34 @@
 	RequestReport func()
 	// CommonDelay is the average delay of first events that don't depend on a store.
 	CommonDelay *kvindex.Lateness
-	// FullMesh reports whether Peers covers all nodes, rather than only those of this failure domain.
+	// FullMesh reports whether all nodes exchange load reports directly, as they do in a small
+	// system. In a large system, Peers covers only the nodes of this failure domain.
 	FullMesh func() bool
-	// Closed returns the engines that load weights by order of this node now.
+	// Closed returns the engines that this node has ordered to load weights.
 	Closed func() []weights.Closed
 	// VersionApplyLimit returns the operators' limit for applying new weights.
 	VersionApplyLimit func() time.Duration
 	// Evacuated reports whether the endpoints of a failure domain must get no requests. Nil means
 	// that no domain is evacuated.
 	Evacuated func(domain string) bool
-	// SlowStart shares out the requests to cold endpoints between nodes. MaxColdPerSecond returns the
-	// maximum number of requests per second to a cold endpoint of a service, 0 for no limit. Nil
-	// means that cold endpoints get as many requests as others.
+	// SlowStart shares out the requests to cold endpoints between nodes. MaxColdPerSecond returns
+	// the maximum number of requests per second to a cold endpoint of a service, 0 for no limit.
+	// Nil means that cold endpoints get as many requests as others.
 	SlowStart        *slowstart.Limiter
 	MaxColdPerSecond func(s *routing.Service) int
 	// Throttle shares out the requests to rate-limited endpoints between nodes. Nil means that rate
 	// limits are ignored.
 	Throttle *throttle.Limiter
-	// ReplacedGrace returns when this process started, and until when runs on weights replaced before
-	// then are still allowed. Nil means that none are.
+	// ReplacedGrace returns when this process started, and the time until which runs are still
+	// allowed on weights that were replaced before the start. Nil means that no such runs are
+	// allowed.
 	ReplacedGrace func() (started, until time.Time)
 	// Services holds the learned state of the services.
 	Services *Services
 	// Nodes returns the number of nodes that place requests.
 	Nodes func() int
-	// ReportLag returns the number of other nodes whose load reports Peers sums up, and the age of
-	// these reports. Nil means that the reports are always current.
+	// ReportLag returns the number of other nodes whose load reports are summed in Peers, and the
+	// age of these reports. Nil means that the reports are always current.
 	ReportLag func() (nodes int, lag time.Duration)
 	// Now is the clock. Random returns a random number in [0, 1).
 	Now    func() time.Time
@@ -148,17 +150,19 @@
 	crossDomainCost = 0.5
 	// failurePenalty is the cost of a failure rate of 1, in requests in flight.
 	failurePenalty = 8
-	// tieJitter is the random part of the cost, which spreads requests over equal endpoints.
+	// tieJitter is the maximum random part of the cost, in requests in flight. It spreads requests
+	// over equal endpoints.
 	tieJitter = 0.2
 )
 
-// placePlain selects the endpoint with the fewest requests in flight.
+// placePlain selects the endpoint with the lowest cost: its requests in flight, with penalties for
+// failures and for another failure domain.
 func (p *Placer) placePlain(q *forward.Query, candidates []*fleet.Member, gate *gate) (forward.Placement, bool) {
 	now := p.Now()
-	others := p.Peers.Loads(now)
+	peerLoads := p.Peers.Loads(now)
 	best := gate.takeCheapest(score(candidates, func(m *fleet.Member) float64 {
-		reported := others.At(m.ID, m.StartedMs)
-		cost := float64(m.Load.Running()+reported.Running) + failurePenalty*failureRate(m, reported, now) + tieJitter*p.Random()
+		peerLoad := peerLoads.At(m.ID, m.StartedMs)
+		cost := float64(m.Load.Running()+peerLoad.Running) + failurePenalty*failureRate(m, peerLoad, now) + tieJitter*p.Random()
 		if m.Endpoint().Domain != p.Domain {
 			cost += crossDomainCost
 		}
@@ -176,8 +180,8 @@
 
 // failureRate returns the share of failed attempts observed by this node or its peers, whichever is
 // higher.
-func failureRate(m *fleet.Member, others peerload.Sum, now time.Time) float64 {
-	return max(m.Health.FailureRate(now), others.FailureRate())
+func failureRate(m *fleet.Member, peerLoad peerload.Sum, now time.Time) float64 {
+	return max(m.Health.FailureRate(now), peerLoad.FailureRate())
 }
 
 // scored is an endpoint with its cost.
@@ -212,24 +216,25 @@
 }
 
 const (
-	// maxPriority is the lowest priority that engines accept.
+	// maxPriority is the largest priority number that engines accept; it is the least urgent.
 	maxPriority = 9
-	// routeRanks is the number of route priorities within each priority of a client account.
-	routeRanks = 3
+	// routePriorities is the number of route priorities within each priority of a client account.
+	routePriorities = 3
 )
 
 // priorityOf returns the engine priority of a request; 0 is the most urgent. The client account's
-// priority takes precedence; the route's orders requests of accounts with equal priority.
+// priority takes precedence. The route's priority orders requests of accounts with equal priority.
 func priorityOf(q *forward.Query) *int {
-	rank := min(max(q.Route.Priority, 0), routeRanks-1)
+	priority := min(max(q.Route.Priority, 0), routePriorities-1)
 	if q.Account != nil && q.Account.Priority != nil {
-		rank += routeRanks * max(*q.Account.Priority, 0)
+		priority += routePriorities * max(*q.Account.Priority, 0)
 	}
-	rank = min(rank, maxPriority)
-	return &rank
+	priority = min(priority, maxPriority)
+	return &priority
 }
 
-// saltOf returns the salt under which the request's parts are kept.
+// saltOf returns the salt of the request's parts. The salt separates the parts of different models,
+// versions and isolated accounts in engines, stores and the index.
 func saltOf(q *forward.Query, version int64) string {
 	salt := kvindex.Salt{Model: q.Attributes.Model, Version: version}
 	if q.Account != nil && q.Account.Isolated {
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -15,12 +15,12 @@
 	// the engine reads the prompt. Outdated parts are freed only when this has passed since the
 	// last node referenced them.
 	FetchLimit = kvindex.FetchTimeout
-	// fetchTolerance is the factor on the expected duration that each fetch is allowed at least,
-	// and minFetchMs the minimum timeout of a fetch.
+	// The timeout of a fetch is at least fetchTolerance times its expected duration, and at least
+	// minFetchMs.
 	fetchTolerance = 1.25
 	minFetchMs     = 100.0
-	// maxFetchMs is the predicted duration from which a fetch is likely to be discarded, so that
-	// reading the part instead costs the same and finishes sooner.
+	// maxFetchMs is the predicted duration from which a fetch is likely to be discarded. Reading
+	// the part instead then costs the same and finishes sooner.
 	maxFetchMs = 800.0
 	// crossDomainFactor is how much longer a transfer between failure domains takes.
 	crossDomainFactor = 2.0
@@ -30,11 +30,11 @@
 	// read in less time than it takes to start the transfer.
 	minSaveTokens = 64
 	// rereadMsPerK is the cost of reading 1,000 tokens that are kept elsewhere, in addition to the
-	// time it takes: the price of reading them again relative to that of a late answer.
+	// time it takes: a surcharge that weighs reading them again against late answers.
 	rereadMsPerK = 160.0
 )
 
-// plan is how an engine would obtain the parts of a prompt.
+// plan describes how an engine would obtain the parts of a prompt.
 type plan struct {
 	version   int64 // of the weights named by the salt
 	salt      string
@@ -52,16 +52,17 @@
 }
 
 // planMs returns the time until the prompt is read, with the cost of its transfers, in ms.
-func (s *search) planMs(p *plan) float64 {
+func (s *selection) planMs(p *plan) float64 {
 	const bytesPerGB = 1e9
 	return p.fetchMs + float64(p.reading)*s.estimates.TokenMs + movedMsPerGB*p.bytes/bytesPerGB
 }
 
 // fetchTimeout returns how long the engine waits for the parts that it fetches before it reads
-// them: until the answer would miss its objective, but at least as long as reading them again costs
-// and somewhat longer than the fetch is expected to take. Without it, prompts that can be read
-// within milliseconds would wait for a store whose link is full.
-func (s *search) fetchTimeout(m *fleet.Member) time.Duration {
+// them: until reading them would delay the first event past 1-queueShare of the objective, but at
+// least as long as the cost of reading them again, and somewhat longer than the expected duration
+// of the fetch. Without it, prompts that can be read within milliseconds would wait for a store
+// whose link is full.
+func (s *selection) fetchTimeout(m *fleet.Member) time.Duration {
 	objective := millis(s.q.Route.Objective)
 	if objective <= 0 {
 		return FetchLimit
@@ -107,9 +108,9 @@
 	return ms + float64(h.TransferDelay)/float64(time.Millisecond)
 }
 
-// targets returns a store for each shared part that no store keeps yet. The last part is not shared
-// between requests.
-func (p *Placer) targets(q *forward.Query, plan *plan) []string {
+// saveTargets returns a store for each shared part that no store keeps yet. The last part is not
+// shared between requests.
+func (p *Placer) saveTargets(q *forward.Query, plan *plan) []string {
 	parts := q.Attributes.Parts
 	if len(parts) < 2 || !plan.current || plan.version == 0 {
 		return nil
@@ -142,8 +143,9 @@
 
 // chooseSaveStore returns the store to which a part should be sent, or "" for none. All nodes
 // choose the same store, in proportion to the stores' sizes, as long as they agree on which are
-// full. A store without room is skipped, as is one to which the part was sent without being
-// confirmed: otherwise all prompts that begin with the part would be read instead.
+// full. A store without room is skipped, and so is one that has not confirmed the part after it was
+// sent there: otherwise no store would keep the part, and all prompts that begin with it would be
+// read.
 func (p *Placer) chooseSaveStore(key kvindex.Part, tokens int) string {
 	if tokens < minSaveTokens {
 		return ""
--- a/internal/placer/prompt.go
+++ b/internal/placer/prompt.go
@@ -11,45 +11,44 @@
 
 const (
 	// homeBonusMs is the cost bonus of a session's home engine, which all nodes derive from the
-	// session alone. It spreads prompts whose parts are kept nowhere yet: nodes that considered
-	// only load would all choose the same engine between two load reports.
+	// session's part and the list of engines. It spreads prompts whose parts are kept nowhere yet:
+	// if only load counted, all nodes would choose the same engine between two load reports.
 	homeBonusMs = 50.0
 	// jitterMs is the maximum random part of a cost, for the same reason.
 	jitterMs = 10.0
-	// minLocal is the number of usable engines in this node's failure domain from which a node of a
-	// large system ignores those of other domains.
+	// minLocal is the minimum number of usable engines in a failure domain for which a node of a
+	// large system there ignores the engines of other domains.
 	minLocal = 4
 )
 
-// placePrompt selects the engine with the lowest predicted time to the first event, and sets the
-// sources of the parts that it lacks.
+// placePrompt selects the engine with the lowest cost, and sets the sources of the parts.
 func (p *Placer) placePrompt(q *forward.Query, candidates []*fleet.Member, gate *gate) (forward.Placement, bool) {
 	rollout := p.rollout(q)
 	candidates = rollout.filter(candidates)
 	if len(candidates) == 0 {
 		return forward.Placement{}, false
 	}
-	s := p.search(q, rollout)
-	open := s.withRoom(s.selectCandidates(candidates))
-	if len(open) == 0 {
-		// Other engines with a known load may have room, and a refused caller returns late.
+	s := p.selection(q, rollout)
+	withRoom := s.withRoom(s.selectCandidates(candidates))
+	if len(withRoom) == 0 {
+		// Other engines whose load is reported may have room, and a refused caller retries late.
 		candidates = s.localCandidates(candidates)
-		open = s.withRoom(candidates)
+		withRoom = s.withRoom(candidates)
 	}
-	if len(open) == 0 {
+	if len(withRoom) == 0 {
 		return s.decline(candidates, reasonNoRoom), false
 	}
-	costs := score(open, s.cost)
+	costs := score(withRoom, s.cost)
 	s.addUnreported(costs)
 	best := slices.MinFunc(costs, byCost).member
-	if s.plan(best).version == 0 && rollout.versioned(best) {
-		return forward.Placement{}, false // the engine just refused the version it was assumed to have
+	if s.plan(best).version == 0 && rollout.hasKnownVersions(best) {
+		return forward.Placement{}, false // the engine has just refused the version that it was assumed to have
 	}
 	if s.isTooLate(best) {
 		return s.decline([]*fleet.Member{best}, reasonTooLate), false
 	}
 	if best = gate.takeCheapest(costs); best == nil {
-		return gate.decline(open), false
+		return gate.decline(withRoom), false
 	}
 	s.service.demand.NoteDecision(false)
 	s.service.placed.note(s.plan(best).reading, s.now)
@@ -57,9 +56,9 @@
 	return s.placement(best), true
 }
 
-// localCandidates returns the engines whose load this node knows: in a large system those of its
-// own failure domain, if enough of them are usable. Engines of other domains look idle to this
-// node, so that a busy domain would overload them unnoticed.
+// localCandidates returns the engines whose load is reported to this node: in a large system those
+// of its own failure domain, if enough of them are usable. Engines of other domains appear idle to
+// this node, so that a busy domain could overload them without any node there detecting it.
 func (p *Placer) localCandidates(candidates []*fleet.Member) []*fleet.Member {
 	if p.FullMesh() {
 		return candidates
@@ -82,7 +81,7 @@
 	return local
 }
 
-func (s *search) placement(best *fleet.Member) forward.Placement {
+func (s *selection) placement(best *fleet.Member) forward.Placement {
 	p, q, plan := s.Placer, s.q, s.plan(best)
 	placement := forward.Placement{
 		Member: best,
@@ -93,19 +92,19 @@
 			Version:  plan.version,
 			Salt:     plan.salt,
 			Sources:  plan.sources,
-			Targets:  p.targets(q, plan),
+			Targets:  p.saveTargets(q, plan),
 		},
 		PrefillTokens:       plan.reading,
 		Cached:              plan.cached,
 		Fetched:             plan.fetched,
-		MemoryTokens:        holding(q),
+		MemoryTokens:        averageHeldTokens(q),
 		BeginBy:             s.rollout.beginBy(plan.version),
 		PredictedWait:       duration(plan.waitMs),
 		PredictedFirstEvent: duration(s.firstMs(best)),
 		OccupiedTokens:      s.memory(best).OccupiedTokens,
 		Reason:              plan.reason(),
 		RecordFirstEvent:    s.firstEventObserver(best),
-		RecordRun:           func(took time.Duration) { s.service.model.RecordRun(holding(q), took) },
+		RecordRun:           func(took time.Duration) { s.service.model.RecordRun(averageHeldTokens(q), took) },
 	}
 	placement.RecordFailure = func() { p.cancelSaves(q, &placement.Attempt) }
 	if plan.fromStore {
--- a/internal/placer/rollout.go
+++ b/internal/placer/rollout.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// oldWeightsMs is the cost of replaced weights: a fifth of the request's value, against an
-	// objective of 400 to 600 ms.
-	oldWeightsMs = 120.0
-	// oldWeightsAfter is how long replaced weights cost nothing after newer ones were published.
-	oldWeightsAfter = 1500 * time.Millisecond
+	// replacedWeightsMs is the cost of replaced weights: 20% to 30% of an objective of 400 to 600
+	// ms.
+	replacedWeightsMs = 120.0
+	// replacedWeightsAfter is the time after the publication of newer weights during which replaced
+	// ones cost nothing.
+	replacedWeightsAfter = 1500 * time.Millisecond
 	// beginMargin is the maximum time from a placement until the run begins, which is when its
 	// weights are checked.
 	beginMargin = 2 * time.Second
@@ -34,11 +35,11 @@
 	model         string
 	wanted        int64
 	versions      Versions
-	limit         time.Duration // age of replaced weights from which no request is placed on them
-	bound         time.Duration // age of replaced weights from which no run may begin on them
+	placeLimit    time.Duration // age of replaced weights from which no request is placed on them
+	beginLimit    time.Duration // age of replaced weights from which no run may begin on them
 	replacedGrace func() (started, until time.Time)
-	// closed holds the engines that load new weights now. The value is true if they take no
-	// requests at all, and false if they take short ones.
+	// closed holds the engines that load new weights, by ID. The value is true if an engine accepts
+	// no requests at all, and false if it accepts short ones.
 	closed map[string]bool
 	short  bool // the answer is expected to be short
 	now    time.Time
@@ -50,8 +51,8 @@
 		model:         q.Attributes.Model,
 		wanted:        wanted,
 		versions:      p.Versions,
-		limit:         ReplacedLimit(p.VersionApplyLimit()),
-		bound:         p.VersionApplyLimit(),
+		placeLimit:    ReplacedLimit(p.VersionApplyLimit()),
+		beginLimit:    p.VersionApplyLimit(),
 		replacedGrace: p.ReplacedGrace,
 		closed:        p.Peers.Closed(p.Now()),
 		short:         q.Attributes.OutputTokens <= shortAnswer,
@@ -63,8 +64,8 @@
 	return r
 }
 
-// replacedSince returns since when a version of the weights may have been replaced, and false if it
-// is the wanted one.
+// replacedSince returns the earliest time at which a version of the weights may have been replaced,
+// and false if it is the wanted one.
 func (r *rollout) replacedSince(version int64) (time.Time, bool) {
 	if version >= r.wanted {
 		return time.Time{}, false
@@ -89,42 +90,46 @@
 	if !replaced {
 		return time.Time{}
 	}
-	by := since.Add(r.bound)
+	by := since.Add(r.beginLimit)
 	if r.replacedGrace == nil {
 		return by.Add(-withdrawMargin)
 	}
-	// Weights found replaced at the start of this process may have been replaced at any time before.
+	// Weights found replaced at the start of this process may have been replaced at any time
+	// before.
 	if started, until := r.replacedGrace(); since.Before(started) && until.Before(by) {
 		by = until
 	}
 	return by.Add(-withdrawMargin)
 }
 
-// filter removes the engines whose weights are too old or unknown, and those that load weights now
-// unless no other engine is left.
+// filter removes the engines whose weights were replaced too long ago or are unknown, and those
+// that are loading weights, unless no other engine is left.
 func (r *rollout) filter(candidates []*fleet.Member) []*fleet.Member {
-	candidates = without(candidates, func(m *fleet.Member) bool { return r.isUnknown(m) || r.isOld(m) })
-	open := without(candidates, r.isClosed)
-	if len(open) == 0 {
+	candidates = without(candidates, func(m *fleet.Member) bool { return r.hasUnknownWeights(m) || r.isReplacedTooLong(m) })
+	notLoading := without(candidates, r.isClosed)
+	if len(notLoading) == 0 {
 		return candidates
 	}
-	return open
+	return notLoading
 }
 
-// isOld reports whether an engine's weights were replaced too long ago. The wanted weights are
-// never old, even if the operators' limit is missing or shorter than the margin.
-func (r *rollout) isOld(m *fleet.Member) bool {
+// isReplacedTooLong reports whether an engine's weights were replaced too long ago. It is false for
+// the wanted weights, even if the operators' limit is missing or shorter than the margin.
+func (r *rollout) isReplacedTooLong(m *fleet.Member) bool {
 	since, replaced := r.replacedSince(m.VersionOf(r.model))
-	return replaced && r.now.Sub(since) > r.limit
+	return replaced && r.now.Sub(since) > r.placeLimit
 }
 
-// isUnknown reports whether an engine's weights are unknown though versions of the model are known.
-// A prompt can't name the version that it expects there, so it could run on replaced weights.
-func (r *rollout) isUnknown(m *fleet.Member) bool { return r.versioned(m) && m.VersionOf(r.model) == 0 }
+// hasUnknownWeights reports whether an engine's weights are unknown though versions of the model
+// are known. A request to such an engine can't state which version it expects, and could run on
+// replaced weights.
+func (r *rollout) hasUnknownWeights(m *fleet.Member) bool {
+	return r.hasKnownVersions(m) && m.VersionOf(r.model) == 0
+}
 
-// versioned reports whether versions of the model's weights are known, from the operators or from
-// the engine's configuration.
-func (r *rollout) versioned(m *fleet.Member) bool {
+// hasKnownVersions reports whether versions of the model's weights are known, from the operators or
+// from the engine's configuration.
+func (r *rollout) hasKnownVersions(m *fleet.Member) bool {
 	return r.wanted > 0 || m.Endpoint().VersionOf(r.model) > 0
 }
 
@@ -135,8 +140,8 @@
 
 // cost returns the cost of an engine's replaced weights, in ms.
 func (r *rollout) cost(m *fleet.Member) float64 {
-	if r.replacedFor(m) > oldWeightsAfter {
-		return oldWeightsMs
+	if r.replacedFor(m) > replacedWeightsAfter {
+		return replacedWeightsMs
 	}
 	return 0
 }
--- a/internal/placer/search.go
+++ b/internal/placer/selection.go
@@ -16,13 +16,14 @@
 	minObservedFetch = 1000
 )
 
-// search is the selection of an engine for one prompt. It caches what doesn't depend on the engine.
-type search struct {
+// selection is the state of selecting an engine for one prompt. It caches what doesn't depend on
+// the engine.
+type selection struct {
 	*Placer
 	q              *forward.Query
 	now            time.Time
 	rollout        *rollout
-	others         peerload.Sums
+	peerLoads      peerload.Sums
 	peerDelays     map[string]float64 // average delay of peers' fetches in ms, by the holder's address
 	home           *fleet.Member      // may be nil
 	located        map[int64]*located
@@ -32,32 +33,32 @@
 	candidateCount int      // number of engines among which the prompt is placed
 	reserve        int      // free memory that the prompt requires, in tokens
 	holdsMany      bool     // an engine's memory holds many prompts
-	sources        []source // of the parts that reusable examined last
-	// fetchUntil is when fetches are discarded, on the engines' clock in ms. It is read before the
-	// check which parts may be referenced, so that a node that is suspended in between does not
-	// reference parts for longer than allowed.
+	sources        []source // sources of the first parts, set by reusedParts
+	// fetchUntil is the time after which the results of fetches are discarded, on the engines'
+	// clock in ms. The clock is read before the check of which parts may be referenced, so that a
+	// node that is suspended between the two does not reference parts for longer than allowed.
 	fetchUntil int64
 }
 
-func (p *Placer) search(q *forward.Query, r *rollout) *search {
+func (p *Placer) selection(q *forward.Query, r *rollout) *selection {
 	now := p.Now()
-	service := p.Services.of(q.Service.Name)
-	rank := *priorityOf(q)
-	service.demand.Note(rank, holding(q))
-	s := &search{
-		Placer: p, q: q, now: now, rollout: r, others: p.Peers.Loads(now), peerDelays: p.Peers.Late(now), home: p.home(q),
+	service := p.Services.forName(q.Service.Name)
+	priority := *priorityOf(q)
+	service.demand.Note(priority, averageHeldTokens(q))
+	s := &selection{
+		Placer: p, q: q, now: now, rollout: r, peerLoads: p.Peers.Loads(now), peerDelays: p.Peers.Late(now), home: p.home(q),
 		located: make(map[int64]*located), plans: make(map[*fleet.Member]*plan),
 		service: service, estimates: service.model.Estimates(),
 		fetchUntil: p.Kept.ClockMS() + FetchLimit.Milliseconds(),
 	}
 	s.holdsMany = service.demand.HoldsMany(q.Service.Engine.KVTokens)
-	s.reserve = s.tuning().reserve(service.demand.Reserve(rank, q.IsRetry(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
+	s.reserve = s.tuning().reserve(service.demand.Reserve(priority, q.IsRetry(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
 	return s
 }
 
 // cost returns the cost of an engine in ms: the predicted time to the first event, adjusted for
 // rollout, home engine, connection and jitter.
-func (s *search) cost(m *fleet.Member) float64 {
+func (s *selection) cost(m *fleet.Member) float64 {
 	plan := s.plan(m)
 	plan.waitMs = s.engineCost(m)
 	cost := plan.waitMs + s.planMs(plan) + s.rollout.cost(m) + jitterMs*s.Random()
@@ -70,7 +71,7 @@
 	return cost
 }
 
-// located is where the parts of the prompt are kept for one version of the weights.
+// located lists where the parts of the prompt are kept for one version of the weights.
 type located struct {
 	version int64
 	salt    string
@@ -78,7 +79,8 @@
 	parts   []locatedPart
 }
 
-// locatedPart is where one part is kept in full. Only holders that may be referenced are included.
+// locatedPart lists the holders that keep one part in full. Only holders that may be referenced are
+// included.
 type locatedPart struct {
 	forward.Part
 	engines map[string]*kvindex.Holder // by ID
@@ -89,7 +91,7 @@
 // locate finds the holders of the parts for a version of the weights. If the version is unknown
 // (0), engines may have different weights: then nothing is fetched, and each engine uses only what
 // it computed itself.
-func (s *search) locate(version int64) *located {
+func (s *selection) locate(version int64) *located {
 	if l := s.located[version]; l != nil {
 		return l
 	}
@@ -106,35 +108,35 @@
 	return l
 }
 
-func (s *search) locatePart(part forward.Part, salt string, mayReference bool) locatedPart {
+func (s *selection) locatePart(part forward.Part, salt string, mayReference bool) locatedPart {
 	key := kvindex.Part{Salt: salt, ID: part.ID}
-	located := locatedPart{Part: part}
+	result := locatedPart{Part: part}
 	for id, h := range s.Kept.Engines() {
-		// KV cache is not fetched from engines of evacuated failure domains, but is from stores
-		// there, as these are not endpoints.
+		// KV cache is not fetched from engines of evacuated failure domains. It is fetched from
+		// stores there, as stores are not endpoints.
 		if h.Has(key) >= part.Tokens && !s.evacuated(h.Domain) {
-			if located.engines == nil {
-				located.engines = make(map[string]*kvindex.Holder)
+			if result.engines == nil {
+				result.engines = make(map[string]*kvindex.Holder)
 			}
-			located.engines[id] = h
-			located.holders = append(located.holders, h)
+			result.engines[id] = h
+			result.holders = append(result.holders, h)
 		}
 	}
 	if !mayReference {
-		return located
+		return result
 	}
 	for _, h := range s.Kept.Stores() {
 		if h.ConfirmedRecently(s.now) && h.Has(key) >= part.Tokens {
-			located.stores = append(located.stores, h)
-			located.holders = append(located.holders, h)
+			result.stores = append(result.stores, h)
+			result.holders = append(result.holders, h)
 		}
 	}
-	return located
+	return result
 }
 
 // plan returns how an engine would obtain the parts. An engine can use a part only if it has all
 // parts before it.
-func (s *search) plan(m *fleet.Member) *plan {
+func (s *selection) plan(m *fleet.Member) *plan {
 	if p := s.plans[m]; p != nil {
 		return p
 	}
@@ -145,7 +147,7 @@
 		p.reading = s.q.Attributes.PromptTokens
 		return p
 	}
-	reused := s.reusable(m, l)
+	reused := s.reusedParts(m, l)
 	for i := range l.parts {
 		part := &l.parts[i]
 		switch {
@@ -156,17 +158,18 @@
 			p.cached += part.Tokens
 			s.addBackupSource(m, p, i, part)
 		default:
-			s.fetch(m, p, i, part, s.sources[i])
+			s.addSource(m, p, i, part, s.sources[i])
 		}
 	}
 	return p
 }
 
-// reusable returns how many of the first parts the engine should reuse instead of reading them, so
-// that fetching these and reading the others has the lowest total cost. A small part whose fetch
-// costs more than reading it is fetched if this avoids reading a large part after it; judged by
-// itself, it would cause the whole prompt to be read. It sets s.sources for the reused parts.
-func (s *search) reusable(m *fleet.Member, l *located) int {
+// reusedParts returns how many of the first parts the engine should reuse instead of reading them,
+// so that fetching these and reading the others has the lowest total cost. A small part whose fetch
+// costs more than reading it is fetched if this avoids reading a large part after it. If each part
+// were judged by itself, the small part would be read, and so would all parts after it. reusedParts
+// sets s.sources for the parts it examines.
+func (s *selection) reusedParts(m *fleet.Member, l *located) int {
 	s.sources = s.sources[:0]
 	reused, minSum, sum := 0, 0.0, 0.0
 	for i := range l.parts {
@@ -187,25 +190,25 @@
 	return reused
 }
 
-// readMs returns the cost of reading a part, in ms: the time it takes, and the price of reading
+// readMs returns the cost of reading a part, in ms: the time it takes, and the cost of reading it
 // again.
-func (s *search) readMs(part *locatedPart) float64 {
+func (s *selection) readMs(part *locatedPart) float64 {
 	return float64(part.Tokens) * (s.estimates.TokenMs + rereadMsPerK/1000)
 }
 
-// addBackupSource names a store for part i, which the engine is expected to hold. An engine fetches
-// only parts that it lacks, and may have evicted the part since its events were read, up to 0.4 s
-// ago. Engines that hold few long prompts benefit most.
-func (s *search) addBackupSource(m *fleet.Member, p *plan, i int, part *locatedPart) {
+// addBackupSource sets a store as the source of part i, which the engine is expected to hold. An
+// engine fetches only parts that it lacks, and may have evicted the part since its events were
+// read, up to 0.4 s ago.
+func (s *selection) addBackupSource(m *fleet.Member, p *plan, i int, part *locatedPart) {
 	if from := s.fastestSource(m, part, part.stores); from.holder != nil && from.ms < s.readMs(part) {
 		p.setSource(i, len(s.q.Attributes.Parts), from.holder.Addr)
 		p.fromStore = true
 	}
 }
 
-// fetch adds a source of part i to the plan. If the index does not follow the engine, the engine
-// may already have the part, and fetches nothing then.
-func (s *search) fetch(m *fleet.Member, p *plan, i int, part *locatedPart, from source) {
+// addSource adds a source of part i to the plan. If the index receives no events of the engine, the
+// engine may already have the part, and does not fetch it then.
+func (s *selection) addSource(m *fleet.Member, p *plan, i int, part *locatedPart, from source) {
 	p.setSource(i, len(s.q.Attributes.Parts), from.holder.Addr)
 	if from.holder.Tokens > 0 {
 		p.fromStore = true
@@ -226,7 +229,7 @@
 
 // fastestSource returns the holder, other than the engine itself, from which the engine can fetch a
 // part fastest. It returns none if the fetch is likely to be discarded.
-func (s *search) fastestSource(m *fleet.Member, part *locatedPart, holders []*kvindex.Holder) source {
+func (s *selection) fastestSource(m *fleet.Member, part *locatedPart, holders []*kvindex.Holder) source {
 	fastest := source{ms: maxFetchMs}
 	for _, h := range holders {
 		ms := transferMs(h, s.bytes(part), m.Endpoint().Domain) + s.fetchDelayMs(h)
@@ -239,14 +242,14 @@
 }
 
 // bytes returns the size of a part's KV cache.
-func (s *search) bytes(part *locatedPart) float64 {
+func (s *selection) bytes(part *locatedPart) float64 {
 	return float64(part.Tokens) * float64(s.q.Service.Engine.TokenBytes)
 }
 
-// addHomeSource names the session's home engine as the source of a part without known holders,
-// where the index does not follow the engines. If the home engine lacks the part, the engine reads
-// it, 1 ms later.
-func (s *search) addHomeSource(m *fleet.Member, p *plan, i int, part *locatedPart) {
+// addHomeSource sets the session's home engine as the source of a part without known holders, where
+// the index receives no events of the engine. If the home engine lacks the part, the engine reads
+// the part, 1 ms later than without a source.
+func (s *selection) addHomeSource(m *fleet.Member, p *plan, i int, part *locatedPart) {
 	shared := i < len(s.q.Attributes.Parts)-1
 	if !shared || part.Tokens < minSaveTokens || s.home == nil || s.home == m || s.Kept.Engine(m.ID) != nil || p.version == 0 {
 		return
@@ -258,22 +261,22 @@
 
 // fetchDelayMs returns how much later than predicted fetches from a holder finish, as observed by
 // this node or its peers, in ms.
-func (s *search) fetchDelayMs(h *kvindex.Holder) float64 {
+func (s *selection) fetchDelayMs(h *kvindex.Holder) float64 {
 	return max(h.Late.MS(s.now), s.peerDelays[h.Addr])
 }
 
 // firstEventObserver returns a function that receives the time to the first event. It updates the
 // speed estimate of the engine, or the delay estimate of the store with the slowest fetch of the
 // placement. Delays caused by the load of the engines are estimated from prompts that fetch little,
-// and subtracted from the store's.
-func (s *search) firstEventObserver(m *fleet.Member) func(after time.Duration) {
+// and are subtracted from the observed delay of the store.
+func (s *selection) firstEventObserver(m *fleet.Member) func(after time.Duration) {
 	p := s.plan(m)
 	expected := s.firstMs(m)
 	store := p.slowest
 	if store != nil {
 		expected -= s.fetchDelayMs(store)
 	}
-	ahead := m.Load.PendingPromptTokens() + s.others.At(m.ID, m.StartedMs).PendingPromptTokens + p.reading
+	ahead := m.Load.PendingPromptTokens() + s.peerLoads.At(m.ID, m.StartedMs).PendingPromptTokens + p.reading
 	return func(after time.Duration) {
 		now := s.Now()
 		late := millis(after) - expected
--- a/internal/placer/stores_test.go
+++ b/internal/placer/stores_test.go
@@ -16,9 +16,9 @@
 // TestLateStoreIsAvoided checks that a store whose fetches delay first events is avoided, so that
 // the parts are read, and that it is used again later.
 func TestLateStoreIsAvoided(t *testing.T) {
-	w := newWorld(t, source{store: shared(1, "")}, 1)
+	fx := newFixture(t, fakeEvents{store: shared(1, "")}, 1)
 	place := func() forward.Placement {
-		p, ok := w.Place(query())
+		p, ok := fx.Place(query())
 		must.True(t, ok)
 		must.NotNil(t, p.RecordFirstEvent)
 		return p
@@ -29,7 +29,7 @@
 	p := place()
 	test.Nil(t, p.Attempt.Sources)
 	test.Eq(t, 11500, p.PrefillTokens)
-	keep := w.Kept.Stores()[0]
+	keep := fx.Kept.Stores()[0]
 	for range 8 {
 		keep.Late.Observe(0, time.Now())
 	}
@@ -39,32 +39,32 @@
 // TestAvoidsStoreReportedLateByPeers checks that a store is avoided if several peers report late
 // fetches from it.
 func TestAvoidsStoreReportedLateByPeers(t *testing.T) {
-	w := newWorld(t, source{store: shared(1, "")}, 1)
+	fx := newFixture(t, fakeEvents{store: shared(1, "")}, 1)
 	for i := range 3 {
-		w.Peers.Record(peerload.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Seq: 1, Late: []peerload.Late{{Addr: store, MS: 900}}}, time.Now())
+		fx.Peers.Record(peerload.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Seq: 1, Late: []peerload.Late{{Addr: store, MS: 900}}}, time.Now())
 	}
-	p, ok := w.Place(query())
+	p, ok := fx.Place(query())
 	must.True(t, ok)
 	test.Nil(t, p.Attempt.Sources)
 }
 
-// TestEngineDelayIsNotBlamedOnStore checks that the delay that all first events have is subtracted
+// TestCommonDelayIsSubtracted checks that the delay that all first events have is subtracted
 // from the delay of a store.
-func TestEngineDelayIsNotBlamedOnStore(t *testing.T) {
-	w := newWorld(t, source{store: shared(1, "")}, 1)
+func TestCommonDelayIsSubtracted(t *testing.T) {
+	fx := newFixture(t, fakeEvents{store: shared(1, "")}, 1)
 	for range 20 {
-		w.CommonDelay.Observe(700, time.Now())
-		p, ok := w.Place(query())
+		fx.CommonDelay.Observe(700, time.Now())
+		p, ok := fx.Place(query())
 		must.True(t, ok)
 		p.RecordFirstEvent(800 * time.Millisecond)
 	}
-	test.Less(t, 250, w.Kept.Stores()[0].Late.MS(time.Now()), test.Sprint("700 of the 800 ms are common to all first events"))
+	test.Less(t, 250, fx.Kept.Stores()[0].Late.MS(time.Now()), test.Sprint("700 of the 800 ms are common to all first events"))
 }
 
 // TestFetchEndsInTimeForTheObjective checks that fetches of parts that can be read quickly time out
 // when the answer would miss its objective, and that fetches of parts that are costly to read get
-// more time. Without this, callers waited up to 1.6 s for parts of 131 to 750 tokens, which are
-// read within 7 ms, because half of the stores' links were full.
+// more time. Without this, callers would wait long for small parts, which are read within
+// milliseconds, whenever the link of a store is full.
 func TestFetchEndsInTimeForTheObjective(t *testing.T) {
 	const clockMS = 1000 // the clock in the events of the tests
 	for _, tc := range []struct {
@@ -74,43 +74,43 @@
 		min, max       int64 // ms
 	}{
 		{"no objective", 500, 0, 0, 1500, 1500},
-		{"read soon", 500, 400 * time.Millisecond, 0, 100, 300},
-		{"costs much to read again", 9000, 400 * time.Millisecond, 0, 1440, 1500},
-		{"a later try", 500, 400 * time.Millisecond, 4 * time.Second, 100, 300},
+		{"quick to read", 500, 400 * time.Millisecond, 0, 100, 300},
+		{"costly to read again", 9000, 400 * time.Millisecond, 0, 1440, 1500},
+		{"a waiting request", 500, 400 * time.Millisecond, 4 * time.Second, 100, 300},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			common, session := kvindex.Part{Salt: salt(1, ""), ID: "common"}, kvindex.Part{Salt: salt(1, ""), ID: "session"}
-			w := newWorld(t, source{store: []kvindex.Change{{Part: common, Tokens: 100}, {Part: session, Tokens: tc.session}}}, 1)
+			fx := newFixture(t, fakeEvents{store: []kvindex.Change{{Part: common, Tokens: 100}, {Part: session, Tokens: tc.session}}}, 1)
 			q := query()
 			q.Attributes.Parts = []forward.Part{{ID: "common", Tokens: 100}, {ID: "session", Tokens: tc.session}, {ID: "own", Tokens: 100}}
 			q.Route.Objective, q.Age = tc.objective, tc.age
-			before := w.Kept.ClockMS()
-			p, ok := w.Place(q)
+			before := fx.Kept.ClockMS()
+			p, ok := fx.Place(q)
 			must.True(t, ok)
 			must.GreaterEq(t, clockMS, before)
-			test.Between(t, before+tc.min, p.Attempt.FetchUntil, w.Kept.ClockMS()+tc.max)
+			test.Between(t, before+tc.min, p.Attempt.FetchUntil, fx.Kept.ClockMS()+tc.max)
 		})
 	}
 }
 
 // TestUnconfirmedSaveMovesToAnotherStore checks that a part is sent to another store if the chosen
-// one does not confirm it. Without this, one lost event of a store made callers' prompts be read in
-// full for 55 s: the store had the common first part of 528 tokens, but 695 requests sent it there
-// again.
+// one does not confirm it. Otherwise, after one lost event of a store, all requests would send the
+// part to that store again, though it has it, and the prompts that begin with the part would be
+// read in full.
 func TestUnconfirmedSaveMovesToAnotherStore(t *testing.T) {
 	const large, small = "10.9.0.2:1", "10.9.0.3:1"
-	w := newWorld(t, source{}, 1, 1, 1)
+	fx := newFixture(t, fakeEvents{}, 1, 1, 1)
 	now := time.Now()
-	w.Now = func() time.Time { return now }
+	fx.Now = func() time.Time { return now }
 	first := kvindex.NewHolder(large, large, "north")
 	first.Tokens = 1_000_000_000
 	second := kvindex.NewHolder(small, small, "north")
 	second.Tokens = 20_000
-	w.Kept.Replace(nil, []*kvindex.Holder{first, second})
+	fx.Kept.Replace(nil, []*kvindex.Holder{first, second})
 	for i, want := range [][]string{{large, large, ""}, nil, {small, small, ""}, nil, {large, large, ""}} {
-		p, ok := w.Place(query())
+		p, ok := fx.Place(query())
 		must.True(t, ok)
-		test.Eq(t, want, p.Attempt.Targets, test.Sprint("after ", i, " times 2 s"))
+		test.Eq(t, want, p.Attempt.Targets, test.Sprint("placement ", i, ", one every 2 s"))
 		now = now.Add(2 * time.Second)
 	}
 }
--- a/internal/placer/unreported.go
+++ b/internal/placer/unreported.go
@@ -27,7 +27,8 @@
 	p.tokens.Note(float64(tokens), placedHalfLife, now)
 }
 
-// perSecond returns the tokens to be read of the prompts placed per second.
+// perSecond returns how many tokens per second the prompts placed by this node add for engines to
+// read.
 func (p *placedRate) perSecond(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,11 +36,11 @@
 }
 
 // addUnreported adds to the engines' costs the prompts that other nodes have probably placed there
-// since their last load reports. An engine that is the least busy, because it is new, restarted or
-// has just loaded weights, looks so to all nodes at the same time. Together the nodes fill the
-// least busy engines up to a common level. Each node draws the cost increase at random: if it added
-// the expected value, all nodes would choose the same engine.
-func (s *search) addUnreported(costs []scored) {
+// since their last load reports. An engine with the lowest load, because it is new, restarted or
+// has just loaded weights, has the lowest load in the view of all nodes. Together the nodes raise
+// the least loaded engines to a common level. Each node draws the cost increase at random: if it
+// added the expected value, all nodes would choose the same engine.
+func (s *selection) addUnreported(costs []scored) {
 	amount := s.unreportedMs() * float64(len(costs)) / float64(max(s.candidateCount, 1))
 	if amount <= 0 {
 		return
@@ -58,18 +59,18 @@
 
 // unreportedMs returns the time, in ms, that engines take to read the prompts that other nodes have
 // placed but not reported yet.
-func (s *search) unreportedMs() float64 {
+func (s *selection) unreportedMs() float64 {
 	if s.ReportLag == nil {
 		return 0
 	}
-	others, lag := s.ReportLag()
-	return s.service.placed.perSecond(s.now) * float64(others) * lag.Seconds() * s.estimates.TokenMs
+	otherNodes, lag := s.ReportLag()
+	return s.service.placed.perSecond(s.now) * float64(otherNodes) * lag.Seconds() * s.estimates.TokenMs
 }
 
-// fillLevel returns the level reached when the amount is poured into connected vessels that are
-// already filled to the given levels (water filling).
-func fillLevel(filled []float64, amount float64) float64 {
-	sorted := slices.Sorted(slices.Values(filled))
+// fillLevel returns the common level to which the lowest values can be raised by adding the amount
+// in total (water filling).
+func fillLevel(values []float64, amount float64) float64 {
+	sorted := slices.Sorted(slices.Values(values))
 	sum := 0.0
 	for i, current := range sorted {
 		sum += current
--- a/internal/placer/unreported_internal_test.go
+++ b/internal/placer/unreported_internal_test.go
@@ -8,7 +8,7 @@
 
 func TestFillLevel(t *testing.T) {
 	for _, tc := range []struct {
-		filled []float64
+		values []float64
 		amount float64
 		level  float64
 	}{
@@ -19,6 +19,6 @@
 		{[]float64{30, 10, 50}, 90, 60},
 		{[]float64{7, 7}, 0, 7},
 	} {
-		test.InDelta(t, tc.level, fillLevel(tc.filled, tc.amount), 1e-9)
+		test.InDelta(t, tc.level, fillLevel(tc.values, tc.amount), 1e-9)
 	}
 }
