--- a/internal/placement/byload.go
+++ b/internal/placement/byload.go
@@ -29,7 +29,8 @@
 }
 
 // loadScore computes the cost of c from the last known load. For an engine of unknown speed only
-// the wait counts, so that a new engine gets work from which its speed is learned.
+// the wait and one decode step count, so that a new engine gets work from which its speed is
+// learned.
 func loadScore(req Request, e *Engine, c *Candidate) {
 	if c.Verdict == OutOfRotation {
 		return
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -13,7 +13,7 @@
 	Considered      Verdict = iota // usable, not compared yet
 	Chosen                         // selected for the request
 	HigherCost                     // usable at a higher cost
-	TiedNotSelected                // cost equal to the chosen one's within the tolerance
+	TiedNotSelected                // cost within the tolerance of the lowest
 	MissesDeadline                 // first token expected after the deadline
 	EstimateLate                   // no estimate received in time
 	OutOfRotation                  // takes no new requests
--- a/internal/placement/export.go
+++ b/internal/placement/export.go
@@ -5,13 +5,15 @@
 // Times at which exports are decided. See docs/design/policy.md for the values.
 const (
 	// ExportAfter is how long after a turn its blocks are offered for export if the conversation
-	// has not continued. The longer it is idle, the more reliable is the prediction that it
-	// continues late.
+	// has not continued. The longer it is idle, the more reliable is the prediction that it will
+	// continue only after a long pause.
 	ExportAfter = 2 * time.Minute
 	// ExportUntil is how long after a turn its blocks are likely to be still in engine memory. An
-	// export pays only for later continuations, and is not attempted after this time.
+	// export is useful only if the conversation continues later than this, but must be made before:
+	// it is not attempted after this time.
 	ExportUntil = 10 * time.Minute
-	// ExportRetry is the delay of the next attempt when the link is busy or the price too high.
+	// ExportRetry is the delay of the next attempt if the link is busy or an export costs more than
+	// it saves.
 	ExportRetry = 10 * time.Second
 )
 
@@ -37,9 +39,9 @@
 }
 
 // LinkPrice returns the cost of a byte of an export, in the objective's units: the weight of the
-// link, and the delay caused to other transfers. secondsPerByte is the link's price at its current
-// utilization; the byte's own transfer time on an idle link is subtracted, as it delays no other
-// transfer.
+// link, and the delay caused to other transfers. secondsPerByte is the delay that one byte causes
+// on the link at its current utilization. The byte's own transfer time on an idle link is
+// subtracted, as it delays no other transfer.
 func (o Objective) LinkPrice(secondsPerByte, linkRate float64) float64 {
 	if o == (Objective{}) {
 		o.FirstTokenSeconds = 1
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -3,7 +3,7 @@
 //
 // Every function is pure: it reads only its arguments, keeps no state, does no I/O and reads no
 // clock. Estimates may be stale or wrong; this costs efficiency only, since the owner of the chosen
-// endpoint decides on the grant and the engine's response states what was cached. Calls can be
+// endpoint decides on the grant, and the engine's response states what was cached. Calls can be
 // repeated safely.
 package placement
 
@@ -14,7 +14,7 @@
 
 // ErrNoEndpoint means that no candidate accepts requests at present. The request did not run; a
 // later retry is safe.
-var ErrNoEndpoint = errors.New("placement: no endpoint in service")
+var ErrNoEndpoint = errors.New("placement: no endpoint in rotation")
 
 // Objective weighs the terms that a placement minimizes; the unit of cost is the second. The zero
 // Objective uses the time to first token only.
@@ -57,7 +57,7 @@
 	Waiting      int           // requests queued at the owner
 
 	ImportRate  float64 // current share of the engine's link, bytes per second
-	Layout      string  // KV layout: blocks of another layout are of no use
+	Layout      string  // KV layout; blocks of other layouts can't be used
 	BlockTokens int
 	BlockBytes  int64
 
@@ -84,8 +84,8 @@
 	Tokens    int
 	Bytes     int64
 	Transfer  time.Duration // expected duration, including the delay before it starts
-	// Patience is how long the import may take before recomputing the tokens would have cost less.
-	// The import is abandoned then.
+	// Patience is the timeout of the import: the duration at which recomputing the tokens would
+	// have cost less.
 	Patience time.Duration
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -32,13 +32,13 @@
 func TestPlace(t *testing.T) {
 	const prompt = 10 * blockTokens
 	held := Store{Store: "s1", HeldTokens: 8 * blockTokens, Rate: 256 << 20, Layout: "a"}
-	thin := held
-	thin.Rate = 32 << 20
-	other := held
-	other.Layout = "b"
-	idle := engine("cold", nil)
-	busy := engine("warm", func(e *Engine) { e.CachedTokens = prompt - 100; e.Wait = 2 * time.Second })
-	swamped := engine("warm", func(e *Engine) { e.CachedTokens = prompt - 100; e.Wait = time.Minute })
+	slowLink := held
+	slowLink.Rate = 32 << 20
+	otherLayout := held
+	otherLayout.Layout = "b"
+	cold := engine("cold", nil)
+	warm := engine("warm", func(e *Engine) { e.CachedTokens = prompt - 100; e.Wait = 2 * time.Second })
+	warmLongQueue := engine("warm", func(e *Engine) { e.CachedTokens = prompt - 100; e.Wait = time.Minute })
 	late := engine("late", func(e *Engine) { e.Status = Late; e.CachedTokens = prompt })
 
 	cases := []struct {
@@ -51,27 +51,27 @@
 		blocks  int // imported
 		late    bool
 	}{
-		{name: "cached wins over idle", engines: []Engine{idle, busy}, want: "warm"},
-		{name: "idle wins over a long queue", engines: []Engine{idle, swamped}, want: "cold"},
-		{name: "import beats recompute", engines: []Engine{idle}, stores: []Store{held}, want: "cold", blocks: 8},
-		{name: "thin link recomputes", engines: []Engine{idle}, stores: []Store{thin}, want: "cold"},
-		{name: "thin link hides behind the queue", engines: []Engine{engine("q", func(e *Engine) { e.Wait = 7 * time.Second })},
-			stores: []Store{thin}, want: "q", blocks: 3},
-		{name: "recompute weight imports over a thin link", engines: []Engine{idle}, stores: []Store{thin},
+		{name: "cached tokens outweigh a short queue", engines: []Engine{cold, warm}, want: "warm"},
+		{name: "a long queue outweighs cached tokens", engines: []Engine{cold, warmLongQueue}, want: "cold"},
+		{name: "import costs less than recomputing", engines: []Engine{cold}, stores: []Store{held}, want: "cold", blocks: 8},
+		{name: "recomputing costs less than a slow link", engines: []Engine{cold}, stores: []Store{slowLink}, want: "cold"},
+		{name: "import over a slow link ends within the queue wait", engines: []Engine{engine("q", func(e *Engine) { e.Wait = 7 * time.Second })},
+			stores: []Store{slowLink}, want: "q", blocks: 3},
+		{name: "the weight of recomputed tokens allows a slow import", engines: []Engine{cold}, stores: []Store{slowLink},
 			weights: Objective{FirstTokenSeconds: 1, RecomputedToken: 0.01}, want: "cold", blocks: 8},
-		{name: "link weight forbids the import", engines: []Engine{idle}, stores: []Store{held},
+		{name: "the weight of the link prevents an import", engines: []Engine{cold}, stores: []Store{held},
 			weights: Objective{FirstTokenSeconds: 1, LinkMebibyte: 1}, want: "cold"},
-		{name: "other layout is of no use", engines: []Engine{idle}, stores: []Store{other}, want: "cold"},
-		{name: "crowded engine takes what it has cached", engines: []Engine{
+		{name: "blocks of another layout are not imported", engines: []Engine{cold}, stores: []Store{otherLayout}, want: "cold"},
+		{name: "with queues, the engine that has the prompt cached", engines: []Engine{
 			engine("crowded", func(e *Engine) { e.Waiting = 9; e.PrefillRate = 8000 }),
 			engine("cached", func(e *Engine) { e.Waiting = 9; e.CachedTokens = prompt - 1000; e.Wait = 6 * time.Second }),
 		}, want: "cached"},
-		{name: "late estimate is left out", engines: []Engine{late, idle}, want: "cold"},
-		{name: "deadline over cost", engines: []Engine{engine("slow", func(e *Engine) { e.PrefillRate = 2000 }), idle},
+		{name: "a late estimate is ignored", engines: []Engine{late, cold}, want: "cold"},
+		{name: "the deadline takes precedence over the cost", engines: []Engine{engine("slow", func(e *Engine) { e.PrefillRate = 2000 }), cold},
 			weights: Objective{RecomputedToken: 1}, left: 6 * time.Second, want: "cold"},
-		{name: "no import that takes most of the time left", engines: []Engine{idle}, stores: []Store{thin},
+		{name: "no import that takes most of the remaining time", engines: []Engine{cold}, stores: []Store{slowLink},
 			weights: Objective{FirstTokenSeconds: 1, RecomputedToken: 0.01}, left: 30 * time.Second, want: "cold", blocks: 1},
-		{name: "none meets the deadline", engines: []Engine{idle}, left: time.Second, want: "cold", late: true},
+		{name: "no engine meets the deadline", engines: []Engine{cold}, left: time.Second, want: "cold", late: true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -167,9 +167,9 @@
 	return Request{PromptTokens: 40000, TimeLeft: time.Minute}, engines, []Store{store, store}
 }
 
-// TestPatienceBreaksEven checks that an import that takes as long as its patience costs the same as
-// recomputing.
-func TestPatienceBreaksEven(t *testing.T) {
+// TestImportTimeoutBreaksEven checks that an import that takes as long as its timeout costs the
+// same as recomputing.
+func TestImportTimeoutBreaksEven(t *testing.T) {
 	e := engine("e", func(e *Engine) { e.Wait = time.Second })
 	s := Store{Store: "s", HeldTokens: 8 * blockTokens, Rate: 256 << 20, Layout: "a"}
 	req := Request{PromptTokens: 10 * blockTokens, Weights: Objective{FirstTokenSeconds: 0.5, RecomputedToken: 0.0001}}
@@ -196,8 +196,9 @@
 	test.InDelta(t, 0.01/(1<<20), Objective{LinkMebibyte: 0.01}.LinkPrice(busy, k.LinkRate), 1e-15)
 }
 
-// TestAssumesHighSpeedOfNewEngines checks that an engine of unknown speed gets work, since its
-// speed would otherwise never be learned.
+// TestAssumesHighSpeedOfNewEngines checks that the speed assumed for an engine of unknown speed
+// exceeds all learned ones. Otherwise the engine might get no work, and its speed would never be
+// learned.
 func TestAssumesHighSpeedOfNewEngines(t *testing.T) {
 	engines := []Engine{{Endpoint: "old", PrefillRate: 16000}, {Endpoint: "new"}, {Endpoint: "best", PrefillRate: 40000}}
 	FillUnknownRates(engines)
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -28,8 +28,8 @@
 }
 
 // tryImport changes c to an import from s if that is cheaper. The cost is piecewise linear in the
-// import length. Apart from no import, it is therefore enough to evaluate the maximum length and
-// the lengths around the point where the import begins to take longer than the engine's queue.
+// import length. Besides no import, only the maximum length and the lengths around the point where
+// the import begins to take longer than the engine's queue need to be evaluated.
 func tryImport(req Request, e *Engine, s *Store, c *Candidate) {
 	usable := s.Status == Known && s.Layout == e.Layout && s.Rate > 0 && e.ImportRate > 0 && e.BlockTokens > 0
 	if !usable {
@@ -42,11 +42,11 @@
 	}
 	perBlock := float64(e.BlockBytes) / min(s.Rate, e.ImportRate)
 	applyIfCheaper(req, e, s, perBlock, maxBlocks, c)
-	hidden := 0
+	blocksWithinWait := 0
 	if e.Wait > s.QueueDelay {
-		hidden = int((e.Wait - s.QueueDelay).Seconds() / perBlock)
+		blocksWithinWait = int((e.Wait - s.QueueDelay).Seconds() / perBlock)
 	}
-	for blocks := max(hidden, 1); blocks <= min(hidden+1, maxBlocks); blocks++ {
+	for blocks := max(blocksWithinWait, 1); blocks <= min(blocksWithinWait+1, maxBlocks); blocks++ {
 		applyIfCheaper(req, e, s, perBlock, blocks, c)
 	}
 }
@@ -65,7 +65,7 @@
 	evaluate(req, e, imp, &changed)
 	if changed.Cost < c.Cost && !endangersDeadline(req, e, changed) {
 		*c = changed
-		c.Import.Patience = importPatience(req, e, changed)
+		c.Import.Patience = importTimeout(req, e, changed)
 	}
 }
 
@@ -83,11 +83,12 @@
 	return tooLong || c.FirstToken+compute > req.TimeLeft
 }
 
-// maxPatience stands for no limit.
-const maxPatience = time.Hour
+// maxImportTimeout is the timeout of an import that the costs do not limit to less, for example
+// because the objective does not weigh time.
+const maxImportTimeout = time.Hour
 
-// importPatience returns the duration at which the import of c costs as much as no import.
-func importPatience(req Request, e *Engine, c Candidate) time.Duration {
+// importTimeout returns the duration at which the import of c costs as much as no import.
+func importTimeout(req Request, e *Engine, c Candidate) time.Duration {
 	none := c
 	evaluate(req, e, Import{}, &none)
 	weight := req.Weights.FirstTokenSeconds
@@ -95,8 +96,8 @@
 		weight = 1
 	}
 	extra := (none.Cost - c.Cost) / weight
-	if !(extra < maxPatience.Seconds()) {
-		return maxPatience
+	if !(extra < maxImportTimeout.Seconds()) {
+		return maxImportTimeout
 	}
 	return c.Wait + seconds(extra)
 }
--- a/internal/placement/unknownspeed.go
+++ b/internal/placement/unknownspeed.go
@@ -4,7 +4,9 @@
 	// UnknownRate is the prefill rate assumed if no engine's rate is known, in prompt tokens per
 	// second.
 	UnknownRate = 5000
-	// unknownSpeedBonus makes an idle engine of unknown speed the preferred one.
+	// unknownSpeedBonus is the factor on the best learned rate that is assumed for an engine of
+	// unknown speed. It makes such an engine the preferred one, unless queues or cached tokens
+	// outweigh it.
 	unknownSpeedBonus = 1.5
 )
 
