--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,18 +1,18 @@
-// Package admission decides whether an engine accepts one more prompt, based on the memory its runs
-// hold, and when a refused caller may retry.
+// Package admission decides whether an engine accepts one more prompt, based on the memory that its
+// runs occupy, and when a refused caller may retry.
 //
 // It handles loads that would fill the engines' memory. An engine whose memory is full preempts the
 // newest of its lowest-priority runs whenever another run grows by a block. The prompt of the
-// preempted run must then be read again, which delays all others, so that a completely full engine
-// makes little progress. All functions are pure or take the time as an argument.
+// preempted run must then be read again, which delays all other runs. A completely full engine
+// therefore makes little progress. All functions are pure or take the time as an argument.
 package admission
 
 import "time"
 
 const (
-	// usableShare is the share of an engine's memory that runs may hold. The rest is a margin for
-	// answers that exceed their estimate, and for prompts that two nodes place there between two
-	// load reports.
+	// usableShare is the share of an engine's memory that runs may hold. A value below 1 would
+	// leave a margin for answers that exceed their estimate, and for prompts that two nodes place
+	// there between two load reports.
 	usableShare = 1.0
 	// ReserveShare bounds the free memory that a small prompt requires, as a share of the memory.
 	// Without it, an engine that holds few prompts would stay half empty.
@@ -29,8 +29,9 @@
 func (m Memory) usable() float64 { return usableShare * float64(m.Capacity) }
 
 // deficit returns how many tokens must be freed before a prompt fits; 0 or less if it fits now.
-// reserve is the size of a typical prompt: a smaller prompt requires that much free memory, so that
-// small prompts don't fill the memory that large ones wait for.
+// reserve is the size of a typical prompt, or of a large one while many prompts are refused. A
+// smaller prompt requires that much free memory, so that small prompts don't fill the memory that
+// large ones wait for.
 func (m Memory) deficit(need, reserve int) float64 {
 	required := min(float64(reserve), ReserveShare*float64(m.Capacity))
 	return float64(m.OccupiedTokens) + max(float64(need), required) - m.usable()
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,9 +17,9 @@
 		{"empty", Memory{Capacity: 1000}, 300, 0, true},
 		{"just fits", Memory{Capacity: 1000, OccupiedTokens: 700}, 300, 0, true},
 		{"one token too many", Memory{Capacity: 1000, OccupiedTokens: 701}, 300, 0, false},
-		{"a small one requires a typical one's room", Memory{Capacity: 1000, OccupiedTokens: 701}, 10, 300, false},
+		{"a small prompt requires the memory of a typical one", Memory{Capacity: 1000, OccupiedTokens: 701}, 10, 300, false},
 		{"the reserve is bounded", Memory{Capacity: 1000, OccupiedTokens: 400}, 10, 5000, true},
-		{"larger than the memory, which is empty", Memory{Capacity: 1000}, 3000, 0, true},
+		{"larger than the memory of an idle engine", Memory{Capacity: 1000}, 3000, 0, true},
 		{"larger than the memory", Memory{Capacity: 1000, OccupiedTokens: 1}, 3000, 0, false},
 		{"unknown memory", Memory{OccupiedTokens: 1 << 30}, 300, 300, true},
 	} {
@@ -35,43 +35,44 @@
 	test.Eq(t, 0, Memory{Capacity: 1000}.Wait(250, 0, 2*time.Second))
 }
 
-// TestReserve checks that a prompt requires the free memory of a typical prompt of its rank, that
-// of a large prompt while many are refused, and only its own size if its caller was refused before.
+// TestReserve checks that a prompt requires the free memory of a typical prompt of its priority,
+// that of a large prompt while many are refused, and only its own size if its caller was refused
+// before.
 func TestReserve(t *testing.T) {
-	var n Demand
+	var d Demand
 	for i := range 40 {
-		n.Note(1, 100*(i+1))
-		n.Note(2, 50_000)
+		d.RecordSize(1, 100*(i+1))
+		d.RecordSize(2, 50_000)
 	}
-	test.Eq(t, 3100, n.Reserve(1, false, 30_000))
-	test.Eq(t, 0, n.Reserve(1, true, 30_000))
-	test.Eq(t, 3100, n.Reserve(1, false, 30_999), test.Sprint("the memory holds nine prompts"))
-	test.Eq(t, 0, n.Reserve(1, false, 31_000), test.Sprint("the memory holds ten prompts"))
-	test.Eq(t, 0, n.Reserve(0, false, 30_000), test.Sprint("no prompt of that rank was noted"))
+	test.Eq(t, 3100, d.Reserve(1, false, 30_000))
+	test.Eq(t, 0, d.Reserve(1, true, 30_000))
+	test.Eq(t, 3100, d.Reserve(1, false, 30_999), test.Sprint("the memory holds nine prompts"))
+	test.Eq(t, 0, d.Reserve(1, false, 31_000), test.Sprint("the memory holds ten prompts"))
+	test.Eq(t, 0, d.Reserve(0, false, 30_000), test.Sprint("no prompt of that priority was recorded"))
 	for range 15 {
-		n.NoteDecision(true)
+		d.RecordDecision(true)
 	}
-	test.Eq(t, 3900, n.Reserve(1, false, 30_000))
-	test.Eq(t, 3900, n.Reserve(1, true, 30_000))
+	test.Eq(t, 3900, d.Reserve(1, false, 30_000))
+	test.Eq(t, 3900, d.Reserve(1, true, 30_000))
 	for range 60 {
-		n.NoteDecision(false)
+		d.RecordDecision(false)
 	}
-	test.Eq(t, 3100, n.Reserve(1, false, 30_000))
+	test.Eq(t, 3100, d.Reserve(1, false, 30_000))
 }
 
 // TestHoldsMany checks that HoldsMany compares the memory with thirty prompts of the mean size over
-// all ranks.
+// all priorities.
 func TestHoldsMany(t *testing.T) {
-	var n Demand
+	var d Demand
 	for range 1000 {
-		n.Note(1, 12_000)
+		d.RecordSize(1, 12_000)
 		for range 8 {
-			n.Note(2, 1000)
+			d.RecordSize(2, 1000)
 		}
 	}
 	const mean = (12_000 + 8*1000) / 9
-	test.True(t, n.HoldsMany(30*mean*11/10))
-	test.False(t, n.HoldsMany(30*mean*9/10))
+	test.True(t, d.HoldsMany(30*mean*11/10))
+	test.False(t, d.HoldsMany(30*mean*9/10))
 }
 
 // TestRetriesAreSpread checks that each refused caller gets its own retry time, bounded by the
--- a/internal/enginemodel/line.go
+++ b/internal/enginemodel/line.go
@@ -11,8 +11,8 @@
 	fitInterval = 6
 	// minPoints is the number of samples, and of slopes, required for a fit.
 	minPoints = 6
-	// minTokenGap is the difference in tokens from which two samples yield a slope: delays of a few
-	// ms unrelated to reading then distort it by less than a fifth.
+	// minTokenGap is the minimum difference in tokens between two samples for a slope: delays of a
+	// few ms that are unrelated to reading then distort the slope by less than a fifth.
 	minTokenGap = 800
 )
 
@@ -20,7 +20,7 @@
 type point struct{ tokens, ms float64 }
 
 // line is the time to read as a linear function of the number of tokens. It uses the median of the
-// slopes between samples (the Theil-Sen estimator), which tolerates 29% of disturbed samples.
+// slopes between samples (the Theil-Sen estimator), which tolerates up to 29% disturbed samples.
 type line struct {
 	points [linePoints]point
 	n      int // samples added in total
--- a/internal/enginemodel/model.go
+++ b/internal/enginemodel/model.go
@@ -19,8 +19,8 @@
 	// maxSlowdown and minSlowdown bound the slowdown factor of an engine. Larger deviations are
 	// caused by faults, which the failure rate covers better.
 	maxSlowdown, minSlowdown = 4.0, 0.4
-	// minPredictedMs is the shortest predicted time to a first event from which a slowdown is
-	// computed: below it, network delays and the time between two steps dominate.
+	// minPredictedMs is the minimum predicted time to a first event for a slowdown sample: below
+	// it, network delays and the time between two steps dominate.
 	minPredictedMs = 60.0
 )
 
@@ -51,7 +51,7 @@
 type Estimates struct {
 	TokenMs float64 // time to read one prompt token
 	FirstMs float64 // time from when a prompt is read until its first event
-	RunMs   float64 // time for which a run holds a token of memory, from sending the prompt to the end
+	RunMs   float64 // duration of a run from sending the prompt to the end, weighted by the memory it holds
 }
 
 // Estimates returns the current estimates over all engines.
@@ -61,21 +61,21 @@
 	return Estimates{TokenMs: m.reading.perToken, FirstMs: m.reading.fixed, RunMs: m.run.Value()}
 }
 
-// NoteFirstEvent records the first event of a prompt. tokens is the number of tokens that the
+// RecordFirstEvent records the first event of a prompt. tokens is the number of tokens that the
 // engine had to read until then, including those of earlier prompts. after is the time since the
 // prompt was sent, without the time of its transfers.
-func (m *Model) NoteFirstEvent(engine string, tokens int, after time.Duration, now time.Time) {
+func (m *Model) RecordFirstEvent(engine string, tokens int, after time.Duration, now time.Time) {
 	ms := float64(after) / float64(time.Millisecond)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	predicted := m.reading.fixed + m.reading.perToken*float64(tokens)
 	if predicted >= minPredictedMs {
-		m.noteSlowdown(engine, ms/predicted, now)
+		m.recordSlowdown(engine, ms/predicted, now)
 	}
 	m.reading.add(point{tokens: float64(tokens), ms: ms})
 }
 
-func (m *Model) noteSlowdown(engine string, factor float64, now time.Time) {
+func (m *Model) recordSlowdown(engine string, factor float64, now time.Time) {
 	s := m.slowdowns[engine]
 	if s == nil || now.Sub(s.at) > slowdownTTL {
 		m.evictStale(now)
@@ -95,8 +95,8 @@
 	}
 }
 
-// RecordRun records the duration of a run, from sending the prompt to the end, and the tokens that it
-// held in the engine's memory.
+// RecordRun records the duration of a run, from sending the prompt to the end, and the tokens that
+// it held in the engine's memory.
 func (m *Model) RecordRun(held int, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/enginemodel/model_test.go
+++ b/internal/enginemodel/model_test.go
@@ -23,7 +23,7 @@
 // several sizes, when a quarter of the first events are seconds late.
 func TestEstimatesEngineSpeed(t *testing.T) {
 	for _, e := range []simulatedEngine{{1.0 / 14, 60, 1}, {1.0 / 48, 30, 1}, {1.0 / 112, 45, 1}, {1.0 / 400, 10, 1}} {
-		t.Run(fmt.Sprintf("%.0f tokens a ms", 1/e.tokenMs), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%.0f tokens per ms", 1/e.tokenMs), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 1))
 			m := New()
 			now := start
@@ -34,11 +34,11 @@
 				if i%4 == 0 {
 					after += 2 * time.Second
 				}
-				m.NoteFirstEvent("e", tokens, after, now)
+				m.RecordFirstEvent("e", tokens, after, now)
 			}
-			f := m.Estimates()
-			test.InDelta(t, e.tokenMs, f.TokenMs, 0.15*e.tokenMs)
-			test.InDelta(t, e.firstMs, f.FirstMs, 25)
+			got := m.Estimates()
+			test.InDelta(t, e.tokenMs, got.TokenMs, 0.15*e.tokenMs)
+			test.InDelta(t, e.firstMs, got.FirstMs, 25)
 		})
 	}
 }
@@ -48,14 +48,14 @@
 	m := New()
 	before := m.Estimates()
 	for range 50 {
-		m.NoteFirstEvent("e", 500, 30*time.Millisecond, start)
+		m.RecordFirstEvent("e", 500, 30*time.Millisecond, start)
 	}
 	test.Eq(t, before, m.Estimates())
 	test.Eq(t, priorRunMs, before.RunMs)
 }
 
-// TestSlowdownOfEachEngine checks that the engines of one fleet get their own slowdowns, which
-// follow a change of speed and expire.
+// TestSlowdownOfEachEngine checks that each engine of a service has its own slowdown, which follows
+// a change of speed and expires.
 func TestSlowdownOfEachEngine(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	m := New()
@@ -66,7 +66,7 @@
 			now = now.Add(100 * time.Millisecond)
 			for id, e := range engines {
 				tokens := 1000 + random.IntN(9000)
-				m.NoteFirstEvent(id, tokens, e.firstEvent(tokens), now)
+				m.RecordFirstEvent(id, tokens, e.firstEvent(tokens), now)
 			}
 		}
 	}
@@ -82,8 +82,8 @@
 	test.Eq(t, 1.0, m.Slowdown("unknown", now))
 }
 
-// TestRunTimeIsWeightedByMemory checks that long runs with much memory determine the time for which
-// memory is held, though most runs are short and hold little.
+// TestRunTimeIsWeightedByMemory checks that long runs that hold much memory determine the estimated
+// duration of a run, though most runs are short and hold little.
 func TestRunTimeIsWeightedByMemory(t *testing.T) {
 	m := New()
 	for range 20 {
--- a/internal/placer/admit.go
+++ b/internal/placer/admit.go
@@ -98,7 +98,7 @@
 func (s *selection) decline(engines []*fleet.Member, reason string) forward.Placement {
 	wait := s.expectedWait(engines)
 	return forward.Placement{Reason: reason, PredictedWait: wait, OnRefusal: func() time.Duration {
-		s.service.demand.NoteDecision(true)
+		s.service.demand.RecordDecision(true)
 		capacity := len(engines) * max(s.q.Service.Engine.KVTokens/max(averageHeldTokens(s.q), 1), 1)
 		spacing := duration(s.estimates.RunMs * float64(s.Nodes()) / float64(capacity))
 		maxDelay := time.Duration(maxRetryShare * float64(s.q.Attributes.Deadline))
--- a/internal/placer/prompt.go
+++ b/internal/placer/prompt.go
@@ -11,8 +11,9 @@
 
 const (
 	// homeBonusMs is the cost bonus of a session's home engine, which all nodes derive from the
-	// session's part and the list of engines. It spreads prompts whose parts are kept nowhere yet:
-	// if only load counted, all nodes would choose the same engine between two load reports.
+	// session's part and the list of engines. It spreads prompts whose parts no engine or store
+	// holds yet: if only load counted, all nodes would choose the same engine between two load
+	// reports.
 	homeBonusMs = 50.0
 	// jitterMs is the maximum random part of a cost, for the same reason.
 	jitterMs = 10.0
@@ -50,8 +51,8 @@
 	if best = gate.takeCheapest(costs); best == nil {
 		return gate.decline(withRoom), false
 	}
-	s.service.demand.NoteDecision(false)
-	s.service.placed.note(s.plan(best).reading, s.now)
+	s.service.demand.RecordDecision(false)
+	s.service.placed.add(s.plan(best).reading, s.now)
 	p.RequestReport()
 	return s.placement(best), true
 }
--- a/internal/placer/selection.go
+++ b/internal/placer/selection.go
@@ -44,7 +44,7 @@
 	now := p.Now()
 	service := p.Services.forName(q.Service.Name)
 	priority := *priorityOf(q)
-	service.demand.Note(priority, averageHeldTokens(q))
+	service.demand.RecordSize(priority, averageHeldTokens(q))
 	s := &selection{
 		Placer: p, q: q, now: now, rollout: r, peerLoads: p.Peers.Loads(now), peerDelays: p.Peers.Late(now), home: p.home(q),
 		located: make(map[int64]*located), plans: make(map[*fleet.Member]*plan),
@@ -282,7 +282,7 @@
 		late := millis(after) - expected
 		if store == nil || p.fetched < minObservedFetch {
 			s.CommonDelay.Observe(late, now)
-			s.service.model.NoteFirstEvent(m.ID, ahead, after-duration(p.fetchMs), now)
+			s.service.model.RecordFirstEvent(m.ID, ahead, after-duration(p.fetchMs), now)
 			return
 		}
 		store.Late.Observe(late-s.CommonDelay.MS(now), now)
--- a/internal/placer/unreported.go
+++ b/internal/placer/unreported.go
@@ -20,8 +20,8 @@
 	tokens decay.Rate
 }
 
-// note adds the tokens that the engine must read for a placed prompt.
-func (p *placedRate) note(tokens int, now time.Time) {
+// add adds the tokens that the engine must read for a placed prompt.
+func (p *placedRate) add(tokens int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tokens.Note(float64(tokens), placedHalfLife, now)
