--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,13 +1,14 @@
 // Package routing holds the operators' configuration of a gateway: how requests are matched to
 // routes, which services they may use, and which client accounts hold which keys.
 //
-// A Config is immutable once indexed, so that each request is handled by a single version from
-// beginning to end. All lookups are pure.
+// A Config is immutable once indexed, so that each request is handled by one version of the
+// configuration from beginning to end. All lookups are pure.
 package routing
 
 import "time"
 
-// Kind states which requests of a route may be repeated.
+// Kind states whether the requests of a route may run more than once, and whether the response is a
+// stream.
 type Kind int
 
 const (
@@ -58,7 +59,7 @@
 	GapObjective time.Duration
 	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int
-	// Priority is the rank of the route; 0 is the most urgent.
+	// Priority is the priority of the route; 0 is the most urgent.
 	Priority int
 	// Public is true if requests need no key.
 	Public bool
@@ -68,7 +69,7 @@
 	Resumable bool
 }
 
-// Repeatable reports whether a request that may have run can be sent again.
+// Repeatable reports whether a request can be sent again after an attempt that may have run.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent }
 
 // Upstream is one of the services of a route, with its weight.
