--- a/internal/enginestate/engine.go
+++ b/internal/enginestate/engine.go
@@ -45,8 +45,8 @@
 	PromptTokens int
 	CachedTokens int
 	ImportTokens int
-	// ImportPatience is how long from now the import may take before recomputing the tokens would
-	// have been better.
+	// ImportPatience is the timeout of the import, from now: the duration at which recomputing the
+	// tokens would have cost less.
 	ImportPatience time.Duration
 	Deadline       time.Time // the caller's; zero for none
 }
@@ -89,7 +89,7 @@
 	prefills []*Grant // granted, first token not reported yet, in order of grant
 	// lastPrefillEnd is when the engine last finished a prefill.
 	lastPrefillEnd time.Time
-	ended          []time.Time // times of recent releases, to compare with load reports
+	releasedAt     []time.Time // times of recent releases, to compare with load reports
 	foreign        foreign
 	speeds         map[string]*speed  // by model
 	runTime        enginemodel.Median // seconds from grant to release
@@ -114,8 +114,8 @@
 // engineSeconds is the service rate of the queue, whose costs are in seconds of engine time.
 const engineSeconds = 1
 
-// SetLeaving takes the engine out of service or back into it. While it is leaving, it refuses
-// requests and Tick displaces queued ones; granted runs continue.
+// SetLeaving sets whether the engine is leaving, which takes it out of rotation. A leaving engine
+// refuses requests, and Tick displaces queued ones; granted runs continue.
 func (e *Engine) SetLeaving(leaving bool) { e.leaving = leaving }
 
 // SetMaxRunning sets the maximum number of runs in a batch as reported by the engine.
--- a/internal/enginestate/enginestate_test.go
+++ b/internal/enginestate/enginestate_test.go
@@ -103,7 +103,7 @@
 	must.NoError(t, e.Request(at(0), request("imp", 4000, importing, deadline(9))))
 	e.Tick(at(0))
 	next, _ = e.NextTick(at(0))
-	test.Eq(t, at(1), next) // twice the time to compute the whole prompt
+	test.Eq(t, at(1), next) // deadline minus twice the time to compute the whole prompt
 }
 
 func TestRotationAfterFailuresAndProbe(t *testing.T) {
@@ -197,26 +197,26 @@
 	test.EqOp(t, 0, e.Estimate(at(60), request("x", 1)).Running)
 }
 
-// TestRequestsLeaveOnce checks that each request ends exactly once, and that the granted runs never
+// TestRequestsEndOnce checks that each request ends exactly once, and that the granted runs never
 // exceed the batch.
-func TestRequestsLeaveOnce(t *testing.T) {
+func TestRequestsEndOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e, now, left, asked := newEngine(), 0.0, map[string]int{}, 0
+		e, now, ended, requested := newEngine(), 0.0, map[string]int{}, 0
 		var running []string
-		take := func(c Changes) {
+		record := func(c Changes) {
 			for _, g := range c.Granted {
-				left[g.Run]++
+				ended[g.Run]++
 				running = append(running, g.Run)
 			}
 			for _, r := range append(c.Expired, c.Displaced...) {
-				left[r.Run]++
+				ended[r.Run]++
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 1).Draw(t, "dt")
 			switch op := rapid.IntRange(0, 5).Draw(t, "op"); {
 			case op <= 2:
-				r := request(fmt.Sprint(asked), rapid.IntRange(1, 3000).Draw(t, "tokens"))
+				r := request(fmt.Sprint(requested), rapid.IntRange(1, 3000).Draw(t, "tokens"))
 				r.Account.Class = rapid.IntRange(0, 1).Draw(t, "class")
 				if op == 1 {
 					r.Deadline = at(now + rapid.Float64Range(0.1, 9).Draw(t, "left"))
@@ -225,24 +225,24 @@
 					r.ImportTokens, r.ImportPatience = r.PromptTokens/2, 2*time.Second
 				}
 				if e.Request(at(now), r) == nil {
-					asked++
+					requested++
 				}
-			case op == 3 && asked > 0:
-				e.ImportDone(fmt.Sprint(rapid.IntRange(0, asked-1).Draw(t, "run")), 100)
+			case op == 3 && requested > 0:
+				e.ImportDone(fmt.Sprint(rapid.IntRange(0, requested-1).Draw(t, "run")), 100)
 			case len(running) > 0:
 				outcome := Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))
 				e.Release(at(now), running[0], Observed{Outcome: outcome, FirstToken: 1, Total: 2, Prompt: 500})
 				running = running[1:]
 			}
-			take(e.Tick(at(now)))
+			record(e.Tick(at(now)))
 			must.LessEq(t, 4, len(running))
 		}
-		for i := range asked {
+		for i := range requested {
 			run := fmt.Sprint(i)
 			if e.Cancel(run) {
-				left[run]++
+				ended[run]++
 			}
-			must.EqOp(t, 1, left[run])
+			must.EqOp(t, 1, ended[run])
 		}
 	})
 }
--- a/internal/enginestate/estimate.go
+++ b/internal/enginestate/estimate.go
@@ -24,7 +24,7 @@
 	speed := e.speed(r.Model)
 	return Estimate{
 		InRotation:  e.unavailableFor(now) == 0,
-		Wait:        e.workAhead(now) + e.queueWait(now, r) + e.slotWait(now) + e.health.probeWait(),
+		Wait:        e.precedingWork(now) + e.queueWait(now, r) + e.slotWait(now) + e.health.probeWait(),
 		PrefillRate: speed.prefill.Value(),
 		Learned:     speed.prefill.Samples() > 0,
 		StepTime:    seconds(speed.step.Value()),
@@ -34,7 +34,8 @@
 }
 
 // queueWait returns the time until r would leave the queue in fair order. It pushes an item whose
-// deadline has passed: the queue refuses it with the predicted wait, and keeps no state of it.
+// deadline has passed: the queue refuses the item with the predicted wait, and its state does not
+// change.
 func (e *Engine) queueWait(now time.Time, r Request) time.Duration {
 	if e.queue.Len() == 0 {
 		return 0
@@ -50,10 +51,10 @@
 	return 0
 }
 
-// workAhead returns the time that the engine needs for the prefills before the whole queue: those
-// granted, ready, waiting for an import, or granted by other nodes.
-func (e *Engine) workAhead(now time.Time) time.Duration {
-	work := e.outstanding(now) + seconds(e.foreign.seconds*e.foreign.remaining(now))
+// precedingWork returns the time that the engine needs for all prefills that precede the queue:
+// those granted, ready, waiting for an import, or granted by other nodes.
+func (e *Engine) precedingWork(now time.Time) time.Duration {
+	work := e.outstanding(now) + seconds(e.foreign.seconds*e.foreign.decayFactor(now))
 	for _, p := range e.parked {
 		work += e.prefillTime(p.Model, p.compute())
 	}
@@ -78,7 +79,7 @@
 
 // slotWait returns the time until the engine's batch has room, 0 if it has now.
 func (e *Engine) slotWait(now time.Time) time.Duration {
-	running := float64(len(e.grants)) + e.foreign.runs*e.foreign.remaining(now)
+	running := float64(len(e.grants)) + e.foreign.runs*e.foreign.decayFactor(now)
 	excess := running + float64(e.queue.Len()) + 1 - float64(e.cfg.MaxRunning)
 	if excess <= 0 || e.cfg.MaxRunning <= 0 {
 		return 0
--- a/internal/enginestate/grants.go
+++ b/internal/enginestate/grants.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// FirstToken records the end of a run's prefill and the cached tokens of the prompt, as reported by
-// the engine. It is optional: without it the prefill ends at the predicted time. Repeating it is
-// safe.
+// FirstToken records the end of a run's prefill, with the length of the prompt and its cached
+// tokens as reported by the engine. It is optional: if it is missing, no run is granted between the
+// predicted end of the prefill and the overdue limit. Repeating it is safe.
 func (e *Engine) FirstToken(now time.Time, run string, prompt, cached int) {
 	g := e.grants[run]
 	if g == nil || g.Started {
@@ -101,7 +101,7 @@
 func (e *Engine) endGrant(now time.Time, g *Grant) {
 	delete(e.grants, g.Run)
 	e.endPrefill(g)
-	e.ended = append(e.ended, now)
+	e.releasedAt = append(e.releasedAt, now)
 }
 
 // expireGrants ends the grants that should have been released long ago. The results of their runs
--- a/internal/enginestate/health.go
+++ b/internal/enginestate/health.go
@@ -25,7 +25,8 @@
 
 func (h *health) isOut() bool { return h.failures >= maxFailures }
 
-// remainingPause returns how long the engine stays out of rotation; 0 if it is in rotation.
+// remainingPause returns how long the engine stays out of rotation; 0 if it is in rotation or if a
+// probe may run.
 func (h *health) remainingPause(now time.Time) time.Duration {
 	if !h.isOut() {
 		return 0
@@ -33,7 +34,7 @@
 	return max(h.pausedUntil.Sub(now), 0)
 }
 
-// unavailableFor returns how long the engine accepts no new requests; 0 if it accepts them.
+// unavailableFor returns how long the engine will accept no new requests; 0 if it accepts them.
 func (e *Engine) unavailableFor(now time.Time) time.Duration {
 	if e.leaving {
 		return leavingRetry
@@ -63,8 +64,8 @@
 	h.probing = false
 }
 
-// failed counts the failure of a run. Runs granted before the last counted failure have the same
-// cause: together they count once.
+// failed counts the failure of a run. Failures of runs granted before the last counted failure are
+// assumed to have the same cause, and are not counted.
 func (h *health) failed(now, granted time.Time) {
 	if granted.Before(h.lastFailure) {
 		return
--- a/internal/enginestate/queue.go
+++ b/internal/enginestate/queue.go
@@ -45,7 +45,7 @@
 // nextStart returns when the engine can start on the head of the queue. Predictions of the queue
 // begin there, since it does not count the requests it has popped.
 func (e *Engine) nextStart(now time.Time) time.Time {
-	return now.Add(e.workAhead(now))
+	return now.Add(e.precedingWork(now))
 }
 
 // item returns p as a queue item, whose deadline is the latest start that meets p's deadline.
--- a/internal/enginestate/report.go
+++ b/internal/enginestate/report.go
@@ -9,10 +9,10 @@
 const (
 	// reportHalfLife is the age at which a load report has half its weight.
 	reportHalfLife = time.Second
-	// foreignHalfLife is the half-life of the estimate of other nodes' work between reports.
+	// foreignHalfLife is the half-life of the estimated foreign work between reports.
 	foreignHalfLife = 2 * time.Second
-	// endedRetention is how long release times are kept to compare with reports.
-	endedRetention = 5 * time.Second
+	// releaseTimeRetention is how long release times are kept to compare with reports.
+	releaseTimeRetention = 5 * time.Second
 )
 
 // Load is the load that the engine reported, as of Age ago.
@@ -31,8 +31,8 @@
 	at      time.Time
 }
 
-// remaining returns the factor by which the estimate has decayed since it was made.
-func (f *foreign) remaining(now time.Time) float64 {
+// decayFactor returns the factor by which the estimate has decayed since it was made.
+func (f *foreign) decayFactor(now time.Time) float64 {
 	return math.Exp2(-now.Sub(f.at).Seconds() / foreignHalfLife.Seconds())
 }
 
@@ -42,14 +42,14 @@
 func (e *Engine) Report(now time.Time, l Load) {
 	l.Age = max(l.Age, 0)
 	at := now.Add(-l.Age)
-	runs, tokens := e.heldAt(at)
+	runs, tokens := e.grantedRunsAt(at)
 	excess := max(0, float64(l.Running+l.Waiting-runs))
 	excessWork := 0.0
 	if excess > 0 {
 		excessWork = float64(max(0, l.WaitingTokens-tokens)) / e.typicalRate()
 	}
 	weight := math.Exp2(-l.Age.Seconds() / reportHalfLife.Seconds())
-	previous := (1 - weight) * e.foreign.remaining(now)
+	previous := (1 - weight) * e.foreign.decayFactor(now)
 	e.foreign = foreign{
 		runs:    weight*excess + previous*e.foreign.runs,
 		seconds: weight*excessWork + previous*e.foreign.seconds,
@@ -57,16 +57,16 @@
 	}
 }
 
-// heldAt returns the runs that were granted and not finished at a recent time, and an upper bound
-// of their prompt tokens.
-func (e *Engine) heldAt(at time.Time) (runs, tokens int) {
+// grantedRunsAt returns the number of runs that were granted and not finished at a recent time.
+// tokens is the number of tokens to compute for those of them that are still granted.
+func (e *Engine) grantedRunsAt(at time.Time) (runs, tokens int) {
 	for _, g := range e.grants {
 		if !g.GrantedAt.After(at) {
 			runs++
 			tokens += g.Compute
 		}
 	}
-	for _, end := range e.ended {
+	for _, end := range e.releasedAt {
 		if end.After(at) {
 			runs++
 		}
@@ -86,6 +86,6 @@
 	return rate
 }
 
-func (e *Engine) evictEnded(now time.Time) {
-	e.ended = slices.DeleteFunc(e.ended, func(end time.Time) bool { return now.Sub(end) > endedRetention })
+func (e *Engine) evictReleaseTimes(now time.Time) {
+	e.releasedAt = slices.DeleteFunc(e.releasedAt, func(end time.Time) bool { return now.Sub(end) > releaseTimeRetention })
 }
--- a/internal/enginestate/tick.go
+++ b/internal/enginestate/tick.go
@@ -18,16 +18,17 @@
 	Granted []Grant
 	// Expired requests did not run: their deadline can no longer be met.
 	Expired []Request
-	// Displaced requests did not run and were removed, because the engine went out of rotation:
-	// they may be placed elsewhere.
+	// Displaced requests did not run and were removed, because the engine went out of rotation.
+	// They may be placed elsewhere.
 	Displaced []Request
 	// Recompute lists the runs whose import took too long: the owner cancels the import, and the
-	// engine computes the whole prompt.
+	// engine computes all tokens that are not cached.
 	Recompute []string
 }
 
-// deadlineMargin is the multiple of the time for the outstanding prefills and the whole prompt that
-// must remain before the deadline. The import is abandoned when less would remain.
+// deadlineMargin is the minimum time before the deadline, as a multiple of the time to compute the
+// outstanding prefills and all tokens of the prompt that are not cached. The import is abandoned
+// when less would remain.
 const deadlineMargin = 2
 
 // Tick expires requests that can no longer meet their deadline, and grants those that the engine
@@ -35,7 +36,7 @@
 func (e *Engine) Tick(now time.Time) Changes {
 	var c Changes
 	e.expireGrants(now)
-	e.evictEnded(now)
+	e.evictReleaseTimes(now)
 	for _, item := range e.queue.Expire(e.nextStart(now)) {
 		delete(e.waiting, item.Value.Run)
 		c.Expired = append(c.Expired, item.Value.Request)
@@ -46,7 +47,7 @@
 	}
 	c.Recompute = e.abandonSlowImports(now)
 	for !e.health.probing && e.hasCapacity(now) {
-		p := e.next(now)
+		p := e.nextGrantable(now)
 		if p == nil {
 			break
 		}
@@ -78,8 +79,9 @@
 	return all
 }
 
-// next returns the next request to grant, and parks those popped before their import has finished.
-func (e *Engine) next(now time.Time) *pending {
+// nextGrantable returns the next request to grant, or nil. It parks the requests that leave the
+// queue before their import has finished.
+func (e *Engine) nextGrantable(now time.Time) *pending {
 	if len(e.ready) > 0 {
 		p := e.ready[0]
 		e.ready = e.ready[1:]
@@ -101,7 +103,7 @@
 
 // hasCapacity reports whether the engine can take one more run.
 func (e *Engine) hasCapacity(now time.Time) bool {
-	running := float64(len(e.grants)) + e.foreign.runs*e.foreign.remaining(now)
+	running := float64(len(e.grants)) + e.foreign.runs*e.foreign.decayFactor(now)
 	if e.cfg.MaxRunning > 0 && running >= float64(e.cfg.MaxRunning) {
 		return false
 	}
@@ -146,7 +148,7 @@
 }
 
 // importTimeout returns when to stop waiting for p's import: when its ImportPatience has passed, or
-// when the time left before the deadline is just enough to compute the prompt with deadlineMargin.
+// when the remaining time is just enough to compute the prompt with deadlineMargin.
 func (e *Engine) importTimeout(now time.Time, p *pending) time.Time {
 	at := latest(p.poppedAt, p.requestedAt.Add(p.ImportPatience))
 	if p.Deadline.IsZero() {
@@ -160,8 +162,8 @@
 	return at
 }
 
-// NextTick returns when Tick may next change the state because of time alone, and false if only a
-// further call can.
+// NextTick returns when Tick may next change the state because of time alone, and false if it can't
+// change until another method is called.
 func (e *Engine) NextTick(now time.Time) (time.Time, bool) {
 	var at time.Time
 	consider := func(t time.Time) {
@@ -193,7 +195,7 @@
 	return at
 }
 
-// expireInterval bounds the delay of the response to an expired request.
+// expireInterval is the maximum delay of the response to an expired request.
 const expireInterval = 250 * time.Millisecond
 
 func latest(a, b time.Time) time.Time {
