--- a/internal/router/cachedengines_test.go
+++ b/internal/router/cachedengines_test.go
@@ -12,9 +12,10 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// TestLayoutOutlivesCachedEstimate checks that an engine's KV layout is kept when its cached estimate is
-// too old to use. Stores are queried for blocks of that layout: without it, a prompt that returns
-// to a node which placed no prompts for 10 s would be read in full.
+// TestLayoutOutlivesCachedEstimate checks that an engine's KV layout is kept when its cached
+// estimate is too old to use. Stores are queried for blocks of that layout: without it, the next
+// prompt of a conversation would be read in full at a node that has placed no prompt of the model
+// for 10 s.
 func TestLayoutOutlivesCachedEstimate(t *testing.T) {
 	r := &Router{estimates: map[estimateKey]cachedEstimate{
 		{"e", "m", "v"}: {at: time.Now().Add(-time.Hour), engine: placement.Engine{Layout: "l", LastWait: time.Minute, Status: placement.Paused}},
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -15,47 +15,47 @@
 
 const (
 	// maxCandidates is the maximum number of engines whose estimates are requested for one prompt.
-	// All engines of a smaller fleet are candidates.
+	// If the model has no more engines, all are candidates.
 	maxCandidates = 16
-	// rootChunks is the prefix depth that selects the candidates: enough to distinguish
-	// conversations that share a short preamble.
-	rootChunks = 4
-	slotCount  = 1 << 12
+	// prefixChunks is the number of the prompt's first chunks that select the candidates: enough to
+	// distinguish conversations that share a short preamble.
+	prefixChunks = 4
+	slotCount    = 1 << 12
 )
 
 // candidates selects a few engines for a prefix, the same ones at every node.
 type candidates struct {
 	mu     sync.Mutex
-	models map[string]*fleet
+	models map[string]*modelEngines
 }
 
-// fleet holds the engines of one model in one configuration.
-type fleet struct {
+// modelEngines holds the engines of one model in one configuration.
+type modelEngines struct {
 	engines []*pb.Endpoint
 	byName  map[string]*pb.Endpoint
 	slots   *rendezvous.Slots
 }
 
-// of returns the candidates of a prompt.
-func (c *candidates) of(view *config.View, model string, chain kvcache.Chain) []*pb.Endpoint {
+// forPrompt returns the candidates of a prompt.
+func (c *candidates) forPrompt(view *config.View, model string, chain kvcache.Chain) []*pb.Endpoint {
 	engines := view.Engines(model)
 	if len(engines) <= maxCandidates {
 		return engines
 	}
-	f := c.fleet(model, engines)
-	names := f.slots.Top(slotKey(chain))
+	m := c.modelEngines(model, engines)
+	names := m.slots.Top(slotKey(chain))
 	out := make([]*pb.Endpoint, 0, len(names))
 	for _, name := range names {
-		out = append(out, f.byName[name])
+		out = append(out, m.byName[name])
 	}
 	return out
 }
 
 // servingEndpoints returns the candidates for the request, without those already tried: the ones
-// known to hold its weight version, otherwise any engine known to hold it, otherwise all
-// candidates, as some may hold it without being known to.
+// known to hold its weight version, otherwise up to maxCandidates other engines known to hold it,
+// otherwise all candidates, as the list of holders may be incomplete.
 func (r *Router) servingEndpoints(view *config.View, req *runs.Request, tried []string) []*pb.Endpoint {
-	candidates := r.available(r.candidates.of(view, req.Model, req.Chain), tried)
+	candidates := r.available(r.candidates.forPrompt(view, req.Model, req.Chain), tried)
 	names := r.holders.Holding(req.Model, req.Version)
 	if len(names) == 0 {
 		return candidates
@@ -104,38 +104,38 @@
 }
 
 // slotKey returns the key that selects the slot of a prompt. Prompts without a reusable prefix get
-// a random key, which spreads them over the whole fleet.
+// a random key, which spreads them over all engines.
 func slotKey(chain kvcache.Chain) string {
 	if len(chain) == 0 {
 		return strconv.Itoa(rand.IntN(slotCount))
 	}
-	return chain[min(rootChunks, len(chain))-1].String()
+	return chain[min(prefixChunks, len(chain))-1].String()
 }
 
-// fleet returns the model's table, and rebuilds it when its engines have changed. The configuration
-// returns the same slice until then.
-func (c *candidates) fleet(model string, engines []*pb.Endpoint) *fleet {
+// modelEngines returns the engines of the model, and rebuilds the entry if they have changed in the
+// configuration, which returns the same slice until then.
+func (c *candidates) modelEngines(model string, engines []*pb.Endpoint) *modelEngines {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.models[model]
-	if f != nil && len(f.engines) == len(engines) && &f.engines[0] == &engines[0] {
-		return f
+	m := c.models[model]
+	if m != nil && len(m.engines) == len(engines) && &m.engines[0] == &engines[0] {
+		return m
 	}
 	if c.models == nil {
-		c.models = make(map[string]*fleet)
+		c.models = make(map[string]*modelEngines)
 	}
-	f = newFleet(engines)
-	c.models[model] = f
-	return f
+	m = newModelEngines(engines)
+	c.models[model] = m
+	return m
 }
 
-func newFleet(engines []*pb.Endpoint) *fleet {
-	f := &fleet{engines: engines, byName: make(map[string]*pb.Endpoint, len(engines))}
+func newModelEngines(engines []*pb.Endpoint) *modelEngines {
+	m := &modelEngines{engines: engines, byName: make(map[string]*pb.Endpoint, len(engines))}
 	nodes := make([]rendezvous.Node, 0, len(engines))
 	for _, e := range engines {
-		f.byName[e.GetName()] = e
+		m.byName[e.GetName()] = e
 		nodes = append(nodes, rendezvous.Node{ID: e.GetName(), Weight: 1})
 	}
-	f.slots = rendezvous.NewSlots(rendezvous.NewSet(nodes), slotCount, maxCandidates)
-	return f
+	m.slots = rendezvous.NewSlots(rendezvous.NewSet(nodes), slotCount, maxCandidates)
+	return m
 }
--- a/internal/router/estimate.go
+++ b/internal/router/estimate.go
@@ -10,11 +10,11 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// bytesPerToken is the assumed length of a token if no owner has returned an estimate.
+// bytesPerToken is the assumed length of a token. The number of prompt tokens computed from it is a
+// lower bound: a higher estimate of an owner takes precedence.
 const bytesPerToken = 4
 
-// collectedEstimates holds the estimates that were received in time, apart from those of the
-// engines.
+// collectedEstimates holds the prompt length and the stores' estimates, as received in time.
 type collectedEstimates struct {
 	promptTokens int
 	stores       []placement.Store
@@ -68,7 +68,7 @@
 func (r *Router) batches(p owner.Prompt, engines []placement.Engine, stores []string) []*ownerBatch {
 	var list []*ownerBatch
 	byNode := make(map[string]*ownerBatch)
-	of := func(endpoint string) *ownerBatch {
+	batchFor := func(endpoint string) *ownerBatch {
 		node, addr := r.cluster.Owner(endpoint)
 		b := byNode[node]
 		if b == nil {
@@ -79,12 +79,12 @@
 		return b
 	}
 	for _, e := range engines {
-		b := of(e.Endpoint)
+		b := batchFor(e.Endpoint)
 		b.req.Engines = append(b.req.Engines, e.Endpoint)
 	}
 	layouts := layoutsOf(engines)
 	for _, s := range stores {
-		b := of(s)
+		b := batchFor(s)
 		b.req.Stores = append(b.req.Stores, s)
 		b.req.Layouts = layouts
 	}
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -20,7 +20,8 @@
 	// notifyTimeout bounds background calls to owners.
 	notifyTimeout = 2 * time.Second
 
-	// An engine's first frame may take firstFrameFactor times the predicted time plus firstFrameBase.
+	// An engine's first frame may take firstFrameFactor times the predicted time plus
+	// firstFrameBase.
 	firstFrameBase   = 10 * time.Second
 	firstFrameFactor = 4
 )
@@ -44,7 +45,7 @@
 	importedTokens int
 	importedBytes  int64
 
-	node string // owner to which the grant is known; guarded by Router.mu
+	node string // owner to which the grant was last requested or reported; guarded by Router.mu
 }
 
 var _ runs.Grant = (*grant)(nil)
@@ -93,7 +94,7 @@
 }
 
 // awaitGrant polls the owner until it has decided. An owner that is suspended responds to no poll,
-// so it delays a request by two polls at most.
+// and delays a request by at most twice the duration of a poll.
 func (r *Router) awaitGrant(ctx context.Context, g *grant, choice placement.Choice) (*owner.GrantResponse, error) {
 	req := &owner.GrantRequest{
 		Endpoint: g.endpoint.GetName(),
@@ -157,8 +158,9 @@
 	}()
 }
 
-// FirstToken implements runs.Grant. It notifies the owner in the background; if this fails, the
-// owner uses its prediction.
+// FirstToken implements runs.Grant. It notifies the owner in the background. If this fails, the
+// owner grants no run between the predicted end of the prefill and the time at which it assumes
+// that the report is lost.
 func (g *grant) FirstToken(observed runs.RunReport) {
 	req := &owner.FirstTokenRequest{
 		Endpoint:     g.endpoint.GetName(),
@@ -200,12 +202,12 @@
 	g.r.mu.Lock()
 	defer g.r.mu.Unlock()
 	key := estimateKey{req.Endpoint, g.prompt.Model, g.prompt.Version}
-	f := g.r.estimates[key]
-	f.at, f.engine.LastWait = time.Now(), resp.Wait
-	g.r.estimates[key] = f
+	cached := g.r.estimates[key]
+	cached.at, cached.engine.LastWait = time.Now(), resp.Wait
+	g.r.estimates[key] = cached
 }
 
-// outcome returns how a run ended, from the owner's point of view.
+// outcome returns how a run ended.
 func outcome(observed runs.RunReport) enginestate.Outcome {
 	switch {
 	case observed.Complete:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,7 +42,7 @@
 	// maxExplained is the number of requests whose placements are kept for Explain.
 	maxExplained = 1024
 	// estimateMaxAge is how long a cached estimate of an engine is used for requests for which no
-	// estimate is requested.
+	// estimate is requested, or whose estimates are late.
 	estimateMaxAge = 10 * time.Second
 )
 
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Place implements runs.Placer. If all engines were tried, it tries them again, as one that
-// restarted may accept requests by now.
+// Place implements runs.Placer. If no untried engine accepts requests, it tries all again, as one
+// that restarted may accept requests by now.
 func (r *Router) Place(ctx context.Context, req *runs.Request, tried []string) (runs.Grant, error) {
 	g, err := r.placeUntried(ctx, req, tried)
 	if len(tried) > 0 && result.Is(err, result.NoEndpoint) {
@@ -212,9 +212,9 @@
 	if len(req.Chain) < minChunks {
 		return placement.PlaceByLoad(request, engines, globalRand{})
 	}
-	answer := r.estimate(ctx, req, engines, r.owner.StoresFor(req.Chain))
-	request.PromptTokens = answer.promptTokens
-	return placement.Place(request, engines, answer.stores, globalRand{})
+	collected := r.estimate(ctx, req, engines, r.owner.StoresFor(req.Chain))
+	request.PromptTokens = collected.promptTokens
+	return placement.Place(request, engines, collected.stores, globalRand{})
 }
 
 // cachedEngines returns an engine for each endpoint, with the usable values of its cached estimate.
@@ -225,19 +225,19 @@
 	engines := make([]placement.Engine, len(endpoints))
 	for i, e := range endpoints {
 		engines[i] = placement.Engine{Endpoint: e.GetName(), FailureDomain: e.GetFailureDomain(), Status: placement.Late}
-		f, ok := r.estimates[estimateKey{e.GetName(), req.Model, req.Version}]
+		cached, ok := r.estimates[estimateKey{e.GetName(), req.Model, req.Version}]
 		if !ok {
 			continue
 		}
-		// The layout does not expire: without one no store is queried, and a prompt that returns
-		// after a pause would be read in full.
-		engines[i].Layout = f.engine.Layout
-		if now.Sub(f.at) > estimateMaxAge {
+		// The layout does not expire: without one no store is queried, and the next prompt of a
+		// conversation after a pause would be read in full.
+		engines[i].Layout = cached.engine.Layout
+		if now.Sub(cached.at) > estimateMaxAge {
 			continue
 		}
-		engines[i].LastWait = f.engine.LastWait
-		engines[i].PrefillRate = f.engine.PrefillRate
-		if f.engine.Status == placement.Paused {
+		engines[i].LastWait = cached.engine.LastWait
+		engines[i].PrefillRate = cached.engine.PrefillRate
+		if cached.engine.Status == placement.Paused {
 			engines[i].Status = placement.Paused
 		}
 	}
