--- a/api/gen/cherryward/v1/cherrywardv1connect/operator.connect.go
+++ b/api/gen/cherryward/v1/cherrywardv1connect/operator.connect.go
@@ -52,7 +52,7 @@
 
 // ConfigServiceClient is a client for the cherryward.v1.ConfigService service.
 type ConfigServiceClient interface {
-	// Apply writes one object. Safe to repeat with the same change id.
+	// Apply writes one object. It may be retried with the same change id.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
@@ -128,7 +128,7 @@
 
 // ConfigServiceHandler is an implementation of the cherryward.v1.ConfigService service.
 type ConfigServiceHandler interface {
-	// Apply writes one object. Safe to repeat with the same change id.
+	// Apply writes one object. It may be retried with the same change id.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
@@ -205,7 +205,7 @@
 // StatusServiceClient is a client for the cherryward.v1.StatusService service.
 type StatusServiceClient interface {
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// ExplainRequest returns why a recent request was placed as it was.
+	// ExplainRequest returns how the endpoint of a recent request was selected.
 	ExplainRequest(context.Context, *connect.Request[v1.ExplainRequestRequest]) (*connect.Response[v1.ExplainRequestResponse], error)
 }
 
@@ -254,7 +254,7 @@
 // StatusServiceHandler is an implementation of the cherryward.v1.StatusService service.
 type StatusServiceHandler interface {
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// ExplainRequest returns why a recent request was placed as it was.
+	// ExplainRequest returns how the endpoint of a recent request was selected.
 	ExplainRequest(context.Context, *connect.Request[v1.ExplainRequestRequest]) (*connect.Response[v1.ExplainRequestResponse], error)
 }
 
--- a/api/wire/enginewire/enginewire.go
+++ b/api/wire/enginewire/enginewire.go
@@ -1,8 +1,8 @@
-// Package enginewire holds the messages of the model engines' HTTP protocol:
-// JSON bodies, and server-sent events for the frames of a run.
+// Package enginewire defines the messages of the model engines' HTTP protocol: JSON bodies,
+// and server-sent events for the frames of a run.
 //
-// Only the adapter that speaks this protocol and the stand-in engine import it;
-// another engine protocol costs one other adapter file.
+// Only the adapter of this protocol and the stand-in engine encode or decode it, so another
+// engine protocol requires only another adapter.
 package enginewire
 
 // Paths of the engine's HTTP resources. RunPath takes the run id.
@@ -17,11 +17,11 @@
 	PathState  = "/v1/state"     // GET; ?blocks=false leaves the block ids out
 )
 
-// FrameKind tells what a frame of a run carries.
+// FrameKind is the kind of a frame of a run.
 type FrameKind string
 
-// The kinds of frame. Every run has one start frame, then token frames, then
-// exactly one end or error frame.
+// The frame kinds. A run consists of one start frame, any number of token frames, and exactly
+// one end or error frame.
 const (
 	FrameStart  FrameKind = "start"
 	FrameTokens FrameKind = "tokens"
@@ -29,8 +29,8 @@
 	FrameError  FrameKind = "error"
 )
 
-// RunRequest starts a run. Run is chosen by the caller and is unique; starting
-// the same run id twice is refused with ErrRunExists.
+// RunRequest starts a run. The caller chooses Run, which must be unique: a second request with
+// the same run id is rejected with ErrRunExists.
 type RunRequest struct {
 	Run         string  `json:"run"`
 	Model       string  `json:"model"`
@@ -39,24 +39,24 @@
 	CacheSalt   string  `json:"cache_salt"` // root of the engine's block ids: one per client account
 	Prompt      string  `json:"prompt,omitempty"`
 	PromptIDs   []int   `json:"prompt_ids,omitempty"`
-	Continue    string  `json:"continue,omitempty"` // output of an earlier, broken run to go on from
+	Continue    string  `json:"continue,omitempty"` // output of an interrupted run to continue from
 	MaxTokens   int     `json:"max_tokens"`
-	Priority    int     `json:"priority,omitempty"` // 0 is the most urgent
+	Priority    int     `json:"priority,omitempty"` // 0 is the highest priority
 	Temperature float64 `json:"temperature,omitempty"`
 	Seed        int64   `json:"seed,omitempty"`
-	DeadlineMS  int64   `json:"deadline_ms,omitempty"` // time left to the caller, milliseconds
+	DeadlineMS  int64   `json:"deadline_ms,omitempty"` // time until the caller's deadline, milliseconds
 }
 
-// Block is one cached piece of a prompt: ID is a chain hash over the cache salt,
-// model, version, adapter and all tokens up to EndToken.
+// Block is a cached block of a token sequence. ID is a chained hash of the cache salt, model,
+// version, adapter and all tokens up to EndToken.
 type Block struct {
 	ID       string `json:"id"`
 	EndToken int    `json:"end_token"`
 	Bytes    int64  `json:"bytes"`
 }
 
-// Frame is one event of a run's stream. Seq counts frames of the run from 0
-// without a gap; Offset counts output tokens before this frame.
+// Frame is one event of a run's stream. Seq numbers the frames of the run from 0 without gaps;
+// Offset is the number of output tokens before this frame.
 type Frame struct {
 	Run          string    `json:"run"`
 	Incarnation  string    `json:"incarnation"` // the engine process that produced the frame
@@ -70,68 +70,68 @@
 	Model        string    `json:"model,omitempty"`         // start: echoed
 	Adapter      string    `json:"adapter,omitempty"`       // start: echoed
 	PromptTokens int       `json:"prompt_tokens,omitempty"` // start
-	CachedTokens int       `json:"cached_tokens,omitempty"` // start: of the prompt, not recomputed
-	Blocks       []Block   `json:"blocks,omitempty"`        // end: whole blocks of prompt and output now in memory
+	CachedTokens int       `json:"cached_tokens,omitempty"` // start: prompt tokens found in the cache
+	Blocks       []Block   `json:"blocks,omitempty"`        // end: complete blocks of prompt and output in memory
 	OutputTokens int       `json:"output_tokens,omitempty"` // end
 	Finish       string    `json:"finish,omitempty"`        // end: "stop" or "length"
 	Error        *Error    `json:"error,omitempty"`
 }
 
-// ErrorCode is an engine's reason for refusing or failing a call.
+// ErrorCode is the reason why an engine rejected a call or failed.
 type ErrorCode string
 
 // The engine's error codes.
 const (
-	ErrNotLoaded  ErrorCode = "not_loaded"  // model, version or adapter is not in memory; not run
+	ErrNotLoaded  ErrorCode = "not_loaded"  // model, version or adapter is not loaded; not run
 	ErrOverloaded ErrorCode = "overloaded"  // queue full; not run
-	ErrLeaving    ErrorCode = "leaving"     // takes no new runs; not run
+	ErrLeaving    ErrorCode = "leaving"     // accepts no new runs; not run
 	ErrRunExists  ErrorCode = "run_exists"  // run id already used
-	ErrRunUnknown ErrorCode = "run_unknown" // no such run, or no longer kept
-	ErrStaleToken ErrorCode = "stale_token" // an order with an older fencing token
+	ErrRunUnknown ErrorCode = "run_unknown" // unknown or expired run
+	ErrStaleToken ErrorCode = "stale_token" // the order's fencing token is outdated
 	ErrBadRequest ErrorCode = "bad_request" // malformed; not run
 	ErrInternal   ErrorCode = "internal"    // failed while running
-	ErrTooLong    ErrorCode = "too_long"    // prompt exceeds the model's context; not run
+	ErrTooLong    ErrorCode = "too_long"    // prompt and output exceed the model's context; not run
 	ErrCancelled  ErrorCode = "cancelled"   // the run was cancelled by DELETE
 )
 
-// Error is the body of a refusal and the payload of an error frame. NotRun is
-// the engine's own word that the request did not run.
+// Error is the body of an error response and the payload of an error frame. NotRun is true if
+// the engine guarantees that the request did not run.
 type Error struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
 	NotRun  bool      `json:"not_run"`
 }
 
-// KVEvent tells that a block entered or left the engine's memory. Events come
-// late, and some are missing: a gap in Seq calls for reading State again.
+// KVEvent reports that a block was added to or removed from the engine's memory. Events are
+// delayed, and some are lost: after a gap in Seq, State must be read again.
 type KVEvent struct {
 	Seq     uint64 `json:"seq"`
 	Block   string `json:"block"`
 	Removed bool   `json:"removed,omitempty"`
 }
 
-// Events is the answer to a read of cache events after the number since, which
-// starts at 0; the first event has Seq 1. Next is the since of the next read: if
-// more numbers lie between than events came, some are missing.
+// Events is the response to a read of the cache events after the sequence number since. The
+// first event has Seq 1, so a reader starts with since 0. Next is the value of since for the
+// next read; events were lost if Next-since exceeds the number of events.
 type Events struct {
 	Incarnation string    `json:"incarnation"`
 	Events      []KVEvent `json:"events"`
 	Next        uint64    `json:"next"`
 }
 
-// BlockTransfer names one block to export or import. Name is the store's
-// write-once block name.
+// BlockTransfer identifies a block to export or import. Name is its write-once name in the
+// store.
 type BlockTransfer struct {
 	Block    string `json:"block"`
 	Name     string `json:"name"`
 	Bytes    int64  `json:"bytes"`
-	Checksum string `json:"checksum,omitempty"` // import: hex SHA-256 that the bytes must have
+	Checksum string `json:"checksum,omitempty"` // import: expected hex SHA-256 of the bytes
 	Version  string `json:"version"`
 	Salt     string `json:"salt"`
 }
 
-// TransferRequest orders an export to, or an import from, one store host. The
-// engine moves the bytes itself. BytesPerSecond bounds its rate; 0 is unbounded.
+// TransferRequest requests an export to, or an import from, one store host. The engine transfers
+// the bytes itself. BytesPerSecond limits its rate; 0 means unlimited.
 type TransferRequest struct {
 	Store          string          `json:"store"` // base URL of the store host
 	Blocks         []BlockTransfer `json:"blocks"`
@@ -139,8 +139,8 @@
 	TimeoutMS      int64           `json:"timeout_ms,omitempty"`
 }
 
-// TransferResult tells the outcome for one block. An import whose bytes do not
-// have the checksum is reported failed and is not used.
+// TransferResult is the outcome for one block. An import whose bytes don't match the checksum
+// fails, and the bytes are discarded.
 type TransferResult struct {
 	Block    string `json:"block"`
 	OK       bool   `json:"ok"`
@@ -149,34 +149,34 @@
 	Message  string `json:"message,omitempty"`
 }
 
-// TransferResponse answers a TransferRequest, a result for each block in order.
+// TransferResponse is the response to a TransferRequest: one result for each block, in order.
 type TransferResponse struct {
 	Results []TransferResult `json:"results"`
 }
 
-// Load is the engine's own report, which lags by up to a second or more.
+// Load is a load report of the engine, which may be a second old or more.
 type Load struct {
 	Incarnation   string  `json:"incarnation"`
 	Running       int     `json:"running"`
 	Waiting       int     `json:"waiting"`
 	WaitingTokens int     `json:"waiting_tokens"` // prompt tokens not yet computed
-	CacheUsed     float64 `json:"cache_used"`     // share of cache memory in use, 0 to 1
-	AgeMS         int64   `json:"age_ms"`         // how old the figures are
-	Role          string  `json:"role,omitempty"` // the present one, without lag
+	CacheUsed     float64 `json:"cache_used"`     // fraction of cache memory in use, 0 to 1
+	AgeMS         int64   `json:"age_ms"`         // age of the report
+	Role          string  `json:"role,omitempty"` // current role, not delayed
 }
 
-// OrderKind names what an order asks for.
+// OrderKind is the kind of an order.
 type OrderKind string
 
-// The kinds of order.
+// The order kinds.
 const (
 	OrderLoad   OrderKind = "load"
 	OrderUnload OrderKind = "unload"
 	OrderRole   OrderKind = "role"
 )
 
-// Order asks an engine to change what it holds. Token is the fencing token: an
-// engine that checks it refuses a token lower than the highest it has seen.
+// Order requests that an engine load or unload weights, or change its role. Token is the fencing
+// token: an engine that checks it rejects a token lower than the highest that it has received.
 type Order struct {
 	Token   int64     `json:"token"`
 	Kind    OrderKind `json:"kind"`
@@ -186,7 +186,7 @@
 	Role    string    `json:"role,omitempty"` // "serving" or "leaving"
 }
 
-// Loaded is one model, weight version and adapter in the engine's memory.
+// Loaded is a model, weight version and adapter in the engine's memory.
 type Loaded struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -194,8 +194,8 @@
 	Loading bool   `json:"loading,omitempty"`
 }
 
-// State is the engine's full state: read on start, on a gap in the events, and
-// after an order whose answer was lost.
+// State is the full state of an engine. Clients read it on start, after a gap in the events, and
+// after an order whose response was lost.
 type State struct {
 	Incarnation string   `json:"incarnation"`
 	Role        string   `json:"role"`
@@ -203,8 +203,8 @@
 	KVLayout    string   `json:"kv_layout"`
 	BlockTokens int      `json:"block_tokens"`
 	BlockBytes  int64    `json:"block_bytes"`
-	Blocks      []string `json:"blocks"`    // ids now in memory
-	EventSeq    uint64   `json:"event_seq"` // last event that Blocks includes
+	Blocks      []string `json:"blocks"`    // ids of the blocks in memory
+	EventSeq    uint64   `json:"event_seq"` // sequence number of the last event reflected in Blocks
 	HighToken   int64    `json:"high_token"`
 	MaxRunning  int      `json:"max_running"`
 }
--- a/api/wire/hostwire/hostwire.go
+++ b/api/wire/hostwire/hostwire.go
@@ -1,19 +1,20 @@
-// Package hostwire holds the messages of the platform's lagging host list.
+// Package hostwire defines the messages of the platform's host list, which is updated with a
+// delay.
 package hostwire
 
 import "strconv"
 
-// PathHosts answers GET with the present list, or with 304 where If-None-Match
-// names its version.
+// PathHosts is the resource of the list. GET returns the current list, or status 304 if
+// If-None-Match holds the tag of the current version.
 const PathHosts = "/v1/hosts"
 
-// Tag is the entity tag of a version of the list.
+// Tag returns the entity tag of a version of the list.
 func Tag(version int64) string { return strconv.Quote(strconv.FormatInt(version, 10)) }
 
-// State is a host's state as the platform last saw it.
+// State is the last state of a host that the platform observed.
 type State string
 
-// The states of a host. A host that is gone is no longer listed.
+// The states of a host. Hosts that were shut down are not listed.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -22,13 +23,13 @@
 // Host is one entry: a node of the system or the host of an endpoint.
 type Host struct {
 	ID     string `json:"id"`
-	Addr   string `json:"addr"` // ip:port; of a node, its peer listener
+	Addr   string `json:"addr"` // ip:port; for a node, of its peer listener
 	Domain string `json:"domain"`
 	State  State  `json:"state"`
-	Node   bool   `json:"node"` // true for hosts of the system itself
+	Node   bool   `json:"node"` // whether the host is a node of the system
 }
 
-// List is the platform's list. Version grows with each change.
+// List is the host list. Version increases with each change.
 type List struct {
 	Version int64  `json:"version"`
 	Hosts   []Host `json:"hosts"`
--- a/api/wire/logwire/logwire.go
+++ b/api/wire/logwire/logwire.go
@@ -1,16 +1,16 @@
-// Package logwire holds the messages of the platform's append-only log service.
+// Package logwire defines the messages of the platform's append-only log service.
 package logwire
 
 // PathStreams is the root of the log's HTTP resources:
 // POST {stream}/records appends, GET {stream}/records?from=N&max=M&wait_ms=W reads.
 const PathStreams = "/v1/streams/"
 
-// AppendRequest carries one record.
+// AppendRequest appends one record.
 type AppendRequest struct {
 	Data []byte `json:"data"`
 }
 
-// AppendResponse tells the offset that the record has in its stream.
+// AppendResponse returns the offset of the appended record.
 type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
@@ -21,16 +21,16 @@
 	Data   []byte `json:"data"`
 }
 
-// ReadResponse is a run of records in order of offset. First is the oldest
-// offset still retained, Next the offset that the next append will have.
+// ReadResponse holds consecutive records in order of offset. First is the oldest retained
+// offset, Next the offset of the next append.
 type ReadResponse struct {
 	Records []Record `json:"records"`
 	First   int64    `json:"first"`
 	Next    int64    `json:"next"`
 }
 
-// Error is the body of a refusal: "rate" (too many appends), "unavailable"
-// (outage) or "too_large". A lost connection tells nothing of the effect.
+// Error is the body of an error response. Code is "rate" (too many appends), "unavailable"
+// (outage) or "too_large". After a lost connection the effect of the call is unknown.
 type Error struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
--- a/api/wire/storewire/storewire.go
+++ b/api/wire/storewire/storewire.go
@@ -1,5 +1,5 @@
-// Package storewire holds the messages of the store hosts' HTTP protocol: blocks
-// with write-once names, and small manifests that name complete blocks.
+// Package storewire defines the messages of the store hosts' HTTP protocol: blocks with
+// write-once names, and small manifests that refer to complete blocks.
 package storewire
 
 // Paths of the store's HTTP resources.
@@ -9,10 +9,10 @@
 	PathUsage     = "/v1/usage"     // GET
 )
 
-// HeaderChecksum carries the hex SHA-256 of a block's bytes.
+// HeaderChecksum is the header that holds the hex SHA-256 of a block's bytes.
 const HeaderChecksum = "X-Block-Checksum"
 
-// Tier tells where a block is kept.
+// Tier is the storage tier of a block.
 type Tier string
 
 // The tiers of a store host.
@@ -21,22 +21,22 @@
 	TierDisk   Tier = "disk"
 )
 
-// BlockInfo describes a stored block. A block whose writer broke off stays
-// incomplete and its name can't be used again.
+// BlockInfo describes a stored block. A block whose write was interrupted stays incomplete, and
+// its name can't be reused.
 type BlockInfo struct {
 	Name     string `json:"name"`
 	Bytes    int64  `json:"bytes"`
 	Checksum string `json:"checksum"`
 	Complete bool   `json:"complete"`
 	Tier     Tier   `json:"tier"`
-	AgeMS    int64  `json:"age_ms"` // since its first byte, by the store's own clock
+	AgeMS    int64  `json:"age_ms"` // since the write began, by the store's clock
 }
 
-// Manifest publishes one complete block under a prefix key. It repeats all that
-// a reader must check before it imports.
+// Manifest publishes a complete block under a prefix key. It contains everything that a reader
+// must check before importing the block.
 type Manifest struct {
-	Key      string `json:"key"`    // fingerprint of the prefix that the block ends
-	Parent   string `json:"parent"` // key of the block before it, empty for the first
+	Key      string `json:"key"`    // fingerprint of the prefix up to the end of the block
+	Parent   string `json:"parent"` // key of the preceding block, empty for the first
 	Index    int    `json:"index"`  // position in the chain, from 0
 	Name     string `json:"name"`   // the store's write-once block name
 	Block    string `json:"block"`  // the engine's block id
@@ -64,20 +64,20 @@
 	More       bool       `json:"more"`
 }
 
-// TierUsage is one tier's space in bytes.
+// TierUsage is the used and total space of a tier in bytes.
 type TierUsage struct {
 	Used     int64 `json:"used"`
 	Capacity int64 `json:"capacity"`
 }
 
-// Usage is a store host's space. Generation changes when the host restarts.
+// Usage is the space of a store host. Generation changes when the host restarts.
 type Usage struct {
 	Generation string    `json:"generation"`
 	Memory     TierUsage `json:"memory"`
 	Disk       TierUsage `json:"disk"`
 }
 
-// ErrorCode is a store's reason for refusing a call.
+// ErrorCode is the reason why a store rejected a call.
 type ErrorCode string
 
 // The store's error codes.
@@ -86,11 +86,11 @@
 	ErrNotFound   ErrorCode = "not_found"   // no such block or manifest
 	ErrIncomplete ErrorCode = "incomplete"  // the block was only partly written
 	ErrFull       ErrorCode = "full"        // no space in any tier
-	ErrChecksum   ErrorCode = "checksum"    // the bytes do not have the stated checksum
+	ErrChecksum   ErrorCode = "checksum"    // the bytes don't match the checksum
 	ErrBadRequest ErrorCode = "bad_request" // malformed call
 )
 
-// Error is the body of a refusal.
+// Error is the body of an error response.
 type Error struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
