--- a/standin/engine/alloc_race_test.go
+++ b/standin/engine/alloc_race_test.go
@@ -2,6 +2,6 @@
 
 package engine
 
-// maxAllocations is wider than without the race detector, under which sync.Pool
-// drops a part of its items on purpose, also those of encoding/json.
+// maxAllocations is greater than without the race detector, because sync.Pool, which encoding/json
+// uses, randomly drops items when the race detector is enabled.
 const maxAllocations = 2
--- a/standin/engine/alloc_test.go
+++ b/standin/engine/alloc_test.go
@@ -2,5 +2,5 @@
 
 package engine
 
-// maxAllocations bounds the allocations for one token frame.
+// maxAllocations is the upper bound of allocations per token frame.
 const maxAllocations = 0.01
--- a/standin/engine/bench_test.go
+++ b/standin/engine/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/cherryward/cherryward/api/wire/enginewire"
 )
 
-// BenchmarkStream streams tokens over loopback without waiting; ns/op is the
-// time of one token.
+// BenchmarkStream measures streaming over loopback without simulated delays; ns/op is the time per
+// token.
 func BenchmarkStream(b *testing.B) {
 	const tokens = 1000
 	url := listen(b, Config{})
@@ -25,7 +25,7 @@
 	}
 }
 
-// BenchmarkManyStreams runs 5,000 streams at once at 50 tokens a second each.
+// BenchmarkManyStreams runs 5,000 concurrent streams at 50 tokens per second each.
 func BenchmarkManyStreams(b *testing.B) {
 	const streams, tokens = 5000, 100
 	url := listen(b, Config{TimeScale: 1, MaxRunning: streams, MaxWaiting: streams, PrefillSpeed: 1e6})
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -2,24 +2,24 @@
 
 import "container/list"
 
-// origin is what a block was computed for.
+// origin holds the model, version, adapter and cache salt that a block was computed with.
 type origin struct {
 	model, version, adapter, salt string
 }
 
-// cacheEntry is a block in memory. Pinned blocks belong to a run that is not
-// over.
+// cacheEntry is a block in memory. It can't be evicted while pinned, the number of runs and
+// transfers that use it, is greater than 0.
 type cacheEntry struct {
 	id     blockID
 	from   origin
 	pinned int
 }
 
-// cache keeps blocks in order of use. A chain is touched from its tail to its
-// head, so a block always leaves before the blocks that it follows.
+// cache is an LRU cache of blocks. A chain is touched from its tail to its head, so a block is
+// always evicted before the blocks that it follows.
 type cache struct {
 	capacity int
-	order    *list.List // of *cacheEntry, last used first
+	order    *list.List // of *cacheEntry, most recently used first
 	entries  map[blockID]*list.Element
 	changed  func(id blockID, removed bool)
 }
@@ -41,7 +41,7 @@
 	return el.Value.(*cacheEntry)
 }
 
-// match returns how many blocks from the head of ids are in memory.
+// match returns the length of the longest prefix of ids that is in memory.
 func (c *cache) match(ids []blockID) int {
 	for i, id := range ids {
 		if c.entries[id] == nil {
@@ -67,20 +67,20 @@
 	}
 }
 
-// insert adds the blocks that are missing, from the head, as far as space can
-// be made. It returns how many of ids are then in memory from the head.
+// insert adds missing blocks from the head of ids until no space can be freed. It returns the
+// length of the prefix of ids that is in memory afterwards.
 func (c *cache) insert(ids []blockID, from origin) int {
-	held := c.match(ids)
-	c.pin(ids[:held], 1)
-	for held < len(ids) && c.add(ids[held], from) {
-		held++
+	stored := c.match(ids)
+	c.pin(ids[:stored], 1)
+	for stored < len(ids) && c.add(ids[stored], from) {
+		stored++
 	}
-	c.pin(ids[:held], -1)
-	c.touch(ids[:held])
-	return held
+	c.pin(ids[:stored], -1)
+	c.touch(ids[:stored])
+	return stored
 }
 
-// add puts one block in memory, pinned once.
+// add adds and pins a block. It returns false if the cache is full of pinned blocks.
 func (c *cache) add(id blockID, from origin) bool {
 	if e := c.get(id); e != nil {
 		e.pinned++
@@ -94,6 +94,8 @@
 	return true
 }
 
+// evict removes the least recently used block that isn't pinned. It returns false if there is
+// none.
 func (c *cache) evict() bool {
 	for el := c.order.Back(); el != nil; el = el.Prev() {
 		if el.Value.(*cacheEntry).pinned <= 0 {
@@ -111,7 +113,7 @@
 	c.changed(id, true)
 }
 
-// drop removes the blocks of one model, version and adapter.
+// drop removes all blocks of a model, version and adapter.
 func (c *cache) drop(key modelKey) {
 	for el := c.order.Back(); el != nil; {
 		prev := el.Prev()
--- a/standin/engine/cache_test.go
+++ b/standin/engine/cache_test.go
@@ -26,10 +26,10 @@
 	})
 	c.insert(ids("abc"), origin{})
 	c.insert(ids("abx"), origin{})
-	c.insert(ids("y"), origin{}) // c is the oldest tail
+	c.insert(ids("y"), origin{}) // evicts c, the least recently used tail
 	must.Eq(t, "abcx-cy", log)
 	c.pin(ids("abx"), 1)
-	must.Eq(t, 1, c.insert(ids("zw"), origin{})) // y leaves, z is pinned by its own insert
+	must.Eq(t, 1, c.insert(ids("zw"), origin{})) // evicts y; z is pinned during the insert
 	must.Eq(t, "abcx-cy-yz", log)
 	must.Eq(t, 3, c.match(ids("abxc")))
 	c.pin(ids("abx"), -1)
@@ -57,7 +57,7 @@
 		time.Sleep(time.Second)
 		gapped := get[enginewire.Events](t, e, enginewire.PathEvents+"?since=5")
 		must.Len(t, 2, gapped.Events)
-		must.Eq(t, 9, gapped.Next) // 6 and 9 are missing
+		must.Eq(t, 9, gapped.Next) // 6 and 9 were dropped
 		state := get[enginewire.State](t, e, enginewire.PathState)
 		must.Eq(t, 9, state.EventSeq)
 		must.Len(t, 9, state.Blocks)
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -22,49 +22,49 @@
 	DefaultKVLayout      = "standin-1"
 )
 
-// Config describes one engine. Zero fields take the defaults above.
+// Config configures an engine. Zero fields take the defaults above.
 type Config struct {
-	// Loaded are the models that are in memory from the start.
+	// Loaded lists the models that are loaded at the start.
 	Loaded []enginewire.Loaded
 	// BlockTokens is the size of a cache block in tokens.
 	BlockTokens int
-	// CacheBlocks is how many blocks the cache holds.
+	// CacheBlocks is the capacity of the cache in blocks.
 	CacheBlocks int
-	// BytesPerToken is the size of the exported cache of one token.
+	// BytesPerToken is the size of the exported KV cache of one token.
 	BytesPerToken int
-	// KVLayout names the form of exported blocks; engines with another layout
-	// can't import them.
+	// KVLayout is the layout of exported blocks, which only engines with the same layout can
+	// import.
 	KVLayout string
-	// MaxRunning bounds the batch; MaxWaiting the queue before it.
+	// MaxRunning limits the batch, MaxWaiting the queue.
 	MaxRunning, MaxWaiting int
-	// MaxContext bounds prompt and output, in tokens.
+	// MaxContext limits prompt and output together, in tokens.
 	MaxContext int
-	// PrefillSpeed is prompt tokens computed per second.
+	// PrefillSpeed is the number of prompt tokens computed per second.
 	PrefillSpeed float64
-	// DecodeStep is the time of a step with a batch of one; each further run in
-	// the batch adds DecodePerRun.
+	// DecodeStep is the duration of a decode step with a batch of one; each further run in the
+	// batch adds DecodePerRun.
 	DecodeStep, DecodePerRun time.Duration
-	// LinkBytesPerSecond bounds all exports and imports together; 0 is unbounded.
+	// LinkBytesPerSecond limits all exports and imports together; 0 means unlimited.
 	LinkBytesPerSecond int64
-	// KeepRuns is how long a run is held for resume after its client is gone.
+	// KeepRuns is the time for which a run can be resumed after its client disconnected or it
+	// ended.
 	KeepRuns time.Duration
-	// EventDelay is how late cache events are published.
+	// EventDelay is the delay until cache events are published.
 	EventDelay time.Duration
-	// LoadLag is the interval between two load reports; 0 reports the present.
+	// LoadLag is the interval of load reports; 0 reports the current load.
 	LoadLag time.Duration
-	// CheckFencing makes orders with an older token be refused.
+	// CheckFencing rejects orders with a token lower than the highest received one.
 	CheckFencing bool
-	// Weights is shared by the engines that load from one weight store; nil loads
-	// without waiting.
+	// Weights is the weight store, which engines may share. If nil, models load immediately.
 	Weights *WeightStore
-	// Transport reaches the store hosts; nil is http.DefaultTransport.
+	// Transport is used for calls to store hosts; nil means http.DefaultTransport.
 	Transport http.RoundTripper
-	// TimeScale multiplies the time of prefill, decode and transfers: 1 is real
-	// time, 0.1 ten times quicker, 0 no waiting and no limit on the batch.
+	// TimeScale multiplies the duration of prefill, decode and transfers: 1 is real time, 0.1 is
+	// ten times faster, 0 disables waiting and the limit on the batch.
 	TimeScale float64
 }
 
-func orDefault[T comparable](v *T, def T) {
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
 		*v = def
@@ -72,16 +72,16 @@
 }
 
 func (c *Config) setDefaults() {
-	orDefault(&c.BlockTokens, DefaultBlockTokens)
-	orDefault(&c.CacheBlocks, DefaultCacheBlocks)
-	orDefault(&c.BytesPerToken, DefaultBytesPerToken)
-	orDefault(&c.MaxRunning, DefaultMaxRunning)
-	orDefault(&c.MaxWaiting, DefaultMaxWaiting)
-	orDefault(&c.MaxContext, DefaultMaxContext)
-	orDefault(&c.PrefillSpeed, DefaultPrefillSpeed)
-	orDefault(&c.DecodeStep, DefaultDecodeStep)
-	orDefault(&c.KeepRuns, DefaultKeepRuns)
-	orDefault(&c.KVLayout, DefaultKVLayout)
+	setDefault(&c.BlockTokens, DefaultBlockTokens)
+	setDefault(&c.CacheBlocks, DefaultCacheBlocks)
+	setDefault(&c.BytesPerToken, DefaultBytesPerToken)
+	setDefault(&c.MaxRunning, DefaultMaxRunning)
+	setDefault(&c.MaxWaiting, DefaultMaxWaiting)
+	setDefault(&c.MaxContext, DefaultMaxContext)
+	setDefault(&c.PrefillSpeed, DefaultPrefillSpeed)
+	setDefault(&c.DecodeStep, DefaultDecodeStep)
+	setDefault(&c.KeepRuns, DefaultKeepRuns)
+	setDefault(&c.KVLayout, DefaultKVLayout)
 	if c.Transport == nil {
 		c.Transport = http.DefaultTransport
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,9 +1,9 @@
-// Package engine is a stand-in of a model engine that speaks enginewire: it
-// batches continuously, caches prompt prefixes and streams deterministic words.
+// Package engine is a stand-in for a model engine with the protocol of enginewire. It implements
+// continuous batching and prefix caching, and streams deterministic words.
 //
-// A run's output depends on its prompt and seed only, so two engines answer
-// alike and a continued run goes on with the words that the broken one would
-// have had. Each run id runs at most once in one incarnation.
+// The output of a run depends only on its prompt and seed, so all engines return the same output,
+// and a continued run has the same words as the uninterrupted one. Each run id runs at most once
+// per incarnation.
 package engine
 
 import (
@@ -16,12 +16,12 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// maxKept bounds the runs that are held for resume after their end.
-const maxKept = 20000
+// maxRetainedRuns limits the ended runs that are retained for resuming.
+const maxRetainedRuns = 20000
 
-// Engine is one engine process. Its methods may be called by several goroutines.
+// Engine is one engine process. It is safe for concurrent use.
 type Engine struct {
-	// Faults switches the engine's faults.
+	// Faults holds the active faults.
 	Faults fault.Switch[Faults]
 
 	cfg    Config
@@ -31,35 +31,36 @@
 
 	mu sync.Mutex
 	*incarnation
-	looping     bool
-	started     int // runs that were asked for, over all incarnations
-	wrongBlocks int // imports whose bytes were of another block
+	loopRunning   bool
+	startRequests int // requests to start a run, in all incarnations
+	wrongBlocks   int // imports that received the bytes of another block
 }
 
-// incarnation is what a restart loses. The engine's lock guards it.
+// incarnation is the state that is lost by a restart. It is guarded by the engine's lock.
 type incarnation struct {
-	name      string
-	lost      chan struct{} // closed when a restart ends the incarnation
-	role      string
-	highToken int64
-	loaded    []*loadedModel
-	cache     *cache
-	events    *events
-	runs      map[string]*run
-	waiting   []*run // by priority, then arrival
-	batch     []*run
-	arrivals  uint64
-	expiries  []expiry
-	report    enginewire.Load
-	reported  time.Time
+	name       string
+	terminated chan struct{} // closed when the incarnation ends
+	role       string
+	highToken  int64
+	loaded     []*loadedModel
+	cache      *cache
+	events     *events
+	runs       map[string]*run
+	waiting    []*run // by priority, then arrival
+	batch      []*run
+	arrivals   uint64
+	expiries   []expiry
+	report     enginewire.Load
+	reported   time.Time
 }
 
+// expiry is the time at which a run expires unless a stream is attached to it.
 type expiry struct {
 	run *run
 	at  time.Time
 }
 
-// New returns an engine that is ready to serve.
+// New starts an engine. Close must be called to release its resources.
 func New(cfg Config) *Engine {
 	cfg.setDefaults()
 	e := &Engine{cfg: cfg, link: newLink(cfg.LinkBytesPerSecond, cfg.TimeScale), closed: make(chan struct{})}
@@ -72,11 +73,11 @@
 
 func (e *Engine) newIncarnation() *incarnation {
 	in := &incarnation{
-		name:   rand.Text(),
-		lost:   make(chan struct{}),
-		role:   roleServing,
-		events: newEvents(e.cfg.EventDelay),
-		runs:   make(map[string]*run),
+		name:       rand.Text(),
+		terminated: make(chan struct{}),
+		role:       roleServing,
+		events:     newEvents(e.cfg.EventDelay),
+		runs:       make(map[string]*run),
 	}
 	in.cache = newCache(e.cfg.CacheBlocks, func(id blockID, removed bool) {
 		in.events.add(id, removed, e.Faults.Get().DropEventEvery)
@@ -89,8 +90,8 @@
 	return in
 }
 
-// Restart ends the process and starts a new one: a new incarnation with an
-// empty cache. All runs, streams and orders are lost.
+// Restart simulates a restart of the process: it starts a new incarnation with an empty cache. All
+// runs, streams and orders are lost.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,13 +101,13 @@
 
 func (e *Engine) endIncarnation() {
 	select {
-	case <-e.lost:
+	case <-e.terminated:
 	default:
-		close(e.lost)
+		close(e.terminated)
 	}
 }
 
-// Incarnation names the present process.
+// Incarnation returns the id of the current incarnation.
 func (e *Engine) Incarnation() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,7 +122,7 @@
 	e.endIncarnation()
 }
 
-// Handler serves the protocol of enginewire, and the faults on fault.Path.
+// Handler returns a handler for the protocol of enginewire and, at fault.Path, the faults.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+enginewire.PathRuns, e.serveStart)
@@ -136,11 +137,12 @@
 	return e.Faults.Gate(mux, fault.Once("restart", e.Restart))
 }
 
-func refusal(code enginewire.ErrorCode, message string) *enginewire.Error {
+// notRun returns an error for a request that did not run.
+func notRun(code enginewire.ErrorCode, message string) *enginewire.Error {
 	return &enginewire.Error{Code: code, Message: message, NotRun: true}
 }
 
-// statuses are the HTTP statuses of the error codes.
+// statuses maps error codes to HTTP statuses.
 var statuses = map[enginewire.ErrorCode]int{
 	enginewire.ErrNotLoaded:  http.StatusConflict,
 	enginewire.ErrOverloaded: http.StatusTooManyRequests,
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -32,7 +32,7 @@
 	return e
 }
 
-// sink records an answer in memory and when each frame of it came.
+// sink records a response and the time of each frame.
 type sink struct {
 	*httptest.ResponseRecorder
 	mu      sync.Mutex
@@ -61,7 +61,7 @@
 	return out
 }
 
-// call serves a request in memory until it is answered or ctx is cancelled.
+// call serves a request in memory until the response is complete or ctx is cancelled.
 func call[T any](ctx context.Context, e *Engine, method, path string, body T) *sink {
 	s := newSink()
 	serveSink(ctx, e, s, method, path, marshal(body))
@@ -193,7 +193,7 @@
 		faults Faults
 		status int
 		code   enginewire.ErrorCode
-		ran    bool // not_run is not stated
+		ran    bool // not_run is false
 	}{
 		"version":  {req: change(func(r *enginewire.RunRequest) { r.Version = "v2" }), status: 409, code: enginewire.ErrNotLoaded},
 		"adapter":  {req: change(func(r *enginewire.RunRequest) { r.Adapter = "a" }), status: 409, code: enginewire.ErrNotLoaded},
@@ -234,7 +234,7 @@
 	must.LessEq(t, maxAllocations, perToken)
 }
 
-// discard is an answer that nobody reads.
+// discard is a ResponseWriter that discards the response.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
--- a/standin/engine/events.go
+++ b/standin/engine/events.go
@@ -9,48 +9,48 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// keptEvents is how many cache events can still be read.
-const keptEvents = 1 << 16
+// maxRetainedEvents is the number of cache events that are retained for readers.
+const maxRetainedEvents = 1 << 16
 
 type timedEvent struct {
 	enginewire.KVEvent
-	at time.Time // when it is published
+	at time.Time // time of publication
 }
 
-// events numbers the changes of the cache from 1.
+// events is the log of cache changes, numbered from 1.
 type events struct {
-	delay   time.Duration
-	seq     uint64
-	lastAt  time.Time // when the event seq is published, also if it is left out
-	kept    []timedEvent
-	changed chan struct{}
+	delay           time.Duration
+	seq             uint64
+	lastPublishedAt time.Time // publication time of event seq, even if that was dropped
+	retained        []timedEvent
+	changed         chan struct{}
 }
 
 func newEvents(delay time.Duration) *events {
 	return &events{delay: delay, changed: make(chan struct{})}
 }
 
-// add records a change; each dropEvery-th is left out but uses its number.
+// add appends a change. Each dropEvery-th change gets a number, but is dropped.
 func (ev *events) add(id blockID, removed bool, dropEvery uint64) {
 	ev.seq++
-	ev.lastAt = time.Now().Add(ev.delay)
+	ev.lastPublishedAt = time.Now().Add(ev.delay)
 	if dropEvery > 0 && ev.seq%dropEvery == 0 {
 		return
 	}
 	event := enginewire.KVEvent{Seq: ev.seq, Block: id.String(), Removed: removed}
-	ev.kept = append(ev.kept, timedEvent{event, ev.lastAt})
-	if len(ev.kept) > keptEvents {
-		ev.kept = ev.kept[1:]
+	ev.retained = append(ev.retained, timedEvent{event, ev.lastPublishedAt})
+	if len(ev.retained) > maxRetainedEvents {
+		ev.retained = ev.retained[1:]
 	}
 	close(ev.changed)
 	ev.changed = make(chan struct{})
 }
 
-// read returns the published events after since, the number to read on from, and
-// when the next kept event is published; zero if none is pending.
+// read returns the published events after since, the value of since for the next read, and the
+// publication time of the next retained event, which is zero if none is pending.
 func (ev *events) read(since uint64, now time.Time) (out []enginewire.KVEvent, next uint64, pending time.Time) {
 	next = min(since, ev.seq)
-	for _, event := range ev.kept {
+	for _, event := range ev.retained {
 		if event.Seq <= since {
 			continue
 		}
@@ -60,14 +60,13 @@
 		out = append(out, event.KVEvent)
 		next = event.Seq
 	}
-	if !ev.lastAt.After(now) {
+	if !ev.lastPublishedAt.After(now) {
 		next = ev.seq
 	}
 	return out, next, time.Time{}
 }
 
-// serveEvents answers ?since=SEQ&wait_ms=N with the events after since. Next is
-// the since of the next read.
+// serveEvents serves the events after ?since=SEQ, and waits up to wait_ms for the first one.
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	if err != nil {
@@ -90,8 +89,8 @@
 	}
 }
 
-// readEvents also returns a function that waits until there may be more events;
-// it returns false when the deadline has passed or done is closed.
+// readEvents returns the events after since and a function that waits until there may be more. The
+// function returns false if the deadline has passed, done is closed or the incarnation ended.
 func (e *Engine) readEvents(since uint64, deadline time.Time) (enginewire.Events, func(done <-chan struct{}) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,7 +100,7 @@
 	if !pending.IsZero() && pending.Before(deadline) {
 		until = pending
 	}
-	changed, lost, faults := e.events.changed, e.lost, e.Faults.Changed()
+	changed, terminated, faults := e.events.changed, e.terminated, e.Faults.Changed()
 	wait := func(done <-chan struct{}) bool {
 		if !now.Before(deadline) {
 			return false
@@ -112,7 +111,7 @@
 		case <-timer.C:
 		case <-changed:
 		case <-faults:
-		case <-lost:
+		case <-terminated:
 			return false
 		case <-e.closed:
 			return false
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -2,20 +2,19 @@
 
 import "github.com/cherryward/cherryward/standin/fault"
 
-// Faults are the faults of an engine. Counts of 0 are off.
+// Faults are the faults that can be injected. A count of 0 disables a fault.
 type Faults struct {
 	fault.Process
-	// Slow multiplies the time of each step, if above 1.
+	// Slow multiplies the duration of each step if it is greater than 1.
 	Slow float64 `json:"slow"`
-	// RefuseOverloaded refuses every new run as overloaded and not run.
+	// RefuseOverloaded rejects every new run as overloaded and not run.
 	RefuseOverloaded bool `json:"refuse_overloaded"`
-	// FailEvery answers each nth new run with 500, before it starts.
+	// FailEvery fails each nth new run with status 500 before it starts.
 	FailEvery int `json:"fail_every"`
-	// FailAfter ends each stream with an error frame after n of its tokens; the
-	// run is lost.
+	// FailAfter ends each stream with an error frame after n tokens. The run is lost.
 	FailAfter int `json:"fail_after"`
-	// TruncateAfter ends each stream after n of its tokens without an end frame;
-	// the run goes on and can be resumed.
+	// TruncateAfter ends each stream after n tokens without an end frame. The run continues and
+	// can be resumed.
 	TruncateAfter int `json:"truncate_after"`
 	// DuplicateEvery sends each nth frame of a stream twice.
 	DuplicateEvery int `json:"duplicate_every"`
@@ -23,19 +22,20 @@
 	CrossEvery int `json:"cross_every"`
 	// LateEvery sends a frame of an earlier incarnation before each nth frame.
 	LateEvery int `json:"late_every"`
-	// WrongVersion makes the start frame name another weight version.
+	// WrongVersion reports another weight version in the start frame.
 	WrongVersion bool `json:"wrong_version"`
-	// DropEventEvery leaves each nth cache event out: its number is skipped.
+	// DropEventEvery drops each nth cache event; its number is skipped.
 	DropEventEvery uint64 `json:"drop_event_every"`
-	// LoseOrderAnswers drops the connection of each order after its effect.
+	// LoseOrderAnswers drops the connection of each order after its execution.
 	LoseOrderAnswers bool `json:"lose_order_answers"`
-	// WrongExport exports the bytes of another block, with their own checksum.
+	// WrongExport exports the bytes of another block with a matching checksum.
 	WrongExport bool `json:"wrong_export"`
 }
 
 var _ fault.Set = Faults{}
 
-// stopped tells whether the process sends nothing now.
+// stopped reports whether the process is dead or frozen, and so sends nothing.
 func (f Faults) stopped() bool { return f.Dead || f.Frozen }
 
+// nth reports whether n is a positive multiple of every, if every is positive.
 func nth(n, every int) bool { return every > 0 && n > 0 && n%every == 0 }
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -90,7 +90,7 @@
 		must.True(t, start(e, request("c", "four", 1)).dropped)
 		e.Faults.Set(Faults{Process: fault.Process{DelayMS: 70}})
 		e.Restart()
-		must.Eq(t, 71*ms, start(e, request("d", "four", 1)).at[1]) // and 1 ms of prefill
+		must.Eq(t, 71*ms, start(e, request("d", "four", 1)).at[1]) // 70 ms of delay and 1 ms of prefill
 	})
 }
 
--- a/standin/engine/frames.go
+++ b/standin/engine/frames.go
@@ -2,9 +2,9 @@
 
 import "github.com/cherryward/cherryward/api/wire/enginewire"
 
-// base resets the frame for reuse. Frame numbers follow from the offset: the
-// start frame is 0, token i is i+1, the last frame follows the last token.
-func (s *frameWriter) base(kind enginewire.FrameKind, seq int) *enginewire.Frame {
+// resetFrame reinitializes the frame, which is reused. The frame numbers follow from the offset:
+// the start frame is 0, token i is i+1, and the end frame follows the last token.
+func (s *frameWriter) resetFrame(kind enginewire.FrameKind, seq int) *enginewire.Frame {
 	s.frame = enginewire.Frame{
 		Run:         s.run.id,
 		Incarnation: s.run.incarnation,
@@ -15,8 +15,9 @@
 	return &s.frame
 }
 
+// start returns the start frame.
 func (s *frameWriter) start() *enginewire.Frame {
-	f := s.base(enginewire.FrameStart, 0)
+	f := s.resetFrame(enginewire.FrameStart, 0)
 	f.Version = s.run.from.version
 	if s.e.Faults.Get().WrongVersion {
 		f.Version += "-other"
@@ -29,16 +30,16 @@
 	return f
 }
 
-// token writes the next token, and the stray frames that faults put beside it.
+// token writes the next token frame, and the stray frames that the faults add.
 func (s *frameWriter) token(f Faults) {
-	frame := s.base(enginewire.FrameTokens, s.next+1)
+	frame := s.resetFrame(enginewire.FrameTokens, s.next+1)
 	frame.Tokens = 1
 	frame.Text = s.run.word(s.next)
 	if nth(frame.Seq, f.CrossEvery) {
-		s.writeAs(frame, s.run.id+"-other", frame.Incarnation)
+		s.writeStray(frame, s.run.id+"-other", frame.Incarnation)
 	}
 	if nth(frame.Seq, f.LateEvery) {
-		s.writeAs(frame, s.run.id, frame.Incarnation+"-earlier")
+		s.writeStray(frame, s.run.id, frame.Incarnation+"-earlier")
 	}
 	s.write(frame)
 	if nth(frame.Seq, f.DuplicateEvery) {
@@ -47,8 +48,9 @@
 	s.next++
 }
 
-// writeAs writes the frame with another origin and a text that no run has.
-func (s *frameWriter) writeAs(f *enginewire.Frame, run, incarnation string) {
+// writeStray writes a copy of the frame with another run or incarnation and a text that occurs in
+// no run.
+func (s *frameWriter) writeStray(f *enginewire.Frame, run, incarnation string) {
 	stray := *f
 	stray.Run = run
 	stray.Incarnation = incarnation
@@ -56,29 +58,31 @@
 	s.write(&stray)
 }
 
-func (s *frameWriter) last() *enginewire.Frame {
+// finalFrame returns the end frame, or the error frame of a failed run.
+func (s *frameWriter) finalFrame() *enginewire.Frame {
 	if s.run.err != nil {
-		return s.failed(s.run.err)
+		return s.errorFrame(s.run.err)
 	}
-	f := s.base(enginewire.FrameEnd, s.next+1)
+	f := s.resetFrame(enginewire.FrameEnd, s.next+1)
 	f.Blocks = s.run.blocks
 	f.OutputTokens = s.run.maxTokens
 	f.Finish = s.run.finish
 	return f
 }
 
-func (s *frameWriter) failed(err *enginewire.Error) *enginewire.Frame {
+// errorFrame returns an error frame.
+func (s *frameWriter) errorFrame(err *enginewire.Error) *enginewire.Frame {
 	seq := s.next + 1
-	if !s.begun {
+	if !s.started {
 		seq = 0
 	}
-	f := s.base(enginewire.FrameError, seq)
+	f := s.resetFrame(enginewire.FrameError, seq)
 	f.Error = err
 	return f
 }
 
-// write sends one frame as a server-sent event. A failed write means that the
-// client is gone, which the request's context tells.
+// write sends a frame as a server-sent event. Errors are ignored: a write fails only if the client
+// has disconnected, which cancels the request's context.
 func (s *frameWriter) write(f *enginewire.Frame) {
 	s.buf.Reset()
 	s.buf.WriteString("data: ")
--- a/standin/engine/link.go
+++ b/standin/engine/link.go
@@ -11,20 +11,20 @@
 	"golang.org/x/time/rate"
 )
 
-// link bounds the bytes that transfers move per second.
+// link limits the rate of transfers in bytes per second.
 type link struct{ limiter *rate.Limiter }
 
-// maxBurst is the most bytes that a link passes at once.
-const maxBurst = 16 << 10
+// maxBurst is the burst size of a link in bytes.
+const linkBurst = 16 << 10
 
 func newLink(bytesPerSecond int64, timeScale float64) *link {
 	if bytesPerSecond == 0 || timeScale == 0 {
-		return &link{rate.NewLimiter(rate.Inf, maxBurst)}
+		return &link{rate.NewLimiter(rate.Inf, linkBurst)}
 	}
-	return &link{rate.NewLimiter(rate.Limit(float64(bytesPerSecond)/timeScale), maxBurst)}
+	return &link{rate.NewLimiter(rate.Limit(float64(bytesPerSecond)/timeScale), linkBurst)}
 }
 
-// throttled reads no quicker than its links allow.
+// throttled is a reader that is limited to the rates of the engine's link and of its transfer.
 type throttled struct {
 	ctx context.Context
 	e   *Engine
@@ -42,10 +42,10 @@
 	if !t.e.Faults.Wait(t.ctx.Done()) || t.t.ended(t.e) {
 		return 0, errEnded
 	}
-	n, err := t.r.Read(p[:min(len(p), maxBurst)])
+	n, err := t.r.Read(p[:min(len(p), linkBurst)])
 	for _, l := range [...]*link{t.e.link, t.t.limit} {
-		if werr := l.limiter.WaitN(t.ctx, n); werr != nil {
-			return 0, werr
+		if linkErr := l.limiter.WaitN(t.ctx, n); linkErr != nil {
+			return 0, linkErr
 		}
 	}
 	return n, err
@@ -59,8 +59,8 @@
 	return blockID(raw), nil
 }
 
-// blockContent is the exported form of a block: bytes that follow from its id,
-// origin and layout, so that any other block's bytes differ.
+// blockContent returns the exported bytes of a block. They are derived from its id, origin and
+// layout, so the bytes of different blocks differ.
 func (e *Engine) blockContent(id blockID, from origin) []byte {
 	seed := sha256.Sum256(fmt.Appendf(nil, "%s %q %q", id, e.cfg.KVLayout, from))
 	out := make([]byte, e.cfg.blockBytes())
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -8,7 +8,7 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// reportLoad publishes a load report every LoadLag.
+// reportLoad publishes a load report every LoadLag until the engine is closed.
 func (e *Engine) reportLoad() {
 	ticker := time.NewTicker(e.cfg.LoadLag)
 	defer ticker.Stop()
@@ -25,11 +25,11 @@
 func (e *Engine) publishLoad() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.report = e.presentLoad()
+	e.report = e.currentLoad()
 	e.reported = time.Now()
 }
 
-func (e *Engine) presentLoad() enginewire.Load {
+func (e *Engine) currentLoad() enginewire.Load {
 	out := enginewire.Load{
 		Incarnation: e.name,
 		Running:     len(e.batch),
@@ -50,7 +50,7 @@
 	load := e.report
 	load.AgeMS = time.Since(e.reported).Milliseconds()
 	if e.cfg.LoadLag == 0 {
-		load = e.presentLoad()
+		load = e.currentLoad()
 	}
 	load.Role = e.role
 	e.mu.Unlock()
@@ -67,8 +67,8 @@
 	fault.WriteJSON(w, http.StatusOK, state)
 }
 
-// state is exact: EventSeq is the last event that Blocks includes, and a read of
-// events since EventSeq goes on from there.
+// state returns a consistent snapshot: Blocks reflects exactly the events up to EventSeq. e.mu is
+// held.
 func (e *Engine) state() enginewire.State {
 	out := enginewire.State{
 		Incarnation: e.name,
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -15,7 +15,7 @@
 	roleLeaving = "leaving"
 )
 
-// loadedModel is one model, version and adapter in memory, or on its way there.
+// loadedModel is a model, version and adapter that is loaded or being loaded.
 type loadedModel struct {
 	key       modelKey
 	loading   bool
@@ -34,22 +34,22 @@
 	return in.loaded[at]
 }
 
-// serves tells whether new runs of the key are taken.
+// serves reports whether the model is loaded, so that new runs are accepted.
 func (in *incarnation) serves(key modelKey) bool {
 	l := in.lookup(key)
 	return l != nil && !l.loading
 }
 
-// serveOrder answers an order with the state after it. A load is answered as
-// soon as it has begun: State tells when it is through.
+// serveOrder executes an order and responds with the resulting state. The response to a load is
+// sent when loading starts; State reports when it is complete.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order enginewire.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&order); err != nil {
-		writeError(w, refusal(enginewire.ErrBadRequest, err.Error()))
+		writeError(w, notRun(enginewire.ErrBadRequest, err.Error()))
 		return
 	}
 	e.mu.Lock()
-	err := e.obey(order)
+	err := e.applyOrder(order)
 	state := e.state()
 	e.mu.Unlock()
 	if e.Faults.Get().LoseOrderAnswers {
@@ -62,9 +62,10 @@
 	fault.WriteJSON(w, http.StatusOK, state)
 }
 
-func (e *Engine) obey(o enginewire.Order) *enginewire.Error {
+// applyOrder executes an order. e.mu is held.
+func (e *Engine) applyOrder(o enginewire.Order) *enginewire.Error {
 	if e.cfg.CheckFencing && o.Token < e.highToken {
-		return refusal(enginewire.ErrStaleToken, "a newer fencing token was seen")
+		return notRun(enginewire.ErrStaleToken, "a higher fencing token was received")
 	}
 	e.highToken = max(e.highToken, o.Token)
 	key := modelKey{o.Model, o.Version, o.Adapter}
@@ -76,12 +77,12 @@
 	case o.Kind == enginewire.OrderRole && (o.Role == roleServing || o.Role == roleLeaving):
 		e.role = o.Role
 	default:
-		return refusal(enginewire.ErrBadRequest, "unknown kind or role, or no model and version")
+		return notRun(enginewire.ErrBadRequest, "unknown kind or role, or model and version are missing")
 	}
 	return nil
 }
 
-// beginLoad is idempotent: a model that is loaded or loading stays so.
+// beginLoad starts loading a model, unless it is loaded or loading.
 func (e *Engine) beginLoad(key modelKey) {
 	if e.lookup(key) != nil {
 		return
@@ -89,12 +90,12 @@
 	l := newLoadedModel(key, e.cfg.Weights != nil)
 	e.loaded = append(e.loaded, l)
 	if l.loading {
-		go e.finishLoad(l, e.lost)
+		go e.finishLoad(l, e.terminated)
 	}
 }
 
-func (e *Engine) finishLoad(l *loadedModel, lost <-chan struct{}) {
-	if !e.cfg.Weights.load(l.cancelled, lost) {
+func (e *Engine) finishLoad(l *loadedModel, terminated <-chan struct{}) {
+	if !e.cfg.Weights.load(l.cancelled, terminated) {
 		return
 	}
 	e.mu.Lock()
@@ -102,7 +103,8 @@
 	l.loading = false
 }
 
-// unload takes no new runs on the key; the weights stay until their runs end.
+// unload stops accepting new runs of a model. Current runs continue, and the cached blocks are
+// dropped when the last one ends.
 func (e *Engine) unload(key modelKey) {
 	l := e.lookup(key)
 	if l == nil {
@@ -113,8 +115,7 @@
 	e.dropUnloaded(key)
 }
 
-// dropUnloaded frees the cache of weights that were unloaded, once the last run
-// on them is over.
+// dropUnloaded drops the cached blocks of a model that was unloaded, unless a run still uses it.
 func (e *Engine) dropUnloaded(key modelKey) {
 	if e.lookup(key) != nil {
 		return
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -15,37 +15,37 @@
 	phaseEnded
 )
 
-// modelKey names weights that can be loaded.
+// modelKey identifies weights that can be loaded.
 type modelKey struct{ model, version, adapter string }
 
 func (o origin) key() modelKey { return modelKey{o.model, o.version, o.adapter} }
 
-// run is one request. The engine's lock guards it, but for the fields that are
-// set before it is shared and the atomics, which its stream reads.
+// run is one request. It is guarded by the engine's lock, except for the fields that are set before
+// it is shared and the atomics, which its stream reads.
 type run struct {
 	id           string
 	incarnation  string
-	lost         chan struct{} // closed when the incarnation ends
+	terminated   chan struct{} // closed when the incarnation ends
 	from         origin
 	priority     int
 	arrival      uint64
-	deadline     time.Time // to start by; zero is none
+	deadline     time.Time // latest start; zero means none
 	hash         uint64
 	seed         int64
-	firstWord    int // words that Continue already held
+	firstWord    int // number of words in Continue
 	promptTokens int
 	maxTokens    int
 	finish       string
 	chain        *chain
 
-	cached      int // blocks found at the start
-	pinned      int // blocks of the chain that this run pins
-	begun       bool
+	cached      int // prompt blocks that were cached at the start
+	pinned      int // number of blocks of the chain that the run has pinned
+	started     bool
 	prefillLeft int
-	prefillStep int // of prefillLeft, computed in the step that is under way
+	prefillStep int // prompt tokens computed in the current step
 	blocks      []enginewire.Block
 	err         *enginewire.Error
-	reader      chan struct{} // wakes the one attached stream; nil without one
+	reader      chan struct{} // wakes the attached stream; nil if there is none
 
 	phase    atomic.Int32
 	produced atomic.Int32
@@ -55,9 +55,9 @@
 	prompt, err := promptBytes(req)
 	switch {
 	case err != nil:
-		return nil, refusal(enginewire.ErrBadRequest, err.Error())
+		return nil, notRun(enginewire.ErrBadRequest, err.Error())
 	case req.Run == "" || len(prompt) == 0 || req.MaxTokens < 0:
-		return nil, refusal(enginewire.ErrBadRequest, "run and prompt are required, max_tokens must not be negative")
+		return nil, notRun(enginewire.ErrBadRequest, "run and prompt are required, and max_tokens must not be negative")
 	}
 	r := &run{
 		id:           req.Run,
@@ -75,7 +75,7 @@
 		r.finish = "stop"
 	}
 	if r.promptTokens+r.maxTokens > e.cfg.MaxContext {
-		return nil, refusal(enginewire.ErrTooLong, "prompt and output exceed the context")
+		return nil, notRun(enginewire.ErrTooLong, "prompt and output exceed the maximum context")
 	}
 	if req.DeadlineMS > 0 {
 		r.deadline = time.Now().Add(time.Duration(req.DeadlineMS) * time.Millisecond)
@@ -90,7 +90,7 @@
 
 func (r *run) is(p phase) bool { return phase(r.phase.Load()) == p }
 
-// wake tells the attached stream that there is something to send.
+// wake wakes the attached stream, if any, so that it sends new frames.
 func (r *run) wake() {
 	if r.reader == nil {
 		return
@@ -101,36 +101,36 @@
 	}
 }
 
-// begin takes the run into the batch: it looks the prompt up in the cache. The
-// last prompt token is always computed.
+// begin starts a run: it pins the cached prefix of its prompt. The last prompt token is always
+// computed.
 func (e *Engine) begin(r *run) {
-	whole := min(len(r.chain.ids), (r.promptTokens-1)/e.cfg.BlockTokens)
-	r.cached = e.cache.match(r.chain.ids[:whole])
+	full := min(len(r.chain.ids), (r.promptTokens-1)/e.cfg.BlockTokens)
+	r.cached = e.cache.match(r.chain.ids[:full])
 	r.pinned = r.cached
 	e.cache.pin(r.chain.ids[:r.cached], 1)
 	e.cache.touch(r.chain.ids[:r.cached])
 	r.prefillLeft = r.promptTokens - r.cached*e.cfg.BlockTokens
-	r.begun = true
+	r.started = true
 	r.phase.Store(int32(phaseRunning))
 	r.wake()
 }
 
-// keepPrompt puts the prompt's blocks in the cache once they are computed.
-func (e *Engine) keepPrompt(r *run) {
-	held := e.cache.insert(r.chain.ids, r.from)
-	e.cache.pin(r.chain.ids[r.pinned:held], 1)
-	r.pinned = held
+// cachePrompt adds the blocks of the prompt to the cache after prefill.
+func (e *Engine) cachePrompt(r *run) {
+	stored := e.cache.insert(r.chain.ids, r.from)
+	e.cache.pin(r.chain.ids[r.pinned:stored], 1)
+	r.pinned = stored
 }
 
-// complete ends a run that has produced all its tokens.
+// complete ends a run that has produced all its tokens, and caches its output.
 func (e *Engine) complete(r *run) {
 	output := make([]byte, 0, r.maxTokens*tokenBytes)
 	for i := range r.maxTokens {
 		output = append(output, r.word(i)...)
 	}
 	r.chain.write(output)
-	held := e.cache.insert(r.chain.ids, r.from)
-	for i, id := range r.chain.ids[:held] {
+	stored := e.cache.insert(r.chain.ids, r.from)
+	for i, id := range r.chain.ids[:stored] {
 		r.blocks = append(r.blocks, enginewire.Block{
 			ID:       id.String(),
 			EndToken: (i + 1) * e.cfg.BlockTokens,
@@ -140,7 +140,7 @@
 	e.end(r, nil)
 }
 
-// end closes a run in any phase and frees what it holds.
+// end ends a run in any phase and releases its blocks.
 func (e *Engine) end(r *run, err *enginewire.Error) {
 	if r.is(phaseEnded) {
 		return
@@ -150,11 +150,11 @@
 	r.pinned = 0
 	r.phase.Store(int32(phaseEnded))
 	r.wake()
-	e.expireLater(r)
+	e.scheduleExpiry(r)
 	e.dropUnloaded(r.from.key())
 }
 
-// runNow is the whole run without waiting, for a TimeScale of 0.
+// runNow executes a run without waiting, for a TimeScale of 0.
 func (e *Engine) runNow(r *run) {
 	e.begin(r)
 	r.prefillLeft = 0
--- a/standin/engine/sched.go
+++ b/standin/engine/sched.go
@@ -9,23 +9,23 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// submit takes a run into the queue, or says why it does not run.
+// submit queues a run, or returns the reason why it is rejected.
 func (e *Engine) submit(r *run) *enginewire.Error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.sweep(time.Now())
+	e.removeExpired(time.Now())
 	switch {
 	case e.role == roleLeaving:
-		return refusal(enginewire.ErrLeaving, "the engine takes no new runs")
+		return notRun(enginewire.ErrLeaving, "the engine accepts no new runs")
 	case !e.serves(r.from.key()):
-		return refusal(enginewire.ErrNotLoaded, fmt.Sprintf("%+v is not in memory", r.from.key()))
+		return notRun(enginewire.ErrNotLoaded, fmt.Sprintf("%+v is not loaded", r.from.key()))
 	case e.runs[r.id] != nil:
-		return refusal(enginewire.ErrRunExists, "the run id was used before")
+		return notRun(enginewire.ErrRunExists, "the run id was used before")
 	case len(e.waiting) >= e.cfg.MaxWaiting:
-		return refusal(enginewire.ErrOverloaded, "the queue is full")
+		return notRun(enginewire.ErrOverloaded, "the queue is full")
 	}
 	r.incarnation = e.name
-	r.lost = e.lost
+	r.terminated = e.terminated
 	r.arrival = e.arrivals
 	e.arrivals++
 	e.runs[r.id] = r
@@ -35,8 +35,8 @@
 	}
 	at, _ := slices.BinarySearchFunc(e.waiting, r, byUrgency)
 	e.waiting = slices.Insert(e.waiting, at, r)
-	if !e.looping {
-		e.looping = true
+	if !e.loopRunning {
+		e.loopRunning = true
 		go e.loop()
 	}
 	return nil
@@ -49,8 +49,8 @@
 	return int(int64(a.arrival) - int64(b.arrival))
 }
 
-// loop computes steps until there is no work. A step that ends late, by less than
-// its own time, shortens the next one.
+// loop executes steps until there is no work. A step that ends late by less than its duration
+// shortens the next one.
 func (e *Engine) loop() {
 	ends := time.Now()
 	for {
@@ -66,16 +66,16 @@
 			ends = now
 		}
 		ends = ends.Add(d)
-		if !fault.Sleep(e.closed, time.Until(ends)) || !e.awaitProcess() {
+		if !fault.Sleep(e.closed, time.Until(ends)) || !e.waitUntilResumed() {
 			return
 		}
 		e.finishStep()
 	}
 }
 
-// awaitProcess blocks while the process is frozen or dead; it returns false
-// when the engine is closed.
-func (e *Engine) awaitProcess() bool {
+// waitUntilResumed blocks while the process is frozen or dead. It returns false if the engine is
+// closed.
+func (e *Engine) waitUntilResumed() bool {
 	for {
 		changed := e.Faults.Changed()
 		if !e.Faults.Get().stopped() {
@@ -89,16 +89,16 @@
 	}
 }
 
-// planStep fills the batch and returns the time of the next step, or false when
-// there is nothing to compute.
+// planStep fills the batch and returns the duration of the next step, or false if the batch is
+// empty.
 func (e *Engine) planStep() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.sweep(now)
+	e.removeExpired(now)
 	e.admit(now)
 	if len(e.batch) == 0 {
-		e.looping = false
+		e.loopRunning = false
 		return 0, false
 	}
 	budget := e.cfg.BlockTokens
@@ -121,12 +121,13 @@
 	return d
 }
 
+// admit moves runs from the queue to the batch, and ends those whose deadline has passed.
 func (e *Engine) admit(now time.Time) {
 	for len(e.waiting) > 0 && len(e.batch) < e.cfg.MaxRunning {
 		r := e.waiting[0]
 		e.waiting = slices.Delete(e.waiting, 0, 1)
 		if !r.deadline.IsZero() && now.After(r.deadline) {
-			e.end(r, refusal(enginewire.ErrOverloaded, "the deadline passed in the queue"))
+			e.end(r, notRun(enginewire.ErrOverloaded, "the deadline passed in the queue"))
 			continue
 		}
 		e.begin(r)
@@ -134,14 +135,14 @@
 	}
 }
 
-// finishStep gives each run of the batch what the step computed.
+// finishStep advances each run of the batch by one step and removes those that are complete.
 func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch = slices.DeleteFunc(e.batch, e.advance)
 }
 
-// advance moves a run by one step and tells whether it is over.
+// advance advances a run by one step and reports whether it is complete.
 func (e *Engine) advance(r *run) bool {
 	if r.prefillLeft > 0 {
 		r.prefillLeft -= r.prefillStep
@@ -149,7 +150,7 @@
 		if r.prefillLeft > 0 {
 			return false
 		}
-		e.keepPrompt(r)
+		e.cachePrompt(r)
 	}
 	if int(r.produced.Add(1)) == r.maxTokens {
 		e.complete(r)
@@ -159,7 +160,7 @@
 	return false
 }
 
-// abort ends a run that waits or runs.
+// abort ends a waiting or running run with an error.
 func (e *Engine) abort(r *run, err *enginewire.Error) {
 	same := func(other *run) bool { return other == r }
 	e.waiting = slices.DeleteFunc(e.waiting, same)
@@ -167,16 +168,17 @@
 	e.end(r, err)
 }
 
-// expireLater forgets the run after KeepRuns, unless a stream is attached then.
-func (e *Engine) expireLater(r *run) {
+// scheduleExpiry makes the run expire after KeepRuns, unless a stream is attached then.
+func (e *Engine) scheduleExpiry(r *run) {
 	e.expiries = append(e.expiries, expiry{r, time.Now().Add(e.cfg.KeepRuns)})
 }
 
-// sweep cancels and forgets the runs that nobody came back for.
-func (e *Engine) sweep(now time.Time) {
+// removeExpired cancels and removes the expired runs, and the oldest ended ones if more than
+// maxRetainedRuns are retained.
+func (e *Engine) removeExpired(now time.Time) {
 	for len(e.expiries) > 0 {
 		x := e.expiries[0]
-		early := len(e.expiries) > maxKept && x.run.is(phaseEnded)
+		early := len(e.expiries) > maxRetainedRuns && x.run.is(phaseEnded)
 		if now.Before(x.at) && !early {
 			return
 		}
--- a/standin/engine/sched_test.go
+++ b/standin/engine/sched_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/api/wire/enginewire"
 )
 
-// timed is an engine with round figures: 1,000 prompt tokens a second, 20 ms a
-// step and 1 ms more for each further run of the batch.
+// timed configures an engine with round numbers: 1,000 prompt tokens per second, 20 ms per step
+// and 1 ms more for each further run of the batch.
 var timed = Config{
 	TimeScale: 1, PrefillSpeed: 1000, DecodeStep: 20 * time.Millisecond,
 	DecodePerRun: time.Millisecond, BlockTokens: 100, KeepRuns: 10 * time.Second,
@@ -22,8 +22,8 @@
 
 const ms = time.Millisecond
 
-// begin starts a run beside the test; the sink is read after it has ended, or
-// once all of the bubble waits.
+// begin starts a run in a goroutine. The sink must be read only after ended is closed, or while all
+// goroutines of the synctest bubble are blocked.
 func begin(ctx context.Context, e *Engine, req enginewire.RunRequest) (s *sink, ended chan struct{}) {
 	ended = make(chan struct{})
 	s = newSink()
@@ -43,8 +43,8 @@
 		again := start(e, request("b", prompt, 2))
 		must.Eq(t, []time.Duration{0, 50 * ms, 70 * ms, 70 * ms}, again.at)
 		must.Eq(t, 200, again.frames(t)[0].CachedTokens)
-		whole := start(e, request("whole", prompt[:800], 1)) // the last token is always computed
-		must.Eq(t, 100, whole.frames(t)[0].CachedTokens)
+		full := start(e, request("whole", prompt[:800], 1)) // the last token is always computed
+		must.Eq(t, 100, full.frames(t)[0].CachedTokens)
 
 		e.Faults.Set(Faults{Slow: 3})
 		must.Eq(t, 150*ms, start(e, request("c", prompt, 2)).at[1])
@@ -108,8 +108,8 @@
 		}
 		must.Eq(t, enginewire.FrameEnd, tail[34].Kind)
 		must.Eq(t, text(head)[:7*tokenBytes]+text(tail), text(start(e, request("b", "four", 40)).frames(t)))
-		whole := call(t.Context(), e, http.MethodGet, enginewire.PathRun+"a", "").frames(t)
-		must.Eq(t, enginewire.FrameStart, whole[0].Kind)
+		full := call(t.Context(), e, http.MethodGet, enginewire.PathRun+"a", "").frames(t)
+		must.Eq(t, enginewire.FrameStart, full[0].Kind)
 		must.Eq(t, 400, call(t.Context(), e, http.MethodGet, enginewire.PathRun+"a?from=41", "").Code)
 
 		time.Sleep(timed.KeepRuns + time.Second)
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -15,10 +15,10 @@
 func (e *Engine) serveStart(w http.ResponseWriter, r *http.Request) {
 	var req enginewire.RunRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
-		writeError(w, refusal(enginewire.ErrBadRequest, err.Error()))
+		writeError(w, notRun(enginewire.ErrBadRequest, err.Error()))
 		return
 	}
-	if err := e.refuseByFault(); err != nil {
+	if err := e.rejectByFault(); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -33,21 +33,22 @@
 	e.follow(w, r, run, 0)
 }
 
-func (e *Engine) refuseByFault() *enginewire.Error {
+// rejectByFault returns an error if a fault rejects the request.
+func (e *Engine) rejectByFault() *enginewire.Error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.started++
+	e.startRequests++
 	f := e.Faults.Get()
 	if f.RefuseOverloaded {
-		return refusal(enginewire.ErrOverloaded, "overloaded")
+		return notRun(enginewire.ErrOverloaded, "overloaded")
 	}
-	if nth(e.started, f.FailEvery) {
-		return &enginewire.Error{Code: enginewire.ErrInternal, Message: "failed before start"}
+	if nth(e.startRequests, f.FailEvery) {
+		return &enginewire.Error{Code: enginewire.ErrInternal, Message: "failed before the start"}
 	}
 	return nil
 }
 
-// find returns a run that is still held, nil otherwise.
+// find returns a retained run, or nil.
 func (e *Engine) find(id string) *run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,14 +58,14 @@
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	run := e.find(r.PathValue("id"))
 	if run == nil {
-		writeError(w, &enginewire.Error{Code: enginewire.ErrRunUnknown, Message: "no such run is held"})
+		writeError(w, &enginewire.Error{Code: enginewire.ErrRunUnknown, Message: "unknown or expired run"})
 		return
 	}
 	from := 0
 	if v := r.URL.Query().Get("from"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 0 || n > run.maxTokens {
-			writeError(w, &enginewire.Error{Code: enginewire.ErrBadRequest, Message: "from is not an offset of the run"})
+			writeError(w, &enginewire.Error{Code: enginewire.ErrBadRequest, Message: "from is not a valid offset of the run"})
 			return
 		}
 		from = n
@@ -76,25 +77,25 @@
 	e.mu.Lock()
 	run := e.runs[r.PathValue("id")]
 	if run != nil {
-		e.abort(run, &enginewire.Error{Code: enginewire.ErrCancelled, Message: "cancelled", NotRun: !run.begun})
+		e.abort(run, &enginewire.Error{Code: enginewire.ErrCancelled, Message: "cancelled", NotRun: !run.started})
 	}
 	e.mu.Unlock()
 	if run == nil {
-		writeError(w, &enginewire.Error{Code: enginewire.ErrRunUnknown, Message: "no such run is held"})
+		writeError(w, &enginewire.Error{Code: enginewire.ErrRunUnknown, Message: "unknown or expired run"})
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// attach makes the caller the run's one stream; an earlier one is dropped.
-func (e *Engine) attach(r *run) (reader, lost chan struct{}) {
+// attach attaches a stream to the run, which has at most one; the previous one is dropped.
+func (e *Engine) attach(r *run) (reader, terminated chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.reader != nil {
 		close(r.reader)
 	}
 	r.reader = make(chan struct{}, 1)
-	return r.reader, r.lost
+	return r.reader, r.terminated
 }
 
 func (e *Engine) detach(r *run, reader chan struct{}) {
@@ -102,13 +103,13 @@
 	defer e.mu.Unlock()
 	if r.reader == reader {
 		r.reader = nil
-		e.expireLater(r)
+		e.scheduleExpiry(r)
 	}
 }
 
-// follow streams the run's frames from output token from, until its end.
+// follow streams the run's frames, from output token from on, until the run ends.
 func (e *Engine) follow(w http.ResponseWriter, req *http.Request, r *run, from int) {
-	reader, lost := e.attach(r)
+	reader, terminated := e.attach(r)
 	defer e.detach(r, reader)
 	s := newFrameWriter(w, e, r, from)
 	changed := e.Faults.Changed()
@@ -125,7 +126,7 @@
 			changed = e.Faults.Changed()
 		case <-req.Context().Done():
 			return
-		case <-lost:
+		case <-terminated:
 			fault.Drop()
 		case <-e.closed:
 			fault.Drop()
@@ -135,16 +136,16 @@
 
 // frameWriter writes the frames of one stream.
 type frameWriter struct {
-	w     http.ResponseWriter
-	flush *http.ResponseController
-	e     *Engine
-	run   *run
-	from  int
-	next  int // offset of the next token
-	begun bool
-	frame enginewire.Frame
-	buf   bytes.Buffer
-	enc   *json.Encoder
+	w       http.ResponseWriter
+	flush   *http.ResponseController
+	e       *Engine
+	run     *run
+	from    int
+	next    int // offset of the next token
+	started bool
+	frame   enginewire.Frame
+	buf     bytes.Buffer
+	enc     *json.Encoder
 }
 
 func newFrameWriter(w http.ResponseWriter, e *Engine, r *run, from int) *frameWriter {
@@ -157,18 +158,18 @@
 }
 
 func (s *frameWriter) flushNow() {
-	// A failed flush means that the client is gone, which its context tells.
+	// A flush fails only if the client has disconnected, which cancels the request's context.
 	_ = s.flush.Flush()
 }
 
-// send writes all frames that there are and tells whether the stream is over.
+// send writes all available frames and reports whether the stream is complete.
 func (s *frameWriter) send() bool {
 	ended := s.run.is(phaseEnded)
 	if s.e.Faults.Get().stopped() || s.run.is(phaseWaiting) {
 		return false
 	}
-	if !s.begun && s.run.begun {
-		s.begun = true
+	if !s.started && s.run.started {
+		s.started = true
 		s.write(s.start())
 	}
 	for produced := int(s.run.produced.Load()); s.next < produced; {
@@ -184,26 +185,26 @@
 	if !ended {
 		return false
 	}
-	s.write(s.last())
+	s.write(s.finalFrame())
 	return true
 }
 
-// cut applies the faults that end a stream early.
+// cut applies the faults that end a stream early, and reports whether one did.
 func (s *frameWriter) cut(f Faults) bool {
 	sent := s.next - s.from
 	if sent == 0 {
 		return false
 	}
 	if sent == f.FailAfter {
-		s.e.lose(s.run)
-		s.write(s.failed(&enginewire.Error{Code: enginewire.ErrInternal, Message: "failed while running"}))
+		s.e.fail(s.run)
+		s.write(s.errorFrame(&enginewire.Error{Code: enginewire.ErrInternal, Message: "failed while running"}))
 		return true
 	}
 	return sent == f.TruncateAfter
 }
 
-// lose forgets a run that failed.
-func (e *Engine) lose(r *run) {
+// fail ends and removes a run.
+func (e *Engine) fail(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.abort(r, &enginewire.Error{Code: enginewire.ErrInternal, Message: "failed while running"})
--- a/standin/engine/tokens.go
+++ b/standin/engine/tokens.go
@@ -12,14 +12,14 @@
 	"github.com/cherryward/cherryward/api/wire/enginewire"
 )
 
-// tokenBytes is the size of a token: 4 bytes of text are one token, and a token
-// id stands for its 4 bytes in little-endian order. So a next turn that repeats
-// prompt and output as text meets the same blocks.
+// tokenBytes is the size of a token: 4 bytes of text are one token, and a token id is the
+// little-endian value of these bytes. So a next turn that repeats prompt and output as text has the
+// same blocks.
 const tokenBytes = 4
 
-var errTokenID = errors.New("token ids must be from 0 to 4294967295")
+var errTokenID = errors.New("token ids must be between 0 and 4294967295")
 
-// words are the output vocabulary. With the space before it each is one token.
+// words is the output vocabulary. Each word, with the preceding space, is one token.
 var words = [...]string{
 	" ore", " pig", " arc", " cup", " mix", " tap", " rod", " bar",
 	" lot", " ton", " hot", " dry", " red", " old", " new", " low",
@@ -27,7 +27,7 @@
 	" ice", " van", " log", " day", " bay", " key", " tag", " box",
 }
 
-// blockID is a truncated chain hash.
+// blockID is the truncated chained hash of a block.
 type blockID [16]byte
 
 func (b blockID) String() string { return hex.EncodeToString(b[:]) }
@@ -48,24 +48,24 @@
 
 func countTokens(bytes int) int { return (bytes + tokenBytes - 1) / tokenBytes }
 
-// outputHash seeds the output of a prompt.
+// outputHash returns the value that, with the seed, determines the output of a prompt.
 func outputHash(prompt []byte) uint64 {
 	sum := sha256.Sum256(prompt)
 	return binary.LittleEndian.Uint64(sum[:])
 }
 
-// word is output token i: a pure function of prompt, seed and position.
+// word returns output token i, a pure function of prompt, seed and position.
 func word(hash uint64, seed int64, i int) string {
 	var pcg rand.PCG
 	pcg.Seed(hash^uint64(i), uint64(seed))
 	return words[pcg.Uint64()%uint64(len(words))]
 }
 
-// chain hashes the whole blocks of a token sequence as it grows.
+// chain computes the ids of the complete blocks of a growing token sequence.
 type chain struct {
 	hash       hash.Hash
 	blockBytes int
-	filled     int // bytes of the block that is not whole yet
+	filled     int // bytes in the incomplete block
 	ids        []blockID
 }
 
--- a/standin/engine/transfer.go
+++ b/standin/engine/transfer.go
@@ -18,32 +18,33 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// Reasons for which a block is not transferred.
+// Reasons why a block is not transferred.
 var (
 	errNotInMemory = errors.New("the block is not in memory")
 	errOrigin      = errors.New("the block has another version or salt")
-	errNotLoaded   = errors.New("the version is not in memory")
-	errChecksum    = errors.New("the bytes do not have the checksum")
+	errNotLoaded   = errors.New("the version is not loaded")
+	errChecksum    = errors.New("the bytes don't match the checksum")
 	errEnded       = errors.New("the engine process ended")
-	errWrongBlock  = errors.New("the bytes are of another block")
+	errWrongBlock  = errors.New("the bytes belong to another block")
 )
 
-// transfer is one export or import request on its way.
+// transfer is an export or import request in progress.
 type transfer struct {
-	store string
-	limit *link           // of this request alone
-	lost  <-chan struct{} // closed when the process that moves it ends
+	store      string
+	limit      *link           // rate limit of this request
+	terminated <-chan struct{} // closed when the incarnation ends
 }
 
+// moveBlock exports or imports a block.
 type moveBlock func(context.Context, transfer, enginewire.BlockTransfer) (enginewire.TransferResult, error)
 
-// serveTransfer moves the blocks of a request one after the other; each has its
-// own result.
+// serveTransfer returns a handler that transfers the blocks of a request sequentially, with one
+// result per block.
 func (e *Engine) serveTransfer(move moveBlock) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var req enginewire.TransferRequest
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
-			writeError(w, refusal(enginewire.ErrBadRequest, err.Error()))
+			writeError(w, notRun(enginewire.ErrBadRequest, err.Error()))
 			return
 		}
 		ctx := r.Context()
@@ -53,7 +54,7 @@
 			defer cancel()
 		}
 		e.mu.Lock()
-		t := transfer{req.Store, newLink(req.BytesPerSecond, e.cfg.TimeScale), e.lost}
+		t := transfer{req.Store, newLink(req.BytesPerSecond, e.cfg.TimeScale), e.terminated}
 		e.mu.Unlock()
 		var answer enginewire.TransferResponse
 		for _, b := range req.Blocks {
@@ -72,10 +73,10 @@
 	}
 }
 
-// ended tells whether the process that moves the blocks is gone.
+// ended reports whether the incarnation that executes the transfer ended or the process is dead.
 func (t transfer) ended(e *Engine) bool {
 	select {
-	case <-t.lost:
+	case <-t.terminated:
 		return true
 	default:
 		return e.Faults.Get().Dead
@@ -86,8 +87,7 @@
 	return t.store + storewire.PathBlocks + "/" + url.PathEscape(name)
 }
 
-// exportBlock writes a block of the cache to the store; it can't leave the cache
-// meanwhile.
+// exportBlock writes a cached block to the store. The block can't be evicted meanwhile.
 func (e *Engine) exportBlock(ctx context.Context, t transfer, b enginewire.BlockTransfer) (res enginewire.TransferResult, err error) {
 	id, from, release, err := e.hold(b)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return enginewire.TransferResult{Checksum: checksum, Bytes: int64(len(data))}, nil
 }
 
-// hold pins a block in the cache until release is called.
+// hold pins a cached block until release is called.
 func (e *Engine) hold(b enginewire.BlockTransfer) (id blockID, from origin, release func(), err error) {
 	id, err = parseBlockID(b.Block)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return id, entry.from, release, nil
 }
 
-// importBlock reads a block from the store and keeps it only if its bytes are
-// what the request and the block id say.
+// importBlock reads a block from the store. It is cached only if its bytes match the checksum of
+// the request and the block id.
 func (e *Engine) importBlock(ctx context.Context, t transfer, b enginewire.BlockTransfer) (res enginewire.TransferResult, err error) {
 	id, err := parseBlockID(b.Block)
 	if err != nil {
@@ -169,10 +169,10 @@
 	if sum := sha256.Sum256(data); hex.EncodeToString(sum[:]) != b.Checksum {
 		return res, errChecksum
 	}
-	return res, e.keepImport(t, id, b, data)
+	return res, e.cacheImport(t, id, b, data)
 }
 
-func (e *Engine) keepImport(t transfer, id blockID, b enginewire.BlockTransfer, data []byte) error {
+func (e *Engine) cacheImport(t transfer, id blockID, b enginewire.BlockTransfer, data []byte) error {
 	if t.ended(e) {
 		return errEnded
 	}
@@ -199,9 +199,8 @@
 	return err
 }
 
-// WrongBlocks counts the imports whose bytes had the checksum that was asked
-// for but belonged to another block, version or salt. A real engine would have
-// used them.
+// WrongBlocks returns the number of imports whose bytes had the requested checksum but belonged to
+// another block, version or salt. A real engine would have used them.
 func (e *Engine) WrongBlocks() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/transfer_test.go
+++ b/standin/engine/transfer_test.go
@@ -14,7 +14,7 @@
 	"github.com/cherryward/cherryward/standin/store"
 )
 
-// inMemory reaches a store without sockets, so that virtual time passes.
+// inMemory calls a store without sockets, as synctest's virtual time requires.
 type inMemory struct{ h http.Handler }
 
 func (m inMemory) RoundTrip(r *http.Request) (resp *http.Response, err error) {
@@ -44,7 +44,7 @@
 		defer host.Close()
 		cfg := timed
 		cfg.Transport = inMemory{host.Handler()}
-		cfg.BytesPerToken = 1024 // 102,400 bytes a block
+		cfg.BytesPerToken = 1024 // 102,400 bytes per block
 		cfg.LinkBytesPerSecond = 100 * 1024
 		from, to := newEngine(t, cfg), newEngine(t, cfg)
 		prompt := strings.Repeat("abcd", 250)
@@ -57,7 +57,7 @@
 
 		began := time.Now()
 		results := move(t, from, enginewire.PathExport, enginewire.TransferRequest{Blocks: blocks})
-		must.Eq(t, 1840*ms, time.Since(began).Round(ms)) // 200 KiB, the first 16 KiB at once
+		must.Eq(t, 1840*ms, time.Since(began).Round(ms)) // 200 KiB, of which 16 KiB pass at once
 		for i, r := range results {
 			must.True(t, r.OK, must.Sprint(r.Message))
 			must.Eq(t, 100*1024, r.Bytes)
--- a/standin/engine/weights.go
+++ b/standin/engine/weights.go
@@ -11,18 +11,17 @@
 	DefaultParallel = 2
 )
 
-// WeightConfig describes a weight store. Zero fields but TimeScale take the
-// defaults above.
+// WeightConfig configures a weight store. Zero fields other than TimeScale take the defaults above.
 type WeightConfig struct {
-	// LoadTime is how long one load takes while no more than Parallel run.
+	// LoadTime is the duration of a load while at most Parallel loads run.
 	LoadTime time.Duration
-	// Parallel is how many loads run at full speed; more share that rate.
+	// Parallel is the number of loads that run at full speed. More loads share that rate.
 	Parallel int
-	// TimeScale multiplies LoadTime; 0 loads without waiting.
+	// TimeScale multiplies LoadTime; 0 loads immediately.
 	TimeScale float64
 }
 
-// WeightStore is the rate-limited store that several engines load from.
+// WeightStore is a rate-limited store of weights that several engines can share.
 type WeightStore struct {
 	cfg     WeightConfig
 	mu      sync.Mutex
@@ -30,23 +29,23 @@
 	changed chan struct{} // closed when active changes
 }
 
-// NewWeightStore returns a store with no load under way.
+// NewWeightStore returns a store without active loads.
 func NewWeightStore(cfg WeightConfig) *WeightStore {
-	orDefault(&cfg.LoadTime, DefaultLoadTime)
-	orDefault(&cfg.Parallel, DefaultParallel)
+	setDefault(&cfg.LoadTime, DefaultLoadTime)
+	setDefault(&cfg.Parallel, DefaultParallel)
 	return &WeightStore{cfg: cfg, changed: make(chan struct{})}
 }
 
-// load waits until a load is through. It returns false if one of the channels is
-// closed before.
-func (w *WeightStore) load(cancelled, lost <-chan struct{}) bool {
+// load waits for the duration of a load. It returns false if one of the channels is closed
+// before.
+func (w *WeightStore) load(cancelled, terminated <-chan struct{}) bool {
 	w.join(1)
 	defer w.join(-1)
 	left := float64(w.cfg.LoadTime) * w.cfg.TimeScale
 	for left >= 1 {
 		speed, changed := w.speed()
 		began := time.Now()
-		if !waitAny(time.Duration(left/speed), changed, cancelled, lost) {
+		if !waitAny(time.Duration(left/speed), changed, cancelled, terminated) {
 			return false
 		}
 		left -= float64(time.Since(began)) * speed
@@ -62,16 +61,16 @@
 	w.changed = make(chan struct{})
 }
 
-// speed is one load's share of the full speed, until changed is closed.
+// speed returns a load's share of the full speed, which is valid until changed is closed.
 func (w *WeightStore) speed() (float64, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return min(1, float64(w.cfg.Parallel)/float64(w.active)), w.changed
 }
 
-// waitAny waits for d or for changed. It returns false if cancelled or
-// lost was closed.
-func waitAny(d time.Duration, changed, cancelled, lost <-chan struct{}) bool {
+// waitAny waits until d has elapsed or changed is closed. It returns false if cancelled or
+// terminated is closed.
+func waitAny(d time.Duration, changed, cancelled, terminated <-chan struct{}) bool {
 	timer := time.NewTimer(d + 1)
 	defer timer.Stop()
 	select {
@@ -81,7 +80,7 @@
 		return true
 	case <-cancelled:
 		return false
-	case <-lost:
+	case <-terminated:
 		return false
 	}
 }
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,7 +1,7 @@
-// Package fault switches faults of a stand-in while it serves.
+// Package fault injects faults into a stand-in while it is running.
 //
-// A Switch holds one typed set of faults. A change is seen by the next request
-// and by every request that waits on Changed; none is lost or half applied.
+// A Switch holds a typed set of faults. Changes are atomic: a change applies to the next request
+// and wakes every request that waits on Changed.
 package fault
 
 import (
@@ -14,51 +14,51 @@
 	"time"
 )
 
-// Path is the HTTP resource of every stand-in that reads (GET) and changes
-// (POST) its faults. It answers whatever fault is on.
+// Path is the HTTP resource at which each stand-in returns (GET) and changes (POST) its faults.
+// It works regardless of the active faults.
 const Path = "/fault"
 
-// Process is the part of the faults that all stand-ins share.
+// Process holds the faults that all stand-ins have in common.
 type Process struct {
-	Dead    bool  `json:"dead"`     // drop every connection and refuse new requests
-	Frozen  bool  `json:"frozen"`   // hold every request until this is switched off
-	DelayMS int64 `json:"delay_ms"` // wait before each request is handled, milliseconds
+	Dead    bool  `json:"dead"`     // drop all connections and new requests
+	Frozen  bool  `json:"frozen"`   // block all requests until reset
+	DelayMS int64 `json:"delay_ms"` // delay before each request, milliseconds
 }
 
 // Set is a typed set of faults.
 type Set interface{ Common() Process }
 
-// Common returns the shared part, which makes a struct that embeds Process a Set.
+// Common implements Set, also for structs that embed Process.
 func (p Process) Common() Process { return p }
 
 var _ Set = Process{}
 
-// Switch holds the faults that are now on. The zero value has none.
+// Switch holds the active faults. The zero value has none.
 type Switch[F Set] struct {
-	now     atomic.Pointer[F]
-	mu      sync.Mutex // held by changes
+	current atomic.Pointer[F]
+	mu      sync.Mutex // serializes changes
 	changed chan struct{}
 }
 
-// Get returns the faults that are now on.
+// Get returns the active faults.
 func (s *Switch[F]) Get() F {
-	if now := s.now.Load(); now != nil {
-		return *now
+	if current := s.current.Load(); current != nil {
+		return *current
 	}
 	var none F
 	return none
 }
 
-// Set replaces all faults. Set(F{}) switches every fault off.
-func (s *Switch[F]) Set(f F) { s.Update(func(now *F) { *now = f }) }
+// Set replaces all faults. Set(F{}) turns all faults off.
+func (s *Switch[F]) Set(f F) { s.Update(func(current *F) { *current = f }) }
 
-// Update changes the faults in place.
+// Update applies change to the active faults.
 func (s *Switch[F]) Update(change func(*F)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.Get()
 	change(&next)
-	s.now.Store(&next)
+	s.current.Store(&next)
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
@@ -75,8 +75,8 @@
 	return s.changed
 }
 
-// ServeHTTP answers GET with the faults and applies a POST of JSON, which
-// changes only the fields that it names. Unknown fields are refused with 400.
+// ServeHTTP returns the faults as JSON. A POST changes the fields that its JSON body contains and
+// leaves the others; unknown fields are rejected with status 400.
 func (s *Switch[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		next := s.Get()
@@ -91,8 +91,8 @@
 	WriteJSON(w, http.StatusOK, s.Get())
 }
 
-// Wait blocks while the process is frozen. It returns false when the process is
-// dead or done is closed.
+// Wait blocks while the process is frozen. It returns false if the process is dead or done is
+// closed.
 func (s *Switch[F]) Wait(done <-chan struct{}) bool {
 	for {
 		changed := s.Changed()
@@ -111,14 +111,14 @@
 	}
 }
 
-// Action is a fault that happens once, on a POST to Path/Name. An error of Do is
-// answered with 400.
+// Action is a one-time fault, triggered by a POST to Path/Name. An error of Do results in status
+// 400.
 type Action struct {
 	Name string
 	Do   func(query url.Values) error
 }
 
-// Once makes an Action of a function that can't fail.
+// Once returns an Action for a function that can't fail.
 func Once(name string, do func()) Action {
 	return Action{name, func(url.Values) error { do(); return nil }}
 }
@@ -131,8 +131,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Gate serves the faults and actions on Path and puts the Process faults before
-// next.
+// Gate returns a handler that serves the faults and actions at Path, and applies the Process
+// faults to all other requests before it passes them to next.
 func (s *Switch[F]) Gate(next http.Handler, actions ...Action) http.Handler {
 	control := http.NewServeMux()
 	control.Handle(Path, s)
@@ -154,10 +154,10 @@
 	})
 }
 
-// Drop breaks the connection of the request that is being handled.
+// Drop aborts the connection of the current request.
 func Drop() { panic(http.ErrAbortHandler) }
 
-// Sleep waits for d or until done is closed; it tells whether d passed.
+// Sleep waits until d has elapsed or done is closed. It returns true if d has elapsed.
 func Sleep(done <-chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -172,10 +172,10 @@
 	}
 }
 
-// WriteJSON answers a request with status and v as JSON.
+// WriteJSON writes a response with the status and v as JSON.
 func WriteJSON[T any](w http.ResponseWriter, status int, v T) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the client is gone: nobody is left to tell.
+	// A write fails only if the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/standin/fault/fault_test.go
+++ b/standin/fault/fault_test.go
@@ -18,7 +18,7 @@
 
 var ok = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 
-// call returns the status, 0 for a dropped connection.
+// call serves a request and returns the status, or 0 if the connection was dropped.
 func call(h http.Handler, method, path, body string) (status int, answer string) {
 	defer func() {
 		if recover() == http.ErrAbortHandler {
--- a/standin/hostlist/hostlist.go
+++ b/standin/hostlist/hostlist.go
@@ -1,7 +1,6 @@
-// Package hostlist is a stand-in of the platform's list of hosts.
+// Package hostlist is a stand-in for the platform's host list.
 //
-// The list lags: a change is shown only after the lag has passed. Versions that
-// are shown never decrease.
+// Changes become visible after a configured delay. Visible versions never decrease.
 package hostlist
 
 import (
@@ -15,30 +14,30 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// Config describes the list.
+// Config configures the list.
 type Config struct {
-	// Lag is how late a change is shown.
+	// Lag is the delay until a change becomes visible.
 	Lag time.Duration
 }
 
-// Faults are the faults of the list.
+// Faults are the faults that can be injected.
 type Faults struct {
 	fault.Process
-	// ExtraLagMS is added to the lag of changes made from now on, milliseconds.
+	// ExtraLagMS is added to Lag for subsequent changes, milliseconds.
 	ExtraLagMS int64 `json:"extra_lag_ms"`
 }
 
 var _ fault.Set = Faults{}
 
-// change is a version of the list and when it is shown.
+// change is a version of the list and the time at which it becomes visible.
 type change struct {
 	list hostwire.List
 	at   time.Time
 }
 
-// List is the platform's list. Its methods may be called by several goroutines.
+// List is the host list. It is safe for concurrent use.
 type List struct {
-	// Faults switches the list's faults.
+	// Faults holds the active faults.
 	Faults fault.Switch[Faults]
 	cfg    Config
 
@@ -47,20 +46,20 @@
 	pending []change // in order of version
 }
 
-// New returns an empty list, version 0.
+// New returns an empty list with version 0.
 func New(cfg Config) *List { return &List{cfg: cfg} }
 
-// Close does nothing: the list has no goroutines.
+// Close does nothing, as the list has no goroutines.
 func (l *List) Close() {}
 
-// Handler serves the protocol of hostwire, and the faults on fault.Path.
+// Handler returns a handler for the protocol of hostwire and, at fault.Path, the faults.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+hostwire.PathHosts, l.serve)
 	return l.Faults.Gate(mux)
 }
 
-// serve answers a reader that knows the present version with 304.
+// serve returns the visible list, or status 304 if the client has that version.
 func (l *List) serve(w http.ResponseWriter, r *http.Request) {
 	list := l.Shown()
 	tag := hostwire.Tag(list.Version)
@@ -72,7 +71,7 @@
 	fault.WriteJSON(w, http.StatusOK, list)
 }
 
-// Shown returns the list that a reader sees now, hosts in order of id.
+// Shown returns the visible version of the list, with hosts in order of id.
 func (l *List) Shown() hostwire.List {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,6 +79,7 @@
 	return l.shown
 }
 
+// show makes the pending versions visible whose delay has passed. l.mu is held.
 func (l *List) show(now time.Time) {
 	for len(l.pending) > 0 && !now.Before(l.pending[0].at) {
 		l.shown = l.pending[0].list
@@ -87,7 +87,7 @@
 	}
 }
 
-// Set adds a host or replaces the one with its id.
+// Set adds a host, or replaces the one with the same id.
 func (l *List) Set(h hostwire.Host) {
 	l.change(func(hosts []hostwire.Host) []hostwire.Host {
 		at, found := slices.BinarySearchFunc(hosts, h.ID, byID)
@@ -99,7 +99,7 @@
 	})
 }
 
-// Leaving marks a host as leaving. An unknown id is ignored.
+// Leaving sets the state of a host to hostwire.Leaving. Unknown ids are ignored.
 func (l *List) Leaving(id string) {
 	l.change(func(hosts []hostwire.Host) []hostwire.Host {
 		if at, found := slices.BinarySearchFunc(hosts, id, byID); found {
@@ -109,7 +109,7 @@
 	})
 }
 
-// Remove takes a host off the list. An unknown id is ignored.
+// Remove removes a host. Unknown ids are ignored.
 func (l *List) Remove(id string) {
 	l.change(func(hosts []hostwire.Host) []hostwire.Host {
 		return slices.DeleteFunc(hosts, func(h hostwire.Host) bool { return h.ID == id })
@@ -118,7 +118,7 @@
 
 func byID(h hostwire.Host, id string) int { return strings.Compare(h.ID, id) }
 
-// change makes a new version from a copy of the newest one.
+// change adds a version that edit derives from a copy of the newest one.
 func (l *List) change(edit func([]hostwire.Host) []hostwire.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/hostlist/hostlist_test.go
+++ b/standin/hostlist/hostlist_test.go
@@ -39,7 +39,7 @@
 		l.Remove("b")
 		l.Faults.Set(Faults{})
 		a.State = hostwire.Leaving
-		l.Set(hostwire.Host{ID: "c"}) // is shown after the older change
+		l.Set(hostwire.Host{ID: "c"}) // becomes visible after the older change
 		time.Sleep(4 * time.Second)
 		must.Eq(t, hostwire.List{Version: 3, Hosts: []hostwire.Host{a, b}}, shown(t, l))
 		time.Sleep(10 * time.Second)
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -1,8 +1,8 @@
-// Package metastore is a stand-in of the users' platform's metadata store: a log of
-// topics with one partition, some of which keep the newest record of each key.
+// Package metastore is a stand-in for the metadata store of the users' platform. The store holds
+// topics with one partition each; keyed topics retain the newest record of each key.
 //
-// It speaks the part of the published protocol that nodes use: append, read with a
-// wait, and the newest records of a keyed topic.
+// It implements the part of the published protocol that nodes use: append, read with long polling,
+// and listing the newest records of a keyed topic.
 package metastore
 
 import (
@@ -25,12 +25,13 @@
 	headerBytes  = 16
 )
 
-// Faults are switched by tests.
+// Faults are the faults that tests can inject.
 type Faults struct {
-	Down bool // calls are answered 503, and nothing is done
-	// LoseAnswers has appends done and their connection closed without an answer.
+	Down bool // calls are rejected with status 503
+	// LoseAnswers closes the connection of each append after it was executed, without a
+	// response.
 	LoseAnswers bool
-	// Delay is waited before each answer.
+	// Delay is the delay before each call.
 	Delay time.Duration
 }
 
@@ -50,7 +51,7 @@
 }
 
 type newest struct {
-	value  string // in base64, as it is told
+	value  string // in base64, as in responses
 	offset int64
 }
 
@@ -66,15 +67,14 @@
 	s.faults = f
 }
 
-// Calls returns the number of calls of a path so far.
+// Calls returns the number of calls to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Put writes the newest record of a key, as operators and servers do. An empty
-// value removes the key.
+// Put appends a record for a key, as operators and servers do. An empty value deletes the key.
 func (s *Store) Put(name, key string, value []byte) {
 	record := append([]byte{byte(len(key))}, key...)
 	s.mu.Lock()
@@ -82,15 +82,15 @@
 	s.append(name, append(record, value...))
 }
 
-// PutRecord appends a record as it is, also one that names no key: another writer's.
+// PutRecord appends an arbitrary record, which needn't contain a key, as other writers may do.
 func (s *Store) PutRecord(name string, record []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.append(name, record)
 }
 
-// PutUnreadable writes a newest record of a key whose value is told as the text, which may
-// be no base64. In the log stands a record that is cut off.
+// PutUnreadable makes the listing of newest records return text, which may be invalid base64, as
+// the value of a key. A truncated record is appended to the log.
 func (s *Store) PutUnreadable(name, key, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,8 @@
 	s.topic(name).newest[key] = newest{value: text, offset: offset}
 }
 
-// Forget drops the records of a topic, but for the newest of each key.
+// Forget deletes the records of a topic from the log. The newest record of each key stays in the
+// listing.
 func (s *Store) Forget(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,7 @@
 	t.records = nil
 }
 
-// Handler serves the protocol.
+// Handler returns a handler for the protocol.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/log-append", s.serveAppend)
@@ -127,6 +128,7 @@
 	})
 }
 
+// topic returns a topic, which it creates on first use. s.mu is held.
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
@@ -142,16 +144,16 @@
 	offset := t.first + int64(len(t.records))
 	t.records = append(t.records, record)
 	if strings.HasPrefix(name, keyedPrefix) {
-		t.note(record, offset)
+		t.setNewest(record, offset)
 	}
 	close(s.change)
 	s.change = make(chan struct{})
 	return offset
 }
 
-// note takes a record of a keyed topic for the newest of its key. One that is cut off has
-// none.
-func (t *topic) note(record []byte, offset int64) {
+// setNewest makes a record of a keyed topic the newest one of its key. Truncated records, which
+// have no key, are ignored.
+func (t *topic) setNewest(record []byte, offset int64) {
 	if len(record) == 0 || int(record[0]) > len(record)-1 {
 		return
 	}
@@ -244,7 +246,7 @@
 		data = binary.BigEndian.AppendUint32(data, uint32(len(record)))
 		data = append(data, record...)
 	}
-	_, _ = w.Write(data) // a reader that has gone needs no answer
+	_, _ = w.Write(data) // fails only if the client has disconnected
 }
 
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) {
@@ -270,5 +272,5 @@
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
-	_ = json.NewEncoder(w).Encode(v) // a reader that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/standin/metastore/metastore_test.go
+++ b/standin/metastore/metastore_test.go
@@ -11,7 +11,8 @@
 	"github.com/cherryward/cherryward/standin/metastore"
 )
 
-// TestUnreadableRecords holds records of a keyed topic that name no key.
+// TestUnreadableRecords checks that truncated records and invalid values of a keyed topic are
+// stored and returned unchanged.
 func TestUnreadableRecords(t *testing.T) {
 	s := metastore.New()
 	for _, raw := range []string{"", "\x05a", "\xff", "\x01a"} {
--- a/standin/modelserver/answer.go
+++ b/standin/modelserver/answer.go
@@ -29,7 +29,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	s.arrive(id, faults)
+	s.recordArrival(id, faults)
 	if faults.Shed {
 		if faults.Rest != "" {
 			w.Header().Set("Retry-After", faults.Rest)
@@ -41,7 +41,7 @@
 	s.run(w, r, id, version, faults)
 }
 
-// signals returns the headers in which the server tells of itself, in all of its answers.
+// signals returns the headers in which the server reports its state in each response.
 func (f *Faults) signals() map[string]string {
 	headers := make(map[string]string)
 	for name, value := range map[string]string{"Server-Limit": f.Limit, "Server-Leaving": f.Leaving} {
@@ -52,7 +52,7 @@
 	return headers
 }
 
-// signalLines returns the same as lines of an answer that is written by hand.
+// signalLines returns the same headers as lines of a raw HTTP response.
 func (f *Faults) signalLines() string {
 	var lines strings.Builder
 	for name, value := range f.signals() {
@@ -61,28 +61,29 @@
 	return lines.String()
 }
 
-// arrive notes a request that is meant for this server.
-func (s *Server) arrive(id string, faults Faults) {
+// recordArrival records a request that is addressed to this server.
+func (s *Server) recordArrival(id string, faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := Arrival{Request: id, At: time.Now(), Born: s.born, Refused: faults.Shed, Limit: faults.Limit, Leaving: faults.Leaving}
+	a := Arrival{Request: id, At: time.Now(), Born: s.startedMs, Refused: faults.Shed, Limit: faults.Limit, Leaving: faults.Leaving}
 	if faults.Shed {
 		a.Rest = faults.Rest
 	}
 	s.arrivals = append(s.arrivals, a)
 }
 
+// run executes a request and sends the response that the faults select.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, id string, version int64, faults Faults) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the caller broke off
+		return // the client disconnected
 	}
 	s.mu.Lock()
-	s.runs = append(s.runs, Run{Request: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Header: r.Header.Clone(), At: time.Now(), Version: version, Born: s.born})
+	s.runs = append(s.runs, Run{Request: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Header: r.Header.Clone(), At: time.Now(), Version: version, Born: s.startedMs})
 	for entry := range strings.SplitSeq(r.Header.Get("X-Prefix-Hash"), ",") {
 		part, size, _ := strings.Cut(entry, ":")
 		if tokens, err := strconv.Atoi(size); err == nil {
-			s.set([2]string{r.Header.Get("X-Cache-Salt"), part}, tokens)
+			s.setPart([2]string{r.Header.Get("X-Cache-Salt"), part}, tokens)
 		}
 	}
 	s.mu.Unlock()
@@ -93,13 +94,13 @@
 		panic(http.ErrAbortHandler)
 	case faults.Hang:
 		<-r.Context().Done()
-		s.clientLeft()
+		s.recordAbandoned()
 	case faults.LoseAnswer:
 		panic(http.ErrAbortHandler)
 	case faults.Unproven:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case faults.Foreign || faults.Extra:
-		s.answerTwice(w, id, faults)
+		s.writeTwoResponses(w, id, faults)
 	case s.cfg.Model != "" && faults.Unframed:
 		s.streamUnframed(w, r, id, faults)
 	case s.cfg.Model != "" && faults.Status == 0:
@@ -111,15 +112,15 @@
 	}
 }
 
-// answerTwice writes two answers by hand, one of which belongs to another request. The
-// last one says that the connection is closed, which it is: a request that crossed an
-// unannounced close could be neither answered nor repeated.
-func (s *Server) answerTwice(w http.ResponseWriter, id string, faults Faults) {
-	own := s.plainAnswer(id, fmt.Sprintf("%s answers %s", s.cfg.ID, id), faults.Foreign, faults)
-	other := s.plainAnswer("another", "an answer to another request", faults.Extra, faults)
+// writeTwoResponses writes two raw responses, one of which belongs to another request. The last
+// one announces that the connection is closed: a request sent while the connection closes without
+// notice could be neither answered nor retried.
+func (s *Server) writeTwoResponses(w http.ResponseWriter, id string, faults Faults) {
+	own := s.rawResponse(id, fmt.Sprintf("%s answers %s", s.cfg.ID, id), faults.Foreign, faults)
+	other := s.rawResponse("another", "an answer to another request", faults.Extra, faults)
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		panic(err) // servers of this package always can
+		panic(err) // the servers of this package support Hijack
 	}
 	defer conn.Close()
 	if faults.Foreign {
@@ -127,10 +128,10 @@
 	} else {
 		own += other
 	}
-	_, _ = io.WriteString(conn, own) // a reader that has gone needs no answer
+	_, _ = io.WriteString(conn, own) // fails only if the client has disconnected
 }
 
-func (s *Server) plainAnswer(id, body string, last bool, faults Faults) string {
+func (s *Server) rawResponse(id, body string, last bool, faults Faults) string {
 	closing := ""
 	if last {
 		closing = "Connection: close\r\n"
@@ -138,18 +139,18 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal-%s\r\n%s%sContent-Length: %d\r\n\r\n%s", id, s.cfg.ID, closing, faults.signalLines(), len(body), body)
 }
 
-// The formats of an event, by its number.
+// Formats of an event with a given number.
 const (
-	wholeEvent  = "id: %d\ndata: piece %d\n\n"
-	brokenEvent = "id: %d\ndata: bro"
+	eventFormat          = "id: %d\ndata: piece %d\n\n"
+	truncatedEventFormat = "id: %d\ndata: bro"
 )
 
-// streamUnframed writes events by hand, without a length, and closes the connection
-// properly at the end, also where that comes within an event.
+// streamUnframed writes a raw response without a length and closes the connection gracefully at
+// the end, even if the end is within an event.
 func (s *Server) streamUnframed(w http.ResponseWriter, r *http.Request, id string, faults Faults) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		panic(err) // servers of this package always can
+		panic(err) // the servers of this package support Hijack
 	}
 	defer conn.Close()
 	var answer strings.Builder
@@ -157,16 +158,15 @@
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // absent means 0
 	for i := last + 1; i <= s.cfg.Pieces; i++ {
 		if faults.CutAfter != 0 && i > faults.CutAfter {
-			fmt.Fprintf(&answer, brokenEvent, i)
+			fmt.Fprintf(&answer, truncatedEventFormat, i)
 			break
 		}
-		fmt.Fprintf(&answer, wholeEvent, i, i)
+		fmt.Fprintf(&answer, eventFormat, i, i)
 	}
-	_, _ = io.WriteString(conn, answer.String()) // a reader that has gone needs no answer
+	_, _ = io.WriteString(conn, answer.String()) // fails only if the client has disconnected
 }
 
-// stream writes events whose ids rise from 1, or go on after the last one that the
-// caller has.
+// stream writes events with ids from 1, or after Last-Event-Id if the client sends one.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, faults Faults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -174,26 +174,26 @@
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // absent means 0
 	for i := last + 1; i <= s.cfg.Pieces; i++ {
 		if faults.CutAfter != 0 && i > faults.CutAfter {
-			fmt.Fprintf(w, brokenEvent, i)
+			fmt.Fprintf(w, truncatedEventFormat, i)
 			_ = control.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		fmt.Fprintf(w, wholeEvent, i, i)
+		fmt.Fprintf(w, eventFormat, i, i)
 		if control.Flush() != nil {
-			s.clientLeft()
+			s.recordAbandoned()
 			return
 		}
 		select {
 		case <-r.Context().Done():
-			s.clientLeft()
+			s.recordAbandoned()
 			return
 		case <-time.After(s.cfg.Gap):
 		}
 	}
 }
 
-func (s *Server) clientLeft() {
+func (s *Server) recordAbandoned() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left++
+	s.abandoned++
 }
--- a/standin/modelserver/modelserver.go
+++ b/standin/modelserver/modelserver.go
@@ -1,8 +1,8 @@
-// Package modelserver is a stand-in of the users' servers: model servers, which
-// answer prompts by streams of events, and plain ones, which answer at once.
+// Package modelserver is a stand-in for the users' servers: model servers, which respond to
+// prompts with streams of events, and plain servers, which respond with a single body.
 //
-// It speaks the headers of the published protocol, keeps prompt parts by salt and
-// id, takes orders to load weights, and has faults that tests switch.
+// It implements the headers of the published protocol, a cache of prompt parts by salt and id, and
+// orders to load weights. Tests can inject faults.
 package modelserver
 
 import (
@@ -13,113 +13,114 @@
 	"time"
 )
 
-// Faults are switched by tests.
+// Faults are the faults that tests can inject.
 type Faults struct {
-	Shed bool // requests are refused as not run
-	// Rest is what refusals of Shed ask for, in seconds; empty for nothing.
+	Shed bool // requests are rejected as not run
+	// Rest is the Retry-After header of requests rejected by Shed; empty for none.
 	Rest       string
-	LoseAnswer bool // requests run, and the connection is closed without an answer
-	// CutAfter closes a stream after so many events, within the next one; -1 within the first.
+	LoseAnswer bool // requests run, and their connection is closed without a response
+	// CutAfter closes the connection of a stream after this many events, within the next event;
+	// -1 closes it within the first.
 	CutAfter int
-	// Foreign sends an answer to another request before the own one.
+	// Foreign sends a response to another request before that to the request itself.
 	Foreign bool
-	// Extra sends a second answer after the own one.
+	// Extra sends a response to another request after that to the request itself.
 	Extra bool
-	// Unproven answers 503 without saying that the request did not run.
+	// Unproven sends status 503 without the header that states that the request did not run.
 	Unproven bool
-	Status   int // of an answer; 0 means 200
-	Hang     bool
-	// Unframed sends a stream without a length, which ends with its connection.
+	Status   int  // of responses; 0 means 200
+	Hang     bool // requests run and get no response
+	// Unframed sends streams without a length, which end when the connection is closed.
 	Unframed bool
-	// LateOrders leaves orders unanswered and carries them out so much later; 0 means at once.
+	// LateOrders executes orders after this delay, and sends no response; 0 disables it.
 	LateOrders time.Duration
-	// HoldOrders leaves orders without an answer and carries them out at ReleaseOrders.
+	// HoldOrders queues orders until ReleaseOrders is called, and sends no response.
 	HoldOrders bool
-	// Limit is the number of requests in a second that the server says it takes from all nodes together;
-	// empty for none.
+	// Limit is the Server-Limit header, the rate in requests per second that the server reports
+	// as its limit for all nodes together; empty for none.
 	Limit string
-	// Leaving is what the server says of whether it leaves; empty for nothing.
+	// Leaving is the Server-Leaving header, which is 1 if the server is draining; empty for none.
 	Leaving string
-	// EndOn is the end of a path. A request for such a path ends the server that begins to run it.
+	// EndOn is a path suffix. A request whose path has it crashes the server that runs it; empty
+	// disables this.
 	EndOn string
 }
 
-// Config sizes a server.
+// Config configures a server.
 type Config struct {
 	ID      string
 	Service string
 	Zone    string
-	Model   string // empty for a plain server
-	Pieces  int    // events of a stream
-	Gap     time.Duration
-	// End ends the server: nothing listens at its address any more, and its connections are cut.
+	Model   string        // empty for a plain server
+	Pieces  int           // number of events of a stream
+	Gap     time.Duration // between events
+	// End crashes the server: it stops its listener and closes its connections.
 	End func()
 }
 
 // Run is one request that the server ran.
 type Run struct {
-	Request string // its id
+	Request string // request id
 	Method  string
 	Target  string
 	Body    string
 	Header  http.Header
-	At      time.Time // its begin
-	Version int64     // of the weights when it began
-	Born    int64     // start of the server, Unix milliseconds
+	At      time.Time // start of the run
+	Version int64     // of the weights at the start
+	Born    int64     // start time of the server, Unix milliseconds
 }
 
-// Arrival is one request that reached the server and was meant for it, run or refused, with what the server said
-// of itself in its answer.
+// Arrival is a request that reached the server and was addressed to it, whether it ran or was
+// rejected, with the state that the server reported in the response.
 type Arrival struct {
-	Request string // its id
+	Request string // request id
 	At      time.Time
-	Born    int64 // start of the server, Unix milliseconds
+	Born    int64 // start time of the server, Unix milliseconds
 	Refused bool
-	// Limit, Leaving and Rest are as in Faults.
+	// Limit, Leaving and Rest have the same meaning as in Faults.
 	Limit, Leaving, Rest string
 }
 
-// ColdStart is how long a server is cold after it has started again.
+// ColdStart is the time for which a server is cold after a restart.
 const ColdStart = 3 * time.Second
 
-// Server is the service. It is safe for concurrent use.
+// Server is one server. It is safe for concurrent use.
 type Server struct {
 	cfg Config
 
-	mu     sync.Mutex
-	faults Faults
-	born   int64 // Unix milliseconds of its start
-	// restarted is true where it has started anew since.
-	restarted bool
-	epoch     int64 // of its events
-	version   int64
-	orders    int64
-	fence     int64
-	held      []order // orders to carry out later
-	runs      []Run
-	arrivals  []Arrival
-	left      int // requests whose client left
-	parts     map[[2]string]int
-	events    [][]any
+	mu        sync.Mutex
+	faults    Faults
+	startedMs int64 // start time, Unix milliseconds
+	// restarted is true after Restart.
+	restarted  bool
+	epoch      int64 // changes with each restart
+	version    int64
+	orders     int64
+	highToken  int64
+	heldOrders []order // queued by HoldOrders
+	runs       []Run
+	arrivals   []Arrival
+	abandoned  int // requests whose client disconnected
+	parts      map[[2]string]int
+	events     [][]any
 }
 
-// New returns a server with version 1 of its model.
+// New returns a server whose weights have version 1.
 func New(cfg Config) *Server {
-	return &Server{cfg: cfg, born: time.Now().UnixMilli(), epoch: 1, version: 1, parts: make(map[[2]string]int)}
+	return &Server{cfg: cfg, startedMs: time.Now().UnixMilli(), epoch: 1, version: 1, parts: make(map[[2]string]int)}
 }
 
 // ID returns the server's id.
 func (s *Server) ID() string { return s.cfg.ID }
 
-// Restart has the server start anew under its id: it holds and knows nothing of before but the
-// version of its weights. What tests have noted of it stays, and so do held orders, which are on
-// their way.
+// Restart restarts the server under the same id. It loses all state except the version of its
+// weights. The recorded runs and arrivals stay, and so do held orders, which count as in transit.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.born, s.restarted = max(time.Now().UnixMilli(), s.born+1), true
+	s.startedMs, s.restarted = max(time.Now().UnixMilli(), s.startedMs+1), true
 	s.epoch++
-	s.orders, s.fence = 0, 0
+	s.orders, s.highToken = 0, 0
 	s.parts = make(map[[2]string]int)
 	s.events = nil
 }
@@ -131,25 +132,25 @@
 	s.faults = f
 }
 
-// Runs returns the requests that the server ran.
+// Runs returns the requests that ran.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Arrivals returns the requests that reached the server and were meant for it.
+// Arrivals returns the requests that reached the server and were addressed to it.
 func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.arrivals...)
 }
 
-// Left returns the number of requests whose client left before the end.
+// Left returns the number of requests whose client disconnected before the end.
 func (s *Server) Left() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.left
+	return s.abandoned
 }
 
 // Version returns the version of the weights.
@@ -159,7 +160,7 @@
 	return s.version
 }
 
-// Entry returns the server's entry in the registry.
+// Entry returns the server's registry entry for an address and state.
 func (s *Server) Entry(addr, state string) []byte {
 	entry := map[string]any{"service": s.cfg.Service, "address": addr, "zone": s.cfg.Zone, "version": "v1", "slots": 8, "state": state, "cold-left-ms": s.coldLeft().Milliseconds(), "seq": 1, "born": s.Born()}
 	if s.cfg.Model != "" {
@@ -167,33 +168,33 @@
 	}
 	data, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // strings and numbers always encode
+		panic(err) // can't fail for strings and numbers
 	}
 	return data
 }
 
-// coldLeft returns how much longer the server is cold after a restart.
+// coldLeft returns the remaining time for which the server is cold after a restart.
 func (s *Server) coldLeft() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.restarted {
 		return 0
 	}
-	return max(ColdStart-time.Since(time.UnixMilli(s.born)), 0)
+	return max(ColdStart-time.Since(time.UnixMilli(s.startedMs)), 0)
 }
 
-// Born returns the start of the server in Unix milliseconds.
+// Born returns the start time of the server in Unix milliseconds.
 func (s *Server) Born() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born
+	return s.startedMs
 }
 
 func (s *Server) models() []map[string]any {
 	return []map[string]any{{"name": s.cfg.Model, "version": s.Version(), "adapters": []string{}}}
 }
 
-// Handler serves the protocol.
+// Handler returns a handler for the protocol.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/report", s.serveReport)
@@ -206,9 +207,9 @@
 
 func (s *Server) serveReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	orders, born := s.orders, s.born
+	orders, startedMs := s.orders, s.startedMs
 	s.mu.Unlock()
-	writeJSON(w, http.StatusOK, map[string]any{"born": born, "stage": "read_write", "models": s.models(), "busy": false, "seq": orders, "queued": 0, "active": 0})
+	writeJSON(w, http.StatusOK, map[string]any{"born": startedMs, "stage": "read_write", "models": s.models(), "busy": false, "seq": orders, "queued": 0, "active": 0})
 }
 
 func (s *Server) serveEvents(w http.ResponseWriter, r *http.Request) {
@@ -219,9 +220,9 @@
 	}
 	s.mu.Lock()
 	events := append([][]any{}, s.events[min(since, len(s.events)):]...)
-	next, epoch, born := len(s.events), s.epoch, s.born
+	next, epoch, startedMs := len(s.events), s.epoch, s.startedMs
 	s.mu.Unlock()
-	writeJSON(w, http.StatusOK, map[string]any{"born": born, "boot-epoch": epoch, "next": next, "has-gap": false, "events": events, "clock_ms": time.Now().UnixMilli()})
+	writeJSON(w, http.StatusOK, map[string]any{"born": startedMs, "boot-epoch": epoch, "next": next, "has-gap": false, "events": events, "clock_ms": time.Now().UnixMilli()})
 }
 
 func (s *Server) serveFree(w http.ResponseWriter, r *http.Request) {
@@ -235,26 +236,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range request.Parts {
-		s.set(part, 0)
+		s.setPart(part, 0)
 	}
 }
 
-// Keep puts a part into the server's memory.
+// Keep adds a part to the server's cache.
 func (s *Server) Keep(salt, id string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set([2]string{salt, id}, tokens)
+	s.setPart([2]string{salt, id}, tokens)
 }
 
-// Kept returns the number of parts that the server keeps.
+// Kept returns the number of cached parts.
 func (s *Server) Kept() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.parts)
 }
 
-// set changes what is kept of a part. s.mu is held.
-func (s *Server) set(part [2]string, tokens int) {
+// setPart sets the number of cached tokens of a part and records an event. s.mu is held.
+func (s *Server) setPart(part [2]string, tokens int) {
 	if s.parts[part] == tokens {
 		return
 	}
@@ -270,5 +271,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a reader that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/standin/modelserver/order.go
+++ b/standin/modelserver/order.go
@@ -24,58 +24,59 @@
 	late := s.faults.LateOrders
 	switch {
 	case s.faults.HoldOrders:
-		s.held = append(s.held, o)
+		s.heldOrders = append(s.heldOrders, o)
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	case late > 0:
 		s.mu.Unlock()
-		time.AfterFunc(late, func() { s.carryOutLate(&o) })
+		time.AfterFunc(late, func() { s.executeLate(&o) })
 		panic(http.ErrAbortHandler)
 	}
-	status := s.carryOut(&o)
+	status := s.execute(&o)
 	s.mu.Unlock()
 	w.WriteHeader(status)
 }
 
-func (s *Server) carryOutLate(o *order) {
+func (s *Server) executeLate(o *order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carryOut(o) // nobody waits for its status
+	s.execute(o) // the status is not sent
 }
 
-// carryOut loads the weights, if the order holds now, and returns its status. s.mu is held.
-func (s *Server) carryOut(o *order) int {
+// execute loads the weights if the order is valid in the current state, and returns the HTTP
+// status. s.mu is held.
+func (s *Server) execute(o *order) int {
 	switch {
-	case o.Token < s.fence:
+	case o.Token < s.highToken:
 		return http.StatusPreconditionFailed
 	case o.Expected != nil && *o.Expected != s.orders:
 		return http.StatusConflict
 	case o.Version == s.version:
 		return http.StatusOK
 	}
-	s.fence = o.Token
+	s.highToken = o.Token
 	s.orders++
 	s.version = o.Version
 	clear(s.parts)
 	return http.StatusAccepted
 }
 
-// HeldOrders returns the number of orders that wait to be carried out.
+// HeldOrders returns the number of queued orders.
 func (s *Server) HeldOrders() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.held)
+	return len(s.heldOrders)
 }
 
-// ReleaseOrders carries out the first order that was held, and drops the others. It returns the
-// status that it came to, 0 where none was held.
+// ReleaseOrders executes the first queued order and discards the others. It returns the HTTP
+// status of the order, or 0 if none was queued.
 func (s *Server) ReleaseOrders() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.held) == 0 {
+	if len(s.heldOrders) == 0 {
 		return 0
 	}
-	first := s.held[0]
-	s.held = nil
-	return s.carryOut(&first)
+	first := s.heldOrders[0]
+	s.heldOrders = nil
+	return s.execute(&first)
 }
--- a/standin/modelserver/restart_test.go
+++ b/standin/modelserver/restart_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test"
 )
 
-// send gives the server an order and reports whether it was answered.
+// send sends an order and reports whether the server responded.
 func send(s *Server, body string) (answered bool) {
 	defer func() { answered = recover() == nil }()
 	s.Handler().ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/-/order", strings.NewReader(body)))
@@ -25,14 +25,14 @@
 
 func TestRestart(t *testing.T) {
 	s := New(Config{ID: "model-1", Model: "reader"})
-	born := s.born
+	startedMs := s.startedMs
 	test.True(t, send(s, firstOrder))
 	s.Keep("salt", "part", 100)
 	s.Restart()
-	test.Greater(t, born, s.born)
-	test.Eq(t, 2, s.Version()) // the weights stay
+	test.Greater(t, startedMs, s.startedMs)
+	test.Eq(t, 2, s.Version()) // the weights survive a restart
 	test.Eq(t, 0, s.Kept())
-	test.True(t, send(s, secondOrder)) // a lower token, and the count of a new start
+	test.True(t, send(s, secondOrder)) // accepted: the restart reset the fencing token and the order count
 	test.Eq(t, 3, s.Version())
 }
 
--- a/standin/modelserver/signals_test.go
+++ b/standin/modelserver/signals_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSignalsAreInAllAnswers has a server tell of itself in each kind of its answers, also those written by hand: one
-// without would read as the end of a limit.
+// TestSignalsAreInAllAnswers checks that every kind of response, including raw ones, contains the
+// state headers: nodes take a response without Server-Limit as the end of the limit.
 func TestSignalsAreInAllAnswers(t *testing.T) {
 	for name, f := range map[string]Faults{"whole": {}, "unframed": {Unframed: true}, "foreign": {Foreign: true}, "extra": {Extra: true}, "error": {Status: http.StatusInternalServerError}, "refusal": {Shed: true}} {
 		s := New(Config{ID: "s", Model: "m", Pieces: 1})
--- a/standin/platformlog/faults.go
+++ b/standin/platformlog/faults.go
@@ -6,22 +6,23 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// Faults are the faults of the log service.
+// Faults are the faults that can be injected.
 type Faults struct {
 	fault.Process
-	// Outage refuses every call with "unavailable"; nothing takes effect.
+	// Outage rejects every call with "unavailable" and without effect.
 	Outage bool `json:"outage"`
-	// LoseAnswerEvery drops the connection of each append whose offset plus one
-	// is a multiple of it, after the record was written; 1 loses all.
+	// LoseAnswerEvery drops the connection of each append whose offset plus one is a multiple
+	// of it, after the record was written. 1 drops all, 0 none.
 	LoseAnswerEvery int64 `json:"lose_answer_every"`
-	// ReadLagMS hides records that are younger from reads, as a replica does that
-	// lags behind; milliseconds.
+	// ReadLagMS hides records younger than this from reads, like a lagging replica;
+	// milliseconds.
 	ReadLagMS int64 `json:"read_lag_ms"`
 }
 
 var _ fault.Set = Faults{}
 
-func (f Faults) loses(offset int64) bool {
+// losesResponse reports whether the response to the append at offset is lost.
+func (f Faults) losesResponse(offset int64) bool {
 	return f.LoseAnswerEvery > 0 && (offset+1)%f.LoseAnswerEvery == 0
 }
 
--- a/standin/platformlog/platformlog.go
+++ b/standin/platformlog/platformlog.go
@@ -1,7 +1,7 @@
-// Package platformlog is a stand-in of the platform's append-only log service.
+// Package platformlog is a stand-in for the platform's append-only log service.
 //
-// Offsets of a stream grow by one from 0 and are never used twice. A record
-// that was answered stays readable until retention drops it, by count or age.
+// The offsets of a stream start at 0, increase by one and are never reused. An acknowledged record
+// stays readable until retention deletes it by count or age.
 package platformlog
 
 import (
@@ -16,7 +16,7 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxRecordBytes is the largest record that the service takes.
+// MaxRecordBytes is the maximum size of a record.
 const MaxRecordBytes = 64 << 10
 
 // The codes of logwire.Error.
@@ -29,30 +29,30 @@
 
 const (
 	defaultReadMax = 1000
-	maxBodyBytes   = 2 * MaxRecordBytes // base64 and the JSON around it
+	maxBodyBytes   = 2 * MaxRecordBytes // allows for base64 and JSON
 )
 
-// Config describes one log service. Zero fields mean no limit.
+// Config configures a log service. Zero fields mean no limit.
 type Config struct {
-	// KeepRecords and KeepFor bound what a stream retains.
+	// KeepRecords and KeepFor limit the number and age of the records that a stream retains.
 	KeepRecords int
 	KeepFor     time.Duration
-	// AppendsPerSecond is the rate over all streams; Burst how many may come at
-	// once, at least 1.
+	// AppendsPerSecond limits the append rate of all streams together; Burst is the burst size,
+	// at least 1.
 	AppendsPerSecond float64
 	Burst            int
 }
 
-// Log is the service. Its methods may be called by several goroutines.
+// Log is the service. It is safe for concurrent use.
 type Log struct {
-	// Faults switches the service's faults.
+	// Faults holds the active faults.
 	Faults  fault.Switch[Faults]
 	cfg     Config
 	limiter *rate.Limiter
 	streams *streams
 }
 
-// New returns a log service without streams; a stream exists from its first use.
+// New returns a log service without streams. Streams are created on first use.
 func New(cfg Config) *Log {
 	l := &Log{cfg: cfg, limiter: rate.NewLimiter(rate.Inf, 0), streams: newStreams()}
 	if cfg.AppendsPerSecond > 0 {
@@ -64,7 +64,7 @@
 // Close ends all waiting reads. The service must not be used afterwards.
 func (l *Log) Close() { l.streams.close() }
 
-// Handler serves the protocol of logwire, and the faults on fault.Path.
+// Handler returns a handler for the protocol of logwire and, at fault.Path, the faults.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+logwire.PathStreams+"{stream}/records", l.append)
@@ -75,7 +75,7 @@
 func (l *Log) outage(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if l.Faults.Get().Outage {
-			refuse(w, http.StatusServiceUnavailable, codeUnavailable, "the service is down")
+			writeError(w, http.StatusServiceUnavailable, codeUnavailable, "the service is unavailable")
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -88,30 +88,30 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge), len(req.Data) > MaxRecordBytes:
-		refuse(w, http.StatusRequestEntityTooLarge, codeTooLarge, "a record is at most 64 KiB")
+		writeError(w, http.StatusRequestEntityTooLarge, codeTooLarge, "record exceeds 64 KiB")
 		return
 	case err != nil:
-		refuse(w, http.StatusBadRequest, codeBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, codeBadRequest, err.Error())
 		return
 	}
 	if !l.limiter.Allow() {
-		refuse(w, http.StatusTooManyRequests, codeRate, "too many appends a second")
+		writeError(w, http.StatusTooManyRequests, codeRate, "append rate limit exceeded")
 		return
 	}
 	s := l.streams.get(r.PathValue("stream"))
 	offset := s.append(req.Data, time.Now(), l.cfg)
-	if l.Faults.Get().loses(offset) {
+	if l.Faults.Get().losesResponse(offset) {
 		fault.Drop()
 	}
 	fault.WriteJSON(w, http.StatusOK, logwire.AppendResponse{Offset: offset})
 }
 
 func (l *Log) read(w http.ResponseWriter, r *http.Request) {
-	from, err1 := number(r, "from", 0)
-	limit, err2 := number(r, "max", defaultReadMax)
-	wait, err3 := number(r, "wait_ms", 0)
+	from, err1 := queryInt(r, "from", 0)
+	limit, err2 := queryInt(r, "max", defaultReadMax)
+	wait, err3 := queryInt(r, "wait_ms", 0)
 	if err := errors.Join(err1, err2, err3); err != nil {
-		refuse(w, http.StatusBadRequest, codeBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, codeBadRequest, err.Error())
 		return
 	}
 	s := l.streams.get(r.PathValue("stream"))
@@ -124,8 +124,8 @@
 			fault.WriteJSON(w, http.StatusOK, v.answer)
 			return
 		}
-		if v.hidden > 0 {
-			left = min(left, v.hidden)
+		if v.visibleIn > 0 {
+			left = min(left, v.visibleIn)
 		}
 		timer := time.NewTimer(left)
 		select {
@@ -142,14 +142,14 @@
 	}
 }
 
-// interrupt applies the process faults to a read that is already waiting.
+// interrupt applies a change of the faults to a waiting read.
 func (l *Log) interrupt(r *http.Request) {
 	if f := l.Faults.Get(); f.Outage || !l.Faults.Wait(r.Context().Done()) {
 		fault.Drop()
 	}
 }
 
-func number(r *http.Request, name string, def int64) (int64, error) {
+func queryInt(r *http.Request, name string, def int64) (int64, error) {
 	v := r.URL.Query().Get(name)
 	if v == "" {
 		return def, nil
@@ -157,6 +157,6 @@
 	return strconv.ParseInt(v, 10, 64)
 }
 
-func refuse(w http.ResponseWriter, status int, code, message string) {
+func writeError(w http.ResponseWriter, status int, code, message string) {
 	fault.WriteJSON(w, status, logwire.Error{Code: code, Message: message})
 }
--- a/standin/platformlog/platformlog_test.go
+++ b/standin/platformlog/platformlog_test.go
@@ -17,7 +17,7 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// call serves one request in memory. A dropped connection gives status 0.
+// call serves a request in memory. The code is 0 if the connection was dropped.
 func call(l *Log, method, path string, body []byte) (rec *httptest.ResponseRecorder) {
 	rec = httptest.NewRecorder()
 	defer func() {
@@ -73,7 +73,7 @@
 			appendTo(l, "s", []byte("x"))
 			time.Sleep(25 * time.Second)
 		}
-		got := read(t, l, "s", "from=0") // at 125 s: those of 75 and 100 s
+		got := read(t, l, "s", "from=0") // at 125 s: the records of 75 s and 100 s are left
 		must.Eq(t, []int64{3, 5, 2}, []int64{got.First, got.Next, int64(len(got.Records))})
 		must.Eq(t, 204, call(l, http.MethodPost, fault.Path+"/retain?stream=s&offset=4", nil).Code)
 		must.Eq(t, 4, read(t, l, "s", "from=0").First)
--- a/standin/platformlog/stream.go
+++ b/standin/platformlog/stream.go
@@ -16,7 +16,7 @@
 	at   time.Time
 }
 
-// stream is one log: entries[i] has offset first+i.
+// stream is one stream of records. entries[i] has offset first+i.
 type stream struct {
 	mu      sync.Mutex
 	first   int64
@@ -36,14 +36,14 @@
 
 func (s *stream) next() int64 { return s.first + int64(len(s.entries)) }
 
-// retain drops what the limits no longer keep.
+// retain deletes the records that exceed the limits of retention.
 func (s *stream) retain(now time.Time, cfg Config) {
 	drop := 0
 	if cfg.KeepRecords > 0 {
 		drop = max(0, len(s.entries)-cfg.KeepRecords)
 	}
 	if cfg.KeepFor > 0 {
-		drop = max(drop, s.seen(now.Add(-cfg.KeepFor)))
+		drop = max(drop, s.countUntil(now.Add(-cfg.KeepFor)))
 	}
 	s.drop(drop)
 }
@@ -54,25 +54,25 @@
 	s.first += int64(n)
 }
 
-// view is what a read sees.
+// view is the result of a read.
 type view struct {
-	answer  logwire.ReadResponse
-	changed <-chan struct{} // closed by the next append
-	hidden  time.Duration   // until a record that lags is seen; 0 if none does
+	answer    logwire.ReadResponse
+	changed   <-chan struct{} // closed by the next append
+	visibleIn time.Duration   // until the next hidden record becomes visible; 0 if none is hidden
 }
 
-// read returns the records from offset from that are older than lag.
+// read returns up to limit records from offset from on that are at least as old as lag.
 func (s *stream) read(from int64, limit int, lag time.Duration, cfg Config) view {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.retain(now, cfg)
-	seen := s.seen(now.Add(-lag))
+	countUntil := s.countUntil(now.Add(-lag))
 	v := view{changed: s.changed}
-	if seen < len(s.entries) {
-		v.hidden = s.entries[seen].at.Add(lag).Sub(now)
+	if countUntil < len(s.entries) {
+		v.visibleIn = s.entries[countUntil].at.Add(lag).Sub(now)
 	}
-	v.answer = logwire.ReadResponse{First: s.first, Next: s.first + int64(seen)}
+	v.answer = logwire.ReadResponse{First: s.first, Next: s.first + int64(countUntil)}
 	for at := max(from, s.first); at < v.answer.Next && len(v.answer.Records) < limit; at++ {
 		data := s.entries[at-s.first].data
 		v.answer.Records = append(v.answer.Records, logwire.Record{Offset: at, Data: data})
@@ -80,12 +80,12 @@
 	return v
 }
 
-// seen counts the entries that are not younger than newest.
-func (s *stream) seen(newest time.Time) int {
+// countUntil returns the number of entries that were appended at newest or before.
+func (s *stream) countUntil(newest time.Time) int {
 	return sort.Search(len(s.entries), func(i int) bool { return s.entries[i].at.After(newest) })
 }
 
-// streams are created on first use.
+// streams holds the streams by name.
 type streams struct {
 	mu     sync.Mutex
 	byName map[string]*stream
@@ -99,6 +99,7 @@
 	return s
 }
 
+// get returns a stream, which it creates on first use.
 func (s *streams) get(name string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	return st
 }
 
-// Retain drops all records of a stream below offset, as if they were too old.
+// Retain deletes all records of a stream below offset, as if they had expired.
 func (l *Log) Retain(name string, offset int64) {
 	s := l.streams.get(name)
 	s.mu.Lock()
@@ -119,7 +120,7 @@
 	s.drop(int(n))
 }
 
-// retainAction serves Retain as ?stream=NAME&offset=N.
+// retainAction calls Retain with the parameters ?stream=NAME&offset=N.
 func (l *Log) retainAction(q url.Values) error {
 	offset, err := strconv.ParseInt(q.Get("offset"), 10, 64)
 	if err != nil {
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,8 +1,8 @@
-// Package service is a stand-in of a plain HTTP service whose calls may not be
-// repeated: it counts each execution and answers with its number.
+// Package service is a stand-in for a plain HTTP service with calls that must not be retried. It
+// counts the executions of each call and returns the count.
 //
-// Every path and method is served. Executions are counted per method, path and
-// body id, so a call that ran twice shows as a count of 2.
+// It serves all paths and methods. Executions are counted per method, path and body id, so a call
+// that was executed twice has a count of 2.
 package service
 
 import (
@@ -19,32 +19,32 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// HeaderBodyID names the header by which a caller identifies a body.
+// HeaderBodyID is the header in which a caller sends the id of a body.
 const HeaderBodyID = "X-Body-ID"
 
-// PathExecutions answers GET with all counts, as a list of Execution.
+// PathExecutions is the resource of all counts, a JSON array of Execution.
 const PathExecutions = "/executions"
 
 const maxBodyBytes = 64 << 20
 
-// Config describes the service.
+// Config configures the service.
 type Config struct {
-	// ExecuteTime is how long each execution takes.
+	// ExecuteTime is the duration of each execution.
 	ExecuteTime time.Duration
 }
 
-// Faults are the faults of the service.
+// Faults are the faults that can be injected.
 type Faults struct {
 	fault.Process
-	// LoseAnswers drops the connection of each call after it was executed.
+	// LoseAnswers drops the connection of each call after its execution.
 	LoseAnswers bool `json:"lose_answers"`
-	// FailBefore answers 503 before the call is executed.
+	// FailBefore rejects calls with status 503 without executing them.
 	FailBefore bool `json:"fail_before"`
 }
 
 var _ fault.Set = Faults{}
 
-// Call identifies calls that are the same.
+// Call identifies a call. Retries of a call have equal values.
 type Call struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -55,14 +55,14 @@
 	return cmp.Or(cmp.Compare(a.Path, b.Path), cmp.Compare(a.Method, b.Method), cmp.Compare(a.BodyID, b.BodyID))
 }
 
-// Execution tells how often a call was executed.
+// Execution is the number of times that a call was executed.
 type Execution struct {
 	Call
 	Count int `json:"count"`
 }
 
-// Answer is the body of each answer. Execution is 1 for the first execution of
-// the call; Bytes and SHA256 (hex) are those of the body as it came.
+// Answer is the body of each response. Execution is 1 for the first execution of the call; Bytes
+// and SHA256 (hex) are the length and hash of the request body.
 type Answer struct {
 	Call
 	Execution int    `json:"execution"`
@@ -70,9 +70,9 @@
 	SHA256    string `json:"sha256"`
 }
 
-// Service is one service host. Its methods may be called by several goroutines.
+// Service is one service host. It is safe for concurrent use.
 type Service struct {
-	// Faults switches the service's faults.
+	// Faults holds the active faults.
 	Faults fault.Switch[Faults]
 	cfg    Config
 	closed chan struct{}
@@ -81,15 +81,15 @@
 	counts map[Call]int
 }
 
-// New returns a service that has executed nothing.
+// New returns a service without executions.
 func New(cfg Config) *Service {
 	return &Service{cfg: cfg, closed: make(chan struct{}), counts: make(map[Call]int)}
 }
 
-// Close drops the calls that are under way.
+// Close drops the calls in progress.
 func (s *Service) Close() { s.once.Do(func() { close(s.closed) }) }
 
-// Handler serves all paths; PathExecutions and fault.Path are the stand-in's own.
+// Handler returns a handler for all paths. PathExecutions and fault.Path are reserved.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathExecutions, s.list)
@@ -112,8 +112,8 @@
 	fault.WriteJSON(w, http.StatusOK, s.Executions())
 }
 
-// execute runs a call once its body is whole; a call whose body breaks off is
-// not executed.
+// execute executes a call once its body is complete. A call with a truncated body is not
+// executed.
 func (s *Service) execute(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -15,7 +15,7 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// post serves a request in memory; a dropped connection gives code 0.
+// post serves a request in memory. The code is 0 if the connection was dropped.
 func post(ctx context.Context, s *Service, path, id, body string) (rec *httptest.ResponseRecorder) {
 	rec = httptest.NewRecorder()
 	defer func() {
@@ -36,7 +36,7 @@
 		faults Faults
 		id     string
 		status int
-		count  int // of id, after the call
+		count  int // count of id after the call
 	}{
 		{Faults{}, "x", 200, 1},
 		{Faults{}, "x", 200, 2},
--- a/standin/site/foreign.go
+++ b/standin/site/foreign.go
@@ -7,8 +7,9 @@
 	"sync/atomic"
 )
 
-// Foreign is another writer of the site's store. What it writes names no server to use, but
-// for its own address, at which it counts the calls that come all the same.
+// Foreign is another process that writes to the site's metadata store. None of its entries
+// describes a usable server. They contain its own address, at which it counts the calls that
+// nodes make nevertheless.
 type Foreign struct {
 	site  *Site
 	addr  string
@@ -17,7 +18,7 @@
 
 func newForeign(s *Site) (*Foreign, error) {
 	f := &Foreign{site: s}
-	at, err := s.serveAnew(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	at, err := s.serveNewPort(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		f.calls.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
@@ -34,8 +35,8 @@
 		`"cold-left-ms":0,"stage":"read_write","models":[{"name":%q,"version":1,"adapters":[]}],"seq":1}`, service, f.addr, Model)
 }
 
-// Entries returns entries that name no server to use: of a service that is not configured, with
-// fields missing or of other types, and bytes that can't be read.
+// Entries returns unusable entries: for services that are not configured, with missing fields or
+// fields of the wrong type, and bytes that can't be decoded.
 func (f *Foreign) Entries() []string {
 	engine := f.entry("models")
 	list := []string{
@@ -57,8 +58,8 @@
 	return list
 }
 
-// Write writes all entries under keys of its own and those of the given model servers, and
-// records that can't be read to the topics of the operator and the servers.
+// Write writes all entries under separate keys and under the keys of the given model servers, and
+// appends invalid records to the topics of the operator and the servers.
 func (f *Foreign) Write(overwritten ...int) {
 	store := f.site.Store
 	for i, entry := range f.Entries() {
--- a/standin/site/operator.go
+++ b/standin/site/operator.go
@@ -6,21 +6,22 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// coldPerSecond is the number of requests a second that a cold model server stands.
+// coldPerSecond is the number of requests per second that a cold model server can handle.
 const coldPerSecond = 18
 
-// ZoneAside is the failure domain of the last model server; all else is in another one.
+// ZoneAside is the failure domain of the last model server. All other servers and the nodes are in
+// another one.
 const ZoneAside = "east"
 
 // zoneOf returns the failure domain of the i-th model server.
 func zoneOf(i int) string {
-	if i == models-1 {
+	if i == modelServers-1 {
 		return ZoneAside
 	}
 	return "north"
 }
 
-// Configure writes a version of the configuration in which the account has the keys.
+// Configure writes a version of the configuration, with the given API keys of the account.
 func (s *Site) Configure(version int64, keys ...string) {
 	route := func(prefix, kind, service string, attempts int, resumable bool) map[string]any {
 		return map[string]any{
@@ -47,15 +48,15 @@
 				"cold-start-s": modelserver.ColdStart.Seconds(), "cold-per-s": coldPerSecond,
 			},
 			map[string]any{"name": "plain", "health-path": "/healthz", "max-connections": 100},
-			map[string]any{"name": "keep", "kv-store-addr": s.keepAddr, "zone": "north", "kv-capacity-tokens": 100000, "link-mbps": 3e5, "managed": true, "first_ms": 0.5},
+			map[string]any{"name": "keep", "kv-store-addr": s.kvStoreAddr, "zone": "north", "kv-capacity-tokens": 100000, "link-mbps": 3e5, "managed": true, "first_ms": 0.5},
 		},
 		"limits":  map[string]any{"max-header-bytes": 16384, "max-body-bytes": 1 << 20, "header-timeout-ms": 3000, "idle-timeout-ms": 15000},
 		"tenants": []any{map[string]any{"name": Account, "api-keys": keys, "priority": 1}},
 	})
 }
 
-// Evacuate has the operator ask that nothing more be sent to the servers of a failure domain, or take
-// that back.
+// Evacuate writes or, if inForce is false, deletes the operator's order to evacuate a failure
+// domain. While it is in force, nodes must not send requests to the servers of the domain.
 func (s *Site) Evacuate(zone string, inForce bool) {
 	key := "evacuate/" + zone
 	if inForce {
@@ -65,7 +66,7 @@
 	s.Store.Put("keyed.op", key, nil)
 }
 
-// NameVersion writes the version of the model's weights that the operator wants.
+// NameVersion writes the target version of the model's weights.
 func (s *Site) NameVersion(version int64) {
 	s.put("keyed.op", "version/"+Model, map[string]any{"model": Model, "version": version})
 }
@@ -73,7 +74,7 @@
 func (s *Site) put(topic, key string, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // maps of strings and numbers always encode
+		panic(err) // can't fail for maps of strings and numbers
 	}
 	s.Store.Put(topic, key, data)
 }
--- a/standin/site/restart.go
+++ b/standin/site/restart.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// While a server is away, the system may give its port to a connection of another process. It is
-// waited for so long, looking so often.
+// While a server is down, the operating system may assign its port to a connection of another
+// process. Listening is retried at this interval until the timeout.
 const (
-	portTime  = 20 * time.Second
-	portPause = 20 * time.Millisecond
+	portTimeout       = 20 * time.Second
+	portRetryInterval = 20 * time.Millisecond
 )
 
-// end has the server crash: it says nothing more, and its entry stays until it starts again.
-func (s *server) end() {
+// crash closes the server's listener and connections. Its registry entry stays.
+func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = ""
 	s.at.close()
 }
 
-// Up reports whether the i-th model server is there.
+// Up reports whether the i-th model server is running.
 func (s *Site) Up(i int) bool {
 	s.servers[i].mu.Lock()
 	defer s.servers[i].mu.Unlock()
 	return s.servers[i].state == stateReady
 }
 
-// Restart has the i-th model server crash, which cuts its connections, and start again under its
-// id, as modelserver.Server.Restart says. It comes back at the address that it had, or at another
-// one where moves is true. Nothing but its next entry tells.
+// Restart crashes the i-th model server, which closes its connections, and restarts it under the
+// same id; see modelserver.Server.Restart. It listens at the same address, or at another one if
+// moves is true. Only its next registry entry reports the restart.
 func (s *Site) Restart(i int, moves bool) error {
 	server := s.servers[i]
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	before := server.at
-	before.close()
+	previous := server.at
+	previous.close()
 	server.Restart()
-	at, err := s.listenAgain(before, moves, server.Handler())
+	at, err := s.relisten(previous, moves, server.Handler())
 	if err != nil {
 		return err
 	}
@@ -49,24 +49,25 @@
 	return nil
 }
 
-func (s *Site) listenAgain(before listener, moves bool, h http.Handler) (listener, error) {
+func (s *Site) relisten(previous listener, moves bool, h http.Handler) (listener, error) {
 	if moves {
 		return s.listen(h)
 	}
-	l, err := ListenAgain(before.own)
+	l, err := ListenAgain(previous.own)
 	if err != nil {
 		return listener{}, err
 	}
 	at := s.serve(l, h)
-	at.addr = before.addr
+	at.addr = previous.addr
 	return at, nil
 }
 
-// ListenAgain listens at an address that was listened at before.
+// ListenAgain listens at an address that was in use before. It retries for up to portTimeout while
+// the address is in use by another socket.
 func ListenAgain(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
-	for limit := time.Now().Add(portTime); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(limit); {
-		time.Sleep(portPause)
+	for limit := time.Now().Add(portTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(limit); {
+		time.Sleep(portRetryInterval)
 		l, err = net.Listen("tcp", addr)
 	}
 	return l, err
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -1,6 +1,6 @@
-// Package site is a stand-in of a whole deployment of the users' platform on
-// loopback: its metadata store, three model servers, a plain server, a store of KV
-// cache, and the operator who configures them.
+// Package site is a stand-in for a deployment of the users' platform on the loopback interface:
+// the metadata store, three model servers, a plain server, a store of KV cache, and the operator's
+// configuration.
 package site
 
 import (
@@ -17,40 +17,41 @@
 )
 
 const (
-	// Host and the paths are those of the configured routes.
+	// Host and the paths of the configured routes.
 	Host        = "office.example"
-	PathSummary = "/summary/" // streams, not resumable
-	PathQuery   = "/query/"   // streams, resumable
+	PathSummary = "/summary/" // streaming, not resumable
+	PathQuery   = "/query/"   // streaming, resumable
 	PathLookup  = "/lookup/"  // idempotent
 	PathUpload  = "/upload/"  // not idempotent
 
-	// Model is the name of the served model, Account that of the client account.
+	// Model is the name of the served model, Account the name of the client account.
 	Model   = "reader"
 	Account = "yard"
 
-	// Pieces is the number of events of a whole stream.
+	// Pieces is the number of events of a complete stream.
 	Pieces = 8
 
-	models     = 3
-	headerTime = 5 * time.Second
+	modelServers      = 3
+	readHeaderTimeout = 5 * time.Second
 
-	registry = "keyed.servers" // the topic of the servers' entries
+	registryTopic = "keyed.servers" // topic of the servers' entries
 
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// Config sizes a site.
+// Config configures a site.
 type Config struct {
-	Beat time.Duration // between the servers' entries in the registry
-	Gap  time.Duration // between the events of a stream
-	// IP is where all stand-ins and nodes listen; empty for 127.0.0.1. Sites with an address each on the
-	// same host don't get one another's ports.
+	Beat time.Duration // interval of the servers' registry entries
+	Gap  time.Duration // interval of the events of a stream
+	// IP is the address at which all stand-ins and nodes listen; empty means 127.0.0.1. Sites on the
+	// same host that use different addresses don't reuse each other's ports.
 	IP string
-	// Proxy returns the address that others are told in place of a stand-in's own;
-	// nil leaves them.
+	// Proxy returns the address that is published in place of a stand-in's own address. If it is
+	// nil, the own addresses are published.
 	Proxy func(addr string) (string, error)
-	// Ended is told that the i-th model server ends, before its connections are cut. Nil for nothing.
+	// Ended, if not nil, is called when the i-th model server crashes, before its connections are
+	// closed.
 	Ended func(i int)
 }
 
@@ -60,40 +61,41 @@
 	Models []*modelserver.Server
 	Plain  *modelserver.Server
 	Keep   *modelserver.Server // the store of KV cache
-	// Foreign writes to the store when a test has it do so.
+	// Foreign writes invalid records to the metadata store at the request of tests.
 	Foreign *Foreign
 
-	ip                  string
-	storeAddr, keepAddr string
-	servers             []*server
-	ctx                 context.Context // ends with Close
-	proxy               func(addr string) (string, error)
-	ended               func(i int)
-	stop                context.CancelFunc
-	wg                  sync.WaitGroup
+	ip                     string
+	storeAddr, kvStoreAddr string
+	servers                []*server
+	ctx                    context.Context // cancelled by Close
+	proxy                  func(addr string) (string, error)
+	onCrash                func(i int)
+	stop                   context.CancelFunc
+	wg                     sync.WaitGroup
 }
 
-// server is a server of the site with its entry in the registry.
+// server is a server of the site that is listed in the registry.
 type server struct {
 	*modelserver.Server
 	id string
 
 	mu    sync.Mutex
 	at    listener
-	state string // empty once it is gone
+	state string // empty after a crash or removal
 }
 
-// listener is where a server is reached.
+// listener holds the addresses of a server.
 type listener struct {
-	own   string // address of the server itself
-	addr  string // that others are told
-	close func() // cuts all connections
+	own   string // address that the server listens at
+	addr  string // published address
+	close func() // closes the listener and all connections
 }
 
-// Start starts a site whose servers are registered and which is not configured yet.
+// Start starts a site. When it returns, all servers are registered; the configuration must be
+// written with Configure.
 func Start(c Config) (*Site, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Site{ip: cmp.Or(c.IP, "127.0.0.1"), Store: metastore.New(), ctx: ctx, stop: cancel, proxy: c.Proxy, ended: c.Ended}
+	s := &Site{ip: cmp.Or(c.IP, "127.0.0.1"), Store: metastore.New(), ctx: ctx, stop: cancel, proxy: c.Proxy, onCrash: c.Ended}
 	store, err := s.listen(s.Store.Handler())
 	if err != nil {
 		return nil, err
@@ -106,8 +108,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s.storeAddr, s.keepAddr = store.addr, keep.addr
-	for i := range models {
+	s.storeAddr, s.kvStoreAddr = store.addr, keep.addr
+	for i := range modelServers {
 		cfg := modelserver.Config{ID: fmt.Sprint("model-", i+1), Service: "models", Zone: zoneOf(i), Model: Model, Pieces: Pieces, Gap: c.Gap}
 		added, err := s.add(cfg)
 		if err != nil {
@@ -119,7 +121,7 @@
 		return nil, err
 	}
 	s.register()
-	s.wg.Go(func() { s.beat(ctx, c.Beat) })
+	s.wg.Go(func() { s.heartbeat(ctx, c.Beat) })
 	return s, nil
 }
 
@@ -127,10 +129,10 @@
 	added := &server{id: cfg.ID, state: stateReady}
 	i := len(s.servers)
 	cfg.End = func() {
-		if s.ended != nil {
-			s.ended(i)
+		if s.onCrash != nil {
+			s.onCrash(i)
 		}
-		added.end()
+		added.crash()
 	}
 	added.Server = modelserver.New(cfg)
 	at, err := s.listen(added.Handler())
@@ -142,17 +144,17 @@
 	return added.Server, nil
 }
 
-// listen serves at a port of its own, which others reach by the proxy.
+// listen serves at a new port, which is published through the proxy if there is one.
 func (s *Site) listen(h http.Handler) (listener, error) {
-	at, err := s.serveAnew(h)
+	at, err := s.serveNewPort(h)
 	if err == nil && s.proxy != nil {
 		at.addr, err = s.proxy(at.own)
 	}
 	return at, err
 }
 
-// serveAnew serves at a port that nobody has.
-func (s *Site) serveAnew(h http.Handler) (listener, error) {
+// serveNewPort serves at an unused port.
+func (s *Site) serveNewPort(h http.Handler) (listener, error) {
 	l, err := net.Listen("tcp", s.ip+":0")
 	if err != nil {
 		return listener{}, err
@@ -160,10 +162,10 @@
 	return s.serve(l, h), nil
 }
 
-// serve serves at an address until it is closed, or the site is.
+// serve serves at an address until the listener or the site is closed.
 func (s *Site) serve(l net.Listener, h http.Handler) listener {
-	served := &http.Server{Handler: h, ReadHeaderTimeout: headerTime}
-	s.wg.Go(func() { _ = served.Serve(l) }) // ends with Close
+	served := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
+	s.wg.Go(func() { _ = served.Serve(l) }) // cancelled by Close
 	context.AfterFunc(s.ctx, func() { _ = served.Close() })
 	own := l.Addr().String()
 	return listener{own: own, addr: own, close: func() { _ = served.Close() }}
@@ -175,8 +177,8 @@
 	s.wg.Wait()
 }
 
-// beat writes the servers' entries until ctx is done.
-func (s *Site) beat(ctx context.Context, every time.Duration) {
+// heartbeat writes the servers' entries periodically until ctx is done.
+func (s *Site) heartbeat(ctx context.Context, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for {
@@ -189,24 +191,24 @@
 	}
 }
 
-// register writes the entry of each server that is there.
+// register writes the entry of each running server.
 func (s *Site) register() {
 	for _, server := range s.servers {
 		server.mu.Lock()
 		if server.state != "" {
-			s.Store.Put(registry, server.id, server.Entry(server.at.addr, server.state))
+			s.Store.Put(registryTopic, server.id, server.Entry(server.at.addr, server.state))
 		}
 		server.mu.Unlock()
 	}
 }
 
-// Drain has the i-th model server report that it leaves.
+// Drain makes the i-th model server report the state draining.
 func (s *Site) Drain(i int) { s.setState(i, stateDraining) }
 
-// Remove takes the i-th model server's entry away.
+// Remove deletes the registry entry of the i-th model server.
 func (s *Site) Remove(i int) {
 	s.setState(i, "")
-	s.Store.Put(registry, s.servers[i].id, nil)
+	s.Store.Put(registryTopic, s.servers[i].id, nil)
 }
 
 func (s *Site) setState(i int, state string) {
@@ -215,8 +217,8 @@
 	s.servers[i].state = state
 }
 
-// Request returns a client's request to a node. session is the shared part of a
-// prompt; empty for plain requests.
+// Request returns a client's request to a node. session is the id of the part that the prompts of
+// a session share; it is empty for plain requests.
 func Request(ctx context.Context, node, method, path, key, id, session string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, nil)
 	if err != nil {
--- a/standin/store/blocks.go
+++ b/standin/store/blocks.go
@@ -16,31 +16,31 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// linkBurst is the most bytes that the link passes at once.
+// linkBurst is the burst size of the link in bytes.
 const linkBurst = 16 << 10
 
 var (
-	errBroken = errors.New("the write broke off")
-	errClosed = errors.New("the host is gone")
+	errTruncated = errors.New("the block was truncated")
+	errStopped   = errors.New("the store host stopped")
 )
 
-// putBlock takes a block whose length is given. It answers 201 with its info, or
-// refuses; a write that ends otherwise leaves an incomplete block.
+// putBlock stores a block of known length and responds with status 201 and its info. A write that
+// is interrupted or fails the checksum leaves an incomplete block.
 func (s *Store) putBlock(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength < 0 {
-		refuse(w, storewire.ErrBadRequest, "a block needs a Content-Length")
+		writeError(w, storewire.ErrBadRequest, "Content-Length is required")
 		return
 	}
 	b, c, code := s.reserve(r.PathValue("name"), r.ContentLength)
 	if code != "" {
-		refuse(w, code, "the block can't be written")
+		writeError(w, code, "can't write the block")
 		return
 	}
 	data, err := s.receive(r)
 	sum := sha256.Sum256(data)
 	checksum := hex.EncodeToString(sum[:])
-	stated := r.Header.Get(storewire.HeaderChecksum)
-	valid := stated == "" || stated == checksum
+	expected := r.Header.Get(storewire.HeaderChecksum)
+	valid := expected == "" || expected == checksum
 	s.mu.Lock()
 	b.data = data
 	b.checksum = checksum
@@ -54,31 +54,31 @@
 		fault.Drop()
 	}
 	if !valid {
-		refuse(w, storewire.ErrChecksum, "the bytes have checksum "+checksum)
+		writeError(w, storewire.ErrChecksum, "checksum mismatch: the bytes have checksum "+checksum)
 		return
 	}
 	fault.WriteJSON(w, http.StatusCreated, info)
 }
 
-// reserve also returns the contents that the block belongs to, which a rollback
-// replaces.
+// reserve reserves a name and space for a block. It also returns the contents that the block
+// belongs to, since a rollback replaces those of the store.
 func (s *Store) reserve(name string, size int64) (*block, *contents, storewire.ErrorCode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, used := s.now.used[name]; used {
+	if _, used := s.current.usedNames[name]; used {
 		return nil, nil, storewire.ErrExists
 	}
 	if s.Faults.Get().Full {
 		return nil, nil, storewire.ErrFull
 	}
-	b := s.now.reserve(name, size, s.cfg)
+	b := s.current.reserve(name, size, s.cfg)
 	if b == nil {
 		return nil, nil, storewire.ErrFull
 	}
-	return b, s.now, ""
+	return b, s.current, ""
 }
 
-// receive returns the bytes that came, and an error if some did not.
+// receive returns the received bytes, and an error if the body is incomplete.
 func (s *Store) receive(r *http.Request) ([]byte, error) {
 	var body io.Reader = r.Body
 	limit := s.Faults.Get().BreakAfter
@@ -87,7 +87,7 @@
 	}
 	data, err := io.ReadAll(s.throttle(r.Context(), body))
 	if err == nil && int64(len(data)) < r.ContentLength {
-		err = errBroken
+		err = errTruncated
 	}
 	return data, err
 }
@@ -95,7 +95,7 @@
 func (s *Store) getBlock(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	s.mu.Lock()
-	b := s.now.blocks[name]
+	b := s.current.blocks[name]
 	var copied block
 	if b != nil {
 		copied = *b
@@ -103,14 +103,14 @@
 	s.mu.Unlock()
 	switch {
 	case b == nil:
-		refuse(w, storewire.ErrNotFound, "no such block")
+		writeError(w, storewire.ErrNotFound, "no such block")
 		return
 	case !copied.complete:
-		refuse(w, storewire.ErrIncomplete, "the block was only partly written")
+		writeError(w, storewire.ErrIncomplete, "the block was only partly written")
 		return
 	}
 	if s.Faults.Get().CorruptReads {
-		copied.data = flipped(copied.data)
+		copied.data = flipBit(copied.data)
 	}
 	if copied.tier == storewire.TierDisk && !fault.Sleep(r.Context().Done(), s.diskTime(copied.size)) {
 		return
@@ -132,7 +132,7 @@
 	w.Header().Set(storewire.HeaderChecksum, b.checksum)
 	for rest := b.data; len(rest) > 0; {
 		n := min(len(rest), linkBurst)
-		if err := s.pass(r.Context(), n); err != nil {
+		if err := s.waitForLink(r.Context(), n); err != nil {
 			fault.Drop()
 		}
 		if _, err := w.Write(rest[:n]); err != nil {
@@ -144,19 +144,19 @@
 
 func (s *Store) deleteBlock(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	b := s.now.blocks[r.PathValue("name")]
+	b := s.current.blocks[r.PathValue("name")]
 	if b != nil {
-		s.now.free(b)
+		s.current.free(b)
 	}
 	s.mu.Unlock()
 	if b == nil {
-		refuse(w, storewire.ErrNotFound, "no such block")
+		writeError(w, storewire.ErrNotFound, "no such block")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// throttled reads no quicker than the link allows.
+// throttled is a reader that is limited to the rate of the link.
 type throttled struct {
 	ctx context.Context
 	s   *Store
@@ -171,21 +171,21 @@
 
 func (t throttled) Read(p []byte) (int, error) {
 	n, err := t.r.Read(p[:min(len(p), linkBurst)])
-	if perr := t.s.pass(t.ctx, n); perr != nil {
-		return n, perr
+	if linkErr := t.s.waitForLink(t.ctx, n); linkErr != nil {
+		return n, linkErr
 	}
 	return n, err
 }
 
-// pass waits until the link takes n bytes; it fails when the host dies.
-func (s *Store) pass(ctx context.Context, n int) error {
+// waitForLink waits until the link allows n bytes. It fails if the host is closed or dead.
+func (s *Store) waitForLink(ctx context.Context, n int) error {
 	select {
 	case <-s.closed:
-		return errClosed
+		return errStopped
 	default:
 	}
 	if !s.Faults.Wait(ctx.Done()) {
-		return errClosed
+		return errStopped
 	}
 	perSecond := s.cfg.LinkBytesPerSecond
 	if f := s.Faults.Get().LinkBytesPerSecond; f > 0 {
--- a/standin/store/contents.go
+++ b/standin/store/contents.go
@@ -9,15 +9,15 @@
 	"github.com/cherryward/cherryward/api/wire/storewire"
 )
 
-// block is a stored block. Its size is reserved when its writer begins.
+// block is a stored block. Its space is reserved when the write starts.
 type block struct {
-	name     string
-	size     int64
-	data     []byte
-	checksum string
-	complete bool
-	tier     storewire.Tier
-	first    time.Time // of its first byte
+	name      string
+	size      int64
+	data      []byte
+	checksum  string
+	complete  bool
+	tier      storewire.Tier
+	startedAt time.Time // when the write started
 }
 
 func (b *block) info() storewire.BlockInfo {
@@ -27,14 +27,14 @@
 		Checksum: b.checksum,
 		Complete: b.complete,
 		Tier:     b.tier,
-		AgeMS:    time.Since(b.first).Milliseconds(),
+		AgeMS:    time.Since(b.startedAt).Milliseconds(),
 	}
 }
 
-// contents is all that a store host holds. The store's lock guards it.
+// contents is the data of a store host. It is guarded by the store's lock.
 type contents struct {
 	generation   string
-	used         map[string]struct{} // names, also of freed blocks
+	usedNames    map[string]struct{} // all names ever used, including those of deleted blocks
 	blocks       map[string]*block
 	manifests    map[string]storewire.Manifest
 	blockNames   []string // sorted
@@ -45,17 +45,17 @@
 func newContents(generation string) *contents {
 	return &contents{
 		generation: generation,
-		used:       make(map[string]struct{}),
+		usedNames:  make(map[string]struct{}),
 		blocks:     make(map[string]*block),
 		manifests:  make(map[string]storewire.Manifest),
 	}
 }
 
-// clone copies everything; block data is never changed in place.
+// clone returns a copy. It shares the block data, which are never modified in place.
 func (c *contents) clone(generation string) *contents {
 	out := *c
 	out.generation = generation
-	out.used = maps.Clone(c.used)
+	out.usedNames = maps.Clone(c.usedNames)
 	out.manifests = maps.Clone(c.manifests)
 	out.blockNames = slices.Clone(c.blockNames)
 	out.manifestKeys = slices.Clone(c.manifestKeys)
@@ -67,10 +67,10 @@
 	return &out
 }
 
-// reserve uses up the name and makes room for a block: in memory if it can, by
-// moving older blocks to disk. It returns nil if no tier has room.
+// reserve marks the name as used and reserves space for a block, in memory if possible, for which
+// it moves older blocks to disk. It returns nil if no tier has enough space.
 func (c *contents) reserve(name string, size int64, cfg Config) *block {
-	b := &block{name: name, size: size, tier: storewire.TierMemory, first: time.Now()}
+	b := &block{name: name, size: size, tier: storewire.TierMemory, startedAt: time.Now()}
 	c.demote(size, cfg)
 	switch {
 	case c.memory+size <= cfg.MemoryBytes:
@@ -81,14 +81,13 @@
 	default:
 		return nil
 	}
-	c.used[name] = struct{}{}
+	c.usedNames[name] = struct{}{}
 	c.blocks[name] = b
 	c.blockNames = insertSorted(c.blockNames, name)
 	return b
 }
 
-// demote moves the oldest blocks to disk until size bytes fit in memory or the
-// disk is full.
+// demote moves the oldest blocks to disk until size bytes fit in memory or the disk is full.
 func (c *contents) demote(size int64, cfg Config) {
 	if size > cfg.MemoryBytes || c.memory+size <= cfg.MemoryBytes {
 		return
@@ -100,7 +99,7 @@
 		}
 	}
 	slices.SortFunc(inMemory, func(a, b *block) int {
-		return cmp.Or(a.first.Compare(b.first), cmp.Compare(a.name, b.name))
+		return cmp.Or(a.startedAt.Compare(b.startedAt), cmp.Compare(a.name, b.name))
 	})
 	for _, b := range inMemory {
 		if c.memory+size <= cfg.MemoryBytes || c.disk+b.size > cfg.DiskBytes {
@@ -112,7 +111,7 @@
 	}
 }
 
-// resize gives back what a broken write did not use.
+// resize releases the reserved space that an interrupted write did not use.
 func (c *contents) resize(b *block, size int64) {
 	c.account(b.tier, size-b.size)
 	b.size = size
@@ -126,7 +125,7 @@
 	c.disk += by
 }
 
-// free removes a block; its name stays used.
+// free deletes a block. Its name stays used.
 func (c *contents) free(b *block) {
 	c.account(b.tier, -b.size)
 	delete(c.blocks, b.name)
@@ -159,7 +158,7 @@
 	return slices.Delete(names, at, at+1)
 }
 
-// page returns up to limit names after one, and whether more follow.
+// page returns up to limit names that sort after the name after, and whether more follow.
 func page(names []string, after string, limit int) ([]string, bool) {
 	at, found := slices.BinarySearch(names, after)
 	if found {
--- a/standin/store/manifests.go
+++ b/standin/store/manifests.go
@@ -10,22 +10,22 @@
 
 const maxManifestBytes = 64 << 10
 
-// putManifest stores a manifest if its key has none now.
+// putManifest stores a manifest unless the key has one.
 func (s *Store) putManifest(w http.ResponseWriter, r *http.Request) {
 	var m storewire.Manifest
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxManifestBytes)).Decode(&m)
 	if err != nil || m.Key != r.PathValue("key") {
-		refuse(w, storewire.ErrBadRequest, "the body is not a manifest with the key of the path")
+		writeError(w, storewire.ErrBadRequest, "the body is not a manifest, or its key differs from the path")
 		return
 	}
 	s.mu.Lock()
-	_, exists := s.now.manifests[m.Key]
+	_, exists := s.current.manifests[m.Key]
 	if !exists {
-		s.now.putManifest(m)
+		s.current.putManifest(m)
 	}
 	s.mu.Unlock()
 	if exists {
-		refuse(w, storewire.ErrExists, "the key has a manifest")
+		writeError(w, storewire.ErrExists, "the key already has a manifest")
 		return
 	}
 	w.WriteHeader(http.StatusCreated)
@@ -33,28 +33,27 @@
 
 func (s *Store) getManifest(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	m, found := s.now.manifests[r.PathValue("key")]
+	m, found := s.current.manifests[r.PathValue("key")]
 	s.mu.Unlock()
 	if !found {
-		refuse(w, storewire.ErrNotFound, "no such manifest")
+		writeError(w, storewire.ErrNotFound, "no such manifest")
 		return
 	}
 	fault.WriteJSON(w, http.StatusOK, m)
 }
 
-// deleteManifest deletes a manifest; with ?block=NAME only if it names that
-// block.
+// deleteManifest deletes a manifest; with ?block=NAME only if it refers to that block.
 func (s *Store) deleteManifest(w http.ResponseWriter, r *http.Request) {
 	key, name := r.PathValue("key"), r.URL.Query().Get("block")
 	s.mu.Lock()
-	m, found := s.now.manifests[key]
+	m, found := s.current.manifests[key]
 	found = found && (name == "" || m.Name == name)
 	if found {
-		s.now.deleteManifest(key)
+		s.current.deleteManifest(key)
 	}
 	s.mu.Unlock()
 	if !found {
-		refuse(w, storewire.ErrNotFound, "no manifest with this key and block")
+		writeError(w, storewire.ErrNotFound, "no manifest with this key and block")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -62,10 +61,10 @@
 
 func (s *Store) listManifests(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	keys, more := page(s.now.manifestKeys, r.URL.Query().Get("after"), limit(r))
-	out := storewire.ManifestList{Generation: s.now.generation, More: more}
+	keys, more := page(s.current.manifestKeys, r.URL.Query().Get("after"), limit(r))
+	out := storewire.ManifestList{Generation: s.current.generation, More: more}
 	for _, key := range keys {
-		out.Manifests = append(out.Manifests, s.now.manifests[key])
+		out.Manifests = append(out.Manifests, s.current.manifests[key])
 	}
 	s.mu.Unlock()
 	fault.WriteJSON(w, http.StatusOK, out)
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,9 +1,9 @@
-// Package store is a stand-in of a store host that speaks storewire: blocks with
-// write-once names in a memory and a disk tier, and manifests beside them.
+// Package store is a stand-in for a store host with the protocol of storewire: blocks with
+// write-once names in a memory and a disk tier, and manifests.
 //
-// A name is used up by its first write, also by one that breaks off; it is never
-// free again in the same generation. The store doesn't check that a manifest
-// names a complete block: that is its writer's promise.
+// A name can be written only once per generation, even if the write is interrupted or the block is
+// deleted. The store doesn't check that a manifest refers to a complete block; the writer must
+// ensure that.
 package store
 
 import (
@@ -25,9 +25,9 @@
 	maxPage     = 10000
 )
 
-// Store is one store host. Its methods may be called by several goroutines.
+// Store is one store host. It is safe for concurrent use.
 type Store struct {
-	// Faults switches the host's faults.
+	// Faults holds the active faults.
 	Faults fault.Switch[Faults]
 
 	cfg    Config
@@ -36,24 +36,24 @@
 	once   sync.Once
 
 	mu       sync.Mutex
-	now      *contents
+	current  *contents
 	snapshot *contents
 }
 
 // New returns an empty store host.
 func New(cfg Config) *Store {
 	return &Store{
-		cfg:    cfg,
-		link:   rate.NewLimiter(rate.Inf, linkBurst),
-		closed: make(chan struct{}),
-		now:    newContents(rand.Text()),
+		cfg:     cfg,
+		link:    rate.NewLimiter(rate.Inf, linkBurst),
+		closed:  make(chan struct{}),
+		current: newContents(rand.Text()),
 	}
 }
 
-// Close breaks off the transfers that are under way.
+// Close aborts the transfers in progress.
 func (s *Store) Close() { s.once.Do(func() { close(s.closed) }) }
 
-// Handler serves the protocol of storewire, and the faults on fault.Path.
+// Handler returns a handler for the protocol of storewire and, at fault.Path, the faults.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+storewire.PathBlocks, s.listBlocks)
@@ -73,49 +73,49 @@
 	)
 }
 
-// Snapshot remembers the contents for Rollback.
+// Snapshot saves the contents for Rollback.
 func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.snapshot = s.now.clone(s.now.generation)
+	s.snapshot = s.current.clone(s.current.generation)
 }
 
-// Rollback restarts the host with the contents of the last snapshot, as a new
-// generation. Names that were used since are free again.
+// Rollback restarts the host with the contents of the last snapshot and a new generation. Names
+// that were first used after the snapshot can be used again. It fails if there is no snapshot.
 func (s *Store) Rollback() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.snapshot == nil {
 		return errNoSnapshot
 	}
-	s.now = s.snapshot.clone(rand.Text())
+	s.current = s.snapshot.clone(rand.Text())
 	return nil
 }
 
-// Lose restarts the host without contents, as a new generation.
+// Lose restarts the host without contents and with a new generation.
 func (s *Store) Lose() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now = newContents(rand.Text())
+	s.current = newContents(rand.Text())
 }
 
-// Corrupt flips a bit of a stored block and leaves its checksum; an empty name
-// means all blocks.
+// Corrupt flips a bit of a stored block without changing its checksum. An empty name means all
+// blocks.
 func (s *Store) Corrupt(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if name != "" && s.now.blocks[name] == nil {
+	if name != "" && s.current.blocks[name] == nil {
 		return errNoBlock
 	}
-	for _, b := range s.now.blocks {
+	for _, b := range s.current.blocks {
 		if name == "" || name == b.name {
-			b.data = flipped(b.data)
+			b.data = flipBit(b.data)
 		}
 	}
 	return nil
 }
 
-func flipped(data []byte) []byte {
+func flipBit(data []byte) []byte {
 	out := slices.Clone(data)
 	if len(out) > 0 {
 		out[len(out)/2] ^= 1
@@ -126,9 +126,9 @@
 func (s *Store) usage(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	out := storewire.Usage{
-		Generation: s.now.generation,
-		Memory:     storewire.TierUsage{Used: s.now.memory, Capacity: s.cfg.MemoryBytes},
-		Disk:       storewire.TierUsage{Used: s.now.disk, Capacity: s.cfg.DiskBytes},
+		Generation: s.current.generation,
+		Memory:     storewire.TierUsage{Used: s.current.memory, Capacity: s.cfg.MemoryBytes},
+		Disk:       storewire.TierUsage{Used: s.current.disk, Capacity: s.cfg.DiskBytes},
 	}
 	s.mu.Unlock()
 	fault.WriteJSON(w, http.StatusOK, out)
@@ -136,16 +136,16 @@
 
 func (s *Store) listBlocks(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	names, more := page(s.now.blockNames, r.URL.Query().Get("after"), limit(r))
-	out := storewire.BlockList{Generation: s.now.generation, More: more}
+	names, more := page(s.current.blockNames, r.URL.Query().Get("after"), limit(r))
+	out := storewire.BlockList{Generation: s.current.generation, More: more}
 	for _, name := range names {
-		out.Blocks = append(out.Blocks, s.now.blocks[name].info())
+		out.Blocks = append(out.Blocks, s.current.blocks[name].info())
 	}
 	s.mu.Unlock()
 	fault.WriteJSON(w, http.StatusOK, out)
 }
 
-// limit is the page size that a request asks for, within bounds.
+// limit returns the requested page size, at most maxPage.
 func limit(r *http.Request) int {
 	n, err := strconv.Atoi(r.URL.Query().Get("limit"))
 	if err != nil || n <= 0 {
@@ -163,6 +163,6 @@
 	storewire.ErrBadRequest: http.StatusBadRequest,
 }
 
-func refuse(w http.ResponseWriter, code storewire.ErrorCode, message string) {
+func writeError(w http.ResponseWriter, code storewire.ErrorCode, message string) {
 	fault.WriteJSON(w, statuses[code], storewire.Error{Code: code, Message: message})
 }
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -18,7 +18,7 @@
 	"github.com/cherryward/cherryward/standin/fault"
 )
 
-// call serves a request in memory; a dropped connection gives code 0.
+// call serves a request in memory. The code is 0 if the connection was dropped.
 func call(s *Store, method, path string, body io.Reader, header ...string) (rec *httptest.ResponseRecorder) {
 	rec = httptest.NewRecorder()
 	defer func() {
@@ -59,7 +59,7 @@
 	return out.Code
 }
 
-// infos gives the host's blocks as "name tier complete bytes".
+// infos formats the host's blocks as "name tier complete bytes".
 func infos(t *testing.T, s *Store) (out []string) {
 	for _, b := range get[storewire.BlockList](t, s, storewire.PathBlocks).Blocks {
 		out = append(out, fmt.Sprint(b.Name, " ", b.Tier, " ", b.Complete, " ", b.Bytes))
@@ -174,7 +174,7 @@
 	must.Eq(t, 204, post("/rollback", ""))
 	second := generation()
 	must.Eq(t, []string{"a memory true 5", "b memory false 3"}, infos(t, s))
-	must.Eq(t, 201, put(s, "later", "other")) // the name is forgotten
+	must.Eq(t, 201, put(s, "later", "other")) // the name was first used after the snapshot
 	must.Eq(t, 204, post("/corrupt?name=a", ""))
 	must.NotEq(t, "hello", getBlock(s, "a").Body.String())
 	must.Eq(t, 400, post("/corrupt?name=x", ""))
@@ -191,7 +191,7 @@
 		data := strings.Repeat("x", 64<<10)
 		began := time.Now()
 		must.Eq(t, 201, put(s, "a", data))
-		must.Eq(t, 3*time.Second, time.Since(began).Round(time.Millisecond)) // the first 16 KiB at once
+		must.Eq(t, 3*time.Second, time.Since(began).Round(time.Millisecond)) // the first 16 KiB pass at once
 		s.Faults.Set(Faults{LinkBytesPerSecond: 8 << 10})
 		must.Eq(t, data, getBlock(s, "a").Body.String())
 		must.Eq(t, 11*time.Second, time.Since(began).Round(time.Millisecond))
