--- a/api/wire/enginewire/enginewire.go
+++ b/api/wire/enginewire/enginewire.go
@@ -5,7 +5,7 @@
 // engine protocol requires only another adapter.
 package enginewire
 
-// Paths of the engine's HTTP resources. RunPath takes the run id.
+// Paths of the engine's HTTP resources. PathRun is followed by the run id.
 const (
 	PathRuns   = "/v1/runs"      // POST starts a run and streams its frames
 	PathRun    = "/v1/runs/"     // GET {id}?from=N resumes, DELETE {id} cancels
--- a/standin/site/boot.go
+++ b/standin/site/boot.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// BootFile returns the boot file of a node on loopback, with ports of its own.
+// BootFile returns the boot file of a node at the site's IP, with ports that the operating system
+// assigns.
 func (s *Site) BootFile(node string) string {
 	return fmt.Sprintf(`node-name = %[1]q
 zone = "north"
--- a/standin/site/foreign.go
+++ b/standin/site/foreign.go
@@ -29,7 +29,7 @@
 // Calls returns the number of calls to the writer's address.
 func (f *Foreign) Calls() int64 { return f.calls.Load() }
 
-// entry returns an entry that an engine at the writer's address could have.
+// entry returns a valid engine entry of a service, with the writer's address.
 func (f *Foreign) entry(service string) string {
 	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":"north","version":"v1","slots":64,"state":"ready",`+
 		`"cold-left-ms":0,"stage":"read_write","models":[{"name":%q,"version":1,"adapters":[]}],"seq":1}`, service, f.addr, Model)
