--- a/scenarios/answer_test.go
+++ b/scenarios/answer_test.go
@@ -15,34 +15,36 @@
 	"github.com/cherryward/cherryward/internal/runid"
 )
 
-// lost records that the connection failed.
-func (o *outcome) lost(ctx context.Context, err error) {
+// connectionFailed records a failure of the connection. The caller counts as disconnected if it
+// cancelled the request or could not connect.
+func (o *outcome) connectionFailed(ctx context.Context, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.unsent = refused(err)
-	o.left = ctx.Err() != nil || o.unsent
+	o.notSent = isDialError(err)
+	o.disconnected = ctx.Err() != nil || o.notSent
 	o.message = err.Error()
 }
 
-// refused tells that there was nobody to take the connection.
-func refused(err error) bool {
+// isDialError reports whether the connection could not be established.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (o *outcome) read(ctx context.Context, resp *http.Response, begun time.Time) {
+// read reads the response, either a stream of events or a single body.
+func (o *outcome) read(ctx context.Context, resp *http.Response, start time.Time) {
 	o.mu.Lock()
 	o.status = resp.StatusCode
 	o.mu.Unlock()
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		if err := o.readEvents(resp.Body, begun); err != nil {
-			o.lost(ctx, err)
+		if err := o.readEvents(resp.Body, start); err != nil {
+			o.connectionFailed(ctx, err)
 		}
 		return
 	}
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		o.lost(ctx, err)
+		o.connectionFailed(ctx, err)
 		return
 	}
 	var failed result.Body
@@ -50,10 +52,10 @@
 		o.setError(failed.Error.Number, failed.Error.RunState, failed.Error.Message)
 		return
 	}
-	o.readWhole(data)
+	o.readBody(data)
 }
 
-// event is one piece of a stream, or a whole answer.
+// event is one event of a stream, or the body of a response without streaming.
 type event struct {
 	Choices []struct {
 		Text   string  `json:"text"`
@@ -69,11 +71,11 @@
 	Error *result.BodyError `json:"error"`
 }
 
-func (o *outcome) readWhole(data []byte) {
+func (o *outcome) readBody(data []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.isRun {
-		o.text, o.whole = string(data), true
+		o.text, o.complete = string(data), true
 		return
 	}
 	var e event
@@ -81,34 +83,34 @@
 		o.message = err.Error()
 		return
 	}
-	o.take(&e)
-	o.whole = true
+	o.addEvent(&e)
+	o.complete = true
 }
 
-func (o *outcome) take(e *event) {
+func (o *outcome) addEvent(e *event) {
 	for _, c := range e.Choices {
 		o.text += c.Text
 	}
 	if e.Usage != nil {
-		o.prompts, o.cached, o.imported = e.Usage.PromptTokens, e.Usage.Details.Cached, e.Usage.Details.Imported
+		o.promptTokens, o.cached, o.imported = e.Usage.PromptTokens, e.Usage.Details.Cached, e.Usage.Details.Imported
 	}
 	if e.Error != nil {
 		o.code, o.state, o.message = e.Error.Number, e.Error.RunState, e.Error.Message
 	}
 }
 
-func (o *outcome) readEvents(body io.Reader, begun time.Time) error {
+func (o *outcome) readEvents(body io.Reader, start time.Time) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, mebibyte)
 	for lines.Scan() {
-		if err := o.readLine(lines.Text(), begun); err != nil {
+		if err := o.readLine(lines.Text(), start); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-func (o *outcome) readLine(line string, begun time.Time) error {
+func (o *outcome) readLine(line string, start time.Time) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if id, ok := strings.CutPrefix(line, "id: "); ok {
@@ -122,16 +124,16 @@
 		return nil
 	}
 	if data == "[DONE]" {
-		o.whole = true
+		o.complete = true
 		return nil
 	}
 	var e event
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
 		return err
 	}
-	o.take(&e)
-	if o.first == 0 && o.text != "" {
-		o.first = time.Since(begun)
+	o.addEvent(&e)
+	if o.firstTokenTime == 0 && o.text != "" {
+		o.firstTokenTime = time.Since(start)
 	}
 	return nil
 }
--- a/scenarios/args_test.go
+++ b/scenarios/args_test.go
@@ -12,7 +12,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// args are the words of a command: names, then key=value options, then "&".
+// args holds the arguments of a script command: names, key=value options, and a final "&" for
+// running in the background.
 type args struct {
 	ts         *testscript.TestScript
 	words      []string
@@ -39,16 +40,16 @@
 	return a
 }
 
-// word returns a word by its place, or sets the error.
+// word returns the i-th name, or sets the error if there are fewer.
 func (a *args) word(i int) string {
 	if i < len(a.words) {
 		return a.words[i]
 	}
-	a.err = fmt.Errorf("word %d is missing", i+1)
+	a.err = fmt.Errorf("argument %d is missing", i+1)
 	return ""
 }
 
-// text takes an option.
+// text removes an option and returns its value, or def if it is not set.
 func (a *args) text(key, def string) string {
 	value, ok := a.options[key]
 	if !ok {
@@ -82,8 +83,8 @@
 
 func (a *args) flag(key string, def bool) bool { return option(a, key, def, strconv.ParseBool) }
 
-// unused is an error where an option was not taken by the command.
-func (a *args) unused() error {
+// checkUnused returns the first parse error, or an error if the command didn't read an option.
+func (a *args) checkUnused() error {
 	if a.err != nil {
 		return a.err
 	}
--- a/scenarios/caller_test.go
+++ b/scenarios/caller_test.go
@@ -16,35 +16,35 @@
 	"github.com/cherryward/cherryward/internal/runid"
 )
 
-// outcome is what one caller sent and got. The lock guards what changes while
-// the request is under way.
+// outcome is a request of a caller and its result. The lock guards the fields that change while the
+// request is in flight.
 type outcome struct {
 	name    string
 	account string
 	prompt  string
 	max     int
-	bodyID  string // of a call of a service
+	bodyID  string // of a service call
 	isRun   bool
 	call    bool
 	entry   *nodeProcess
 	done    chan struct{}
 
-	mu       sync.Mutex
-	status   int
-	text     string
-	eventID  string
-	offset   int
-	whole    bool
-	left     bool // the caller left
-	unsent   bool // nobody took the connection
-	code     result.Code
-	state    result.RunState
-	message  string
-	prompts  int // tokens
-	cached   int
-	imported int
-	first    time.Duration
-	total    time.Duration
+	mu             sync.Mutex
+	status         int
+	text           string
+	eventID        string
+	offset         int
+	complete       bool
+	disconnected   bool // the caller disconnected or could not connect
+	notSent        bool // the connection could not be established
+	code           result.Code
+	state          result.RunState
+	message        string
+	promptTokens   int // tokens
+	cached         int
+	imported       int
+	firstTokenTime time.Duration
+	total          time.Duration
 }
 
 func (o *outcome) setError(code result.Code, state result.RunState, message string) {
@@ -53,7 +53,7 @@
 	o.code, o.state, o.message = code, state, message
 }
 
-// start runs a request, in the background where the script says so.
+// start runs a request, in the background if the script requests that.
 func (w *world) start(a *args, o *outcome, do func(*outcome)) error {
 	o.done = make(chan struct{})
 	w.record(o)
@@ -76,7 +76,7 @@
 	w.all = append(w.all, o)
 }
 
-// join waits for requests that run in the background.
+// join waits for background requests.
 func (w *world) join(a *args) error {
 	for _, name := range a.words {
 		o, ok := w.results[name]
@@ -86,13 +86,14 @@
 		select {
 		case <-o.done:
 		case <-time.After(awaitLimit):
-			return fmt.Errorf("%s has not ended", name)
+			return fmt.Errorf("request %s is still running", name)
 		}
 	}
 	return nil
 }
 
-// promptOf makes a prompt of a number of tokens, or the next turn of another.
+// promptOf returns a prompt with a number of tokens, or the next turn of the conversation after
+// another request.
 func (w *world) promptOf(a *args, name string) (string, error) {
 	if after := a.text("after", ""); after != "" {
 		o, ok := w.results[after]
@@ -141,7 +142,7 @@
 	})
 }
 
-// headers are those that a script may set.
+// headers returns the request headers that the options set.
 func (w *world) headers(a *args) http.Header {
 	h := make(http.Header)
 	for option, name := range map[string]string{"timeout": "X-Timeout", "priority": "X-Priority", "attempt": "X-Attempt", "key": "Idempotency-Key", "bearer": "Authorization"} {
@@ -169,21 +170,21 @@
 	w.send(ctx, o, http.MethodPost, "/v1/completions", data, header)
 }
 
-// endpoint returns the engine whose run the last event named.
+// endpoint returns the engine of the run in the id of the last event.
 func (o *outcome) endpoint() string {
 	run, _, err := runid.ParseEventID(o.eventID)
 	if err != nil {
 		return ""
 	}
-	return run[strings.LastIndex(run, "-engine-")+1:] // the name ends the id
+	return run[strings.LastIndex(run, "-engine-")+1:] // the id ends with the name
 }
 
-// send makes one request and reads its answer.
+// send sends one request and reads the response.
 func (w *world) send(ctx context.Context, o *outcome, method, path string, body []byte, header http.Header) {
-	begun := time.Now()
+	start := time.Now()
 	defer func() {
 		o.mu.Lock()
-		o.total = time.Since(begun)
+		o.total = time.Since(start)
 		o.mu.Unlock()
 	}()
 	req, err := http.NewRequestWithContext(ctx, method, o.entry.callers+path, bytes.NewReader(body))
@@ -191,7 +192,7 @@
 		o.setError(0, "", err.Error())
 		return
 	}
-	req.GetBody = nil // the library must not repeat a call by itself
+	req.GetBody = nil // prevents retries by the HTTP client
 	req.Header = header.Clone()
 	req.Header.Set("X-Request-Id", strings.ReplaceAll(o.name, " ", "-"))
 	if req.Header.Get("Authorization") == "" {
@@ -199,19 +200,19 @@
 	}
 	resp, err := plainClient.Do(req)
 	if err != nil {
-		o.lost(ctx, err)
+		o.connectionFailed(ctx, err)
 		return
 	}
 	defer resp.Body.Close()
-	o.read(ctx, resp, begun)
+	o.read(ctx, resp, start)
 }
 
-// resume goes on with a broken stream. The new answer begins with what the
-// broken one had.
+// resume resumes an interrupted stream. The text of the result starts with that of the interrupted
+// one.
 func (w *world) resume(a *args) error {
 	from, ok := w.results[a.text("from", "")]
 	if !ok {
-		return errors.New("from= names no request")
+		return errors.New("option from is not the name of a request")
 	}
 	<-from.done
 	n, err := w.find(a.text("at", "n1"))
@@ -226,7 +227,8 @@
 	})
 }
 
-// ticket gets a ticket and keeps it under a name; text= makes one up.
+// ticket requests a ticket and saves it under a name. The option text saves the given text as a
+// ticket instead.
 func (w *world) ticket(a *args) error {
 	name := a.word(0)
 	n, err := w.find(a.text("at", "n1"))
@@ -247,7 +249,7 @@
 	return nil
 }
 
-// call calls the plain service as a caller. Calls with one body= are the same.
+// call calls the plain service as a caller. Calls with the same option body count as one call.
 func (w *world) call(a *args) error {
 	o := &outcome{name: a.word(0), account: a.text("as", demo.Accounts[0]), call: true}
 	o.bodyID = a.text("body", o.name)
--- a/scenarios/cut_test.go
+++ b/scenarios/cut_test.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// nodesHost is where nodes with a relay listen. The relay holds the same port at
-// 127.0.0.1, so no other node gets it.
+// nodesHost is the address at which nodes with a relay listen. The relay occupies the same port at
+// 127.0.0.1, so no other node can use it.
 const nodesHost = "127.0.0.2"
 
-// relay stands before the peers' listener of one node, at the address that the
-// other nodes are told. While it is cut, all its connections are reset, and so is
-// each new one: nobody reaches the node, which still reaches the others.
+// relay is a TCP proxy for the peer listener of one node, at the address that is published to the
+// other nodes. While it is cut, all its connections are reset, including new ones: the other nodes
+// can't reach the node, which can still reach them.
 type relay struct {
 	listener net.Listener
 
@@ -47,12 +47,12 @@
 		if err != nil {
 			return // closed
 		}
-		r.wg.Go(func() { r.pass(conn.(*net.TCPConn)) })
+		r.wg.Go(func() { r.forward(conn.(*net.TCPConn)) })
 	}
 }
 
-// pass copies both ways until one end closes.
-func (r *relay) pass(from *net.TCPConn) {
+// forward copies data in both directions until one side closes.
+func (r *relay) forward(from *net.TCPConn) {
 	defer r.drop(from)
 	conn, err := net.Dial("tcp", r.target)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	to := conn.(*net.TCPConn)
 	defer r.drop(to)
-	if !r.keep(from, to) {
+	if !r.track(from, to) {
 		return
 	}
 	var wg sync.WaitGroup
@@ -69,15 +69,15 @@
 	wg.Wait()
 }
 
-// copy ends both connections with the first that ends.
+// copy copies until one connection ends, and then closes both.
 func (r *relay) copy(to, from *net.TCPConn) {
-	_, _ = io.Copy(to, from) // an end by error is an end
+	_, _ = io.Copy(to, from) // errors end the copy as well
 	_ = to.Close()
 	_ = from.Close()
 }
 
-// keep notes connections, unless the relay is cut.
-func (r *relay) keep(conns ...*net.TCPConn) bool {
+// track records open connections. It returns false if the relay is cut.
+func (r *relay) track(conns ...*net.TCPConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut {
@@ -89,7 +89,7 @@
 	return true
 }
 
-// drop resets a connection that is still open.
+// drop resets a connection and stops tracking it.
 func (r *relay) drop(c *net.TCPConn) {
 	r.mu.Lock()
 	delete(r.open, c)
@@ -98,7 +98,7 @@
 }
 
 func reset(c *net.TCPConn) {
-	_ = c.SetLinger(0) // errors mean that it is closed
+	_ = c.SetLinger(0) // fails if it is closed already
 	_ = c.Close()
 }
 
@@ -120,7 +120,7 @@
 	r.wg.Wait()
 }
 
-// cut makes nodes unreachable for the other nodes; heal ends it.
+// cut makes nodes unreachable from the other nodes. heal undoes it.
 func (w *world) cut(a *args) error { return w.setCut(a, true) }
 
 func (w *world) heal(a *args) error { return w.setCut(a, false) }
--- a/scenarios/gateway/gateway_test.go
+++ b/scenarios/gateway/gateway_test.go
@@ -1,8 +1,8 @@
-// Package gateway runs the scripts *.txtar: gateway nodes as processes before a
-// stand-in of the users' platform, which fails as the scripts say.
+// Package gateway runs the scripts *.txtar. Gateway nodes run as processes against a stand-in for
+// the users' platform, in which the scripts inject failures.
 //
-// At the end of each script what the servers ran is checked: no upload ran twice, and
-// none that was refused ran at all.
+// At the end of each script the requests that the servers ran are checked: no upload ran twice, and
+// no upload ran that was rejected as not run.
 package gateway
 
 import (
@@ -33,11 +33,11 @@
 )
 
 const (
-	key       = "script-key"
-	awaitTime = time.Minute
-	pollEvery = 10 * time.Millisecond
-	beat      = 100 * time.Millisecond
-	gap       = 5 * time.Millisecond
+	key               = "script-key"
+	awaitTimeout      = time.Minute
+	pollEvery         = 10 * time.Millisecond
+	heartbeatInterval = 100 * time.Millisecond
+	eventInterval     = 5 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -50,19 +50,19 @@
 	})
 }
 
-// world is what one script works with.
+// world is the state of one script.
 type world struct {
 	env   *testscript.Env
 	site  *site.Site
 	nodes map[string]*process
 	wg    sync.WaitGroup
 
-	mu      sync.Mutex
-	asked   int
-	refused []string // ids of uploads that were answered "not run"
+	mu       sync.Mutex
+	requests int
+	rejected []string // ids of uploads that were rejected as not run
 }
 
-// process is one node.
+// process is the process of a node.
 type process struct {
 	cmd   *exec.Cmd
 	addr  string
@@ -74,7 +74,7 @@
 		Dir:                 ".",
 		RequireExplicitExec: true,
 		Setup: func(env *testscript.Env) error {
-			s, err := site.Start(site.Config{Beat: beat, Gap: gap})
+			s, err := site.Start(site.Config{Beat: heartbeatInterval, Gap: eventInterval})
 			if err != nil {
 				return err
 			}
@@ -100,7 +100,7 @@
 
 type worldKey struct{}
 
-// command makes a script command of a method, which takes the words after its name.
+// command returns a script command that passes its arguments to a method.
 func command(do func(w *world, words []string) error) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, words []string) {
 		w, _ := ts.Value(worldKey{}).(*world)
@@ -113,7 +113,7 @@
 
 func (w *world) close(t testscript.T) {
 	for _, p := range w.nodes {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // it may have ended
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // fails if it has exited
 		_ = p.cmd.Process.Kill()
 		<-p.ended
 	}
@@ -130,16 +130,16 @@
 			t.Fatal(fmt.Sprintf("upload %s ran %d times", id, n))
 		}
 	}
-	for _, id := range w.refused {
+	for _, id := range w.rejected {
 		if runs[id] > 0 {
-			t.Fatal(fmt.Sprintf("upload %s was refused as not run, and ran", id))
+			t.Fatal(fmt.Sprintf("upload %s was rejected as not run, but ran", id))
 		}
 	}
 }
 
 var callersField = regexp.MustCompile(`callers=(\S+).*event=start`)
 
-// node NAME [other] starts a node, of the other build if it says so, and waits until it listens.
+// node NAME [other] starts a node, of the other build if requested, and waits until it listens.
 func (w *world) node(words []string) error {
 	name := words[0]
 	file := filepath.Join(w.env.WorkDir, name+".toml")
@@ -166,16 +166,17 @@
 	w.nodes[name] = p
 	w.wg.Go(func() {
 		_, _ = io.Copy(io.Discard, out) // ends with the process
-		_ = p.cmd.Wait()                // its state is looked at by ended
+		_ = p.cmd.Wait()                // ended checks the exit code
 		close(p.ended)
 	})
 	if p.addr == "" {
-		return fmt.Errorf("%s ended at once", name)
+		return fmt.Errorf("%s exited during startup", name)
 	}
 	return nil
 }
 
-// store sound|down|lossy|forgets changes the metadata store.
+// store sound|down|lossy|forgets sets the faults of the metadata store: none, unavailable, lost
+// responses, or deleted history.
 func (w *world) store(words []string) error {
 	switch words[0] {
 	case "sound":
@@ -193,8 +194,8 @@
 	return nil
 }
 
-// server NUMBER sound|shed|cut|lose|drain changes a model server, or the plain one
-// where NUMBER is "plain".
+// server NUMBER sound|shed|cut|lose|drain sets the faults of a model server, or of the plain server
+// if NUMBER is "plain".
 func (w *world) server(words []string) error {
 	faults := map[string]modelserver.Faults{"sound": {}, "shed": {Shed: true}, "cut": {CutAfter: 3}, "lose": {LoseAnswer: true}}
 	f, known := faults[words[1]]
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// weights name N names a version; weights await N waits until all servers have it.
+// weights name N sets the target version; weights await N waits until all servers have loaded it.
 func (w *world) weights(words []string) error {
 	version, err := strconv.ParseInt(words[1], 10, 64)
 	if err != nil {
@@ -231,7 +232,8 @@
 	})
 }
 
-// keys VERSION KEY... writes a configuration; "own" stands for the scripts' key.
+// keys VERSION KEY... writes a configuration with API keys; "own" stands for the key that the
+// scripts' requests use.
 func (w *world) keys(words []string) error {
 	version, err := strconv.ParseInt(words[0], 10, 64)
 	if err != nil {
--- a/scenarios/gateway/request_test.go
+++ b/scenarios/gateway/request_test.go
@@ -12,7 +12,7 @@
 	"github.com/cherryward/cherryward/standin/site"
 )
 
-// ask NODE PATH STATUS [SESSION] sends a request and checks the status.
+// ask NODE PATH STATUS [SESSION] sends a request and checks the response status.
 func (w *world) ask(words []string) error {
 	status, err := w.send(words)
 	if err != nil {
@@ -24,19 +24,19 @@
 	return nil
 }
 
-// await does as ask until the status is as wanted.
+// await repeats ask until the response has the expected status.
 func (w *world) await(words []string) error {
 	return w.poll(func() bool { return w.ask(words) == nil })
 }
 
 func (w *world) poll(ok func() bool) error {
-	deadline := time.After(awaitTime)
+	deadline := time.After(awaitTimeout)
 	ticker := time.NewTicker(pollEvery)
 	defer ticker.Stop()
 	for !ok() {
 		select {
 		case <-deadline:
-			return fmt.Errorf("not within %v", awaitTime)
+			return fmt.Errorf("condition not met within %v", awaitTimeout)
 		case <-ticker.C:
 		}
 	}
@@ -50,8 +50,8 @@
 		session = words[3]
 	}
 	w.mu.Lock()
-	w.asked++
-	id := fmt.Sprintf("a%d", w.asked)
+	w.requests++
+	id := fmt.Sprintf("a%d", w.requests)
 	w.mu.Unlock()
 	req, err := site.Request(context.Background(), w.nodes[node].addr, http.MethodGet, path, key, id, session)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && strings.HasPrefix(path, site.PathUpload) {
 		w.mu.Lock()
-		w.refused = append(w.refused, id)
+		w.rejected = append(w.rejected, id)
 		w.mu.Unlock()
 	}
 	return resp.StatusCode, nil
--- a/scenarios/gateway/signal_test.go
+++ b/scenarios/gateway/signal_test.go
@@ -10,7 +10,7 @@
 
 var signals = map[string]syscall.Signal{"term": syscall.SIGTERM, "kill": syscall.SIGKILL, "freeze": syscall.SIGSTOP, "thaw": syscall.SIGCONT, "hup": syscall.SIGHUP}
 
-// signal NODE NAME signals a node, and waits until one that is to freeze is stopped.
+// signal NODE NAME sends a signal to a node. For freeze it waits until the process is stopped.
 func (w *world) signal(words []string) error {
 	process := w.nodes[words[0]].cmd.Process
 	if err := process.Signal(signals[words[1]]); err != nil || words[1] != "freeze" {
@@ -19,7 +19,7 @@
 	return processtest.AwaitStop(process.Pid)
 }
 
-// ended NODE CODE waits for a node's end.
+// ended NODE CODE waits until a node exits, and checks its exit code.
 func (w *world) ended(words []string) error {
 	p := w.nodes[words[0]]
 	<-p.ended
--- a/scenarios/history_test.go
+++ b/scenarios/history_test.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	balancerLook = 100 * time.Millisecond
-	looksToRead  = 5 // the configuration is read with each nth look
+	checkInterval = 100 * time.Millisecond
+	checksPerRead = 5 // the configuration is read at each nth check
 )
 
-// oracle tells the whole answer of an undisturbed engine.
+// oracle computes the complete response of an engine without faults.
 type oracle struct {
 	engine *engine.Engine
 	mu     sync.Mutex
@@ -62,7 +62,7 @@
 	return text.String()
 }
 
-// wrap records the runs that an engine is asked for.
+// wrap returns a handler that records the runs requested from and started by an engine.
 func (w *world) wrap(endpoint string, h http.Handler) http.Handler {
 	if !strings.HasPrefix(endpoint, "engine-") {
 		return h
@@ -75,64 +75,64 @@
 		body, err := io.ReadAll(r.Body)
 		var req enginewire.RunRequest
 		if err == nil && json.Unmarshal(body, &req) == nil {
-			w.recordStart(endpoint, req.Prompt)
+			w.recordRunRequest(endpoint, req.Prompt)
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		answer := &taken{ResponseWriter: rw, note: func() { w.recordTaken(req.Prompt) }}
+		answer := &startRecorder{ResponseWriter: rw, onStart: func() { w.recordRunStart(req.Prompt) }}
 		h.ServeHTTP(answer, r)
-		if answer.begun {
-			w.recordEnd()
+		if answer.started {
+			w.recordRunEnd()
 		}
 	})
 }
 
-func (w *world) recordStart(endpoint, prompt string) {
+func (w *world) recordRunRequest(endpoint, prompt string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history.Starts = append(w.history.Starts, invariant.RunStart{Endpoint: endpoint, Prompt: prompt, At: time.Now()})
 }
 
-func (w *world) recordTaken(prompt string) {
+func (w *world) recordRunStart(prompt string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.engines[prompt]++
+	w.runStarts[prompt]++
 	w.running++
 	w.peak = max(w.peak, w.running)
 }
 
-func (w *world) recordEnd() {
+func (w *world) recordRunEnd() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running--
 }
 
-// startKind is in the frame that an engine sends when it begins a run.
+// startKind occurs in the frame that an engine sends when it starts a run.
 var startKind = []byte(`"kind":"start"`)
 
-// taken notes that an engine began a run.
-type taken struct {
+// startRecorder is a ResponseWriter that detects the start of a run.
+type startRecorder struct {
 	http.ResponseWriter
-	note  func()
-	begun bool
+	onStart func()
+	started bool
 }
 
 // Write implements http.ResponseWriter.
-func (t *taken) Write(p []byte) (int, error) {
-	if !t.begun && bytes.Contains(p, startKind) {
-		t.begun = true
-		t.note()
+func (t *startRecorder) Write(p []byte) (int, error) {
+	if !t.started && bytes.Contains(p, startKind) {
+		t.started = true
+		t.onStart()
 	}
 	return t.ResponseWriter.Write(p)
 }
 
 // Unwrap lets http.ResponseController flush.
-func (t *taken) Unwrap() http.ResponseWriter { return t.ResponseWriter }
+func (t *startRecorder) Unwrap() http.ResponseWriter { return t.ResponseWriter }
 
-// watchNode looks at a node as a balancer does, and reads its configuration now
-// and then for the history, until its process ends.
+// watchNode checks the readiness of a node periodically, like a load balancer, and reads its
+// configuration at a lower rate for the history, until its process ends.
 func (w *world) watchNode(n *nodeProcess) {
 	process := fmt.Sprintf("%s-%d", n.id, n.cmd.Process.Pid)
-	for look := 0; sleep(w.ctx, balancerLook); look++ {
+	for check := 0; sleep(w.ctx, checkInterval); check++ {
 		select {
 		case <-n.ended:
 			n.inService.Store(false)
@@ -140,7 +140,7 @@
 		default:
 		}
 		n.inService.Store(n.ready(w.ctx) == http.StatusOK)
-		if look%looksToRead == 0 {
+		if check%checksPerRead == 0 {
 			w.readConfiguration(n, process)
 		}
 	}
@@ -149,7 +149,7 @@
 func (w *world) readConfiguration(n *nodeProcess, process string) {
 	list, err := n.list(w.ctx)
 	if err != nil {
-		return // frozen, draining or gone
+		return // frozen, draining or stopped
 	}
 	r := invariant.Reading{Process: process, Applied: list.GetApplied(), Revisions: make(map[string]int64)}
 	for _, o := range list.GetObjects() {
@@ -170,7 +170,7 @@
 	return resp.Msg, nil
 }
 
-// revision returns an object's revision at a node, 0 where there is none.
+// revision returns the revision of an object at a node, or 0 if the object doesn't exist.
 func (n *nodeProcess) revision(object string) int64 {
 	list, err := n.list(context.Background())
 	if err != nil {
@@ -184,7 +184,7 @@
 	return 0
 }
 
-// collect puts the history together.
+// collect returns the history for the invariant checks.
 func (w *world) collect() *invariant.History {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -209,14 +209,14 @@
 func (w *world) answerOf(o *outcome) invariant.Answer {
 	return invariant.Answer{
 		Name: o.name, Account: o.account, Prompt: o.prompt,
-		Want: w.oracle.answer(o.prompt, o.max), Text: o.text, Offset: o.offset, Whole: o.whole,
+		Want: w.oracle.answer(o.prompt, o.max), Text: o.text, Offset: o.offset, Whole: o.complete,
 		Code: o.code, RunState: o.state, Cached: o.cached,
-		EntryGone: o.left || o.entry.killed.Load(),
-		Engines:   w.engines[o.prompt],
+		EntryGone: o.disconnected || o.entry.killed.Load(),
+		Engines:   w.runStarts[o.prompt],
 	}
 }
 
-// standinValue looks up a value of a stand-in.
+// standinValue returns a value of a stand-in.
 func (w *world) standinValue(name, field string) (string, error) {
 	if name == "engines" && field == "peak" {
 		w.mu.Lock()
@@ -231,16 +231,16 @@
 	case name == demo.Ledger:
 		return w.executions(strings.TrimPrefix(field, "executions."))
 	case field == "runs":
-		return w.startsAt(name), nil
+		return w.runRequestsAt(name), nil
 	case field == "used":
 		return storeUsed(base)
 	case field == "owner":
 		return w.ownerOf(name)
 	}
-	return "", errors.New("no such value: " + name + "." + field)
+	return "", errors.New("unknown value: " + name + "." + field)
 }
 
-// executions counts what the service executed of one body.
+// executions returns the number of executions of a body id by the service.
 func (w *world) executions(body string) (string, error) {
 	count := 0
 	for _, e := range w.fleet.Service.Executions() {
@@ -251,7 +251,7 @@
 	return strconv.Itoa(count), nil
 }
 
-func (w *world) startsAt(name string) string {
+func (w *world) runRequestsAt(name string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	count := 0
@@ -274,13 +274,12 @@
 	return strconv.FormatInt(usage.Memory.Used+usage.Disk.Used, 10), err
 }
 
-// ownerOf returns the node that owns an endpoint, as the first node that answers
-// knows it.
+// ownerOf returns the owner of an endpoint according to the first running node.
 func (w *world) ownerOf(name string) (string, error) {
 	ctx, cancel := context.WithTimeout(w.ctx, awaitLimit)
 	defer cancel()
 	for _, n := range w.order {
-		if n.gone.Load() || n.frozen.Load() {
+		if n.stopped.Load() || n.frozen.Load() {
 			continue
 		}
 		resp, err := demo.StatusClientAt(n.operators).Status(ctx, connect.NewRequest(&pb.StatusRequest{}))
--- a/scenarios/load_test.go
+++ b/scenarios/load_test.go
@@ -11,7 +11,7 @@
 	"github.com/cherryward/cherryward/internal/demo"
 )
 
-// loadRun is a number of callers that ask again and again.
+// loadRun is a set of callers that send requests repeatedly.
 type loadRun struct {
 	cancel context.CancelFunc
 	ended  chan struct{}
@@ -20,9 +20,9 @@
 	items []*outcome
 }
 
-// load starts callers: streams=N of them, each asking rounds=N times, or until
-// finish with rounds=0. They ask at nodes in turn, as a balancer would send them:
-// at those that were ready when last looked at. as= names their account. With turns=N each caller plays
+// load starts streams=N callers, each of which sends rounds=N requests, or requests until finish if
+// rounds=0. The requests are distributed round-robin, as by a load balancer, over the nodes that
+// were ready at the last check. as=NAME sets the client account. With turns=N each caller holds
 // conversations of N turns.
 func (w *world) load(a *args) error {
 	name := a.word(0)
@@ -52,19 +52,19 @@
 	if a.background {
 		return nil
 	}
-	return w.endOf(l, name)
+	return w.awaitLoad(l, name)
 }
 
-func (w *world) endOf(l *loadRun, name string) error {
+func (w *world) awaitLoad(l *loadRun, name string) error {
 	select {
 	case <-l.ended:
 		return nil
 	case <-time.After(2 * awaitLimit):
-		return fmt.Errorf("load %s has not ended", name)
+		return fmt.Errorf("load %s is still running", name)
 	}
 }
 
-// stopLoad ends loads after the requests that are open, and waits for that.
+// stopLoad stops loads and waits for their requests in flight.
 func (w *world) stopLoad(a *args) error {
 	for _, name := range a.words {
 		l, ok := w.loads[name]
@@ -72,20 +72,20 @@
 			return fmt.Errorf("no load %q", name)
 		}
 		l.cancel()
-		if err := w.endOf(l, name); err != nil {
+		if err := w.awaitLoad(l, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// caller describes what each caller of a load does.
+// caller holds the options of the callers of a load.
 type caller struct {
 	w                          *world
 	l                          *loadRun
 	name                       string
 	at                         string
-	as                         string // all accounts in turn, where empty
+	as                         string // client account; if empty, accounts are used in turn
 	tokens, max, rounds, turns int
 	pause                      time.Duration
 	header                     http.Header
@@ -102,7 +102,7 @@
 		if c.as != "" {
 			o.account = c.as
 		}
-		if before != nil && before.whole && round%c.turns != 0 {
+		if before != nil && before.complete && round%c.turns != 0 {
 			o.prompt = before.prompt + before.text + " And then, " + o.name + "?"
 		} else {
 			o.prompt = longPrompt(o.name, c.tokens)
@@ -115,8 +115,8 @@
 	}
 }
 
-// ask sends one prompt. A connection that nobody takes goes to the next node, as
-// behind a balancer: nothing of it was sent.
+// ask sends one prompt. If the connection can't be established, so that nothing was sent, it is
+// sent to the next node, as by a load balancer.
 func (c *caller) ask(ctx context.Context, o *outcome) {
 	defer close(o.done)
 	for ctx.Err() == nil {
@@ -131,7 +131,7 @@
 	c.l.add(o)
 	for {
 		c.w.complete(c.w.ctx, o, demo.Model, true, c.header)
-		if !o.unsent {
+		if !o.notSent {
 			break
 		}
 		o.entry.inService.Store(false)
@@ -139,7 +139,7 @@
 		if next == nil {
 			break
 		}
-		o.entry, o.unsent, o.message = next, false, ""
+		o.entry, o.notSent, o.message = next, false, ""
 	}
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -166,25 +166,25 @@
 	}
 }
 
-// balance returns the next node in service, of those named or of all.
+// balance returns the next ready node among those that at selects, or nil.
 func (w *world) balance(at string) *nodeProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for range w.order {
-		w.next++
-		n := w.order[w.next%len(w.order)]
-		if named(at, n.id) && n.inService.Load() {
+		w.lastNode++
+		n := w.order[w.lastNode%len(w.order)]
+		if matchesNode(at, n.id) && n.inService.Load() {
 			return n
 		}
 	}
 	return nil
 }
 
-// named reads at=any, at=n1,n2 and at=not:n1,n2.
-func named(at, id string) bool {
+// matchesNode reports whether the value of an option at selects a node: any, n1,n2 or not:n1,n2.
+func matchesNode(at, id string) bool {
 	others, isNot := strings.CutPrefix(at, "not:")
 	if isNot {
-		return !named(others, id)
+		return !matchesNode(others, id)
 	}
 	return at == "any" || strings.Contains(","+at+",", ","+id+",")
 }
--- a/scenarios/node_test.go
+++ b/scenarios/node_test.go
@@ -34,26 +34,26 @@
 	readyLimit = time.Second
 )
 
-// nodeProcess is one process of a node.
+// nodeProcess is the process of a node.
 type nodeProcess struct {
 	id        string
 	domain    string
 	callers   string // base URLs
 	operators string
-	peers     string // that the other nodes are told
-	relay     *relay // nil without relay=true
+	peers     string // published peer address
+	relay     *relay // nil unless relay=true
 	cmd       *exec.Cmd
 	ended     chan struct{}
 	listening chan struct{}
 	once      sync.Once
-	gone      atomic.Bool // killed, or told to end
+	stopped   atomic.Bool // killed or terminated
 	frozen    atomic.Bool
-	inService atomic.Bool // as a balancer sees it
+	inService atomic.Bool // ready at the last check
 	killed    atomic.Bool
 }
 
-// processes starts processes from one thread, whose end ends them: so none is
-// left when the test is broken off.
+// processes starts all processes from one OS thread. They are killed when this thread ends, so none
+// is left over if the test is aborted.
 var processes = sync.OnceValue(func() chan<- func() {
 	jobs := make(chan func())
 	go func() {
@@ -72,8 +72,8 @@
 	return <-done
 }
 
-// node starts a node, puts it on the list of hosts and waits until it is ready,
-// or only until it listens with ready=false.
+// node starts a node, adds it to the host list and waits until it is ready, or only until it listens
+// if ready=false.
 func (w *world) node(a *args) error {
 	id := a.word(0)
 	n := &nodeProcess{id: id, domain: a.text("domain", "north"), ended: make(chan struct{}), listening: make(chan struct{})}
@@ -101,18 +101,18 @@
 	if err := startProcess(n.cmd); err != nil {
 		return err
 	}
-	w.wg.Go(func() { n.follow(out, log) })
+	w.wg.Go(func() { n.readLog(out, log) })
 	w.add(n)
 	select {
 	case <-n.listening:
 	case <-n.ended:
 		text, _ := os.ReadFile(log.Name())
-		return fmt.Errorf("the node ended at once: %s", text)
+		return fmt.Errorf("node exited during startup: %s", text)
 	}
 	w.fleet.Hosts.Set(hostwire.Host{ID: id, Addr: n.peers, Domain: n.domain, State: hostwire.Live, Node: true})
 	w.wg.Go(func() { w.watchNode(n) })
 	w.setEnv(a)
-	if ready && !w.poll(awaitLimit, func() bool { return n.ready(w.ctx) == http.StatusOK && w.met(n) }) {
+	if ready && !w.poll(awaitLimit, func() bool { return n.ready(w.ctx) == http.StatusOK && w.sawAllNodes(n) }) {
 		return fmt.Errorf("%s is not ready", id)
 	}
 	return nil
@@ -125,11 +125,11 @@
 	w.order = append(w.order, n)
 }
 
-// setEnv lets cherryctl find all nodes.
+// setEnv sets the environment variables by which cherryctl finds the running nodes.
 func (w *world) setEnv(a *args) {
 	servers := ""
 	for _, n := range w.order {
-		if !n.gone.Load() {
+		if !n.stopped.Load() {
 			servers += "," + n.operators
 		}
 	}
@@ -171,15 +171,16 @@
 
 var addressField = regexp.MustCompile(`(callers|operators|peers)=(\S+)`)
 
-// follow copies the node's log and waits for the process's end.
-func (n *nodeProcess) follow(out io.Reader, log io.WriteCloser) {
+// readLog copies the node's log, reads the listening addresses from it, and waits for the process
+// to exit.
+func (n *nodeProcess) readLog(out io.Reader, log io.WriteCloser) {
 	defer close(n.ended)
-	defer func() { _ = n.cmd.Wait() }() // the state has the exit code
+	defer func() { _ = n.cmd.Wait() }() // ProcessState has the exit code
 	defer log.Close()
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, mebibyte)
 	for lines.Scan() {
-		_, _ = fmt.Fprintln(log, lines.Text()) // for whoever looks into a failure
+		_, _ = fmt.Fprintln(log, lines.Text()) // for debugging only
 		if strings.Contains(lines.Text(), listeningEvent) {
 			n.setAddresses(lines.Text())
 		}
@@ -202,7 +203,7 @@
 
 var plainClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 
-// ready returns the status of the balancer's page, 0 without an answer.
+// ready returns the status of /readyz, or 0 if there is no response.
 func (n *nodeProcess) ready(ctx context.Context) int {
 	ctx, cancel := context.WithTimeout(ctx, readyLimit)
 	defer cancel()
@@ -218,8 +219,8 @@
 	return resp.StatusCode
 }
 
-// met tells whether a node has met all other running nodes.
-func (w *world) met(n *nodeProcess) bool {
+// sawAllNodes reports whether a node considers all other running nodes alive.
+func (w *world) sawAllNodes(n *nodeProcess) bool {
 	ctx, cancel := context.WithTimeout(w.ctx, readyLimit)
 	defer cancel()
 	resp, err := demo.StatusClientAt(n.operators).Status(ctx, connect.NewRequest(&pb.StatusRequest{}))
@@ -231,20 +232,21 @@
 		alive[m.GetId()] = m.GetIncarnation() != 0 && m.GetState() == "alive"
 	}
 	for id, other := range w.nodes {
-		if !other.gone.Load() && !other.frozen.Load() && !alive[id] {
+		if !other.stopped.Load() && !other.frozen.Load() && !alive[id] {
 			return false
 		}
 	}
 	return true
 }
 
-// find returns a node by its name, or the first running one of not:NAME.
+// find returns a node by its name; for not:NAME it returns the first running node with another
+// name.
 func (w *world) find(id string) (*nodeProcess, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if strings.HasPrefix(id, "not:") {
 		for _, n := range w.order {
-			if !n.gone.Load() && named(id, n.id) {
+			if !n.stopped.Load() && matchesNode(id, n.id) {
 				return n, nil
 			}
 		}
--- a/scenarios/operator_test.go
+++ b/scenarios/operator_test.go
@@ -20,15 +20,15 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// configure writes the whole configuration and waits until all nodes have it.
+// configure writes the complete configuration and waits until all nodes have applied it.
 func (w *world) configure(a *args) error {
 	n, err := w.find(a.word(0))
 	if err != nil {
 		return err
 	}
 	for _, other := range w.order {
-		if !w.poll(awaitLimit, func() bool { return w.met(other) }) {
-			return fmt.Errorf("%s has not met all nodes", other.id)
+		if !w.poll(awaitLimit, func() bool { return w.sawAllNodes(other) }) {
+			return fmt.Errorf("%s does not see all nodes alive", other.id)
 		}
 	}
 	objects := w.fleet.Objects()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// write applies one object and records that it was accepted.
+// write applies one object and records the accepted revision.
 func (w *world) write(n *nodeProcess, req *pb.ApplyRequest) error {
 	ctx, cancel := context.WithTimeout(w.ctx, awaitLimit)
 	defer cancel()
@@ -53,7 +53,7 @@
 	defer w.mu.Unlock()
 	w.history.Accepted = append(w.history.Accepted, invariant.Accepted{Object: objectID(req.GetObject()), Revision: resp.Msg.GetRevision(), Delete: req.GetDelete()})
 	if late := resp.Msg.GetWaitingFor(); len(late) > 0 {
-		return fmt.Errorf("accepted, but not in force at %v", late)
+		return fmt.Errorf("accepted, but not applied at %v", late)
 	}
 	return nil
 }
@@ -66,7 +66,7 @@
 	return string(config.KindOf(v)) + "/" + v.GetName()
 }
 
-// apply writes the object of a file, and keeps the outcome under a name.
+// apply writes the object in a file, and saves the outcome under a name.
 func (w *world) apply(a *args) error {
 	name := a.word(0)
 	n, err := w.find(a.text("at", "n1"))
@@ -94,7 +94,7 @@
 	})
 }
 
-// wireCode reads the result of an operators' RPC.
+// wireCode returns the result code, run state and message of an operator RPC's error.
 func wireCode(err error) (result.Code, result.RunState, string) {
 	var wire *connect.Error
 	if err == nil {
@@ -111,7 +111,7 @@
 	return result.Internal, "", err.Error()
 }
 
-// leave publishes that an engine leaves, by one of three ways.
+// leave marks an engine as leaving, in the host list, the engine or the configuration.
 func (w *world) leave(a *args) error {
 	name := a.word(0)
 	base, err := w.base(name)
--- a/scenarios/processtest/stop.go
+++ b/scenarios/processtest/stop.go
@@ -1,4 +1,4 @@
-// Package processtest helps tests that run nodes as processes.
+// Package processtest contains helpers for tests that run nodes as processes.
 package processtest
 
 import (
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// BuildVariable names the environment variable with the path of another build's program.
+// BuildVariable is the environment variable that holds the path of another build's executable.
 const BuildVariable = "CHERRYWARD_OTHER_BUILD"
 
-// Program returns the program that a node runs: "cherryward" of the build under test, or the
-// other build's, which is the same one where BuildVariable is not set.
+// Program returns the executable of a node: that of the other build if other is true and
+// BuildVariable is set, and "cherryward", the build under test, otherwise.
 func Program(other bool) string {
 	const own = "cherryward"
 	if !other {
@@ -22,9 +22,9 @@
 	return cmp.Or(os.Getenv(BuildVariable), own)
 }
 
-// AwaitStop waits until all threads of a child are stopped: SIGSTOP is sent at once, but a
-// process runs on until they are scheduled and take it. It leaves the child's state to be read
-// again by those who wait for its end.
+// AwaitStop waits until all threads of a child process are stopped. After SIGSTOP was sent, threads
+// continue to run until they are scheduled and handle it. The child's wait status is not consumed,
+// so its exit can still be awaited.
 func AwaitStop(pid int) error {
 	for {
 		err := unix.Waitid(unix.P_PID, pid, nil, unix.WSTOPPED|unix.WNOWAIT, nil)
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -1,8 +1,8 @@
-// Package scenarios runs the scripts *.txtar: scripted failures of a whole system.
+// Package scenarios runs the scripts *.txtar, which inject failures into a complete system.
 //
-// Nodes are processes of their own. The stand-ins of the outside systems are in
-// the test's process, on loopback. At its end every script is checked by all
-// checkers of internal/invariant. docs/design/scenarios.md tells the commands.
+// Each node is a separate process. The stand-ins for external systems run in the test process, on
+// the loopback interface. At the end of every script, all invariants of internal/invariant are
+// checked. docs/design/scenarios.md describes the commands.
 package scenarios
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/cherryward/cherryward/internal/daemon"
 )
 
-// scriptsAtOnce bounds the scripts that run side by side.
+// scriptsAtOnce limits the number of scripts that run in parallel.
 const scriptsAtOnce = 4
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,7 @@
 	})
 }
 
-// exit runs a command as its own main function would.
+// exit runs a command like its main function.
 func exit(run func(context.Context) int) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -45,11 +45,11 @@
 
 func TestScenarios(t *testing.T) { runScripts(t, ".") }
 
-// TestTickets runs the script of ticketed calls by itself, so that a list of known failures can
-// name it alone.
+// TestTickets runs the script for ticketed calls as a separate test, so that it can be listed
+// separately as a known failure.
 func TestTickets(t *testing.T) { runScripts(t, "tickets") }
 
-// runScripts runs the scripts of a folder.
+// runScripts runs the scripts in a folder.
 func runScripts(t *testing.T, folder string) {
 	t.Helper()
 	slots := make(chan struct{}, scriptsAtOnce)
@@ -98,7 +98,7 @@
 
 type worldKey struct{}
 
-// command makes a script command of a method.
+// command returns a script command that calls a method.
 func command(do func(w *world, a *args) error) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, words []string) {
 		if neg {
@@ -108,7 +108,7 @@
 		a := parseArgs(ts, words)
 		err := do(w, a)
 		if err == nil {
-			err = a.unused()
+			err = a.checkUnused()
 		}
 		if err != nil {
 			ts.Fatalf("%v", err)
--- a/scenarios/signal_test.go
+++ b/scenarios/signal_test.go
@@ -8,7 +8,7 @@
 	"github.com/cherryward/cherryward/scenarios/processtest"
 )
 
-// signal sends a signal to each node that is named.
+// signal sends a signal to each named node, and calls before for each of them first.
 func (w *world) signal(a *args, s syscall.Signal, before func(n *nodeProcess)) error {
 	for _, id := range a.words {
 		n, err := w.find(id)
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// crash ends nodes at once; the list of hosts learns of it later.
+// crash kills nodes and waits until they have exited. The host list is not updated.
 func (w *world) crash(a *args) error {
-	err := w.signal(a, syscall.SIGKILL, func(n *nodeProcess) { n.gone.Store(true); n.killed.Store(true); n.inService.Store(false) })
+	err := w.signal(a, syscall.SIGKILL, func(n *nodeProcess) { n.stopped.Store(true); n.killed.Store(true); n.inService.Store(false) })
 	for _, id := range a.words {
 		if n := w.nodes[id]; n != nil {
 			<-n.ended
@@ -34,7 +34,7 @@
 	return err
 }
 
-// freeze stops nodes and waits until they are stopped.
+// freeze suspends nodes and waits until they are stopped.
 func (w *world) freeze(a *args) error {
 	if err := w.signal(a, syscall.SIGSTOP, func(n *nodeProcess) { n.frozen.Store(true) }); err != nil {
 		return err
@@ -45,7 +45,7 @@
 			return err
 		}
 		if err := processtest.AwaitStop(n.cmd.Process.Pid); err != nil {
-			return fmt.Errorf("%s did not stop: %w", id, err)
+			return fmt.Errorf("%s was not suspended: %w", id, err)
 		}
 	}
 	return nil
@@ -55,10 +55,10 @@
 	return w.signal(a, syscall.SIGCONT, func(n *nodeProcess) { n.frozen.Store(false) })
 }
 
-// term stops nodes gracefully, waits for their ends and takes them off the list
-// of hosts. Each must exit with code 0.
+// term terminates nodes gracefully, waits until they have exited and removes them from the host
+// list. Each must exit with code 0.
 func (w *world) term(a *args) error {
-	if err := w.signal(a, syscall.SIGTERM, func(n *nodeProcess) { n.gone.Store(true) }); err != nil {
+	if err := w.signal(a, syscall.SIGTERM, func(n *nodeProcess) { n.stopped.Store(true) }); err != nil {
 		return err
 	}
 	if a.background {
@@ -78,7 +78,7 @@
 	select {
 	case <-n.ended:
 	case <-time.After(endLimit):
-		return fmt.Errorf("%s did not stop", n.id)
+		return fmt.Errorf("%s did not exit", n.id)
 	}
 	if code := n.cmd.ProcessState.ExitCode(); code != 0 {
 		return fmt.Errorf("%s: exit code %d", n.id, code)
@@ -86,10 +86,10 @@
 	return nil
 }
 
-// end kills the process where it still runs.
-func (n *nodeProcess) end() {
-	n.gone.Store(true)
-	_ = n.cmd.Process.Kill() // an error means that it has ended
+// kill kills the process if it is running, and waits until it has exited.
+func (n *nodeProcess) kill() {
+	n.stopped.Store(true)
+	_ = n.cmd.Process.Kill() // fails if it has exited already
 	<-n.ended
 	if n.relay != nil {
 		n.relay.close()
--- a/scenarios/tally_test.go
+++ b/scenarios/tally_test.go
@@ -8,12 +8,12 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// tally sums up the requests of a load.
+// tally summarizes the requests of a load.
 type tally struct {
-	streaming, ended, whole, failed, cut int
-	prompts, cached                      int
-	slowest                              time.Duration
-	codes                                map[result.Code]int
+	streaming, ended, complete, failed, cut int
+	promptTokens, cached                    int
+	slowest                                 time.Duration
+	codes                                   map[result.Code]int
 }
 
 func (l *loadRun) tally() tally {
@@ -39,22 +39,22 @@
 	}
 	t.ended++
 	switch {
-	case o.whole:
-		t.whole++
+	case o.complete:
+		t.complete++
 	case o.code != 0:
 		t.failed++
 		t.codes[o.code]++
 	default:
 		t.cut++
 	}
-	t.prompts, t.cached = t.prompts+o.prompts, t.cached+o.cached
-	t.slowest = max(t.slowest, o.first)
+	t.promptTokens, t.cached = t.promptTokens+o.promptTokens, t.cached+o.cached
+	t.slowest = max(t.slowest, o.firstTokenTime)
 }
 
-// loadValue sums up the requests that have ended.
+// loadValue returns a value of the summary of a load.
 func (w *world) loadValue(l *loadRun, field string) (string, error) {
 	t := l.tally()
-	counts := map[string]int{"streaming": t.streaming, "ended": t.ended, "whole": t.whole, "failed": t.failed, "cut": t.cut}
+	counts := map[string]int{"streaming": t.streaming, "ended": t.ended, "whole": t.complete, "failed": t.failed, "cut": t.cut}
 	if n, ok := counts[field]; ok {
 		return strconv.Itoa(n), nil
 	}
@@ -62,21 +62,21 @@
 	case "codes":
 		return fmt.Sprint(t.codes), nil
 	case "cached_share":
-		return ratio(t.cached, t.prompts), nil
+		return ratio(t.cached, t.promptTokens), nil
 	case "starts_each":
-		return ratio(w.startsOf(l), t.ended), nil
+		return ratio(w.runRequestsOf(l), t.ended), nil
 	case "slowest_first_token":
 		return strconv.FormatFloat(t.slowest.Seconds(), 'f', 3, 64), nil
 	}
-	return "", fmt.Errorf("a load has no %q", field)
+	return "", fmt.Errorf("unknown field %q of a load", field)
 }
 
 func ratio(a, b int) string {
 	return strconv.FormatFloat(float64(a)/float64(max(b, 1)), 'f', 3, 64)
 }
 
-// startsOf counts the runs that engines were asked for on behalf of a load.
-func (w *world) startsOf(l *loadRun) int {
+// runRequestsOf returns the number of run requests that engines received for a load.
+func (w *world) runRequestsOf(l *loadRun) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	prompts := make(map[string]bool)
--- a/scenarios/value_test.go
+++ b/scenarios/value_test.go
@@ -13,32 +13,31 @@
 	"time"
 )
 
-// expect checks a value now: expect NAME.FIELD OP VALUE, where VALUE may be
-// @NAME.FIELD.
+// expect checks the current value: expect NAME.FIELD OP VALUE, where VALUE may be @NAME.FIELD.
 func (w *world) expect(a *args) error {
-	ok, seen, err := w.holds(a)
+	ok, actual, err := w.evaluate(a)
 	if err == nil && !ok {
-		err = fmt.Errorf("%s is %s%s", a.word(0), seen, w.detail(a.word(0)))
+		err = fmt.Errorf("%s is %s%s", a.word(0), actual, w.detail(a.word(0)))
 	}
 	return err
 }
 
-// await waits until a value is as expected.
+// await is like expect, but waits until the condition holds.
 func (w *world) await(a *args) error {
-	var seen string
+	var actual string
 	var err error
 	ok := w.poll(a.duration("within", awaitLimit), func() bool {
 		var ok bool
-		ok, seen, err = w.holds(a)
+		ok, actual, err = w.evaluate(a)
 		return ok || err != nil
 	})
 	if err == nil && !ok {
-		err = fmt.Errorf("%s is still %s%s", a.word(0), seen, w.detail(a.word(0)))
+		err = fmt.Errorf("%s is still %s%s", a.word(0), actual, w.detail(a.word(0)))
 	}
 	return err
 }
 
-// detail tells more of a request or load whose value was not as expected.
+// detail describes a request or load in the error message of expect and await.
 func (w *world) detail(path string) string {
 	name, _, _ := strings.Cut(path, ".")
 	if o := w.results[name]; o != nil {
@@ -52,8 +51,8 @@
 	return ""
 }
 
-func (w *world) holds(a *args) (ok bool, seen string, err error) {
-	if seen, err = w.value(a.word(0)); err != nil {
+func (w *world) evaluate(a *args) (ok bool, actual string, err error) {
+	if actual, err = w.value(a.word(0)); err != nil {
 		return false, "", err
 	}
 	want := a.word(2)
@@ -62,22 +61,22 @@
 			return false, "", err
 		}
 	}
-	ok, err = compare(seen, a.word(1), want)
-	return ok, seen, err
+	ok, err = compare(actual, a.word(1), want)
+	return ok, actual, err
 }
 
-func compare(seen, op, want string) (bool, error) {
+func compare(actual, op, want string) (bool, error) {
 	switch op {
 	case "==":
-		return seen == want, nil
+		return actual == want, nil
 	case "!=":
-		return seen != want, nil
+		return actual != want, nil
 	case "in":
-		return strings.Contains(","+want+",", ","+seen+","), nil
+		return strings.Contains(","+want+",", ","+actual+","), nil
 	case "contains":
-		return strings.Contains(seen, want), nil
+		return strings.Contains(actual, want), nil
 	}
-	a, errA := strconv.ParseFloat(seen, 64)
+	a, errA := strconv.ParseFloat(actual, 64)
 	b, errB := strconv.ParseFloat(want, 64)
 	if err := errors.Join(errA, errB); err != nil {
 		return false, err
@@ -88,10 +87,11 @@
 	case "<=":
 		return a <= b, nil
 	}
-	return false, fmt.Errorf("no operator %q", op)
+	return false, fmt.Errorf("unknown operator %q", op)
 }
 
-// report writes values to the test's log, which -v shows.
+// report writes values to the test log, and appends them to the file in SCENARIO_REPORT if that is
+// set.
 func (w *world) report(a *args) error {
 	for _, path := range a.words {
 		v, err := w.value(path)
@@ -113,11 +113,11 @@
 	return nil
 }
 
-// value looks a value up.
+// value returns the value of NAME.FIELD.
 func (w *world) value(path string) (string, error) {
 	name, field, ok := strings.Cut(path, ".")
 	if !ok {
-		return "", fmt.Errorf("%q: want NAME.FIELD", path)
+		return "", fmt.Errorf("invalid value %q: want NAME.FIELD", path)
 	}
 	w.mu.Lock()
 	o, l, n := w.results[name], w.loads[name], w.nodes[name]
@@ -129,7 +129,7 @@
 		return w.loadValue(l, field)
 	case n != nil:
 		if field == "met" {
-			return strconv.FormatBool(w.met(n)), nil
+			return strconv.FormatBool(w.sawAllNodes(n)), nil
 		}
 		return n.value(w.ctx, field)
 	}
@@ -149,7 +149,7 @@
 	case "endpoint":
 		return o.endpoint(), nil
 	case "whole":
-		return strconv.FormatBool(o.whole), nil
+		return strconv.FormatBool(o.complete), nil
 	case "code":
 		if o.code == 0 {
 			return "none", nil
@@ -160,7 +160,7 @@
 	case "message":
 		return o.message, nil
 	case "prompt_tokens":
-		return strconv.Itoa(o.prompts), nil
+		return strconv.Itoa(o.promptTokens), nil
 	case "cached":
 		return strconv.Itoa(o.cached), nil
 	case "imported":
@@ -168,7 +168,7 @@
 	case "seconds":
 		return strconv.FormatFloat(o.total.Seconds(), 'f', 3, 64), nil
 	}
-	return "", fmt.Errorf("a request has no %q", field)
+	return "", fmt.Errorf("unknown field %q of a request", field)
 }
 
 func (n *nodeProcess) value(ctx context.Context, field string) (string, error) {
@@ -189,10 +189,10 @@
 	if object, ok := strings.CutPrefix(field, "revision."); ok {
 		return strconv.FormatInt(n.revision(object), 10), nil
 	}
-	return "", fmt.Errorf("a node has no %q", field)
+	return "", fmt.Errorf("unknown field %q of a node", field)
 }
 
-// metric sums the series of a metric over their labels; 0 where there is none.
+// metric returns the sum of a metric over all labels, or 0 if the metric doesn't exist.
 func (n *nodeProcess) metric(ctx context.Context, name string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyLimit)
 	defer cancel()
@@ -210,15 +210,15 @@
 	for line := range strings.Lines(string(data)) {
 		series, value, _ := strings.Cut(strings.TrimSpace(line), " ")
 		if series == name || strings.HasPrefix(series, name+"{") {
-			v, _ := strconv.ParseFloat(value, 64) // a line that is none counts nothing
+			v, _ := strconv.ParseFloat(value, 64) // an invalid value counts as 0
 			sum += v
 		}
 	}
 	return strconv.FormatFloat(sum, 'f', -1, 64), err
 }
 
-// pause lets a time pass that is itself part of a promise, or of a fault. It is
-// no way to wait for a condition: that is await.
+// pause sleeps for a duration that is part of a guarantee or of a fault. To wait for a condition,
+// scripts use await.
 func (w *world) pause(a *args) error {
 	d, err := time.ParseDuration(a.word(0))
 	if err == nil {
@@ -227,7 +227,7 @@
 	return err
 }
 
-// set puts a value into a variable of the script.
+// set assigns a value to a script variable.
 func (w *world) set(a *args) error {
 	v, err := w.value(a.word(1))
 	if err == nil {
@@ -236,7 +236,7 @@
 	return err
 }
 
-// exits runs a program that must end with an exit code.
+// exits runs a program that must exit with the given code.
 func (w *world) exits(a *args) error {
 	err := a.ts.Exec(a.word(1), a.words[2:]...)
 	code := 0
--- a/scenarios/world_test.go
+++ b/scenarios/world_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// awaitLimit bounds the wait for a condition.
+	// awaitLimit is the default timeout when waiting for a condition.
 	awaitLimit = 30 * time.Second
 	pollEvery  = 20 * time.Millisecond
 	mebibyte   = 1 << 20
 )
 
-// world is all that one script works with.
+// world is the state of one script.
 type world struct {
 	env    *testscript.Env
 	ctx    context.Context
@@ -34,35 +34,35 @@
 	oracle *oracle
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	nodes   map[string]*nodeProcess
-	order   []*nodeProcess
-	results map[string]*outcome
-	all     []*outcome
-	loads   map[string]*loadRun
-	tickets map[string]string
-	history invariant.History
-	engines map[string]int // starts taken, by prompt
-	next    int            // of the balancer
-	running int            // runs begun at engines that go on
-	peak    int            // most of them at once
+	mu        sync.Mutex
+	nodes     map[string]*nodeProcess
+	order     []*nodeProcess
+	results   map[string]*outcome
+	all       []*outcome
+	loads     map[string]*loadRun
+	tickets   map[string]string
+	history   invariant.History
+	runStarts map[string]int // number of started runs by prompt
+	lastNode  int            // index of the last node that balance returned
+	running   int            // runs in progress at engines
+	peak      int            // maximum of running
 }
 
 func newWorld(env *testscript.Env) *world {
 	w := &world{
-		env:     env,
-		oracle:  newOracle(),
-		nodes:   make(map[string]*nodeProcess),
-		results: make(map[string]*outcome),
-		loads:   make(map[string]*loadRun),
-		tickets: make(map[string]string),
-		engines: make(map[string]int),
+		env:       env,
+		oracle:    newOracle(),
+		nodes:     make(map[string]*nodeProcess),
+		results:   make(map[string]*outcome),
+		loads:     make(map[string]*loadRun),
+		tickets:   make(map[string]string),
+		runStarts: make(map[string]int),
 	}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	return w
 }
 
-// standins starts the outside systems.
+// standins starts the stand-ins for external systems.
 func (w *world) standins(a *args) error {
 	cfg := engine.Config{
 		CacheBlocks:  a.number("cache", engine.DefaultCacheBlocks),
@@ -93,7 +93,7 @@
 
 func hostOf(base string) string { return strings.TrimPrefix(base, "http://") }
 
-// base returns the URL of a stand-in.
+// base returns the base URL of a stand-in.
 func (w *world) base(name string) (string, error) {
 	switch name {
 	case "log":
@@ -113,10 +113,11 @@
 			return url, nil
 		}
 	}
-	return "", fmt.Errorf("no stand-in %q", name)
+	return "", fmt.Errorf("unknown stand-in %q", name)
 }
 
-// fault switches faults of a stand-in: JSON, or the name of one that happens once.
+// fault sets the faults of a stand-in, given as JSON, or triggers the one-time fault of the given
+// name.
 func (w *world) fault(a *args) error {
 	base, err := w.base(a.word(0))
 	if err != nil {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// poll waits until a condition holds.
+// poll waits until ok returns true. It returns false after the timeout.
 func (w *world) poll(limit time.Duration, ok func() bool) bool {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
@@ -153,21 +154,21 @@
 	return true
 }
 
-// close ends everything and then checks the history.
+// close stops all loads, nodes and stand-ins, and then checks the invariants.
 func (w *world) close(t testscript.T) {
 	for _, l := range w.loads {
 		l.cancel()
 	}
 	w.cancel()
 	for _, n := range w.order {
-		n.end()
+		n.kill()
 	}
 	w.wg.Wait()
 	if w.fleet == nil {
 		return
 	}
 	h := w.collect()
-	_ = w.fleet.Close() // nothing follows that could use the error
+	_ = w.fleet.Close() // the error has no effect on the checks
 	if err := invariant.Check(h); err != nil {
 		t.Fatal(fmt.Sprintf("invariants: %v", err))
 	}
