--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -14,92 +14,92 @@
 )
 
 const (
-	// endingPath is the end of the path of a request that ends each model server which begins to run
-	// it. One caller sends it again and again, to any node.
-	endingPath  = "ends-servers"
-	endingPause = 250 * time.Millisecond
-	endingTime  = 3 * time.Second
-	// downTime is how long a server that ended is away.
+	// crashPath is the path suffix of a request that crashes each model server that runs it. One
+	// caller sends it periodically, to random nodes.
+	crashPath     = "ends-servers"
+	crashInterval = 250 * time.Millisecond
+	crashTimeout  = 3 * time.Second
+	// downTime is the time for which a crashed server is down.
 	downTime = 1500 * time.Millisecond
-	// endingsAllowed is how many servers may end under a request until the nodes know, and sendsAllowed
-	// how often nodes in touch may send it once they must.
-	endingsAllowed = 3
-	sendsAllowed   = 3
+	// maxCrashes is the number of servers that a request may crash before nodes must quarantine it,
+	// and maxLateSends the number of times that connected nodes may send it after that.
+	maxCrashes   = 3
+	maxLateSends = 3
 )
 
-// sendEnding sends that request until ctx is done.
-func (w *world) sendEnding(ctx context.Context, seed uint64) {
+// sendCrashing sends the crashing request periodically until ctx is done.
+func (w *world) sendCrashing(ctx context.Context, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 3))
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
 		node := random.IntN(len(w.nodes))
-		w.sendEndingOnce(ctx, transport, fmt.Sprintf("ending-%x", i), node)
+		w.sendCrashingOnce(ctx, transport, fmt.Sprintf("ending-%x", i), node)
 		select {
 		case <-ctx.Done():
-		case <-time.After(endingPause):
+		case <-time.After(crashInterval):
 		}
 	}
 }
 
-func (w *world) sendEndingOnce(ctx context.Context, transport *http.Transport, id string, node int) {
-	ctx, cancel := context.WithTimeout(ctx, endingTime)
+func (w *world) sendCrashingOnce(ctx context.Context, transport *http.Transport, id string, node int) {
+	ctx, cancel := context.WithTimeout(ctx, crashTimeout)
 	defer cancel()
-	sent := sentWith{key: w.key(), method: http.MethodPost, target: site.PathQuery + endingPath, at: time.Now(), node: node}
+	sent := sentRequest{key: w.key(), method: http.MethodPost, target: site.PathQuery + crashPath, at: time.Now(), node: node}
 	req, err := site.Request(ctx, *w.nodes[node].addr.Load(), sent.method, sent.target, sent.key, id, "5e550")
 	if err != nil {
-		w.seen.fail("%s: %v", id, err)
+		w.observed.fail("%s: %v", id, err)
 		return
 	}
-	w.seen.mu.Lock()
-	w.seen.sent[id] = sent
-	w.seen.mu.Unlock()
+	w.observed.mu.Lock()
+	w.observed.sent[id] = sent
+	w.observed.mu.Unlock()
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return // a node that is gone or frozen promises nothing
+		return // a stopped or frozen node guarantees nothing
 	}
 	defer resp.Body.Close()
-	if promisesNotRun(resp.StatusCode) {
-		w.seen.mu.Lock()
-		w.seen.refused[id] = true
-		w.seen.mu.Unlock()
+	if guaranteesNotRun(resp.StatusCode) {
+		w.observed.mu.Lock()
+		w.observed.refused[id] = true
+		w.observed.mu.Unlock()
 	}
 }
 
-// serverEnds has a model server that ends refuse connections, and start again later. It is called
-// while the server runs the request.
-func (w *world) serverEnds(i int) {
+// onServerCrash makes a crashed model server refuse connections, and restarts it after downTime. It is
+// called while the server runs the request.
+func (w *world) onServerCrash(i int) {
 	w.mu.Lock()
-	w.endings = append(w.endings, time.Now())
+	w.crashes = append(w.crashes, time.Now())
 	w.mu.Unlock()
-	w.proxies[modelProxy+i].end()
-	w.ups.Go(func() {
+	w.proxies[modelProxy+i].refuse()
+	w.restarts.Go(func() {
 		w.pause(downTime)
-		w.leaving.Lock()
-		defer w.leaving.Unlock()
+		w.removing.Lock()
+		defer w.removing.Unlock()
 		test.NoError(w.t, w.site.Restart(i, false))
 		test.NoError(w.t, w.proxies[modelProxy+i].reopen())
 	})
 }
 
-// sentAfterThreeEndings returns the runs of the request that nodes in touch sent on though they had
-// to know of three endings, beyond those that are allowed.
-func (w *world) sentAfterThreeEndings() []string {
-	if len(w.endings) < endingsAllowed {
+// sentAfterMaxCrashes returns the runs of the crashing request that connected nodes sent after they
+// must have observed maxCrashes crashes, if there are more than maxLateSends.
+func (w *world) sentAfterMaxCrashes() []string {
+	if len(w.crashes) < maxCrashes {
 		return nil
 	}
-	known := w.endings[endingsAllowed-1].Add(stableWindow)
+	known := w.crashes[maxCrashes-1].Add(stableWindow)
 	var late []string
 	for _, s := range w.site.Models {
 		for _, r := range s.Runs() {
-			calm := r.At.Add(-stableWindow)
-			node := w.nodes[w.seen.sent[r.Request].node]
-			if strings.HasSuffix(r.Target, endingPath) && r.At.After(known) && w.core.calm(calm, r.At) && node.harmed.calm(calm, r.At) {
-				late = append(late, fmt.Sprintf("%s ended a server %v after the third ending", r.Request, r.At.Sub(known.Add(-stableWindow))))
+			stableFrom := r.At.Add(-stableWindow)
+			node := w.nodes[w.observed.sent[r.Request].node]
+			if strings.HasSuffix(r.Target, crashPath) && r.At.After(known) && w.storeDisturbances.noneWithin(stableFrom, r.At) && node.disturbances.noneWithin(stableFrom, r.At) {
+				late = append(late, fmt.Sprintf("%s crashed a server %v after the third crash", r.Request, r.At.Sub(known.Add(-stableWindow))))
 			}
 		}
 	}
-	if len(late) <= sendsAllowed {
+	if len(late) <= maxLateSends {
 		return nil
 	}
 	return late
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -14,119 +14,119 @@
 )
 
 const (
-	// The metadata store is spared for the rest of each turn.
+	// In each turn, the metadata store has faults for storeTurn and none for the rest.
 	turn      = 30 * time.Second
 	storeTurn = 10 * time.Second
 
-	longest        = 6 // times as long as a usual trouble: orders are late
-	targets        = 10000
-	outage         = 2 * time.Second
-	afterOutage    = time.Second
-	storeDown      = 0  // the first of the store's faults
-	latest         = 10 // seconds more than two by which an order is late
-	rowOfNames     = 3
-	foreignWriters = 3
-	storeDelay     = 150 * time.Millisecond
+	lateFactor       = 6 // times the duration of other faults, for delayed orders
+	targetRange      = 10000
+	outage           = 2 * time.Second
+	afterOutage      = time.Second
+	storeDown        = 0  // index of the store's first fault
+	lateRange        = 10 // orders are delayed by 2 s and less than this many seconds more
+	maxExtraVersions = 3
+	foreignWriters   = 3
+	storeDelay       = 150 * time.Millisecond
 
 	registry = "keyed.servers"
 	operator = "keyed.op"
 
 	storeProxy = 0
-	modelProxy = 2 // of the first model server
+	modelProxy = 2 // index of the first model server's proxy
 )
 
-// cause brings one trouble about, chosen among its variants by the target, and ends it.
-type cause func(w *world, target int, lasts time.Duration)
+// faultFunc injects a fault, whose variant is selected by target, and removes it after a time.
+type faultFunc func(w *world, target int, lasts time.Duration)
 
-// The causes are equally probable. Those of the metadata store are apart.
+// The kinds of faults, each with the same probability. Those of the metadata store are separate.
 var (
-	usualTroubles = []cause{
-		(*world).harmNode, (*world).harmNode, (*world).harmNode, (*world).reload,
-		(*world).harmServerLink, (*world).harmServerLink,
-		(*world).harmServer, (*world).harmServer, (*world).harmAllServers,
-		(*world).restartServer, (*world).restartServer, (*world).delayOrders, (*world).leave,
-		(*world).changeKey, (*world).nameVersions, (*world).putForeignEntries, (*world).evacuate,
-		(*world).nameLimit, (*world).nameLimit, (*world).sayBadWords, (*world).sayLeaving, (*world).sayLeaving,
+	commonFaults = []faultFunc{
+		(*world).signalNode, (*world).signalNode, (*world).signalNode, (*world).reloadNodes,
+		(*world).faultServerLink, (*world).faultServerLink,
+		(*world).faultServer, (*world).faultServer, (*world).faultAllServers,
+		(*world).restartServer, (*world).restartServer, (*world).delayOrders, (*world).removeServer,
+		(*world).replaceKey, (*world).setVersions, (*world).putForeignEntries, (*world).evacuate,
+		(*world).signalLimit, (*world).signalLimit, (*world).sendInvalidSignals, (*world).signalDraining, (*world).signalDraining,
 	}
-	coreTroubles = []cause{(*world).harmStoreLink, (*world).harmStore, (*world).forget}
+	storeFaults = []faultFunc{(*world).faultStoreLink, (*world).faultStore, (*world).compactStore}
 )
 
-// pause follows the seeded schedule of a run, until its troubles are over.
+// pause sleeps, as scheduled by the seed, but returns early when fault injection ends.
 func (w *world) pause(d time.Duration) {
 	select {
 	case <-time.After(d):
-	case <-w.over:
+	case <-w.faultsEnded:
 	}
 }
 
-// harm causes one trouble after the other, which overlap, for a time.
-func (w *world) harm(length time.Duration) {
+// injectFaults injects random overlapping faults for a time.
+func (w *world) injectFaults(length time.Duration) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer close(w.over)
+	defer close(w.faultsEnded)
 	phase := time.Duration(0)
 	if w.seed%2 == 1 {
 		phase = storeTurn
 	}
-	harmsStore := false
+	storeFaulty := false
 	for start := time.Now(); time.Since(start) < length; {
-		before := harmsStore
-		harmsStore = (time.Since(start)+phase)%turn < storeTurn
-		target := w.random.IntN(targets)
+		before := storeFaulty
+		storeFaulty = (time.Since(start)+phase)%turn < storeTurn
+		target := w.random.IntN(targetRange)
 		lasts := time.Duration(200+w.random.IntN(1800)) * time.Millisecond
-		bring := w.choose(harmsStore)
-		if before && !harmsStore {
-			bring = (*world).leaveAfterOutage
+		inject := w.pickFault(storeFaulty)
+		if before && !storeFaulty {
+			inject = (*world).removeAfterOutage
 		}
-		wg.Go(func() { bring(w, target, lasts) })
+		wg.Go(func() { inject(w, target, lasts) })
 		w.pause(time.Duration(50+w.random.IntN(300)) * time.Millisecond)
 	}
 }
 
-// choose draws a cause of the next trouble.
-func (w *world) choose(harmsStore bool) cause {
-	list := usualTroubles
-	if harmsStore {
-		list = slices.Concat(usualTroubles, coreTroubles, coreTroubles)
+// pickFault returns a random kind of fault.
+func (w *world) pickFault(storeFaulty bool) faultFunc {
+	list := commonFaults
+	if storeFaulty {
+		list = slices.Concat(commonFaults, storeFaults, storeFaults)
 	}
 	return list[w.random.IntN(len(list))]
 }
 
-func (w *world) harmStoreLink(target int, lasts time.Duration) {
-	defer w.core.open()()
-	w.harmLink(w.proxies[storeProxy], target, lasts)
+func (w *world) faultStoreLink(target int, lasts time.Duration) {
+	defer w.storeDisturbances.open()()
+	w.faultLink(w.proxies[storeProxy], target, lasts)
 }
 
-func (w *world) harmServerLink(target int, lasts time.Duration) {
+func (w *world) faultServerLink(target int, lasts time.Duration) {
 	others := w.proxies[storeProxy+1:]
-	w.harmLink(others[target%len(others)], target/len(others), lasts)
+	w.faultLink(others[target%len(others)], target/len(others), lasts)
 }
 
-func (w *world) harmLink(p *proxy, target int, lasts time.Duration) {
-	defer p.harmed.open()()
-	p.set(trouble(1 + target%int(troubles-1)))
+func (w *world) faultLink(p *proxy, target int, lasts time.Duration) {
+	defer p.disturbances.open()()
+	p.set(linkFault(1 + target%int(linkFaultCount-1)))
 	w.pause(lasts)
 	p.set(none)
 }
 
-func (w *world) harmStore(target int, lasts time.Duration) {
-	defer w.core.open()()
+func (w *world) faultStore(target int, lasts time.Duration) {
+	defer w.storeDisturbances.open()()
 	list := []metastore.Faults{{Down: true}, {LoseAnswers: true}, {Delay: storeDelay}}
 	w.site.Store.SetFaults(list[target%len(list)])
 	w.pause(lasts)
 	w.site.Store.SetFaults(metastore.Faults{})
 }
 
-func (w *world) forget(target int, _ time.Duration) {
+func (w *world) compactStore(target int, _ time.Duration) {
 	w.site.Store.Forget([]string{operator, registry}[target%2])
 }
 
-// fault is what one trouble does to a server. Those of several troubles add up.
-type fault struct {
+// serverFault is a fault of a server. The faults of a server are combined.
+type serverFault struct {
 	apply func(f *modelserver.Faults)
 }
 
-var serverFaults = []func(f *modelserver.Faults, target int){
+var serverFaultKinds = []func(f *modelserver.Faults, target int){
 	func(f *modelserver.Faults, _ int) { f.Shed = true },
 	func(f *modelserver.Faults, _ int) { f.LoseAnswer = true },
 	func(f *modelserver.Faults, target int) { f.CutAfter = 1 + target%6 },
@@ -136,12 +136,12 @@
 	func(f *modelserver.Faults, target int) { f.Unframed, f.CutAfter = true, 1+target%6 },
 	func(f *modelserver.Faults, _ int) { f.Hang = true },
 	func(f *modelserver.Faults, _ int) { f.CutAfter = -1 },
-	func(f *modelserver.Faults, _ int) { f.Shed, f.Rest = true, askedRest },
+	func(f *modelserver.Faults, _ int) { f.Shed, f.Rest = true, retryAfterSeconds },
 }
 
-// misbehave gives a server a fault for a time.
-func (w *world) misbehave(s *modelserver.Server, lasts time.Duration, apply func(*modelserver.Faults)) {
-	own := &fault{apply}
+// injectServerFault injects a fault into a server for a time.
+func (w *world) injectServerFault(s *modelserver.Server, lasts time.Duration, apply func(*modelserver.Faults)) {
+	own := &serverFault{apply}
 	w.mu.Lock()
 	w.faults[s] = append(w.faults[s], own)
 	w.applyFaults(s)
@@ -149,73 +149,73 @@
 	w.pause(lasts)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults[s] = slices.DeleteFunc(w.faults[s], func(f *fault) bool { return f == own })
+	w.faults[s] = slices.DeleteFunc(w.faults[s], func(f *serverFault) bool { return f == own })
 	w.applyFaults(s)
 }
 
-// applyFaults joins a server's faults. w.mu is held.
+// applyFaults sets the combination of a server's current faults. w.mu is held.
 func (w *world) applyFaults(s *modelserver.Server) {
-	joined := modelserver.Faults{EndOn: endingPath}
+	joined := modelserver.Faults{EndOn: crashPath}
 	for _, f := range w.faults[s] {
 		f.apply(&joined)
 	}
 	s.SetFaults(joined)
 }
 
-func (w *world) harmServer(target int, lasts time.Duration) {
+func (w *world) faultServer(target int, lasts time.Duration) {
 	list := w.servers()
 	choice := target / len(list)
-	apply := serverFaults[choice%len(serverFaults)]
-	w.misbehave(list[target%len(list)], lasts, func(f *modelserver.Faults) { apply(f, choice/len(serverFaults)) })
+	apply := serverFaultKinds[choice%len(serverFaultKinds)]
+	w.injectServerFault(list[target%len(list)], lasts, func(f *modelserver.Faults) { apply(f, choice/len(serverFaultKinds)) })
 }
 
-// misbehaveAll gives servers the same fault for a time.
-func (w *world) misbehaveAll(servers []*modelserver.Server, lasts time.Duration, apply func(*modelserver.Faults)) {
+// injectServersFault injects the same fault into several servers for a time.
+func (w *world) injectServersFault(servers []*modelserver.Server, lasts time.Duration, apply func(*modelserver.Faults)) {
 	var wg sync.WaitGroup
 	for _, s := range servers {
-		wg.Go(func() { w.misbehave(s, lasts, apply) })
+		wg.Go(func() { w.injectServerFault(s, lasts, apply) })
 	}
 	wg.Wait()
 }
 
-// harmAllServers gives the servers different faults at the same time.
-func (w *world) harmAllServers(target int, lasts time.Duration) {
+// faultAllServers injects different faults into all servers at the same time.
+func (w *world) faultAllServers(target int, lasts time.Duration) {
 	var wg sync.WaitGroup
 	for i, s := range w.servers() {
-		apply := serverFaults[(target+i)%len(serverFaults)]
-		wg.Go(func() { w.misbehave(s, lasts/2, func(f *modelserver.Faults) { apply(f, target+i) }) })
+		apply := serverFaultKinds[(target+i)%len(serverFaultKinds)]
+		wg.Go(func() { w.injectServerFault(s, lasts/2, func(f *modelserver.Faults) { apply(f, target+i) }) })
 	}
 	wg.Wait()
 }
 
-// restartServer has a model server start again under its id, behind a cut.
+// restartServer restarts a model server under the same id while its connections are interrupted.
 func (w *world) restartServer(target int, lasts time.Duration) {
 	i := target % len(w.site.Models)
 	link := w.proxies[modelProxy+i]
-	defer link.harmed.open()()
-	link.set([]trouble{reset, silent}[target/len(w.site.Models)%2])
+	defer link.disturbances.open()()
+	link.set([]linkFault{reset, dropAll}[target/len(w.site.Models)%2])
 	w.site.Models[i].Restart()
 	w.pause(lasts / 2)
 	link.set(none)
 }
 
-// leave takes a model server's entry away for longer than the drain bound, unless another
-// one has left, and has the server start again then.
-func (w *world) leave(target int, lasts time.Duration) {
-	if !w.leaving.TryLock() {
+// removeServer removes a model server's entry for longer than the drain bound, and then restarts the
+// server. It does nothing while another server is removed or draining.
+func (w *world) removeServer(target int, lasts time.Duration) {
+	if !w.removing.TryLock() {
 		return
 	}
-	defer w.leaving.Unlock()
+	defer w.removing.Unlock()
 	i := target % len(w.site.Models)
 	w.site.Remove(i)
-	end := w.away[i].open()
+	end := w.removed[i].open()
 	w.pause(2*drainBound + lasts)
 	end()
 	test.NoError(w.t, w.site.Restart(i, false))
 }
 
-// evacuate has a failure domain evacuated for longer than its bound, and now and then taken back and
-// given again at once.
+// evacuate orders the evacuation of a failure domain for longer than the evacuation bound. For every
+// other target it repeats the order immediately after it is revoked.
 func (w *world) evacuate(target int, lasts time.Duration) {
 	if !w.evacuating.TryLock() {
 		return
@@ -233,33 +233,33 @@
 	}
 }
 
-// leaveAfterOutage has a server leave soon after the metadata store came back, when nodes
-// can't know yet whose entries only lapsed.
-func (w *world) leaveAfterOutage(target int, lasts time.Duration) {
-	w.harmStore(storeDown, outage)
+// removeAfterOutage removes a server shortly after an outage of the metadata store, when nodes can't
+// distinguish yet between removed entries and entries that were not renewed during the outage.
+func (w *world) removeAfterOutage(target int, lasts time.Duration) {
+	w.faultStore(storeDown, outage)
 	w.pause(afterOutage + lasts/4)
-	w.leave(target, lasts)
+	w.removeServer(target, lasts)
 }
 
-// delayOrders leaves a server's orders unanswered and has them carried out late.
+// delayOrders makes a server execute orders late and without a response.
 func (w *world) delayOrders(target int, lasts time.Duration) {
 	s := w.site.Models[target%len(w.site.Models)]
-	late := time.Duration(2+target%latest) * time.Second
-	w.misbehave(s, time.Duration(1+target%longest)*lasts, func(f *modelserver.Faults) { f.LateOrders = late })
+	late := time.Duration(2+target%lateRange) * time.Second
+	w.injectServerFault(s, time.Duration(1+target%lateFactor)*lasts, func(f *modelserver.Faults) { f.LateOrders = late })
 }
 
-func (w *world) changeKey(target int, _ time.Duration) { w.configure(fmt.Sprint("k", target)) }
+func (w *world) replaceKey(target int, _ time.Duration) { w.configure(fmt.Sprint("k", target)) }
 
-// nameVersions names one to three versions in a row.
-func (w *world) nameVersions(target int, lasts time.Duration) {
-	w.nameVersion()
-	for range target % rowOfNames {
+// setVersions sets one to three target versions in sequence.
+func (w *world) setVersions(target int, lasts time.Duration) {
+	w.setVersion()
+	for range target % maxExtraVersions {
 		w.pause(lasts)
-		w.nameVersion()
+		w.setVersion()
 	}
 }
 
-// foreignEntries are entries of other writers, which name no server to use.
+// foreignEntries are registry entries of other writers that don't describe a usable server.
 var foreignEntries = []string{
 	`not JSON`, "\xff\x00\xfe", `[]`, `{}`, `null`, `"models"`,
 	`{"service":"models","address":17,"zone":"north","state":"ready","slots":8,"seq":1}`,
@@ -270,8 +270,8 @@
 	`{"service":"plain","address":"","zone":7,"state":true,"seq":"one"}`,
 }
 
-// putForeignEntries puts entries of another writer beside those of the servers, where they
-// stay, and one in the place of a server's own, until its next.
+// putForeignEntries writes invalid entries under separate keys, where they stay, and one under a
+// server's key, where it stays until the server's next heartbeat.
 func (w *world) putForeignEntries(target int, _ time.Duration) {
 	entry := func(i int) []byte { return []byte(foreignEntries[(target+i)%len(foreignEntries)]) }
 	for i := range foreignWriters {
@@ -280,7 +280,7 @@
 	w.site.Store.Put(registry, fmt.Sprint("model-", 1+target%len(w.site.Models)), entry(foreignWriters))
 }
 
-// heal ends the troubles that overlapping ones may have left.
+// heal removes the faults that remain after overlapping faults have ended.
 func (w *world) heal() {
 	for _, p := range w.proxies {
 		p.set(none)
--- a/soak/guarantees_test.go
+++ b/soak/guarantees_test.go
@@ -9,28 +9,29 @@
 	"github.com/cherryward/cherryward/standin/site"
 )
 
-// The bounds of the site's boot files.
+// The bounds in the site's boot files.
 const (
 	drainBound   = 2 * time.Second
 	revokeBound  = 5 * time.Second
 	versionBound = 12 * time.Second
-	// evacuateBound is the same for evacuations.
+	// evacuateBound is the time within which nodes must stop sending to an evacuated domain.
 	evacuateBound = 5 * time.Second
 	stableWindow  = 3 * time.Second
 )
 
-// brokenPromises compares what servers ran with what clients sent and were told.
-func (w *world) brokenPromises() []string {
-	broken := w.seen.failures
+// violations checks the requests that servers ran against those that clients sent and the responses
+// that they received, and returns the violated guarantees.
+func (w *world) violations() []string {
+	broken := w.observed.failures
 	once := make(map[string]int)
-	for i := range w.away {
-		broken = append(broken, w.ranAway(i)...)
+	for i := range w.removed {
+		broken = append(broken, w.ranAfterRemoval(i)...)
 	}
 	broken = append(broken, w.ranEvacuated()...)
-	broken = append(broken, w.unheeded()...)
+	broken = append(broken, w.ignoredSignals()...)
 	for _, s := range w.servers() {
 		for _, r := range s.Runs() {
-			if why := w.brokenBy(&r); why != "" {
+			if why := w.violation(&r); why != "" {
 				broken = append(broken, r.Request+" "+why)
 			}
 			if strings.HasPrefix(r.Target, site.PathUpload) || strings.HasPrefix(r.Target, site.PathSummary) {
@@ -38,7 +39,7 @@
 			}
 		}
 	}
-	broken = append(broken, w.sentAfterThreeEndings()...)
+	broken = append(broken, w.sentAfterMaxCrashes()...)
 	for id, n := range once {
 		if n > 1 {
 			broken = append(broken, fmt.Sprintf("%s ran %d times", id, n))
@@ -47,68 +48,68 @@
 	return broken
 }
 
-// brokenBy says which promise a run breaks by itself, if any.
-func (w *world) brokenBy(r *modelserver.Run) string {
-	sent, known := w.seen.sent[r.Request]
+// violation returns a description of the guarantee that a single run violates, or an empty string.
+func (w *world) violation(r *modelserver.Run) string {
+	sent, known := w.observed.sent[r.Request]
 	gone, isGone := w.revoked[sent.key]
 	switch {
 	case !known:
-		return "ran, and no client sent it"
+		return "ran, but no client sent it"
 	case r.Header.Get("X-Tenant") != site.Account || r.Header.Get("Authorization") != "":
 		return "ran under another account, or with its key"
 	case r.Method != sent.method || r.Target != sent.target || r.Body != sent.body:
 		return fmt.Sprintf("ran as %s %s %q", r.Method, r.Target, r.Body)
 	case isGone && sent.at.After(gone.Add(revokeBound)):
-		return "ran with a key that was taken away"
-	case w.seen.refused[r.Request] && !strings.HasPrefix(r.Target, site.PathLookup):
-		return "ran, and its client was told that it did not"
+		return "ran with a revoked key"
+	case w.observed.refused[r.Request] && !strings.HasPrefix(r.Target, site.PathLookup):
+		return "ran, but was rejected as not run"
 	}
 	if age := w.replacedFor(r, sent.node); age > versionBound {
-		return fmt.Sprintf("ran on weights that were replaced %v before, by way of n%d at %v", age, sent.node, r.At.Format(time.StampMilli))
+		return fmt.Sprintf("ran on weights replaced %v earlier, sent by n%d at %v", age, sent.node, r.At.Format(time.StampMilli))
 	}
 	return ""
 }
 
-// ranAway returns the requests that a model server ran after it had been gone for longer
-// than the drain bound, sent on by a node in touch while the metadata store was stable.
-func (w *world) ranAway(i int) []string {
+// ranAfterRemoval returns the requests that a model server ran more than the drain bound after its
+// removal, sent by a connected node while the metadata store was stable.
+func (w *world) ranAfterRemoval(i int) []string {
 	var broken []string
 	for _, r := range w.site.Models[i].Runs() {
-		calm := r.At.Add(-stableWindow)
-		node := w.nodes[w.seen.sent[r.Request].node]
-		if w.away[i].covers(r.At.Add(-drainBound), r.At) && w.core.calm(calm, r.At) && node.harmed.calm(calm, r.At) {
-			broken = append(broken, fmt.Sprintf("%s ran at model-%d, which had left %v before", r.Request, 1+i, drainBound))
+		stableFrom := r.At.Add(-stableWindow)
+		node := w.nodes[w.observed.sent[r.Request].node]
+		if w.removed[i].covers(r.At.Add(-drainBound), r.At) && w.storeDisturbances.noneWithin(stableFrom, r.At) && node.disturbances.noneWithin(stableFrom, r.At) {
+			broken = append(broken, fmt.Sprintf("%s ran at model-%d, which was removed more than %v earlier", r.Request, 1+i, drainBound))
 		}
 	}
 	return broken
 }
 
-// ranEvacuated returns the requests that a server of an evacuated failure domain ran later than the bound
-// allows, sent on by a node in touch while the metadata store was stable.
+// ranEvacuated returns the requests that a server ran more than the evacuation bound after its failure
+// domain was evacuated, sent by a connected node while the metadata store was stable.
 func (w *world) ranEvacuated() []string {
 	var broken []string
 	for _, r := range w.site.Models[len(w.site.Models)-1].Runs() {
-		calm := r.At.Add(-stableWindow)
-		node := w.nodes[w.seen.sent[r.Request].node]
-		if w.evacuated.covers(r.At.Add(-evacuateBound), r.At) && w.core.calm(calm, r.At) && node.harmed.calm(calm, r.At) {
-			broken = append(broken, fmt.Sprintf("%s ran in a failure domain that had been evacuated for %v", r.Request, evacuateBound))
+		stableFrom := r.At.Add(-stableWindow)
+		node := w.nodes[w.observed.sent[r.Request].node]
+		if w.evacuated.covers(r.At.Add(-evacuateBound), r.At) && w.storeDisturbances.noneWithin(stableFrom, r.At) && node.disturbances.noneWithin(stableFrom, r.At) {
+			broken = append(broken, fmt.Sprintf("%s ran in a failure domain that was evacuated for more than %v", r.Request, evacuateBound))
 		}
 	}
 	return broken
 }
 
-// replacedFor returns for how long the weights of a run had been replaced, counted while
-// the metadata store was stable, where the node that sent it on was in touch.
+// replacedFor returns the time since the weights of a run were replaced, counted while the metadata
+// store was stable. It returns 0 if the weights were current or the node was not connected.
 func (w *world) replacedFor(r *modelserver.Run, node int) time.Duration {
-	if r.Header.Get("X-Model") == "" || !w.nodes[node].harmed.calm(r.At.Add(-stableWindow), r.At) {
+	if r.Header.Get("X-Model") == "" || !w.nodes[node].disturbances.noneWithin(r.At.Add(-stableWindow), r.At) {
 		return 0
 	}
-	for _, newer := range w.named {
+	for _, newer := range w.versions {
 		if newer.version <= r.Version {
 			continue
 		}
 		since := newer.at
-		if stable := w.core.lastEnd(r.At).Add(stableWindow); stable.After(since) {
+		if stable := w.storeDisturbances.lastEnd(r.At).Add(stableWindow); stable.After(since) {
 			since = stable
 		}
 		return r.At.Sub(since)
@@ -116,12 +117,12 @@
 	return 0
 }
 
-// oldestWeights returns the greatest time for which the weights of a run had been replaced.
+// oldestWeights returns the maximum of replacedFor over all runs.
 func (w *world) oldestWeights() time.Duration {
 	var oldest time.Duration
 	for _, s := range w.site.Models {
 		for _, r := range s.Runs() {
-			oldest = max(oldest, w.replacedFor(&r, w.seen.sent[r.Request].node))
+			oldest = max(oldest, w.replacedFor(&r, w.observed.sent[r.Request].node))
 		}
 	}
 	return oldest
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// nodesAtOnce or a fifth of all may be harmed at the same time.
+	// At most nodesAtOnce nodes, or a fifth of all if that is more, have faults at the same time.
 	nodesAtOnce = 2
 	shareAtOnce = 5
 )
 
-// The signals of a series.
+// The signals of a sequence.
 const (
 	kill = iota
 	terminate
 	suspend
 	hangUp
-	signals // how many there are
+	signalCount // number of signals
 )
 
-// process is one node, started again and again.
+// process is the process of a node, which is restarted repeatedly.
 type process struct {
-	cmd    *exec.Cmd // set by who harms the node
-	addr   atomic.Pointer[string]
-	ended  chan struct{}
-	harmed spans
-	busy   bool // being harmed; world.mu
+	cmd          *exec.Cmd // set by the goroutine that claimed the process
+	addr         atomic.Pointer[string]
+	ended        chan struct{}
+	disturbances spans
+	busy         bool // claimed by a fault; guarded by world.mu
 }
 
 var callersField = regexp.MustCompile(`callers=(\S+).*event=start`)
@@ -66,12 +66,12 @@
 	cmd := p.cmd
 	go func() {
 		_, _ = io.Copy(w.log, lines) // ends with the process
-		_ = cmd.Wait()               // any end is looked at by who caused it
+		_ = cmd.Wait()               // the exit status is expected to vary
 		close(ended)
 	}()
 }
 
-// signal does nothing to a process that has ended.
+// signal sends a signal. It has no effect if the process has exited.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
 func (p *process) kill() {
@@ -79,9 +79,9 @@
 	<-p.ended
 }
 
-// harmNode sends one node a series of signals, some of which overlap with what the one
-// before started, and has it run in the end.
-func (w *world) harmNode(target int, lasts time.Duration) {
+// signalNode sends a sequence of signals to a node, some of them before the effect of the previous
+// one is complete, and restarts the node if it exits.
+func (w *world) signalNode(target int, lasts time.Duration) {
 	i := target % len(w.nodes)
 	p := w.nodes[i]
 	if !w.claim(p) {
@@ -89,11 +89,11 @@
 	}
 	defer w.release(p)
 	ends, series := false, target/len(w.nodes)
-	if series != hangUp { // which leaves a node in touch
-		defer p.harmed.open()()
+	if series != hangUp { // the node stays connected
+		defer p.disturbances.open()()
 	}
-	for n := series; ; n /= signals {
-		switch n % signals {
+	for n := series; ; n /= signalCount {
+		switch n % signalCount {
 		case kill:
 			p.signal(syscall.SIGKILL)
 			ends = true
@@ -107,7 +107,7 @@
 		case hangUp:
 			p.signal(syscall.SIGHUP)
 		}
-		if n < signals {
+		if n < signalCount {
 			break
 		}
 		w.pause(lasts / 4)
@@ -119,8 +119,8 @@
 	}
 }
 
-// reload hangs up all nodes at about the same time.
-func (w *world) reload(int, time.Duration) {
+// reloadNodes sends SIGHUP to all nodes at about the same time.
+func (w *world) reloadNodes(int, time.Duration) {
 	for _, p := range w.nodes {
 		if w.claim(p) {
 			p.signal(syscall.SIGHUP)
@@ -129,7 +129,7 @@
 	}
 }
 
-// claim marks a node as being harmed, unless too many are.
+// claim reserves a node for a fault. It returns false if the node or too many others have faults.
 func (w *world) claim(p *process) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,33 +9,33 @@
 	"github.com/cherryward/cherryward/standin/site"
 )
 
-// trouble is what a proxy does to the connections through it.
-type trouble int
+// linkFault is a fault that a proxy injects into its connections.
+type linkFault int
 
 const (
-	none    trouble = iota
-	delayed         // each read is passed on late
-	reset           // connections are reset, new ones too
-	silent          // bytes are swallowed both ways
-	oneWay          // only answers are swallowed
-	troubles
+	none          linkFault = iota
+	delayed                 // data is forwarded with a delay
+	reset                   // connections are reset, including new ones
+	dropAll                 // data is dropped in both directions
+	dropResponses           // only responses are dropped
+	linkFaultCount
 )
 
 const proxyDelay = 40 * time.Millisecond
 
-// proxy passes connections on to one stand-in, and does them harm when told to.
+// proxy is a TCP proxy for one stand-in that can inject faults.
 type proxy struct {
-	at     string // IP:PORT
-	target string
-	harmed spans
+	listenAddr   string // IP:PORT
+	target       string
+	disturbances spans
 
 	mu       sync.Mutex
 	listener net.Listener
-	state    trouble
+	fault    linkFault
 	conns    map[net.Conn]bool
 }
 
-// newProxy returns a proxy at the IP of its target.
+// newProxy starts a proxy at the IP of its target.
 func newProxy(target string) (*proxy, error) {
 	ip, _, err := net.SplitHostPort(target)
 	if err != nil {
@@ -45,12 +45,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, at: l.Addr().String(), target: target, conns: make(map[net.Conn]bool)}
+	p := &proxy{listener: l, listenAddr: l.Addr().String(), target: target, conns: make(map[net.Conn]bool)}
 	go p.accept(l)
 	return p, nil
 }
 
-func (p *proxy) addr() string { return p.at }
+func (p *proxy) addr() string { return p.listenAddr }
 
 func (p *proxy) close() {
 	p.mu.Lock()
@@ -59,15 +59,15 @@
 	p.set(reset)
 }
 
-// end refuses connections, as the host of a server that ended does.
-func (p *proxy) end() {
+// refuse closes the listener and all connections, like a server that crashed.
+func (p *proxy) refuse() {
 	p.close()
 	p.set(none)
 }
 
-// reopen ends end. The system may have given the port away meanwhile.
+// reopen listens again after refuse. The port may be in use by another socket meanwhile.
 func (p *proxy) reopen() error {
-	l, err := site.ListenAgain(p.at)
+	l, err := site.ListenAgain(p.listenAddr)
 	if err != nil {
 		return err
 	}
@@ -78,14 +78,14 @@
 	return nil
 }
 
-// set changes the trouble. Connections that were harmed are reset at its end, as
-// bytes are missing from them.
-func (p *proxy) set(t trouble) {
+// set changes the fault. After a fault that dropped data, the connections are reset, as they are
+// incomplete.
+func (p *proxy) set(t linkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.state
-	p.state = t
-	if t != reset && before != silent && before != oneWay {
+	before := p.fault
+	p.fault = t
+	if t != reset && before != dropAll && before != dropResponses {
 		return
 	}
 	for c := range p.conns {
@@ -95,10 +95,10 @@
 	clear(p.conns)
 }
 
-func (p *proxy) now() trouble {
+func (p *proxy) now() linkFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state
+	return p.fault
 }
 
 func (p *proxy) accept(l net.Listener) {
@@ -119,13 +119,13 @@
 		p.mu.Lock()
 		p.conns[front], p.conns[back] = true, true
 		p.mu.Unlock()
-		go p.pass(back, front, false)
-		go p.pass(front, back, true)
+		go p.forward(back, front, false)
+		go p.forward(front, back, true)
 	}
 }
 
-// pass copies one direction until either side ends.
-func (p *proxy) pass(to, from net.Conn, answers bool) {
+// forward copies data in one direction until either side is closed.
+func (p *proxy) forward(to, from net.Conn, answers bool) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 16<<10)
@@ -135,7 +135,7 @@
 			return
 		}
 		switch t := p.now(); {
-		case t == silent, t == oneWay && answers:
+		case t == dropAll, t == dropResponses && answers:
 			if err == io.EOF {
 				return
 			}
--- a/soak/signalchecks_test.go
+++ b/soak/signalchecks_test.go
@@ -10,73 +10,74 @@
 	"github.com/cherryward/cherryward/standin/modelserver"
 )
 
-// arrive has requests that the world's node would have sent reach a model server, the first of which the caller had
-// the answer to so long before the others were sent.
-func arrive(t *testing.T, w *world, addr string, requests int, before time.Duration) {
+// sendAsNode sends requests to a model server and records them as sent by the world's node. The
+// response to the first one is recorded as received the given time before the others were sent.
+func sendAsNode(t *testing.T, w *world, addr string, requests int, before time.Duration) {
 	t.Helper()
 	for i := range requests {
 		id := fmt.Sprint("w", i)
 		runAtAs(t, addr, id)
-		w.seen.sent[id] = sentWith{at: time.Now()}
+		w.observed.sent[id] = sentRequest{at: time.Now()}
 		if i == 0 {
-			w.seen.heard[id] = heard{"model-1", time.Now().Add(-before)}
+			w.observed.received[id] = received{"model-1", time.Now().Add(-before)}
 		}
 	}
 }
 
-// TestUnheededWordsAreFound has a model server get requests against what it said, with and without what excuses the
-// node.
-func TestUnheededWordsAreFound(t *testing.T) {
+// TestDetectsIgnoredSignals checks that requests which violate a limit or the draining state that a
+// model server reported are detected, unless the node could not observe the report in time.
+func TestDetectsIgnoredSignals(t *testing.T) {
 	const long = drainBound + time.Second
 	limited := modelserver.Faults{Limit: limitPerS}
-	namedFor := func(w *world, d time.Duration) {
+	limitedFor := func(w *world, d time.Duration) {
 		w.limited.list = []*span{{from: time.Now().Add(-d)}}
 	}
 	tests := []struct {
 		name     string
 		faults   modelserver.Faults
 		requests int
-		before   time.Duration // for which the node has known it
+		before   time.Duration // time since the node received the signal
 		prepare  func(w *world)
 		want     bool
 	}{
 		{"leaving", modelserver.Faults{Leaving: "1"}, 2, long, nil, true},
-		{"leaving, just told", modelserver.Faults{Leaving: "1"}, 2, time.Second, nil, false},
-		{"leaving, not told", modelserver.Faults{Leaving: "1"}, 1, long, nil, false},
-		{"leaving, node in trouble", modelserver.Faults{Leaving: "1"}, 2, long, func(w *world) { w.nodes[0].harmed.open()() }, false},
-		{"limited", limited, limitBound + 2, long, func(w *world) { namedFor(w, long) }, true},
-		{"limited, as much as allowed", limited, limitBound, long, func(w *world) { namedFor(w, long) }, false},
-		{"limited, just named", limited, limitBound + 2, long, func(w *world) { namedFor(w, time.Second) }, false},
-		{"limited, just told", limited, limitBound + 2, 0, func(w *world) { namedFor(w, long) }, false},
-		{"limited, node in trouble", limited, limitBound + 2, long, func(w *world) { namedFor(w, long); w.nodes[0].harmed.open()() }, false},
+		{"draining, signal just received", modelserver.Faults{Leaving: "1"}, 2, time.Second, nil, false},
+		{"draining, signal not received", modelserver.Faults{Leaving: "1"}, 1, long, nil, false},
+		{"draining, node has faults", modelserver.Faults{Leaving: "1"}, 2, long, func(w *world) { w.nodes[0].disturbances.open()() }, false},
+		{"limited", limited, limitBound + 2, long, func(w *world) { limitedFor(w, long) }, true},
+		{"limited, at most the allowed number", limited, limitBound, long, func(w *world) { limitedFor(w, long) }, false},
+		{"limited, limit just set", limited, limitBound + 2, long, func(w *world) { limitedFor(w, time.Second) }, false},
+		{"limited, limit just received", limited, limitBound + 2, 0, func(w *world) { limitedFor(w, long) }, false},
+		{"limited, node has faults", limited, limitBound + 2, long, func(w *world) { limitedFor(w, long); w.nodes[0].disturbances.open()() }, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w, addrs := newCalmWorld(t)
+			w, addrs := newIdleWorld(t)
 			w.site.Models[0].SetFaults(tc.faults)
 			if tc.prepare != nil {
 				tc.prepare(w)
 			}
-			arrive(t, w, addrs[modelProxy], tc.requests, tc.before)
-			test.Eq(t, tc.want, len(w.unheeded()) > 0, test.Sprint(w.unheeded()))
+			sendAsNode(t, w, addrs[modelProxy], tc.requests, tc.before)
+			test.Eq(t, tc.want, len(w.ignoredSignals()) > 0, test.Sprint(w.ignoredSignals()))
 		})
 	}
 }
 
-// TestDisturbedRestsAreFound has a model server get one request more than it may while it rests, and as many as it may.
-func TestDisturbedRestsAreFound(t *testing.T) {
-	for _, requests := range []int{restBound, restBound + 1} {
-		w, addrs := newCalmWorld(t)
+// TestDetectsIgnoredRetryAfter checks that one request more than allowed during a server's Retry-After
+// is detected, that the allowed number is not, and that faults of the link excuse the node.
+func TestDetectsIgnoredRetryAfter(t *testing.T) {
+	for _, requests := range []int{maxDuringRetryAfter, maxDuringRetryAfter + 1} {
+		w, addrs := newIdleWorld(t)
 		s, link := w.site.Models[0], &proxy{}
-		s.SetFaults(modelserver.Faults{Shed: true, Rest: askedRest})
+		s.SetFaults(modelserver.Faults{Shed: true, Rest: retryAfterSeconds})
 		runAtAs(t, addrs[modelProxy], "asked")
-		time.Sleep(restHeeded + restHeeded/5) // the time that the promise leaves
+		time.Sleep(retryAfterDelay + retryAfterDelay/5) // the guarantee applies after this delay
 		for i := range requests {
 			runAtAs(t, addrs[modelProxy], fmt.Sprint("r", i))
 		}
-		test.Eq(t, requests > restBound, len(w.disturbed(s, link)) > 0)
-		link.harmed.open()()
-		link.harmed.list[0].from = time.Now().Add(-time.Minute)
-		test.SliceEmpty(t, w.disturbed(s, link))
+		test.Eq(t, requests > maxDuringRetryAfter, len(w.ignoredRetryAfter(s, link)) > 0)
+		link.disturbances.open()()
+		link.disturbances.list[0].from = time.Now().Add(-time.Minute)
+		test.SliceEmpty(t, w.ignoredRetryAfter(s, link))
 	}
 }
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	// Of a server that names this limit nodes send no more than limitBound in limitWindow.
+	// All nodes together may send at most limitBound requests per limitWindow to a server that
+	// reports the limit limitPerS.
 	limitPerS   = "2"
 	limitWindow = 4 * time.Second
-	limitBound  = 17 // 1.5 times what the limit allows, and 5
-	limitTold   = 500 * time.Millisecond
-	// restBound is the number of requests of a node that may reach a server from restHeeded after it asked for
-	// rest until that is over.
-	restBound  = 2
-	restHeeded = 500 * time.Millisecond
-	askedRest  = "1.5"
+	limitBound  = 17 // 1.5 times the number that the limit allows, plus 5
+	limitDelay  = 500 * time.Millisecond
+	// maxDuringRetryAfter is the number of requests of a node that may reach a server between
+	// retryAfterDelay after a response with Retry-After and the end of that time.
+	maxDuringRetryAfter = 2
+	retryAfterDelay     = 500 * time.Millisecond
+	retryAfterSeconds   = "1.5"
 )
 
-// badWords are what no server should say; each counts as nothing.
-var badWords = []string{"NaN", "-1", "inf", "", "soon", "1, 2"}
+// invalidSignals are invalid header values, which must be ignored.
+var invalidSignals = []string{"NaN", "-1", "inf", "", "soon", "1, 2"}
 
-// nameLimit has a model server, or all of them, name a limit for longer than it is judged.
-func (w *world) nameLimit(target int, lasts time.Duration) {
+// signalLimit makes one or all model servers report a limit, for longer than the window that is
+// checked.
+func (w *world) signalLimit(target int, lasts time.Duration) {
 	if !w.limiting.TryLock() {
 		return
 	}
@@ -39,67 +41,69 @@
 	}
 	end := w.limited.open()
 	defer end()
-	w.misbehaveAll(servers, stableWindow+limitWindow+2*lasts, func(f *modelserver.Faults) { f.Limit = limitPerS })
+	w.injectServersFault(servers, stableWindow+limitWindow+2*lasts, func(f *modelserver.Faults) { f.Limit = limitPerS })
 }
 
-// sayBadWords has all servers say what can't be read.
-func (w *world) sayBadWords(target int, lasts time.Duration) {
-	bad := func(i int) string { return badWords[(target+i)%len(badWords)] }
-	w.misbehaveAll(w.servers(), lasts, func(f *modelserver.Faults) {
+// sendInvalidSignals makes all servers send invalid header values.
+func (w *world) sendInvalidSignals(target int, lasts time.Duration) {
+	bad := func(i int) string { return invalidSignals[(target+i)%len(invalidSignals)] }
+	w.injectServersFault(w.servers(), lasts, func(f *modelserver.Faults) {
 		f.Limit, f.Leaving, f.Shed, f.Rest = bad(0), bad(1), target%2 == 0, bad(2)
 	})
 }
 
-// sayLeaving has a model server say in its answers that it leaves, while its entry says that it is ready, for longer
-// than the drain bound, and start again then.
-func (w *world) sayLeaving(target int, lasts time.Duration) {
-	if !w.leaving.TryLock() {
+// signalDraining makes a model server report in its responses that it is draining, while its registry
+// entry says ready, for longer than the drain bound, and then restarts it.
+func (w *world) signalDraining(target int, lasts time.Duration) {
+	if !w.removing.TryLock() {
 		return
 	}
-	defer w.leaving.Unlock()
+	defer w.removing.Unlock()
 	i := target % len(w.site.Models)
-	w.misbehaveAll(w.site.Models[i:i+1], 2*drainBound+lasts, func(f *modelserver.Faults) { f.Leaving = "1" })
+	w.injectServersFault(w.site.Models[i:i+1], 2*drainBound+lasts, func(f *modelserver.Faults) { f.Leaving = "1" })
 	test.NoError(w.t, w.site.Restart(i, false))
 }
 
-// arrival is one request that reached a server by way of a node.
+// arrival is a request that reached a server through a node.
 type arrival struct {
 	modelserver.Arrival
 	node int
-	// told is when the caller had the head of the answer; zero where it came from no such answer.
-	told time.Time
+	// respondedAt is when the caller received the response headers; zero if the response came from
+	// another server or none was received.
+	respondedAt time.Time
 }
 
-// arrivals returns the requests that reached a server, by time.
+// arrivals returns the requests that reached a server, ordered by time.
 func (w *world) arrivals(s *modelserver.Server) []arrival {
 	var list []arrival
 	for _, a := range s.Arrivals() {
-		heard := w.seen.heard[a.Request]
-		if heard.server != s.ID() {
-			heard.at = time.Time{}
+		received := w.observed.received[a.Request]
+		if received.server != s.ID() {
+			received.at = time.Time{}
 		}
-		list = append(list, arrival{a, w.seen.sent[a.Request].node, heard.at})
+		list = append(list, arrival{a, w.observed.sent[a.Request].node, received.at})
 	}
 	slices.SortFunc(list, func(a, b arrival) int { return a.At.Compare(b.At) })
 	return list
 }
 
-// toldBy reports whether a node had passed on an answer of the same start of a server that says something, no later than a
-// time, and was not in trouble from then on.
-func (w *world) toldBy(list []arrival, a *arrival, latest time.Time, says func(*modelserver.Arrival) bool) bool {
+// signalReceived reports whether the node that sent an arrival had received an earlier matching
+// response of the same incarnation of the server, no later than latest, and had no faults since.
+func (w *world) signalReceived(list []arrival, a *arrival, latest time.Time, matches func(*modelserver.Arrival) bool) bool {
 	return slices.ContainsFunc(list, func(b arrival) bool {
-		return b.Request != a.Request && b.node == a.node && b.Born == a.Born && !b.told.IsZero() && !b.told.After(latest) &&
-			says(&b.Arrival) && w.nodes[a.node].harmed.calm(b.told, a.At)
+		return b.Request != a.Request && b.node == a.node && b.Born == a.Born && !b.respondedAt.IsZero() && !b.respondedAt.After(latest) &&
+			matches(&b.Arrival) && w.nodes[a.node].disturbances.noneWithin(b.respondedAt, a.At)
 	})
 }
 
-// overLimit returns the windows in which a server got more than its limit allows of nodes that had passed it on.
+// overLimit returns the windows in which a server received more requests than its limit allows from
+// nodes that had received the limit.
 func (w *world) overLimit(s *modelserver.Server) []string {
 	limited := func(a *modelserver.Arrival) bool { return a.Limit == limitPerS }
 	all := w.arrivals(s)
 	var counted []arrival
 	for _, a := range all {
-		if limited(&a.Arrival) && w.limited.covers(a.At.Add(-stableWindow), a.At) && w.toldBy(all, &a, a.At.Add(-limitTold), limited) {
+		if limited(&a.Arrival) && w.limited.covers(a.At.Add(-stableWindow), a.At) && w.signalReceived(all, &a, a.At.Add(-limitDelay), limited) {
 			counted = append(counted, a)
 		}
 	}
@@ -110,61 +114,62 @@
 			in = len(counted) - i
 		}
 		if in > limitBound {
-			broken = append(broken, fmt.Sprintf("%s named a limit of %s a second and got %d requests in %v", s.ID(), limitPerS, in, limitWindow))
+			broken = append(broken, fmt.Sprintf("%s reported a limit of %s per second and received %d requests in %v", s.ID(), limitPerS, in, limitWindow))
 		}
 	}
 	return broken
 }
 
-// reachedLeaving returns the requests that reached a server after it had told their node that it leaves.
-func (w *world) reachedLeaving(s *modelserver.Server) []string {
+// reachedDraining returns the requests that reached a server after their node had received the report
+// that it is draining.
+func (w *world) reachedDraining(s *modelserver.Server) []string {
 	all := w.arrivals(s)
 	leaving := func(a *modelserver.Arrival) bool { return a.Leaving == "1" }
 	var broken []string
 	for _, a := range all {
-		sent := w.seen.sent[a.Request].at
-		if leaving(&a.Arrival) && w.toldBy(all, &a, sent.Add(-drainBound), leaving) {
-			broken = append(broken, fmt.Sprintf("%s reached %s %v after its node was told that it leaves", a.Request, s.ID(), drainBound))
+		sent := w.observed.sent[a.Request].at
+		if leaving(&a.Arrival) && w.signalReceived(all, &a, sent.Add(-drainBound), leaving) {
+			broken = append(broken, fmt.Sprintf("%s reached %s more than %v after its node received that it is draining", a.Request, s.ID(), drainBound))
 		}
 	}
 	return broken
 }
 
-// disturbed returns the rests that a server asked a node for and did not get. A refusal may be lost on a link in
-// trouble.
-func (w *world) disturbed(s *modelserver.Server, link *proxy) []string {
+// ignoredRetryAfter returns the violations of Retry-After headers that a server sent to a node. Times
+// with link faults are excluded, as a rejection may be lost then.
+func (w *world) ignoredRetryAfter(s *modelserver.Server, link *proxy) []string {
 	all := w.arrivals(s)
 	var broken []string
 	for i := range all {
 		asked := &all[i]
 		seconds, err := strconv.ParseFloat(asked.Rest, 64)
-		if err != nil || asked.Rest != askedRest || !link.harmed.calm(asked.At.Add(-restHeeded), asked.At.Add(restHeeded)) {
+		if err != nil || asked.Rest != retryAfterSeconds || !link.disturbances.noneWithin(asked.At.Add(-retryAfterDelay), asked.At.Add(retryAfterDelay)) {
 			continue
 		}
 		end := asked.At.Add(time.Duration(seconds * float64(time.Second)))
-		if !w.nodes[asked.node].harmed.calm(asked.At, end) {
+		if !w.nodes[asked.node].disturbances.noneWithin(asked.At, end) {
 			continue
 		}
 		count := 0
 		for _, a := range all[i:] {
-			if a.node == asked.node && a.Born == asked.Born && a.At.Sub(asked.At) > restHeeded && a.At.Before(end) {
+			if a.node == asked.node && a.Born == asked.Born && a.At.Sub(asked.At) > retryAfterDelay && a.At.Before(end) {
 				count++
 			}
 		}
-		if count > restBound {
-			broken = append(broken, fmt.Sprintf("%s asked n%d for rest and got %d requests of it meanwhile", s.ID(), asked.node, count))
+		if count > maxDuringRetryAfter {
+			broken = append(broken, fmt.Sprintf("%s sent Retry-After to n%d and received %d requests from it in that time", s.ID(), asked.node, count))
 		}
 	}
 	return broken
 }
 
-// unheeded returns what nodes sent against the word of servers.
-func (w *world) unheeded() (broken []string) {
+// ignoredSignals returns the requests that nodes sent contrary to the signals of servers.
+func (w *world) ignoredSignals() (broken []string) {
 	for i, s := range w.site.Models {
 		broken = append(broken, w.overLimit(s)...)
-		broken = append(broken, w.reachedLeaving(s)...)
+		broken = append(broken, w.reachedDraining(s)...)
 		if modelProxy+i < len(w.proxies) {
-			broken = append(broken, w.disturbed(s, w.proxies[modelProxy+i])...)
+			broken = append(broken, w.ignoredRetryAfter(s, w.proxies[modelProxy+i])...)
 		}
 	}
 	return broken
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,17 +1,17 @@
-// Package soak runs gateway nodes as processes before a stand-in of the users'
-// platform and harms them from outside, at random: proxies that delay, reset, silence
-// and cut connections one way, signals that stop, freeze, kill and restart nodes, a
-// metadata store and servers that misbehave. Troubles come in series and overlap. Clients
-// go on all the while, over connections that they keep until a node is gone. The promises
-// are checked from what clients got and servers ran.
+// Package soak runs gateway nodes as processes against a stand-in for the users' platform, and
+// injects random faults from outside: proxies delay, reset or drop the data of connections in one or
+// both directions, signals suspend, terminate, kill and reload nodes, and the metadata store and the
+// servers misbehave. Faults occur in sequences and overlap. Meanwhile clients send requests over
+// persistent connections. The guarantees are checked from the responses that clients received and
+// the requests that servers ran.
 //
 //	go test ./soak                          the seeds of CI, some seconds each
 //	go test ./soak -seed 7 -minutes 3       one seed
-//	go test ./soak -seeds 50 -timeout 1h    fifty seeds from 1 on
-//	go test ./soak -seed 7 -nodes 16        a large system, where few nodes read the store
+//	go test ./soak -seeds 50 -timeout 1h    seeds 1 to 50
+//	go test ./soak -seed 7 -nodes 16        a large system, in which only a few nodes read the store
 //
-// Odd seeds spare the metadata store at first, so that the bounds that hold while it is
-// stable can be checked; longer runs do so in turn.
+// With odd seeds, faults of the metadata store start later, so that the bounds that hold while it is
+// stable are checked first. Longer runs alternate between both phases.
 package soak
 
 import (
@@ -28,22 +28,22 @@
 )
 
 var (
-	oneSeed = flag.Int64("seed", 0, "run this seed alone")
-	seeds   = flag.Int64("seeds", 0, "run so many seeds, from 1 on")
-	many    = flag.Int("nodes", fewNodes, "how many nodes")
-	minutes = flag.Float64("minutes", 0, "how long a seed runs; 0 means some seconds")
+	oneSeed   = flag.Int64("seed", 0, "run only this seed")
+	seeds     = flag.Int64("seeds", 0, "run the seeds from 1 to this number")
+	nodeCount = flag.Int("nodes", fewNodes, "number of nodes")
+	minutes   = flag.Float64("minutes", 0, "duration of each seed in minutes; 0 means some seconds")
 )
 
 const (
-	runEnv   = "CHERRYWARD_SOAK_NODE" // makes the test's binary a node
+	runEnv   = "CHERRYWARD_SOAK_NODE" // makes the test binary run as a node
 	fewNodes = 3
-	// manyNodes is a system in which few nodes read the store for the others.
+	// manyNodes is enough that only a few nodes read the store for the others.
 	manyNodes = 14
-	// shortRun is longer than the version bound.
+	// shortRun is longer than versionBound.
 	shortRun = 16 * time.Second
 )
 
-// ciSeeds are run by CI, with each seed that ever failed; see REGRESSIONS.md.
+// ciSeeds are the seeds that CI runs, including all that ever failed; see REGRESSIONS.md.
 var ciSeeds = []int64{1, 2, 16, 42}
 
 func TestMain(m *testing.M) {
@@ -68,14 +68,14 @@
 		list = append(list, seed)
 	}
 	for _, seed := range list {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { newWorld(t, seed, *many).run() })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { newWorld(t, seed, *nodeCount).run() })
 	}
 }
 
-// TestSoakManyNodes runs the seed of CI for a large system.
+// TestSoakManyNodes runs one seed with a large system.
 func TestSoakManyNodes(t *testing.T) {
 	if *oneSeed != 0 || *seeds != 0 {
-		t.Skip("seeds were asked for, which TestSoak runs")
+		t.Skip("the requested seeds run in TestSoak")
 	}
 	newWorld(t, 3, manyNodes).run()
 }
--- a/soak/spans_test.go
+++ b/soak/spans_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// spans holds the times of troubles, which may overlap.
+// spans holds periods of time, which may overlap, in which something is in effect, such as a fault.
 type spans struct {
 	mu   sync.Mutex
 	list []*span
@@ -13,7 +13,7 @@
 
 type span struct{ from, to time.Time }
 
-// open notes that a trouble begins, and returns a function that notes its end.
+// open starts a period and returns a function that ends it.
 func (s *spans) open() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,43 +26,43 @@
 	}
 }
 
-// calm reports whether no trouble touches the time from one moment to another.
-func (s *spans) calm(from, to time.Time) bool {
+// noneWithin reports whether no period overlaps the time between from and to.
+func (s *spans) noneWithin(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, trouble := range s.list {
-		ended := !trouble.to.IsZero() && trouble.to.Before(from)
-		if !ended && !trouble.from.After(to) {
+	for _, period := range s.list {
+		ended := !period.to.IsZero() && period.to.Before(from)
+		if !ended && !period.from.After(to) {
 			return false
 		}
 	}
 	return true
 }
 
-// lastEnd returns the newest end of a trouble before a moment, or the moment itself
-// while one lasts. It is the zero time if there was none.
+// lastEnd returns the latest end of a period before a time, or that time itself if a period is in
+// progress then. It returns the zero time if there is no such period.
 func (s *spans) lastEnd(before time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var last time.Time
-	for _, trouble := range s.list {
+	for _, period := range s.list {
 		switch {
-		case trouble.from.After(before):
-		case trouble.to.IsZero() || trouble.to.After(before):
+		case period.from.After(before):
+		case period.to.IsZero() || period.to.After(before):
 			return before
-		case trouble.to.After(last):
-			last = trouble.to
+		case period.to.After(last):
+			last = period.to
 		}
 	}
 	return last
 }
 
-// covers reports whether one trouble lasts over the whole time from one moment to another.
+// covers reports whether a single period covers the time between from and to completely.
 func (s *spans) covers(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, trouble := range s.list {
-		if !trouble.from.After(from) && (trouble.to.IsZero() || !trouble.to.Before(to)) {
+	for _, period := range s.list {
+		if !period.from.After(from) && (period.to.IsZero() || !period.to.Before(to)) {
 			return true
 		}
 	}
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -19,71 +19,71 @@
 )
 
 const (
-	fewClients  = 12
-	recoverTime = 30 * time.Second
-	recovered   = 50 // answers after the last trouble
+	fewClients      = 12
+	recoveryTimeout = 30 * time.Second
+	recoveryGoal    = 50 // successful responses required after the last fault
 
-	beat = 150 * time.Millisecond
-	gap  = 5 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
+	eventInterval     = 5 * time.Millisecond
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
-	t       *testing.T
-	seed    int64
-	random  *rand.Rand
-	site    *site.Site
-	proxies []*proxy // of the metadata store, the KV cache's store, the model servers and the plain one
-	nodes   []*process
-	seen    *seen
-	core    spans   // troubles of the metadata store and of the way to it
-	away    []spans // of each model server: its entry is gone
-	leaving sync.Mutex
-	// evacuated are the times in which the failure domain of the last model server is evacuated.
-	evacuated  spans
-	evacuating sync.Mutex
-	limited    spans // the times in which model servers name limits
-	limiting   sync.Mutex
-	log        *os.File
-	over       chan struct{} // closed once no more troubles are caused
-
-	mu      sync.Mutex
-	version int64                // of the configuration
-	keys    []string             // in force
-	revoked map[string]time.Time // when it was acknowledged that a key is gone
-	named   []naming             // of weights, oldest first
-	faults  map[*modelserver.Server][]*fault
-	endings []time.Time // of model servers, by the request that ends them
-	ups     sync.WaitGroup
+	t                 *testing.T
+	seed              int64
+	random            *rand.Rand
+	site              *site.Site
+	proxies           []*proxy // of the metadata store, the KV cache store, the model servers and the plain server
+	nodes             []*process
+	observed          *observed
+	storeDisturbances spans   // faults of the metadata store and its link
+	removed           []spans // for each model server: times without a registry entry
+	removing          sync.Mutex
+	// evacuated holds the times in which the failure domain of the last model server is evacuated.
+	evacuated   spans
+	evacuating  sync.Mutex
+	limited     spans // times in which model servers report limits
+	limiting    sync.Mutex
+	log         *os.File
+	faultsEnded chan struct{} // closed when fault injection ends
+
+	mu       sync.Mutex
+	version  int64                // of the configuration
+	keys     []string             // in force
+	revoked  map[string]time.Time // when the removal of a key was acknowledged
+	versions []targetVersion      // target versions of the weights, oldest first
+	faults   map[*modelserver.Server][]*serverFault
+	crashes  []time.Time // crashes of model servers by the crashing request
+	restarts sync.WaitGroup
 }
 
-// naming is one version of the weights that the operator named.
-type naming struct {
+// targetVersion is a target version of the weights and the time at which it was set.
+type targetVersion struct {
 	version int64
 	at      time.Time
 }
 
 func newWorld(t *testing.T, seed int64, nodes int) *world {
 	w := &world{
-		t: t, seed: seed, random: rand.New(rand.NewPCG(uint64(seed), 1)), seen: newSeen(), over: make(chan struct{}),
-		revoked: make(map[string]time.Time), faults: make(map[*modelserver.Server][]*fault),
+		t: t, seed: seed, random: rand.New(rand.NewPCG(uint64(seed), 1)), observed: newObserved(), faultsEnded: make(chan struct{}),
+		revoked: make(map[string]time.Time), faults: make(map[*modelserver.Server][]*serverFault),
 	}
 	var err error
 	w.log, err = os.Create(filepath.Join(t.TempDir(), "nodes.log"))
 	must.NoError(t, err)
-	w.site, err = site.Start(site.Config{Beat: beat, Gap: gap, IP: ownIP(), Proxy: func(addr string) (string, error) {
+	w.site, err = site.Start(site.Config{Beat: heartbeatInterval, Gap: eventInterval, IP: ownIP(), Proxy: func(addr string) (string, error) {
 		p, err := newProxy(addr)
 		if err != nil {
 			return "", err
 		}
 		w.proxies = append(w.proxies, p)
 		return p.addr(), nil
-	}, Ended: w.serverEnds})
+	}, Ended: w.onServerCrash})
 	must.NoError(t, err)
 	for _, s := range w.site.Models {
 		w.applyFaults(s)
 	}
-	w.away = make([]spans, len(w.site.Models))
+	w.removed = make([]spans, len(w.site.Models))
 	w.configure("k1")
 	for i := range nodes {
 		w.nodes = append(w.nodes, &process{})
@@ -92,15 +92,15 @@
 	return w
 }
 
-// ownIP returns an address of the loopback network that no other run on this host has, as far as their
-// processes' ids differ in the last 16 bits: a port of a node that ended may be given to a server of
-// another run, whose clients would still use it.
+// ownIP returns a loopback address that depends on the last 16 bits of the process id, so that
+// concurrent runs on a host use different addresses. Otherwise the port of a stopped node could be
+// reused by a server of another run while clients still connect to it.
 func ownIP() string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.77.%d.%d", id>>8&0xff, max(id&0xff, 1))
 }
 
-// configure replaces the keys.
+// configure replaces the API keys.
 func (w *world) configure(keys ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,13 +121,13 @@
 	return w.keys[0]
 }
 
-// nameVersion names new weights.
-func (w *world) nameVersion() {
+// setVersion sets a new target version of the weights.
+func (w *world) setVersion() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
 	w.site.NameVersion(w.version)
-	w.named = append(w.named, naming{w.version, time.Now()})
+	w.versions = append(w.versions, targetVersion{w.version, time.Now()})
 }
 
 // servers returns the plain server and the model servers.
@@ -147,36 +147,36 @@
 		wg.Go(func() { w.client(i, seed).run(ctx) })
 	}
 	seed := w.random.Uint64()
-	wg.Go(func() { w.sendEnding(ctx, seed) })
-	w.harm(length)
+	wg.Go(func() { w.sendCrashing(ctx, seed) })
+	w.injectFaults(length)
 	w.heal()
-	back := w.seen.reached(w.seen.served() + recovered)
-	isBack := true
+	back := w.observed.reached(w.observed.successCount() + recoveryGoal)
+	recovered := true
 	select {
 	case <-back:
-	case <-time.After(recoverTime):
-		isBack = false
+	case <-time.After(recoveryTimeout):
+		recovered = false
 	}
 	cancel()
 	wg.Wait()
-	w.ups.Wait()
+	w.restarts.Wait()
 	w.stop()
-	w.check(isBack)
+	w.check(recovered)
 }
 
 func (w *world) client(i int, seed uint64) *client {
 	random := rand.New(rand.NewPCG(seed, 2))
 	return &client{
-		name: fmt.Sprintf("c%d-", i), random: random, seen: w.seen, key: w.key,
+		name: fmt.Sprintf("c%d-", i), random: random, observed: w.observed, key: w.key,
 		http: &http.Client{Transport: &http.Transport{}},
-		choose: func() (int, string) {
+		chooseNode: func() (int, string) {
 			node := random.IntN(len(w.nodes))
 			return node, *w.nodes[node].addr.Load()
 		},
 	}
 }
 
-// stop ends the nodes that this run started, and all else.
+// stop kills the nodes of this run and stops the stand-ins.
 func (w *world) stop() {
 	for _, p := range w.nodes {
 		p.kill()
@@ -188,19 +188,19 @@
 	w.log.Close()
 }
 
-// check reports the broken promises, and keeps the nodes' logs if there are some.
-func (w *world) check(isBack bool) {
-	for _, failure := range w.brokenPromises() {
+// check reports the violated guarantees. If there are any, the nodes' logs are saved.
+func (w *world) check(recovered bool) {
+	for _, failure := range w.violations() {
 		w.t.Error(failure)
 	}
-	if !isBack {
-		w.t.Errorf("not served again within %v after the last trouble", recoverTime)
+	if !recovered {
+		w.t.Errorf("requests did not succeed again within %v after the last fault", recoveryTimeout)
 	}
-	w.t.Logf("%d answered, %d refused, %d servers ended by a request, oldest replaced weights that ran: %v", w.seen.answered, len(w.seen.refused), len(w.endings), w.oldestWeights())
+	w.t.Logf("%d successful, %d rejected as not run, %d server crashes by a request, maximum age of replaced weights: %v", w.observed.answered, len(w.observed.refused), len(w.crashes), w.oldestWeights())
 	if w.t.Failed() {
 		kept := filepath.Join(os.TempDir(), "cherryward-soak-"+strings.ReplaceAll(w.t.Name(), "/", "-")+".log")
 		if data, err := os.ReadFile(w.log.Name()); err == nil && os.WriteFile(kept, data, 0o600) == nil {
-			w.t.Log("the nodes' logs are kept in ", kept)
+			w.t.Log("the nodes' logs are saved in ", kept)
 		}
 	}
 }
