--- a/internal/entry/alloc_race_test.go
+++ b/internal/entry/alloc_race_test.go
@@ -2,8 +2,8 @@
 
 package entry
 
-// The bounds are wider under the race detector, since sync.Pool then drops a part
-// of its items on purpose, also those of encoding/json.
+// The bounds are wider under the race detector because sync.Pool then drops some
+// items at random, including those that encoding/json pools.
 const (
 	maxAllocsPerToken = 5
 	maxBytesPerToken  = 700
--- a/internal/entry/alloc_test.go
+++ b/internal/entry/alloc_test.go
@@ -2,7 +2,7 @@
 
 package entry
 
-// What one streamed token may allocate.
+// Upper bounds on the allocations for one streamed token.
 const (
 	maxAllocsPerToken = 1.25
 	maxBytesPerToken  = 300
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -11,37 +11,38 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// wholeSink collects an answer.
-type wholeSink struct {
+// bufferedSink collects the whole answer in memory.
+type bufferedSink struct {
 	text strings.Builder
 	gaps gapTimer
 }
 
-var _ runs.Sink = (*wholeSink)(nil)
+var _ runs.Sink = (*bufferedSink)(nil)
 
 // Started implements runs.Sink.
-func (w *wholeSink) Started(runs.Start) error { return nil }
+func (w *bufferedSink) Started(runs.Start) error { return nil }
 
 // Tokens implements runs.Sink.
-func (w *wholeSink) Tokens(_ string, _ int, text string) error {
+func (w *bufferedSink) Tokens(_ string, _ int, text string) error {
 	w.gaps.token(time.Now())
 	w.text.WriteString(text)
 	return nil
 }
 
-// wholePrompt answers with one JSON body, sent only when the answer is whole.
-func (s *Server) wholePrompt(c echo.Context, body *common, req *runs.Request, object string) error {
+// bufferedPrompt runs a prompt and sends its answer as one JSON body once the
+// answer is complete.
+func (s *Server) bufferedPrompt(c echo.Context, body *common, req *runs.Request, object string) error {
 	info := requestOf(c)
-	sink := &wholeSink{}
+	sink := &bufferedSink{}
 	sum, err := s.Runner.Run(c.Request().Context(), req, sink)
 	info.summary, info.gaps = sum, sink.gaps.gaps
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, wholeAnswer(body.Model, object, sum, sink.text.String(), info.begun))
+	return c.JSON(http.StatusOK, newCompletion(body.Model, object, sum, sink.text.String(), info.startedAt))
 }
 
-func wholeAnswer(model, object string, sum runs.Summary, text string, created time.Time) *completion {
+func newCompletion(model, object string, sum runs.Summary, text string, created time.Time) *completion {
 	ch := choice{FinishReason: &sum.Finish}
 	if object == objectChat {
 		ch.Message = &answerMessage{Role: assistantRole, Content: text}
@@ -64,10 +65,10 @@
 	}
 }
 
-// streamPrompt answers with server-sent events as the tokens come.
+// streamPrompt runs a prompt and sends each token as a server-sent event.
 func (s *Server) streamPrompt(c echo.Context, body *common, req *runs.Request, object string) error {
 	info := requestOf(c)
-	sink := newStreamSink(c, body.Model, chunkObject(object), info.begun)
+	sink := newStreamSink(c, body.Model, chunkObject(object), info.startedAt)
 	sum, err := s.Runner.Run(c.Request().Context(), req, sink)
 	info.summary, info.gaps = sum, sink.gaps.gaps
 	if err != nil {
@@ -80,7 +81,7 @@
 	return c.StreamOptions != nil && c.StreamOptions.IncludeUsage
 }
 
-// chunkObject names the pieces of a streamed answer.
+// chunkObject returns the "object" value of the chunks of a streamed answer.
 func chunkObject(object string) string {
 	if object == objectChat {
 		return objectChatChunk
@@ -88,7 +89,8 @@
 	return object
 }
 
-// resumeRun serves GET /v1/runs/{run} with the Last-Event-ID header.
+// resumeRun serves GET /v1/runs/{run}. It continues after the event of the
+// Last-Event-ID header, or from the first token if the header is missing.
 func (s *Server) resumeRun(c echo.Context) error {
 	id := c.Request().Header.Get(headerLastEventID)
 	if id == "" {
@@ -101,21 +103,22 @@
 	return s.resume(c, id, object)
 }
 
-// resume goes on with a run that an engine holds, for the account that began it.
+// resume streams the rest of a run that an engine still holds. Only the account
+// that started the run can resume it.
 func (s *Server) resume(c echo.Context, eventID, object string) error {
-	readBy(c, time.Time{}) // the body, if there is one, is not read
+	setReadDeadline(c, time.Time{}) // the body is not read, so it needs no deadline
 	info := requestOf(c)
 	info.prompt = true
 	run, offset, err := runid.ParseEventID(eventID)
 	if err != nil {
 		return err
 	}
-	deadline, err := s.deadline(c, info.begun)
+	deadline, err := s.deadline(c, info.startedAt)
 	if err != nil {
 		return err
 	}
-	sink := newStreamSink(c, "", object, info.begun)
-	sink.resumedAt(offset)
+	sink := newStreamSink(c, "", object, info.startedAt)
+	sink.setResumeOffset(offset)
 	req := runs.ResumeRequest{Account: info.accountID, Run: run, Offset: offset, Deadline: deadline}
 	sum, err := s.Runner.Resume(c.Request().Context(), req, sink)
 	info.summary, info.gaps = sum, sink.gaps.gaps
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// headerAttempt is the caller's count of its sends of a ticket, from 1.
+	// headerAttempt is the number of the caller's attempt with this ticket, from 1.
 	headerAttempt = "X-Attempt"
 	firstAttempt  = "1"
 
@@ -26,7 +26,7 @@
 	headerAccept      = "Accept"
 )
 
-// Calls makes calls of plain services and ticketed calls.
+// Calls issues tickets, calls plain services and redeems ticketed calls.
 type Calls interface {
 	Issue(account string, n int) ([]string, error)
 	Call(ctx context.Context, call *calls.ServiceCall) (*calls.ServiceAnswer, error)
@@ -55,7 +55,7 @@
 	if body.Count < 1 || body.Count > calls.MaxTickets {
 		return result.New(result.InvalidValue, result.WithField("count"))
 	}
-	if err := s.takesWork(); err != nil {
+	if err := s.checkAcceptsWork(); err != nil {
 		return err
 	}
 	tickets, err := s.Calls.Issue(requestOf(c).accountID, body.Count)
@@ -67,7 +67,7 @@
 
 // service serves /services/{service}/...
 func (s *Server) service(c echo.Context) error {
-	if err := s.takesWork(); err != nil {
+	if err := s.checkAcceptsWork(); err != nil {
 		return err
 	}
 	call, err := s.serviceCall(c)
@@ -108,15 +108,16 @@
 	return s.Calls.Redeem(c.Request().Context(), requestOf(c).accountID, key, first, call, fp)
 }
 
-// serviceCall reads the whole request: part of one is never sent on.
+// serviceCall reads the complete request, so that a truncated one is never
+// forwarded to a service.
 func (s *Server) serviceCall(c echo.Context) (*calls.ServiceCall, error) {
 	info := requestOf(c)
 	r := c.Request()
-	deadline, err := s.deadline(c, info.begun)
+	deadline, err := s.deadline(c, info.startedAt)
 	if err != nil {
 		return nil, err
 	}
-	defer readBy(c, time.Time{})
+	defer setReadDeadline(c, time.Time{})
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), r.Body, s.Limits.MaxBodyBytes))
 	if err != nil {
 		return nil, bodyError(err)
@@ -132,16 +133,17 @@
 		TimeLeft:  time.Until(deadline),
 	}
 	for name := range r.Header {
-		if passedOn(name) {
+		if isForwardedHeader(name) {
 			call.Header[name] = r.Header.Get(name)
 		}
 	}
 	return call, nil
 }
 
-// passedOn tells the headers that reach the service: what describes the body,
-// and the callers' own. Keys and what steers this system stay here.
-func passedOn(name string) bool {
+// isForwardedHeader reports whether a request header is forwarded to the service:
+// those that describe the body, and the caller's own X- headers. Credentials and
+// headers that control this system are not forwarded.
+func isForwardedHeader(name string) bool {
 	switch name {
 	case headerContentType, headerAccept:
 		return true
@@ -151,7 +153,7 @@
 	return strings.HasPrefix(name, "X-") && !strings.HasPrefix(name, "X-Forwarded-")
 }
 
-// servicePath cuts "/services/{service}" off a path.
+// servicePath returns a path and query without the "/services/{service}" prefix.
 func servicePath(path, query string) string {
 	const parts = 4
 	p := strings.SplitN(path, "/", parts)
@@ -165,11 +167,12 @@
 	return rest
 }
 
-// ticketedPrompt answers a prompt at most once. Its executor collects the whole
-// answer, so a stream of it comes in one piece.
+// ticketedPrompt runs a prompt at most once for its idempotency key. The executor
+// of the ticket collects the complete answer, so a streamed answer has one chunk of
+// text.
 func (s *Server) ticketedPrompt(c echo.Context, key string, body *common, req *runs.Request, object string) error {
 	info := requestOf(c)
-	fp := ticket.FingerprintOf(promptParts(req, object)...)
+	fp := ticket.FingerprintOf(fingerprintParts(req, object)...)
 	data, err := s.redeem(c, key, &calls.TicketedCall{Prompt: req, TimeLeft: time.Until(req.Deadline)}, fp)
 	if err != nil {
 		return err
@@ -180,9 +183,9 @@
 	}
 	info.summary = answer.Summary
 	if !body.Stream {
-		return c.JSON(http.StatusOK, wholeAnswer(body.Model, object, answer.Summary, answer.Text, info.begun))
+		return c.JSON(http.StatusOK, newCompletion(body.Model, object, answer.Summary, answer.Text, info.startedAt))
 	}
-	sink := newStreamSink(c, body.Model, chunkObject(object), info.begun)
+	sink := newStreamSink(c, body.Model, chunkObject(object), info.startedAt)
 	if err := sink.Started(answer.Summary.Start); err != nil {
 		return err
 	}
@@ -192,8 +195,8 @@
 	return sink.finish(answer.Summary, body.wantsUsage())
 }
 
-// promptParts is all of a prompt that decides its answer.
-func promptParts(req *runs.Request, object string) [][]byte {
+// fingerprintParts returns every part of a prompt that affects its answer.
+func fingerprintParts(req *runs.Request, object string) [][]byte {
 	sampling, _ := json.Marshal([]any{req.MaxTokens, req.Temperature, req.Seed, req.PromptIDs}) // numbers always encode
 	return [][]byte{[]byte(object), []byte(req.Model), []byte(req.Adapter), []byte(req.Prompt), sampling}
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -27,46 +27,46 @@
 
 var key = []byte("0123456789abcdef0123456789abcdef")
 
-// fixed is a configuration that does not change.
-type fixed struct{ view *config.View }
+// staticDirectory is a Directory and VersionSelector with a constant configuration.
+type staticDirectory struct{ view *config.View }
 
-func (f fixed) View() *config.View { return f.view }
+func (f staticDirectory) View() *config.View { return f.view }
 
-func (f fixed) Serving(_ context.Context, view *config.View, model string, draw float64) (string, bool) {
+func (f staticDirectory) Serving(_ context.Context, view *config.View, model string, draw float64) (string, bool) {
 	return rollout.ServingVersion(view, model, nil, draw)
 }
 
-type freeGrant struct{ endpoint *pb.Endpoint }
+type fakeGrant struct{ endpoint *pb.Endpoint }
 
-func (g freeGrant) Endpoint() *pb.Endpoint           { return g.endpoint }
-func (g freeGrant) ImportedContext() (int, int64)    { return 0, 0 }
-func (g freeGrant) FirstToken(runs.RunReport)        {}
-func (g freeGrant) FirstFrameTimeout() time.Duration { return time.Minute }
-func (g freeGrant) Done(runs.RunReport)              {}
+func (g fakeGrant) Endpoint() *pb.Endpoint           { return g.endpoint }
+func (g fakeGrant) ImportedContext() (int, int64)    { return 0, 0 }
+func (g fakeGrant) FirstToken(runs.RunReport)        {}
+func (g fakeGrant) FirstFrameTimeout() time.Duration { return time.Minute }
+func (g fakeGrant) Done(runs.RunReport)              {}
 
-// firstPlacer takes the first engine of the model that was not tried.
-type firstPlacer struct{ fixed }
+// fakePlacer selects the first engine of the model that was not tried yet.
+type fakePlacer struct{ staticDirectory }
 
-func (p firstPlacer) Place(_ context.Context, req *runs.Request, tried []string) (runs.Grant, error) {
+func (p fakePlacer) Place(_ context.Context, req *runs.Request, tried []string) (runs.Grant, error) {
 	engines := p.view.Engines(req.Model)
 	if len(tried) >= len(engines) {
 		return nil, result.New(result.NoEndpoint)
 	}
-	return freeGrant{engines[len(tried)]}, nil
+	return fakeGrant{engines[len(tried)]}, nil
 }
 
-type freely struct{}
+type noLimits struct{}
 
-func (freely) Succeeded()      {}
-func (freely) Retry() bool     { return true }
-func (freely) Request(Measure) {}
-func (freely) Admit(context.Context, *pb.ClientAccount, int) (func(int), error) {
+func (noLimits) Succeeded()             {}
+func (noLimits) Retry() bool            { return true }
+func (noLimits) Request(RequestMetrics) {}
+func (noLimits) Admit(context.Context, *pb.ClientAccount, int) (func(int), error) {
 	return func(int) {}, nil
 }
-func (freely) ready() *result.Error                           { return nil }
-func (freely) metrics(w http.ResponseWriter, _ *http.Request) {}
+func (noLimits) ready() *result.Error                           { return nil }
+func (noLimits) metrics(w http.ResponseWriter, _ *http.Request) {}
 
-// serve starts an engine stand-in for each config and an entry before them.
+// serve starts a simulated engine for each config and a Server that uses them.
 func serve(t *testing.T, configs ...enginestandin.Config) (string, []*enginestandin.Engine) {
 	t.Helper()
 	view := config.NewView()
@@ -89,16 +89,16 @@
 	}
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	directory := fixed{view}
+	directory := staticDirectory{view}
 	s := &Server{
 		Limits:          settings.Default().Requests,
 		Directory:       directory,
 		VersionSelector: directory,
-		Runner:          &runs.Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: firstPlacer{directory}, Budget: freely{}, Directory: directory},
-		Ready:           freely{}.ready,
-		Recorder:        freely{},
-		Admission:       freely{},
-		Metrics:         freely{}.metrics,
+		Runner:          &runs.Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: fakePlacer{directory}, Budget: noLimits{}, Directory: directory},
+		Ready:           noLimits{}.ready,
+		Recorder:        noLimits{},
+		Admission:       noLimits{},
+		Metrics:         noLimits{}.metrics,
 		Key:             key,
 		Log:             zerolog.Nop(),
 	}
@@ -123,10 +123,10 @@
 	return resp, string(data)
 }
 
-func TestASecondLongerPromptFindsTheCache(t *testing.T) {
+func TestLongerPromptReusesCachedPrefix(t *testing.T) {
 	url, _ := serve(t, enginestandin.Config{BlockTokens: 64, TimeScale: 0})
 	history := strings.Repeat("Heat 4711 poured at 09:12. ", 100)
-	ask := func(prompt string) completion {
+	complete := func(prompt string) completion {
 		body, err := json.Marshal(map[string]any{"model": "melt", "prompt": prompt, "max_tokens": 8})
 		must.NoError(t, err)
 		resp, text := post(t, url+"/v1/completions", "key-mill", string(body))
@@ -136,8 +136,8 @@
 		must.Eq(t, 8, out.Usage.CompletionTokens)
 		return out
 	}
-	must.Eq(t, 0, ask(history).Usage.PromptTokensDetails.CachedTokens)
-	second := ask(history + "And the next heat? ")
+	must.Eq(t, 0, complete(history).Usage.PromptTokensDetails.CachedTokens)
+	second := complete(history + "And the next heat? ")
 	must.GreaterEq(t, 600, second.Usage.PromptTokensDetails.CachedTokens)
 }
 
@@ -146,12 +146,12 @@
 	body := `{"model":"melt","stream":true,"max_tokens":6,"messages":[{"role":"user","content":"pass or hold?"}]}`
 	_, text := post(t, url+"/v1/chat/completions", "key-mill", body)
 	must.StrContains(t, text, "data: [DONE]")
-	whole := contents(t, text)
+	fullText := contents(t, text)
 	id := eventID(text, 3)
 	resp, rest := post(t, url+"/v1/chat/completions", "key-mill", "", "Last-Event-ID", id)
 	must.Eq(t, http.StatusOK, resp.StatusCode, must.Sprint(rest))
-	must.StrHasSuffix(t, contents(t, rest), whole)
-	must.StrNotContains(t, rest, `"role"`, must.Sprint("the caller has the role already"))
+	must.StrHasSuffix(t, contents(t, rest), fullText)
+	must.StrNotContains(t, rest, `"role"`, must.Sprint("a resumed stream must not repeat the role"))
 	must.StrContains(t, rest, `"model":"melt"`)
 	must.StrNotContains(t, rest, `"model":""`)
 	must.StrContains(t, rest, "data: [DONE]")
@@ -160,7 +160,7 @@
 	must.StrContains(t, other, `"number":1012`)
 }
 
-// contents joins the text of a stream's chunks.
+// contents returns the concatenated text of a stream's chunks.
 func contents(t *testing.T, stream string) string {
 	t.Helper()
 	var text strings.Builder
@@ -193,7 +193,7 @@
 	return ""
 }
 
-func TestBadRequestsAreRefusedByNumberAndField(t *testing.T) {
+func TestBadRequestsReturnCodeAndField(t *testing.T) {
 	url, _ := serve(t, enginestandin.Config{TimeScale: 0})
 	chat := func(extra string) string {
 		return `{"model":"melt","messages":[{"role":"user","content":"x"}]` + extra + `}`
@@ -234,23 +234,23 @@
 	}
 }
 
-func TestDeadlineEndsAWaitingRequest(t *testing.T) {
+func TestDeadlineEndsWaitingRequest(t *testing.T) {
 	url, _ := serve(t, enginestandin.Config{TimeScale: 1, PrefillSpeed: 1})
 	body := `{"model":"melt","prompt":"a prompt that takes seconds to compute","max_tokens":4}`
-	begun := time.Now()
+	started := time.Now()
 	resp, text := post(t, url+"/v1/completions", "key-mill", body, headerTimeout, "100ms")
 	must.Eq(t, http.StatusGatewayTimeout, resp.StatusCode, must.Sprint(text))
-	must.Less(t, 5*time.Second, time.Since(begun))
+	must.Less(t, 5*time.Second, time.Since(started))
 }
 
-// A caller that does not send its body is given up on, and a long answer is not
-// cut by that bound.
+// TestBodyDeadlineEndsWithTheBody checks that a read deadline applies while the body
+// is received, and that it is removed afterwards so that it can't end a long answer.
 func TestBodyDeadlineEndsWithTheBody(t *testing.T) {
 	var deadlines []time.Time
 	recorder := deadlineRecorder{httptest.NewRecorder(), &deadlines}
 	account := &pb.ClientAccount{Name: "mill", KeyHashes: []string{config.HashKey("key-mill")}}
 	view := config.NewView().With(config.Entry{Revision: 1, Kind: config.KindAccount, Name: "mill", Value: account})
-	s := &Server{Log: zerolog.Nop(), Recorder: freely{}, Directory: fixed{view}, Ready: freely{}.ready, Metrics: freely{}.metrics, Limits: settings.Default().Requests}
+	s := &Server{Log: zerolog.Nop(), Recorder: noLimits{}, Directory: staticDirectory{view}, Ready: noLimits{}.ready, Metrics: noLimits{}.metrics, Limits: settings.Default().Requests}
 	req := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(`{"model":"none","prompt":"x"}`))
 	req.Header.Set("Authorization", "Bearer key-mill")
 	s.Handler().ServeHTTP(recorder, req)
--- a/internal/entry/fail_test.go
+++ b/internal/entry/fail_test.go
@@ -14,17 +14,17 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// TestBrokenStreamNeverLooksWhole: an error before the first byte is the answer; one behind it is
-// the stream's last event, without a finish and without the mark of the end, and nothing of the
-// error's own answer follows.
-func TestBrokenStreamNeverLooksWhole(t *testing.T) {
-	for _, begun := range []bool{false, true} {
+// TestFailedStreamHasNoFinish guards against a failed stream that a caller takes for a complete
+// answer. An error before the first byte is sent as the response. A later error is the last event
+// of the stream, with no finish reason, no [DONE] event and no error response after it.
+func TestFailedStreamHasNoFinish(t *testing.T) {
+	for _, started := range []bool{false, true} {
 		rec := httptest.NewRecorder()
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), rec)
 		info := &requestInfo{id: "r1"}
 		c.Set(requestKey, info)
 		sink := newStreamSink(c, "melt", objectCompletion, time.Now())
-		if begun {
+		if started {
 			must.NoError(t, sink.Started(runs.Start{Run: "run"}))
 			must.NoError(t, sink.Tokens("run", 1, "hold"))
 		}
@@ -33,7 +33,7 @@
 		body := rec.Body.String()
 		must.StrNotContains(t, body, "[DONE]")
 		must.Eq(t, 1, strings.Count(body, `"error"`))
-		if !begun {
+		if !started {
 			must.Eq(t, result.New(result.EndpointBrokeOff).Status(), rec.Code)
 			continue
 		}
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -24,11 +24,11 @@
 	assistantRole         = "assistant"
 	modelAdapterSeparator = ":"
 
-	// embedded is how the decoder's errors name the fields of common.
-	embedded = "common."
+	// commonFieldPrefix precedes the fields of common in the JSON decoder's errors.
+	commonFieldPrefix = "common."
 )
 
-// common are the fields that both kinds of prompt have.
+// common holds the fields that chat and completion requests share.
 type common struct {
 	Model         string         `json:"model"`
 	Stream        bool           `json:"stream"`
@@ -38,7 +38,8 @@
 	Seed          *int64         `json:"seed"`
 	N             *int           `json:"n"`
 
-	// Fields that name the end user or tag the request; they change no answer.
+	// These fields identify the end user or label the request. They are accepted
+	// and ignored.
 	User             json.RawMessage `json:"user"`
 	Metadata         json.RawMessage `json:"metadata"`
 	Store            json.RawMessage `json:"store"`
@@ -63,7 +64,7 @@
 	Content content `json:"content"`
 }
 
-// content is a message's text, given as a string or as text parts.
+// content is the text of a message. JSON has it as a string or a list of text parts.
 type content string
 
 type contentPart struct {
@@ -100,7 +101,8 @@
 	Prompt prompt `json:"prompt"`
 }
 
-// prompt is a text, a list of one text, or a list of token ids.
+// prompt is the input of a completion. JSON has it as a text, a list of one text,
+// or a list of token ids.
 type prompt struct {
 	text string
 	ids  []int
@@ -124,10 +126,10 @@
 
 var errPrompt = errors.New("want one text or one list of token ids")
 
-// decodeBody reads a JSON body strictly: a field that is not served is refused
-// by name rather than silently left out.
+// decodeBody reads one JSON value of at most limit bytes into a request struct. It
+// fails with the field's name on an unsupported field, rather than ignore it.
 func decodeBody(c echo.Context, limit int64, into any) error {
-	defer readBy(c, time.Time{})
+	defer setReadDeadline(c, time.Time{})
 	r := http.MaxBytesReader(c.Response(), c.Request().Body, limit)
 	dec := json.NewDecoder(r)
 	dec.DisallowUnknownFields()
@@ -148,7 +150,7 @@
 	}
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return result.Wrap(err, result.InvalidValue, result.WithField(strings.TrimPrefix(wrongType.Field, embedded)))
+		return result.Wrap(err, result.InvalidValue, result.WithField(strings.TrimPrefix(wrongType.Field, commonFieldPrefix)))
 	}
 	const unknown = "json: unknown field "
 	if name, ok := strings.CutPrefix(err.Error(), unknown); ok {
@@ -170,8 +172,9 @@
 	PromptTokensDetails promptDetails `json:"prompt_tokens_details"`
 }
 
-// promptDetails tells where the prompt's context came from. ImportedTokens are
-// those of CachedTokens that a store host held; they crossed a link.
+// promptDetails reports the source of the prompt's context. ImportedTokens is the
+// part of CachedTokens that was transferred from a store host; LinkBytes is the size
+// of that transfer.
 type promptDetails struct {
 	CachedTokens   int   `json:"cached_tokens"`
 	ImportedTokens int   `json:"imported_tokens"`
--- a/internal/entry/openai_test.go
+++ b/internal/entry/openai_test.go
@@ -15,7 +15,8 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// BenchmarkLongPrompt gives what a prompt of 32 KB costs before it is placed.
+// BenchmarkLongPrompt measures the steps that process a 32 KB prompt before an
+// endpoint is selected for it.
 func BenchmarkLongPrompt(b *testing.B) {
 	text := strings.Repeat("pass or hold?\n", 32_000/14)
 	body := fmt.Sprintf(`{"model":"m","stream":true,"prompt":%q}`, text)
--- a/internal/entry/prompts.go
+++ b/internal/entry/prompts.go
@@ -14,8 +14,8 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// bytesPerToken is the length of a token that the check of the context length
-// assumes, since the entry has no tokenizer.
+// bytesPerToken is the assumed length of a token in the check of the context
+// length, since this package has no tokenizer.
 const bytesPerToken = 4
 
 // chat serves POST /v1/chat/completions.
@@ -52,8 +52,8 @@
 	return s.prompt(c, &body.common, body.Prompt, objectCompletion)
 }
 
-// renderChat writes messages as one text. A conversation that goes on has the
-// text of its earlier turns as its prefix, so that kept context fits.
+// renderChat renders messages as one text. A later request of the same conversation
+// has the text of its earlier turns as a prefix, so that cached context is reused.
 func renderChat(messages []message) (string, error) {
 	if len(messages) == 0 {
 		return "", result.New(result.InvalidValue, result.WithField("messages"), result.WithMessage("messages is empty"))
@@ -63,7 +63,7 @@
 		switch m.Role {
 		case "system", "developer", "user", assistantRole:
 		default:
-			return "", result.New(result.InvalidValue, result.WithField("messages.role"), result.WithMessage("role %q is not served", m.Role))
+			return "", result.New(result.InvalidValue, result.WithField("messages.role"), result.WithMessage("role %q is not supported", m.Role))
 		}
 		b.WriteString("<|" + m.Role + "|>\n")
 		b.WriteString(string(m.Content))
@@ -73,11 +73,11 @@
 	return b.String(), nil
 }
 
-// prompt runs a prompt and writes its answer.
+// prompt validates and admits a prompt, runs it and writes its answer.
 func (s *Server) prompt(c echo.Context, body *common, p prompt, object string) error {
 	info := requestOf(c)
 	info.prompt = true
-	if err := s.takesWork(); err != nil {
+	if err := s.checkAcceptsWork(); err != nil {
 		return err
 	}
 	req, err := s.runRequest(c, body, p)
@@ -96,17 +96,18 @@
 		req.Resumable = true
 		return s.streamPrompt(c, body, req, object)
 	}
-	return s.wholePrompt(c, body, req, object)
+	return s.bufferedPrompt(c, body, req, object)
 }
 
-// runRequest checks a request against the configuration.
+// runRequest validates a request against the configuration and returns it in the
+// form that the dispatcher takes.
 func (s *Server) runRequest(c echo.Context, body *common, p prompt) (*runs.Request, error) {
 	info := requestOf(c)
-	deadline, err := s.deadline(c, info.begun)
+	deadline, err := s.deadline(c, info.startedAt)
 	if err != nil {
 		return nil, err
 	}
-	if info.class, err = class(c); err != nil {
+	if info.class, err = parsePriority(c); err != nil {
 		return nil, err
 	}
 	req := &runs.Request{ID: info.id, Account: info.accountID, Weight: info.account.GetWeight(), Class: info.class, Deadline: deadline, Prompt: p.text, PromptIDs: p.ids}
@@ -123,7 +124,8 @@
 	return req, nil
 }
 
-// setModel resolves "model" or "model:adapter".
+// setModel resolves a name of the form "model" or "model:adapter" and sets the
+// model, weight version and adapter of req.
 func (s *Server) setModel(ctx context.Context, info *requestInfo, req *runs.Request, name string) error {
 	modelName, adapterName, withAdapter := strings.Cut(name, modelAdapterSeparator)
 	_, ok := info.view.Model(modelName)
@@ -132,7 +134,7 @@
 	}
 	version, ok := s.VersionSelector.Serving(ctx, info.view, modelName, req.VersionDraw())
 	if !ok {
-		return result.New(result.NoEndpoint, result.WithField("model"), result.WithMessage("the model has no version in service"))
+		return result.New(result.NoEndpoint, result.WithField("model"), result.WithMessage("no version of the model is in service"))
 	}
 	req.Model = modelName
 	if !withAdapter {
@@ -140,7 +142,7 @@
 		return nil
 	}
 	adapter, ok := info.view.Adapter(adapterName)
-	if !ok || adapter.GetModel() != modelName || !mayUse(adapter, info.account.GetName()) {
+	if !ok || adapter.GetModel() != modelName || !canUseAdapter(adapter, info.account.GetName()) {
 		return result.New(result.UnknownAdapter, result.WithField("model"))
 	}
 	req.Adapter = adapterName
@@ -148,13 +150,13 @@
 	return nil
 }
 
-func mayUse(adapter *pb.Adapter, account string) bool {
+func canUseAdapter(adapter *pb.Adapter, account string) bool {
 	return len(adapter.GetAccounts()) == 0 || slices.Contains(adapter.GetAccounts(), account)
 }
 
 func setSampling(req *runs.Request, body *common) error {
 	if body.N != nil && *body.N != 1 {
-		return result.New(result.InvalidValue, result.WithField("n"), result.WithMessage("only one answer a request is served"))
+		return result.New(result.InvalidValue, result.WithField("n"), result.WithMessage("n must be 1: a request has one answer"))
 	}
 	req.MaxTokens = defaultMaxTokens
 	if body.MaxTokens != nil {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -19,7 +19,7 @@
 	requestKey     = "cherryward.request"
 	requestIDBytes = 12
 	maxRequestID   = 64
-	// bodyTimeout bounds how long a caller may take over its whole request.
+	// bodyTimeout is the maximum time for receiving a request with its body.
 	bodyTimeout = time.Minute
 
 	headerPriority       = "X-Priority"
@@ -28,13 +28,14 @@
 	headerLastEventID    = "Last-Event-ID"
 )
 
-// requestInfo is what the handlers of one request share.
+// requestInfo is the state of one request, shared by its middleware and handler.
 type requestInfo struct {
-	id      string
-	begun   time.Time
-	view    *config.View
-	account *pb.ClientAccount
-	// accountID is what keeps the account's data apart, in place of its name.
+	id        string
+	startedAt time.Time
+	view      *config.View
+	account   *pb.ClientAccount
+	// accountID separates the data of accounts. Unlike the name it is not reused
+	// after the account is deleted.
 	accountID string
 	class     runs.Class
 	summary   runs.Summary
@@ -48,13 +49,13 @@
 	return info
 }
 
-// withRequest gives the request its id, and logs and measures its end.
+// withRequest assigns the request its id, and logs and records its outcome.
 func (s *Server) withRequest(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		info := &requestInfo{id: requestID(c), begun: time.Now(), class: runs.ClassStandard}
+		info := &requestInfo{id: requestID(c), startedAt: time.Now(), class: runs.ClassStandard}
 		c.Set(requestKey, info)
 		c.Response().Header().Set(headerRequestID, info.id)
-		readBy(c, info.begun.Add(bodyTimeout))
+		setReadDeadline(c, info.startedAt.Add(bodyTimeout))
 		if err := next(c); err != nil {
 			c.Error(err)
 		}
@@ -63,24 +64,26 @@
 	}
 }
 
-// readBy bounds how long the caller may take over the rest of its request. The
-// zero time is no bound: with one, the server would end the request's context.
-func readBy(c echo.Context, deadline time.Time) {
-	_ = http.NewResponseController(c.Response()).SetReadDeadline(deadline) // only test recorders have none
+// setReadDeadline sets the deadline for reading the rest of the request. The zero
+// time removes it, which is needed once the body is read: an expired deadline makes
+// the HTTP server cancel the request's context.
+func setReadDeadline(c echo.Context, deadline time.Time) {
+	_ = http.NewResponseController(c.Response()).SetReadDeadline(deadline) // fails only for test recorders, which don't support deadlines
 }
 
-// requestID takes over a caller's id where it is short and plain.
+// requestID returns the caller's request id if it is short and printable ASCII,
+// else a random one.
 func requestID(c echo.Context) string {
 	id := c.Request().Header.Get(headerRequestID)
-	if id != "" && len(id) <= maxRequestID && plain(id) {
+	if id != "" && len(id) <= maxRequestID && isPlainASCII(id) {
 		return id
 	}
 	random := make([]byte, requestIDBytes)
-	rand.Read(random) // never fails, by its documentation
+	rand.Read(random) // never fails, as documented
 	return hex.EncodeToString(random)
 }
 
-func plain(s string) bool {
+func isPlainASCII(s string) bool {
 	for _, r := range s {
 		if r <= ' ' || r > '~' || r == '"' || r == '=' {
 			return false
@@ -91,27 +94,27 @@
 
 func (s *Server) finish(c echo.Context, info *requestInfo) {
 	if info.account == nil && info.outcome == nil {
-		return // a page for the balancer
+		return // a health or metrics page, not a caller's request
 	}
-	total := time.Since(info.begun)
+	total := time.Since(info.startedAt)
 	code := result.Code(0)
 	if info.outcome != nil {
 		code = info.outcome.Code
 	}
-	s.Recorder.Request(Measure{
-		Account:    info.account.GetName(),
-		Class:      info.class,
-		Path:       c.Path(),
-		Code:       code,
-		Summary:    info.summary,
-		Total:      total,
-		TokenGaps:  info.gaps,
-		PromptRuns: info.prompt,
+	s.Recorder.Request(RequestMetrics{
+		Account:   info.account.GetName(),
+		Class:     info.class,
+		Path:      c.Path(),
+		Code:      code,
+		Summary:   info.summary,
+		Total:     total,
+		TokenGaps: info.gaps,
+		IsPrompt:  info.prompt,
 	})
-	s.logEnd(c, info, total)
+	s.logRequest(c, info, total)
 }
 
-func (s *Server) logEnd(c echo.Context, info *requestInfo, total time.Duration) {
+func (s *Server) logRequest(c echo.Context, info *requestInfo, total time.Duration) {
 	event := s.Log.Info()
 	if info.outcome != nil {
 		event = s.Log.Warn().Int("code", int(info.outcome.Code)).
@@ -135,7 +138,9 @@
 	event.Send()
 }
 
-// deadline reads the timeout header: seconds, or a number with its unit.
+// deadline returns the request's deadline from the timeout header, whose value is a
+// number of seconds or a Go duration. It is bounded by the maximum timeout; without
+// the header the default timeout applies.
 func (s *Server) deadline(c echo.Context, now time.Time) (time.Time, error) {
 	text := c.Request().Header.Get(headerTimeout)
 	if text == "" {
@@ -151,8 +156,8 @@
 	return now.Add(min(d, time.Duration(s.Limits.MaxTimeout))), nil
 }
 
-// class reads the priority header.
-func class(c echo.Context) (runs.Class, error) {
+// parsePriority returns the class that the priority header selects.
+func parsePriority(c echo.Context) (runs.Class, error) {
 	switch c.Request().Header.Get(headerPriority) {
 	case "interactive":
 		return runs.ClassInteractive, nil
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,8 +1,8 @@
-// Package entry is the callers' HTTP interface: the OpenAI-compatible requests,
-// tickets, plain services, and the pages for the balancer.
+// Package entry serves the HTTP interface for callers: the OpenAI-compatible API,
+// tickets, plain services, and the health and metrics pages.
 //
-// Guarantee: every error is in the OpenAI shape with a numbered result code and
-// a run state; every request has an id, which is in its answer and its logs.
+// Guarantee: every error has the OpenAI format with a numbered result code and a
+// run state; every request has an id, which is in its response and its log lines.
 package entry
 
 import (
@@ -26,39 +26,41 @@
 // headerRequestID carries the request's id in both directions.
 const headerRequestID = "X-Request-Id"
 
-// VersionSelector chooses the weight version of a request among those that engines hold.
-// The draw is the same for all requests of one conversation.
+// VersionSelector selects the weight version of a request among those that engines
+// have loaded. The draw is equal for all requests of one conversation, so that they
+// use the same version during a rollout.
 type VersionSelector interface {
 	Serving(ctx context.Context, view *config.View, model string, draw float64) (version string, ok bool)
 }
 
-// Directory gives the newest configuration.
+// Directory provides the newest configuration.
 type Directory interface {
 	View() *config.View
 }
 
-// Runner answers prompts.
+// Runner runs and resumes prompts.
 type Runner interface {
 	Run(ctx context.Context, req *runs.Request, sink runs.Sink) (runs.Summary, error)
 	Resume(ctx context.Context, req runs.ResumeRequest, sink runs.Sink) (runs.Summary, error)
 }
 
-// Readiness tells why the node takes no new requests, or nil.
+// Readiness returns the reason why the node accepts no new requests, or nil.
 type Readiness func() *result.Error
 
-// Recorder takes the measures of each request.
+// Recorder records the metrics of each request.
 type Recorder interface {
-	Request(m Measure)
+	Request(m RequestMetrics)
 }
 
-// Admission holds the client accounts' limits.
+// Admission enforces the limits of client accounts.
 type Admission interface {
-	// Admit counts a request with its expected tokens, or refuses it. The
-	// function that it returns is called once with the tokens really used.
+	// Admit counts a request with its expected number of tokens against the
+	// account's limits, or rejects it. The caller calls done once, with the number
+	// of tokens that were used.
 	Admit(ctx context.Context, account *pb.ClientAccount, tokens int) (done func(used int), err error)
 }
 
-// Server serves callers.
+// Server handles callers' HTTP requests.
 type Server struct {
 	Limits          settings.Requests
 	Directory       Directory
@@ -101,8 +103,8 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// onError writes an error in the OpenAI shape. After the first byte of an answer
-// it is too late for that: the handler of the stream has then said so itself.
+// onError writes an error in the OpenAI format. If the response has already started,
+// it only records the outcome: the stream's handler has then sent the error.
 func (s *Server) onError(err error, c echo.Context) {
 	e := toResult(err)
 	info := requestOf(c)
@@ -116,7 +118,7 @@
 	_ = c.JSON(e.Status(), e.Body(info.id))
 }
 
-// toResult gives the framework's own errors their codes.
+// toResult converts an error to a result, including those of the HTTP framework.
 func toResult(err error) *result.Error {
 	var he *echo.HTTPError
 	if !errors.As(err, &he) {
@@ -140,7 +142,8 @@
 	return key, ok && strings.EqualFold(scheme, "bearer") && key != ""
 }
 
-// withAccount finds the client account of the request's bearer key.
+// withAccount authenticates the request: it looks up the client account of the
+// bearer key and rejects requests without a valid one.
 func (s *Server) withAccount(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key, ok := bearer(c.Request())
@@ -162,23 +165,24 @@
 	}
 }
 
-// takesWork refuses new work while the node is stale. A draining node goes on
-// taking it until its listener closes: the balancer may still send some.
-func (s *Server) takesWork() error {
+// checkAcceptsWork returns an error while the node can't accept new work, such as
+// when its configuration is stale. A draining node accepts work until its listener
+// closes, since the load balancer may still send requests.
+func (s *Server) checkAcceptsWork() error {
 	if err := s.Ready(); err != nil && err.Code != result.Draining {
 		return err
 	}
 	return nil
 }
 
-// Measure is what one request came to.
-type Measure struct {
-	Account    string
-	Class      runs.Class
-	Path       string
-	Code       result.Code // 0 for success
-	Summary    runs.Summary
-	Total      time.Duration
-	TokenGaps  []time.Duration
-	PromptRuns bool // the request was a prompt, so Summary counts
+// RequestMetrics holds the outcome and measurements of one request.
+type RequestMetrics struct {
+	Account   string
+	Class     runs.Class
+	Path      string
+	Code      result.Code // 0 for success
+	Summary   runs.Summary
+	Total     time.Duration
+	TokenGaps []time.Duration
+	IsPrompt  bool // the request was a prompt, so Summary is set
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -28,12 +28,12 @@
 const Name = "entry"
 
 const (
-	headerTimeoutHTTP = 10 * time.Second
-	idleTimeoutHTTP   = 2 * time.Minute
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 64 << 10
 )
 
-// Service is the callers' listener and its life cycle.
+// Service manages the life cycle of the callers' listener.
 type Service struct {
 	server   *Server
 	engines  runs.Engines
@@ -114,8 +114,8 @@
 	service.SetPrompts(dispatcher)
 	s.http = &http.Server{
 		Handler:           s.server.Handler(),
-		ReadHeaderTimeout: headerTimeoutHTTP,
-		IdleTimeout:       idleTimeoutHTTP,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	return nil
@@ -137,8 +137,9 @@
 	}
 }
 
-// Stop implements kernel.Stopper. The node is unready at once; it goes on taking
-// requests while the balancer finds out, and then finishes those that are open.
+// Stop implements kernel.Stopper. The node reports itself unready at once, keeps
+// accepting requests during the drain grace period until the load balancer stops
+// sending them, and then waits for the open requests to end.
 func (s *Service) Stop(ctx context.Context) error {
 	s.draining.Store(true)
 	s.cluster.Leave()
@@ -146,7 +147,7 @@
 	return eris.Wrap(s.http.Shutdown(ctx), "finish open requests")
 }
 
-// ready is the balancer's page: it counts a draining node out.
+// ready implements Readiness. A draining node is not ready.
 func (s *Service) ready() *result.Error {
 	if s.draining.Load() {
 		return result.New(result.Draining)
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -14,7 +14,7 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// streamSink writes an answer as server-sent events.
+// streamSink sends an answer to the caller as server-sent events.
 type streamSink struct {
 	c       echo.Context
 	chunk   chunk
@@ -64,7 +64,8 @@
 	return s
 }
 
-// Started implements runs.Sink. The first engine run opens the response.
+// Started implements runs.Sink. The first call sends the response header; calls for
+// later engine runs of the same answer only set the run id.
 func (s *streamSink) Started(start runs.Start) error {
 	s.run = start.Run
 	if s.started {
@@ -72,7 +73,7 @@
 	}
 	s.started = true
 	s.chunk.ID = start.Run
-	s.nameModel(start)
+	s.setModel(start)
 	h := s.c.Response().Header()
 	h.Set(echo.HeaderContentType, "text/event-stream")
 	h.Set(echo.HeaderCacheControl, "no-cache")
@@ -86,8 +87,8 @@
 	return err
 }
 
-// nameModel fills in the model of a resumed run, whose request named none.
-func (s *streamSink) nameModel(start runs.Start) {
+// setModel sets the model of a resumed run, whose request does not name one.
+func (s *streamSink) setModel(start runs.Start) {
 	if s.chunk.Model != "" {
 		return
 	}
@@ -97,9 +98,9 @@
 	}
 }
 
-// resumedAt prepares the sink for a run of which the caller has so many tokens. One
-// who has any has the role, too.
-func (s *streamSink) resumedAt(offset int) {
+// setResumeOffset prepares the sink for a run whose first offset tokens the caller
+// has already received. With the first of them it has received the role as well.
+func (s *streamSink) setResumeOffset(offset int) {
 	if offset > 0 && s.choice.Delta != nil {
 		s.choice.Delta.Role = ""
 	}
@@ -121,7 +122,7 @@
 	s.choice.Delta.Content = text
 }
 
-// write sends the present chunk as one event.
+// write sends the current chunk as one event.
 func (s *streamSink) write() error {
 	s.buf.Reset()
 	s.buf.WriteString("id: ")
@@ -144,7 +145,8 @@
 	return nil
 }
 
-// finish ends a whole answer.
+// finish ends a complete answer with the finish reason, the usage if requested, and
+// [DONE].
 func (s *streamSink) finish(sum runs.Summary, withUsage bool) error {
 	s.setText("")
 	s.choice.FinishReason = &sum.Finish
@@ -167,8 +169,8 @@
 	return nil
 }
 
-// fail ends an answer with an error. After the first byte it goes into the
-// stream, which then has no [DONE]: a caller never takes the part for the whole.
+// fail ends an answer with an error. If the stream has started, the error is its last
+// event and no [DONE] follows, so that a caller can tell that the answer is partial.
 func (s *streamSink) fail(err error, requestID string) error {
 	if !s.started {
 		return err
@@ -179,15 +181,15 @@
 	return err
 }
 
-// gapTimer measures the times between tokens. Of a long answer it keeps a
-// uniform sample, so that a stream's memory is bounded.
+// gapTimer measures the times between tokens. For a long answer it keeps a uniform
+// sample of them, so that the memory of a stream is bounded.
 type gapTimer struct {
 	last time.Time
 	seen int
 	gaps []time.Duration
 }
 
-// maxGaps bounds what one answer adds to the histogram: 4 KiB a stream.
+// maxGaps is the maximum number of samples per answer; they take 4 KiB per stream.
 const maxGaps = 512
 
 func (g *gapTimer) token(now time.Time) {
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -32,15 +32,17 @@
 	run    string
 }
 
-// piece is the text of a token; some need escapes, as newlines in code do.
-func piece(i int) string {
+// tokenText returns the text of the ith token. Every eighth one needs JSON escapes, as
+// newlines in code do.
+func tokenText(i int) string {
 	if i%8 == 0 {
 		return "\n\t\"é"
 	}
 	return fmt.Sprint(" word", i%10)
 }
 
-// Start implements runs.Engines. The frames are encoded once and renamed to the run.
+// Start implements runs.Engines. The frames are encoded once; later runs replace the
+// run id in them.
 func (e *recordedEngine) Start(_ context.Context, _ string, req *enginewire.RunRequest) (*engine.Stream, error) {
 	if e.frames == nil {
 		e.record(req)
@@ -58,29 +60,29 @@
 	}
 	add(enginewire.Frame{Kind: enginewire.FrameStart, Version: req.Version, CacheSalt: req.CacheSalt, PromptTokens: 9})
 	for i := range e.tokens {
-		add(enginewire.Frame{Seq: i + 1, Kind: enginewire.FrameTokens, Offset: i, Tokens: 1, Text: piece(i)})
+		add(enginewire.Frame{Seq: i + 1, Kind: enginewire.FrameTokens, Offset: i, Tokens: 1, Text: tokenText(i)})
 	}
 	add(enginewire.Frame{Seq: e.tokens + 1, Kind: enginewire.FrameEnd, OutputTokens: e.tokens, Finish: "stop"})
 }
 
 // Place implements runs.Placer.
 func (e *recordedEngine) Place(context.Context, *runs.Request, []string) (runs.Grant, error) {
-	return freeGrant{&pb.Endpoint{Name: "engine-1"}}, nil
+	return fakeGrant{&pb.Endpoint{Name: "engine-1"}}, nil
 }
 
-// discard is a caller that reads nothing of what it gets.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that discards the response.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header       { return d.header }
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
-func (discard) WriteHeader(int)             {}
-func (discard) Flush()                      {}
+func (d discardWriter) Header() http.Header       { return d.header }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) WriteHeader(int)             {}
+func (discardWriter) Flush()                      {}
 
-// streamOnce carries one answer from the engine's frames to the caller's events.
+// streamOnce streams one answer from the engine's frames to the caller's events.
 func streamOnce(t testing.TB, e *recordedEngine, w http.ResponseWriter, object string) {
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	d := &runs.Dispatcher{Key: key, Salter: salter, Engines: e, Placer: e, Budget: freely{}}
+	d := &runs.Dispatcher{Key: key, Salter: salter, Engines: e, Placer: e, Budget: noLimits{}}
 	c := echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)
 	req := &runs.Request{Account: "mill", Model: "melt", Version: "v1", Prompt: "heat", MaxTokens: e.tokens, Deadline: time.Now().Add(time.Minute)}
 	sink := newStreamSink(c, "melt", object, time.Now())
@@ -90,7 +92,8 @@
 	must.NoError(t, sink.finish(sum, true))
 }
 
-// TestStreamedEvents reads the events as a client would.
+// TestStreamedEvents parses the events of a stream as a client does and checks their
+// ids, text and usage.
 func TestStreamedEvents(t *testing.T) {
 	const tokens = 40
 	for _, object := range []string{objectChatChunk, objectCompletion} {
@@ -121,33 +124,34 @@
 			must.NoError(t, err)
 		}
 		for i := range tokens {
-			want.WriteString(piece(i))
+			want.WriteString(tokenText(i))
 		}
 		must.Eq(t, want.String(), text.String())
 		must.Eq(t, tokens, offset)
 	}
 }
 
-// TestAllocationsPerToken bounds what a token costs between the engine's stream
-// and the caller's. The length of the answer leaves only the cost per token.
+// TestAllocationsPerToken bounds the allocations per token between the engine's
+// stream and the caller's. The difference between a short and a long answer excludes
+// the fixed cost of a request.
 func TestAllocationsPerToken(t *testing.T) {
 	const short, long = 100, 1100
 	cost := func(tokens int) (allocs, size float64) {
 		e := &recordedEngine{tokens: tokens}
-		streamOnce(t, e, discard{http.Header{}}, objectChatChunk)
+		streamOnce(t, e, discardWriter{http.Header{}}, objectChatChunk)
 		var before, after runtime.MemStats
 		const runs = 20
 		runtime.ReadMemStats(&before)
 		for range runs {
-			streamOnce(t, e, discard{http.Header{}}, objectChatChunk)
+			streamOnce(t, e, discardWriter{http.Header{}}, objectChatChunk)
 		}
 		runtime.ReadMemStats(&after)
 		return float64(after.Mallocs-before.Mallocs) / runs, float64(after.TotalAlloc-before.TotalAlloc) / runs
 	}
 	shortAllocs, shortSize := cost(short)
 	longAllocs, longSize := cost(long)
-	// The text is one allocation, and one more where it has escapes: one in eight.
-	// The sizes hold the frames, which the recorded engine copies.
+	// The text needs one allocation, and a second one if it has escapes, as one in
+	// eight does. The sizes include the frames, which recordedEngine copies.
 	allocs, size := (longAllocs-shortAllocs)/(long-short), (longSize-shortSize)/(long-short)
 	t.Logf("%.2f allocations and %.0f bytes a token", allocs, size)
 	must.LessEq(t, maxAllocsPerToken, allocs)
@@ -161,7 +165,7 @@
 			e := &recordedEngine{tokens: tokens}
 			b.ReportAllocs()
 			for b.Loop() {
-				streamOnce(b, e, discard{http.Header{}}, object)
+				streamOnce(b, e, discardWriter{http.Header{}}, object)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/tokens, "ns/token")
 		})
--- a/internal/telemetry/series.go
+++ b/internal/telemetry/series.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *series) request(r *entry.Measure) {
+func (s *series) request(r *entry.RequestMetrics) {
 	s.total.Update(r.Total.Seconds())
 	for _, gap := range r.TokenGaps {
 		s.tokenGap.Update(gap.Seconds())
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -55,13 +55,13 @@
 }
 
 // Request implements entry.Recorder.
-func (m *Metrics) Request(r entry.Measure) {
+func (m *Metrics) Request(r entry.RequestMetrics) {
 	outcome, ok := m.outcomes[r.Code]
 	if !ok {
 		outcome = m.outcomes[result.Internal]
 	}
 	outcome.Inc()
-	if r.Account == "" || !r.PromptRuns {
+	if r.Account == "" || !r.IsPrompt {
 		return
 	}
 	traffic := uint64(1 + r.Summary.PromptTokens + r.Summary.OutputTokens)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -25,8 +25,8 @@
 var update = flag.Bool("update", false, "write docs/METRICS.md anew")
 
 // prompt is the measure of an answered prompt of 80 tokens, 60 of them cached.
-func prompt(account string) entry.Measure {
-	m := entry.Measure{Account: account, Class: runs.ClassBatch, Total: 3 * time.Second, PromptRuns: true}
+func prompt(account string) entry.RequestMetrics {
+	m := entry.RequestMetrics{Account: account, Class: runs.ClassBatch, Total: 3 * time.Second, IsPrompt: true}
 	m.TokenGaps = []time.Duration{30 * time.Millisecond, 40 * time.Millisecond}
 	m.Summary = runs.Summary{
 		Start:         runs.Start{PromptTokens: 80, CachedTokens: 60},
@@ -72,9 +72,9 @@
 	owned := []*pb.EndpointStatus{a, b}
 	m := watched(func() []*pb.EndpointStatus { return owned })
 	m.Request(prompt("mill"))
-	m.Request(entry.Measure{Account: "mill", Code: result.RequestRate})
-	m.Request(entry.Measure{Code: result.MissingKey})
-	m.Request(entry.Measure{Code: 1999})
+	m.Request(entry.RequestMetrics{Account: "mill", Code: result.RequestRate})
+	m.Request(entry.RequestMetrics{Code: result.MissingKey})
+	m.Request(entry.RequestMetrics{Code: 1999})
 	m.Exported(512)
 	m.Ungoverned()
 	_ = scrape(m)
