--- a/internal/operator/calllog.go
+++ b/internal/operator/calllog.go
@@ -11,14 +11,14 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// The events that the server logs.
+// Values of the event field in the server's log lines.
 const (
-	eventCall    = "operator_call"
-	eventRefused = "operator_refused"
-	eventChanged = "change_accepted"
+	eventCall           = "operator_call"
+	eventRejected       = "operator_refused"
+	eventChangeAccepted = "change_accepted"
 )
 
-// callLog writes one line for each call.
+// callLog is an interceptor that logs one line for each call.
 type callLog struct{ log zerolog.Logger }
 
 var _ connect.Interceptor = callLog{}
@@ -30,7 +30,7 @@
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		start := time.Now()
 		res, err := next(ctx, req)
-		c.line(req.Spec(), req.Peer(), start, err)
+		c.logCall(req.Spec(), req.Peer(), start, err)
 		return res, err
 	}
 }
@@ -45,12 +45,12 @@
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
 		start := time.Now()
 		err := next(ctx, conn)
-		c.line(conn.Spec(), conn.Peer(), start, err)
+		c.logCall(conn.Spec(), conn.Peer(), start, err)
 		return err
 	}
 }
 
-func (c callLog) line(spec connect.Spec, peer connect.Peer, start time.Time, err error) {
+func (c callLog) logCall(spec connect.Spec, peer connect.Peer, start time.Time, err error) {
 	event := c.log.Info()
 	if err != nil {
 		event = c.log.Warn().Int("result", int(result.From(err).Code)).Err(err)
@@ -69,8 +69,8 @@
 	return context.WithValue(ctx, controllerKey{}, rc)
 }
 
-// setSendDeadline bounds the sends of a stream; a zero time lifts the bound. A
-// connection that has no deadlines is left as it is.
+// setSendDeadline sets the write deadline of a stream's connection; the zero time
+// removes it. It does nothing if the connection does not support deadlines.
 func setSendDeadline(ctx context.Context, t time.Time) {
 	if rc, ok := ctx.Value(controllerKey{}).(*http.ResponseController); ok {
 		_ = rc.SetWriteDeadline(t)
--- a/internal/operator/calllog_test.go
+++ b/internal/operator/calllog_test.go
@@ -15,7 +15,8 @@
 	"github.com/cherryward/cherryward/internal/config/configtest"
 )
 
-// Each line names its event in a field: the daemon prints no messages.
+// TestLogLinesNameTheirEvent checks that each log line has an event field, since the
+// daemon's log lines have no message.
 func TestLogLinesNameTheirEvent(t *testing.T) {
 	s := newServer(configtest.New(), nil)
 	var log bytes.Buffer
--- a/internal/operator/configservice.go
+++ b/internal/operator/configservice.go
@@ -26,14 +26,14 @@
 	if err != nil {
 		return nil, wireError(err)
 	}
-	s.opts.Log.Info().Str("event", eventChanged).
+	s.opts.Log.Info().Str("event", eventChangeAccepted).
 		Str("change", change.ID).Str("kind", string(change.Kind)).Str("name", change.Name).
 		Bool("delete", change.Delete).Int64("revision", outcome.Revision).Send()
 	res := &pb.ApplyResponse{Revision: outcome.Revision}
 	if !req.Msg.GetWait() {
 		return connect.NewResponse(res), nil
 	}
-	res.WaitingFor, err = s.waitInForce(ctx, outcome.Revision)
+	res.WaitingFor, err = s.waitApplied(ctx, outcome.Revision)
 	if err != nil {
 		return nil, wireError(err)
 	}
@@ -43,17 +43,17 @@
 	return connect.NewResponse(res), nil
 }
 
-// newChange reads a request. It only checks what does not depend on other
-// objects: the log's order decides the rest, and a repeated change must get its
-// first outcome even where the objects have moved on.
+// newChange converts a request to a change. It validates only what does not depend on
+// other objects. The rest is validated in log order, and a retried change must get
+// its first outcome even if the objects have changed since.
 func newChange(req *pb.ApplyRequest) (config.Change, error) {
 	if !changeIDPattern.MatchString(req.GetChangeId()) {
 		return config.Change{}, result.New(result.InvalidObject, result.WithField("change_id"),
-			result.WithMessage("want 1 to 64 of letters, digits, '.', '_' and '-'"))
+			result.WithMessage("want 1 to 64 letters, digits, '.', '_' or '-'"))
 	}
 	if req.GetBasedOn() < 0 {
 		return config.Change{}, result.New(result.InvalidObject, result.WithField("based_on"),
-			result.WithMessage("a revision is at least 0"))
+			result.WithMessage("want a revision of at least 0"))
 	}
 	value, err := config.FromObject(req.GetObject())
 	if err != nil {
@@ -76,22 +76,23 @@
 	return change, err
 }
 
-// propose writes a change and returns once this node has applied it.
+// propose appends a change to the log and returns once this node has applied it.
 func (s *Server) propose(ctx context.Context, change config.Change) (config.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	outcome, err := s.opts.Proposer.Propose(ctx, change)
 	if err != nil {
-		return config.Outcome{}, asUnknown(err)
+		return config.Outcome{}, withResultCode(err)
 	}
 	if err := s.opts.Configuration.Wait(ctx, outcome.Revision); err != nil {
-		return config.Outcome{}, asUnknown(err)
+		return config.Outcome{}, withResultCode(err)
 	}
 	return outcome, nil
 }
 
-// asUnknown gives an error without a code the one that promises nothing.
-func asUnknown(err error) error {
+// withResultCode returns err as a result; an error without a code becomes
+// OutcomeUnknown, since the change may or may not be in the log.
+func withResultCode(err error) error {
 	var coded *result.Error
 	if errors.As(err, &coded) {
 		return coded
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,8 +1,8 @@
-// Package operator serves the operators' RPCs on a listener of their own.
+// Package operator serves the operators' RPCs on a separate listener.
 //
-// Guarantee: a write is answered as accepted only after the log took it and
-// this node applied it; a repeat with the same change id gives the first
-// outcome again. Every error carries a result code. Connect, gRPC, gRPC-Web and
-// plain JSON over HTTP are answered on the same port, each call only with the
-// operators' credential.
+// Guarantee: a write is reported as accepted only after it was appended to the
+// log and applied at this node; a retry with the same change id returns the
+// outcome of the first attempt. Every error carries a result code. One port
+// serves Connect, gRPC, gRPC-Web and plain JSON over HTTP; every call requires
+// the operators' credential.
 package operator
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -10,7 +10,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// HeaderResult carries the number of the result code of an error.
+// HeaderResult is the header with the number of an error's result code.
 const HeaderResult = "Cherryward-Result"
 
 // wireError returns err as a Connect error with its result code attached.
@@ -33,7 +33,7 @@
 	return wire
 }
 
-// connectCode returns the RPC status nearest to a result code.
+// connectCode returns the RPC status that corresponds to a result code.
 func connectCode(code result.Code) connect.Code {
 	switch code {
 	case result.RevisionConflict:
@@ -62,12 +62,12 @@
 	return connect.CodeInternal
 }
 
-// codedWriter gives the errors that the RPC library answers by itself, such as
-// a body that can't be read, their result code as well.
-type codedWriter struct{ http.ResponseWriter }
+// resultCodeWriter adds HeaderResult to the errors that the RPC library sends itself,
+// such as the one for a malformed body.
+type resultCodeWriter struct{ http.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
-func (w codedWriter) WriteHeader(status int) {
+func (w resultCodeWriter) WriteHeader(status int) {
 	if code, ok := libraryCodes[status]; ok && w.Header().Get(HeaderResult) == "" {
 		w.Header().Set(HeaderResult, strconv.Itoa(int(code)))
 	}
@@ -75,10 +75,10 @@
 }
 
 // Flush implements http.Flusher.
-func (w codedWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
+func (w resultCodeWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
 
-// Unwrap serves http.ResponseController.
-func (w codedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the underlying writer; http.ResponseController calls it.
+func (w resultCodeWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 var libraryCodes = map[int]result.Code{
 	http.StatusBadRequest:           result.MalformedBody,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,30 +13,33 @@
 )
 
 const (
-	// maxRequestBytes bounds a request: one object and what goes with it.
+	// maxRequestBytes bounds a request, which holds one object and its metadata.
 	maxRequestBytes = 128 << 10
-	// maxResponseBytes bounds a response: a list of 12,000 endpoints is under 8 MiB.
+	// maxResponseBytes bounds a response; a list of 12,000 endpoints is under 8 MiB.
 	maxResponseBytes = 32 << 20
 	// maxHeaderBytes bounds the headers of a request.
 	maxHeaderBytes = 16 << 10
 	// maxWatchers bounds the watch streams of one node.
 	maxWatchers = 64
-	// headerTimeout bounds how long a connection may take over its headers.
+	// headerTimeout is the maximum time for receiving the headers of a request.
 	headerTimeout = 5 * time.Second
-	// refusedTimeout bounds how long the body of a refused call may take, which
-	// the HTTP library reads before it answers.
-	refusedTimeout = time.Second
-	// idleTimeout closes a connection between calls.
+	// rejectedBodyTimeout is the maximum time for receiving the body of a rejected
+	// call, which the HTTP library reads before it responds.
+	rejectedBodyTimeout = time.Second
+	// idleTimeout is the time after which a connection without calls is closed.
 	idleTimeout = 2 * time.Minute
-	// sendTimeout cuts a watcher that does not read.
+	// sendTimeout is the maximum time for one send to a watcher; a watcher that does
+	// not read is then disconnected.
 	sendTimeout = 10 * time.Second
-	// proposeTimeout bounds a write; after it the outcome is unknown.
+	// proposeTimeout bounds a write; the outcome of one that exceeds it is unknown.
 	proposeTimeout = 10 * time.Second
-	// waitLimit bounds a wait for the nodes; the aim is 6 s.
-	waitLimit = 20 * time.Second
-	// waitInterval is the time between two looks at the nodes.
-	waitInterval = 20 * time.Millisecond
-	// stopTimeout bounds how long open calls may take to end at shutdown.
+	// maxWait bounds the wait until all live nodes have applied a change, which is
+	// expected to take less than 6 s.
+	maxWait = 20 * time.Second
+	// waitPollInterval is the time between two reads of the nodes' applied offsets.
+	waitPollInterval = 20 * time.Millisecond
+	// stopTimeout bounds the wait for open calls at shutdown. It exceeds
+	// proposeTimeout, so that a write in flight can complete.
 	stopTimeout = proposeTimeout + 2*time.Second
 )
 
@@ -49,31 +52,32 @@
 
 var _ Configuration = (*config.Store)(nil)
 
-// NodeApplied is what one node has applied of the configuration.
+// NodeApplied is the configuration offset that one node has applied.
 type NodeApplied struct {
 	ID      string
 	Applied int64
-	// Live is false for a node that is known to be dead or to have left; nothing
-	// waits for it.
+	// Live is false for a node that is dead or has left; a write does not wait
+	// for it.
 	Live bool
 }
 
-// Nodes tells what the nodes have applied.
+// Nodes provides the applied configuration offsets of the nodes.
 type Nodes interface {
-	// Applied returns every known node. It is called often and must be cheap.
+	// Applied returns an entry for every known node. It is polled during a wait, so
+	// it must be cheap.
 	Applied(ctx context.Context) ([]NodeApplied, error)
 }
 
-// Reporter tells what the system is doing.
+// Reporter provides the state of the system and of recent requests.
 type Reporter interface {
-	// Status describes the nodes and endpoints as this node sees them.
+	// Status returns this node's view of the nodes and endpoints.
 	Status(ctx context.Context) (*pb.StatusResponse, error)
-	// Explain tells why a recent request was placed as it was; the error is
-	// UnknownRequest where this node keeps no record of it.
+	// Explain returns why an endpoint was selected for a recent request. It fails
+	// with UnknownRequest if this node has no record of the request.
 	Explain(ctx context.Context, requestID string) (*pb.ExplainRequestResponse, error)
 }
 
-// Options are what a Server needs; all fields are required.
+// Options configures a Server; all fields are required.
 type Options struct {
 	// CredentialHash is the SHA-256 hash of the operators' bearer credential.
 	CredentialHash [sha256.Size]byte
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -18,7 +18,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// Server answers the operators' RPCs.
+// Server serves the operators' RPCs.
 type Server struct {
 	opts     Options
 	http     *http.Server
@@ -31,7 +31,7 @@
 	_ cherrywardv1connect.StatusServiceHandler = (*Server)(nil)
 )
 
-// New returns a server that is not yet serving.
+// New returns a server; call Serve to start it.
 func New(opts Options) *Server {
 	s := &Server{opts: opts, stopping: make(chan struct{})}
 	protocols := new(http.Protocols)
@@ -48,8 +48,8 @@
 	return s
 }
 
-// Serve answers calls on ln until ctx ends, then stops gracefully: watchers are
-// told to go elsewhere, other calls finish. It closes ln.
+// Serve serves calls on ln until ctx ends, then stops gracefully: watch streams end
+// with Draining, and other calls have stopTimeout to finish. It closes ln.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.http.Serve(ln) }()
@@ -62,7 +62,7 @@
 	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(grace); err != nil {
-		return errors.Join(eris.Wrap(err, "stop operators' server"), s.http.Close())
+		return errors.Join(eris.Wrap(err, "stop the operators' server"), s.http.Close())
 	}
 	return nil
 }
@@ -72,36 +72,38 @@
 		connect.WithReadMaxBytes(maxRequestBytes),
 		connect.WithSendMaxBytes(maxResponseBytes),
 		connect.WithInterceptors(newCallLog(s.opts.Log)),
-		connect.WithRecover(recovered),
+		connect.WithRecover(panicError),
 	}
 	mux := http.NewServeMux()
 	mux.Handle(cherrywardv1connect.NewConfigServiceHandler(s, opts...))
 	mux.Handle(cherrywardv1connect.NewStatusServiceHandler(s, opts...))
-	return s.guard(mux, connect.NewErrorWriter(opts...))
+	return s.requireCredential(mux, connect.NewErrorWriter(opts...))
 }
 
-func recovered(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
+func panicError(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
 	return wireError(result.Wrap(eris.Errorf("panic: %v", cause), result.Internal))
 }
 
-// guard lets only calls with the operators' credential through to next.
-func (s *Server) guard(next http.Handler, refuse *connect.ErrorWriter) http.Handler {
+// requireCredential rejects calls without the operators' credential and passes the
+// others to next.
+func (s *Server) requireCredential(next http.Handler, errorWriter *connect.ErrorWriter) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		coded := codedWriter{w}
+		coded := resultCodeWriter{w}
 		control := http.NewResponseController(w)
-		if !s.authentic(r) {
-			_ = control.SetReadDeadline(time.Now().Add(refusedTimeout)) // a connection without deadlines stays as it is
-			s.opts.Log.Warn().Str("event", eventRefused).Str("peer", r.RemoteAddr).Str("path", r.URL.Path).Send()
-			_ = refuse.Write(coded, r, wireError(result.New(result.OperatorCredential)))
+		if !s.hasValidCredential(r) {
+			_ = control.SetReadDeadline(time.Now().Add(rejectedBodyTimeout)) // fails if the connection does not support deadlines
+			s.opts.Log.Warn().Str("event", eventRejected).Str("peer", r.RemoteAddr).Str("path", r.URL.Path).Send()
+			_ = errorWriter.Write(coded, r, wireError(result.New(result.OperatorCredential)))
 			return
 		}
 		next.ServeHTTP(coded, r.WithContext(withController(r.Context(), control)))
 	})
 }
 
-// authentic compares hashes, so that neither the length of the credential nor
-// the place of the first difference shows in the time it takes.
-func (s *Server) authentic(r *http.Request) bool {
+// hasValidCredential reports whether a request has the operators' credential. It
+// compares hashes in constant time, so that the duration reveals neither the length
+// of the credential nor the position of the first difference.
+func (s *Server) hasValidCredential(r *http.Request) bool {
 	scheme, credential, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || credential == "" {
 		return false
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -25,12 +25,13 @@
 
 const credential = "operators-credential"
 
-// fakeNodes answers from a function.
+// fakeNodes implements Nodes with a function.
 type fakeNodes func() ([]NodeApplied, error)
 
 func (f fakeNodes) Applied(context.Context) ([]NodeApplied, error) { return f() }
 
-// fakeReporter knows one request; asked for another, it panics or refuses.
+// fakeReporter has a record of request r1. It panics for the request fault and returns
+// UnknownRequest for any other.
 type fakeReporter struct{}
 
 func (fakeReporter) Status(context.Context) (*pb.StatusResponse, error) {
@@ -54,7 +55,8 @@
 	})
 }
 
-// serve starts a server on loopback; stop ends it and returns Serve's error.
+// serve starts a server on the loopback interface; stop stops it and returns Serve's
+// error.
 func serve(t *testing.T, log *configtest.Log) (url string, stop func() error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -66,7 +68,7 @@
 	return "http://" + ln.Addr().String(), func() error { cancel(); return <-done }
 }
 
-// bearer sends a credential with every call.
+// bearer is a transport that adds an Authorization header to every request.
 type bearer struct {
 	http.RoundTripper
 	header string
@@ -81,7 +83,7 @@
 	return &http.Client{Transport: bearer{&http.Transport{Protocols: protocols}, header}}
 }
 
-// detailOf returns the result attached to an error.
+// detailOf returns the result detail attached to an error.
 func detailOf(t *testing.T, err error) *pb.ResultDetail {
 	t.Helper()
 	var wire *connect.Error
@@ -132,13 +134,13 @@
 	must.NoError(t, err)
 	must.Eq(t, created.Msg.GetRevision(), got.Msg.GetObject().GetRevision())
 
-	// Two operators race: the second is told the current revision.
+	// Two operators write concurrently: the second one's error has the current revision.
 	_, err = c.Apply(ctx, account("c2", 0, &pb.ClientAccount{Name: "mill", Suspended: true}))
 	conflict := detailOf(t, err)
 	must.Eq(t, int32(result.RevisionConflict), conflict.GetNumber())
 	must.Eq(t, created.Msg.GetRevision(), conflict.GetRevision())
 
-	// An answer is lost after its effect, then the change is repeated.
+	// The response is lost after the change was applied, then the change is retried.
 	log.LoseAnswers.Store(1)
 	remove := account("c3", conflict.GetRevision(), &pb.ClientAccount{Name: "mill"})
 	remove.Msg.Delete = true
@@ -156,7 +158,7 @@
 	must.Eq(t, again.Msg.GetRevision(), list.Msg.GetApplied())
 }
 
-func TestApplyRefusesBadRequests(t *testing.T) {
+func TestApplyRejectsBadRequests(t *testing.T) {
 	s := newServer(configtest.New(), nil)
 	for field, req := range map[string]*pb.ApplyRequest{
 		"change_id":    {},
@@ -210,8 +212,8 @@
 		took     time.Duration
 	}{
 		"dead node is not waited for":  {false, nil, nil, applies},
-		"live node that never applies": {true, nil, []string{"n3"}, waitLimit},
-		"nodes can't be told":          {false, errors.New("no roster"), nil, 0},
+		"live node that never applies": {true, nil, []string{"n3"}, maxWait},
+		"nodes can't be read":          {false, errors.New("no roster"), nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -258,13 +260,13 @@
 	must.Eq(t, "gone", stream.Msg().GetChangeId())
 	must.Eq(t, 3, stream.Msg().GetObject().GetRevision())
 
-	// A graceful stop tells the watcher to go elsewhere and then returns.
+	// A graceful stop ends the watch with Draining and then returns.
 	must.NoError(t, stop())
 	must.False(t, stream.Receive())
 	must.Eq(t, int32(result.Draining), detailOf(t, stream.Err()).GetNumber())
 }
 
-func TestWatchRefusals(t *testing.T) {
+func TestWatchRejections(t *testing.T) {
 	log := configtest.New()
 	log.Reset(9, func(func(config.Entry) bool) {})
 	s := newServer(log, nil)
--- a/internal/operator/stall_test.go
+++ b/internal/operator/stall_test.go
@@ -15,8 +15,8 @@
 	"github.com/cherryward/cherryward/internal/config/configtest"
 )
 
-// pipeListener hands out in-memory connections, whose deadlines follow virtual
-// time.
+// pipeListener accepts in-memory connections, whose deadlines follow the virtual
+// time of synctest.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -34,9 +34,9 @@
 func (l pipeListener) Close() error   { close(l.closed); return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller without the credential can't hold a connection by a body that it does
-// not send.
-func TestRefusedCallerWithoutBodyIsCut(t *testing.T) {
+// TestUnauthenticatedCallerWithoutBodyIsDisconnected guards against a caller without
+// the credential that keeps a connection open by never sending the request body.
+func TestUnauthenticatedCallerWithoutBodyIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(configtest.New(), nil)
 		ln := pipeListener{make(chan net.Conn), make(chan struct{})}
@@ -45,19 +45,21 @@
 		go func() { done <- s.Serve(ctx, ln) }()
 		caller, served := net.Pipe()
 		ln.conns <- served
-		begun := time.Now()
+		started := time.Now()
 		_, err := fmt.Fprint(caller, "POST /cherryward.v1.ConfigService/Apply HTTP/1.1\r\nHost: n1\r\n"+
 			"Content-Type: application/json\r\nContent-Length: 1000\r\n\r\n")
 		must.NoError(t, err)
-		_, err = io.Copy(io.Discard, caller) // to the end of the connection
+		_, err = io.Copy(io.Discard, caller) // until the server closes the connection
 		must.NoError(t, err)
-		must.Between(t, refusedTimeout, time.Since(begun), 2*refusedTimeout)
+		must.Between(t, rejectedBodyTimeout, time.Since(started), 2*rejectedBodyTimeout)
 		cancel()
 		must.NoError(t, <-done)
 	})
 }
 
-func TestWatcherThatDoesNotReadIsCut(t *testing.T) {
+// TestWatcherThatDoesNotReadIsDisconnected checks that a watcher is disconnected once a
+// change was pending for sendTimeout, and not while there is nothing to send.
+func TestWatcherThatDoesNotReadIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := configtest.New()
 		s := newServer(log, nil)
@@ -72,7 +74,7 @@
 			"Authorization: Bearer %s\r\nContent-Type: application/connect+json\r\nContent-Length: %d\r\n\r\n%s", credential, len(body), body)
 		must.NoError(t, err)
 		synctest.Wait()
-		time.Sleep(10 * sendTimeout) // an idle watch is not cut
+		time.Sleep(10 * sendTimeout) // an idle watch is not disconnected
 		must.Eq(t, 1, s.watchers.Load())
 
 		_, err = log.Propose(ctx, config.Change{ID: "c", Kind: config.KindAccount, Name: "a", Value: []byte(`{"name":"a"}`)})
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -8,21 +8,21 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// waitInForce returns once every live node has applied a revision, or, at the
-// wait limit or at shutdown, with the nodes that have not. The change stays
-// accepted whatever it returns, which is why its errors say that it ran.
-func (s *Server) waitInForce(ctx context.Context, revision int64) (waitingFor []string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, waitLimit)
+// waitApplied waits until every live node has applied a revision. After maxWait or at
+// shutdown it returns the ids of the nodes that have not. The change is accepted in
+// any case, so its errors have the run state Ran.
+func (s *Server) waitApplied(ctx context.Context, revision int64) (waitingFor []string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
-	tick := time.NewTicker(waitInterval)
+	tick := time.NewTicker(waitPollInterval)
 	defer tick.Stop()
 	for {
 		nodes, err := s.opts.Nodes.Applied(ctx)
 		if err != nil {
 			return nil, result.Wrap(err, result.Internal, result.WithRunState(result.Ran), result.WithRevision(revision),
-				result.WithMessage("the change is accepted, but the nodes can't be told"))
+				result.WithMessage("the change is accepted, but reading the nodes' applied offsets failed"))
 		}
-		waitingFor = behind(nodes, revision)
+		waitingFor = nodesBehind(nodes, revision)
 		if len(waitingFor) == 0 {
 			return nil, nil
 		}
@@ -36,8 +36,9 @@
 	}
 }
 
-// behind returns the live nodes that have not applied a revision, in order.
-func behind(nodes []NodeApplied, revision int64) []string {
+// nodesBehind returns the sorted ids of the live nodes that have not applied a
+// revision.
+func nodesBehind(nodes []NodeApplied, revision int64) []string {
 	var ids []string
 	for _, node := range nodes {
 		if node.Live && node.Applied < revision {
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -12,15 +12,15 @@
 )
 
 // Watch implements ConfigServiceHandler. All watchers share the node's bounded
-// history of changes: one that falls behind it is cut with WatchTooSlow, and
-// one that does not read at all loses its connection.
+// history of changes. A watcher that falls behind it fails with WatchTooSlow; one
+// that does not read for sendTimeout is disconnected.
 func (s *Server) Watch(ctx context.Context, req *connect.Request[pb.WatchRequest], stream *connect.ServerStream[pb.WatchResponse]) error {
 	defer s.watchers.Add(-1)
 	if s.watchers.Add(1) > maxWatchers {
 		return wireError(result.New(result.Overloaded, result.WithRetryAfter(time.Second),
-			result.WithMessage("the node has its largest number of watchers: %d", maxWatchers)))
+			result.WithMessage("the node has reached its maximum of %d watch streams", maxWatchers)))
 	}
-	ctx, cancel := s.untilStop(ctx)
+	ctx, cancel := s.contextUntilStop(ctx)
 	defer cancel()
 	for entry, err := range s.opts.Configuration.Watch(ctx, req.Msg.GetAfter()) {
 		if err != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// untilStop returns a context that also ends when the server stops.
-func (s *Server) untilStop(ctx context.Context) (context.Context, context.CancelFunc) {
+// contextUntilStop returns a context that is also canceled when the server stops.
+func (s *Server) contextUntilStop(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
