--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -9,10 +9,11 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// maxValueBytes bounds one encoded object, so that a change fits a log record.
+// maxValueBytes bounds one encoded object, so that a change fits in a log record.
 const maxValueBytes = 64 << 10
 
-// Encode returns the compact JSON of an object as it stands in a change.
+// Encode returns an object as compact JSON, the format of Change.Value. It fails if the
+// result exceeds maxValueBytes.
 func Encode(v Value) (json.RawMessage, error) {
 	spaced, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(v)
 	if err != nil {
@@ -28,10 +29,9 @@
 	return compact.Bytes(), nil
 }
 
-// Decode reads an object from a change. Fields that this build does not know
-// are skipped, so that nodes of two builds agree during an upgrade. The error has
-// a fixed text: the replicated state keeps it, and the text of the JSON library
-// differs from build to build.
+// Decode decodes the object of a change. Unknown fields are ignored, so that nodes of
+// two builds have equal state during an upgrade. Errors have a fixed text, since the
+// replicated state stores it and the JSON library's text differs between builds.
 func Decode(kind Kind, raw json.RawMessage) (Value, error) {
 	v, err := newValue(kind)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,8 +19,9 @@
 	return &pb.Endpoint{Name: name, Kind: engineKind, Url: "http://10.0.0.1:80", FailureDomain: "north", Models: models}
 }
 
-// seed returns one account, version, model and engine that belong together.
-func seed() *View {
+// seedView returns a view with an account, two versions, a model, an adapter and an
+// engine that reference each other.
+func seedView() *View {
 	view := NewView()
 	for i, v := range []Value{
 		&pb.ClientAccount{Name: "mill", KeyHashes: []string{HashKey("k1")}},
@@ -46,7 +47,7 @@
 	}
 	for _, tc := range []struct {
 		value Value
-		field string // empty where the value is valid
+		field string // empty if the value is valid
 	}{
 		{&pb.ClientAccount{Name: "new", KeyHashes: []string{HashKey("k2")}, Limits: &pb.Limits{RequestsPerSecond: 1.5}}, ""},
 		{&pb.ClientAccount{Name: "mill", KeyHashes: []string{HashKey("k1"), HashKey("k2")}}, ""},
@@ -92,7 +93,7 @@
 		{service("GET /", "get /"), "endpoint.idempotent[1]"},
 		{service("GET batches"), "endpoint.idempotent[0]"},
 	} {
-		err := CheckPut(seed(), tc.value)
+		err := CheckPut(seedView(), tc.value)
 		if tc.field == "" {
 			must.NoError(t, err, must.Sprint(tc.value))
 			continue
@@ -106,7 +107,7 @@
 	for _, tc := range []struct {
 		kind Kind
 		name string
-		code result.Code // 0 where the object may be deleted
+		code result.Code // 0 if the object may be deleted
 	}{
 		{KindAccount, "mill", result.StillReferenced},
 		{KindVersion, "m@v1", result.StillReferenced},
@@ -117,7 +118,7 @@
 		{KindEndpoint, "none", result.UnknownObject},
 		{"none", "none", result.UnknownObject},
 	} {
-		err := CheckDelete(seed(), tc.kind, tc.name)
+		err := CheckDelete(seedView(), tc.kind, tc.name)
 		must.Eq(t, tc.code != 0, err != nil, must.Sprint(tc, err))
 		must.True(t, err == nil || result.Is(err, tc.code), must.Sprint(tc, err))
 	}
@@ -148,7 +149,7 @@
 	f.Add("account", []byte(`{"name":"a","limits":{"requests_per_second":1e999}}`))
 	f.Fuzz(func(t *testing.T, kind string, raw []byte) {
 		v, err := Decode(Kind(kind), raw)
-		if err != nil || CheckPut(seed(), v) != nil {
+		if err != nil || CheckPut(seedView(), v) != nil {
 			return
 		}
 		again, err := Encode(v)
--- a/internal/config/configtest/log.go
+++ b/internal/config/configtest/log.go
@@ -1,5 +1,5 @@
-// Package configtest is an in-memory stand-in for the replicated configuration,
-// for tests of its users: one process, one order, no faults but lost answers.
+// Package configtest provides an in-memory fake of the replicated configuration for
+// tests. It runs in one process, orders all changes, and can lose responses.
 package configtest
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// Log accepts changes into a config.Store.
+// Log validates proposed changes and applies them to a config.Store.
 type Log struct {
 	*config.Store
-	// LoseAnswers is the number of next proposals that are applied and then
-	// answered with OutcomeUnknown.
+	// LoseAnswers is the number of the next proposals that are applied but fail with
+	// OutcomeUnknown.
 	LoseAnswers atomic.Int32
 
 	mu       sync.Mutex
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,8 +1,7 @@
 // Package config holds the typed configuration that operators write.
 //
-// Guarantee: whether a change is valid depends only on the objects before it
-// and on the change, never on the clock, the node or the order of a map. Every
-// node that applies the same changes in the same order therefore holds the same
-// View. A View never changes after it was made; a reader keeps the one that it
-// took for as long as it needs.
+// Guarantee: whether a change is valid depends only on the change and on the
+// objects at its position in the log, never on the clock, the node or the iteration
+// order of a map. Nodes that apply the same changes in the same order therefore have
+// equal Views. A View is immutable, so a reader may use one for as long as it needs.
 package config
--- a/internal/config/index.go
+++ b/internal/config/index.go
@@ -8,28 +8,28 @@
 	pb "github.com/cherryward/cherryward/api/gen/cherryward/v1"
 )
 
-// reindex returns index with an endpoint's old entries replaced by its new ones;
-// each of the two endpoints may be nil. The lists stay in the order of names.
-func reindex(index map[string][]*pb.Endpoint, gone, here *pb.Endpoint, keys func(*pb.Endpoint) []string) map[string][]*pb.Endpoint {
-	oldKeys, newKeys := keys(gone), keys(here)
+// reindex returns a copy of index in which an endpoint's old entries are replaced with
+// its new ones. Either endpoint may be nil. The lists are sorted by name.
+func reindex(index map[string][]*pb.Endpoint, oldEndpoint, newEndpoint *pb.Endpoint, keys func(*pb.Endpoint) []string) map[string][]*pb.Endpoint {
+	oldKeys, newKeys := keys(oldEndpoint), keys(newEndpoint)
 	if len(oldKeys) == 0 && len(newKeys) == 0 {
 		return index
 	}
 	index = maps.Clone(index)
 	for _, key := range oldKeys {
 		if !slices.Contains(newKeys, key) {
-			remove(index, key, gone.GetName())
+			removeEndpoint(index, key, oldEndpoint.GetName())
 		}
 	}
 	for _, key := range newKeys {
-		index[key] = put(index[key], here)
+		index[key] = insertOrReplace(index[key], newEndpoint)
 	}
 	return index
 }
 
-// put returns a copy of list with e in its place.
-func put(list []*pb.Endpoint, e *pb.Endpoint) []*pb.Endpoint {
-	i, found := search(list, e.GetName())
+// insertOrReplace returns a copy of the sorted list with e added or replaced.
+func insertOrReplace(list []*pb.Endpoint, e *pb.Endpoint) []*pb.Endpoint {
+	i, found := searchByName(list, e.GetName())
 	if found {
 		list = slices.Clone(list)
 		list[i] = e
@@ -41,10 +41,11 @@
 	return append(next, list[i:]...)
 }
 
-// remove drops a name from the list of a key, and the key with its last name.
-func remove(index map[string][]*pb.Endpoint, key, name string) {
+// removeEndpoint removes an endpoint from the list of a key, and the key once its list
+// is empty.
+func removeEndpoint(index map[string][]*pb.Endpoint, key, name string) {
 	list := index[key]
-	i, found := search(list, name)
+	i, found := searchByName(list, name)
 	if !found {
 		return
 	}
@@ -55,7 +56,7 @@
 	index[key] = slices.Delete(slices.Clone(list), i, i+1)
 }
 
-func search(list []*pb.Endpoint, name string) (int, bool) {
+func searchByName(list []*pb.Endpoint, name string) (int, bool) {
 	return slices.BinarySearchFunc(list, name, func(e *pb.Endpoint, name string) int {
 		return strings.Compare(e.GetName(), name)
 	})
--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -13,8 +13,8 @@
 // Kind is the kind of a configuration object.
 type Kind string
 
-// The kinds, in an order in which objects can be created: an object only names
-// objects of kinds before it.
+// The kinds in an order in which objects can be created: an object only references
+// objects of the kinds before its own.
 const (
 	KindAccount  Kind = "account"
 	KindVersion  Kind = "version"
@@ -28,7 +28,7 @@
 // Kinds returns every kind in the order of creation.
 func Kinds() []Kind { return slices.Clone(kinds) }
 
-// ParseKind returns the kind of a name.
+// ParseKind returns the kind with a name, or an InvalidObject error.
 func ParseKind(name string) (Kind, error) {
 	kind := Kind(name)
 	if !slices.Contains(kinds, kind) {
@@ -39,8 +39,8 @@
 }
 
 // Value is one configuration object: a *pb.ClientAccount, *pb.ModelVersion,
-// *pb.Model, *pb.Adapter or *pb.Endpoint. It must not be changed once it is
-// part of a View.
+// *pb.Model, *pb.Adapter or *pb.Endpoint. It must not be modified once it is part of
+// a View.
 type Value interface {
 	proto.Message
 	GetName() string
@@ -71,7 +71,7 @@
 	return Named(kind, ""), nil
 }
 
-// State is the set of objects that a change is judged against.
+// State is the set of objects that a change is validated against.
 type State interface {
 	// Find returns one object.
 	Find(kind Kind, name string) (Value, bool)
@@ -79,7 +79,7 @@
 	All(kind Kind) iter.Seq[Value]
 }
 
-// ToObject wraps a value in the operators' message.
+// ToObject returns a value and its revision as the message of the operators' RPCs.
 func ToObject(v Value, revision int64) *pb.Object {
 	o := &pb.Object{Revision: revision}
 	switch v := v.(type) {
@@ -97,24 +97,24 @@
 	return o
 }
 
-// FromObject returns the value inside the operators' message.
+// FromObject returns the value in a message of the operators' RPCs.
 func FromObject(o *pb.Object) (Value, error) {
 	switch o := o.GetObject().(type) {
 	case *pb.Object_Account:
-		return present(o.Account)
+		return requireObject(o.Account)
 	case *pb.Object_Version:
-		return present(o.Version)
+		return requireObject(o.Version)
 	case *pb.Object_Model:
-		return present(o.Model)
+		return requireObject(o.Model)
 	case *pb.Object_Adapter:
-		return present(o.Adapter)
+		return requireObject(o.Adapter)
 	case *pb.Object_Endpoint:
-		return present(o.Endpoint)
+		return requireObject(o.Endpoint)
 	}
 	return nil, errNoObject()
 }
 
-func present[M any, P interface {
+func requireObject[M any, P interface {
 	*M
 	Value
 }](v P) (Value, error) {
@@ -129,8 +129,8 @@
 		result.WithMessage("no object given: want one of %v", kinds))
 }
 
-// Named returns an object that has only a name, as a deletion states it. It is
-// nil where the kind is unknown.
+// Named returns an object of a kind with only its name set, as for a deletion. It
+// returns nil if the kind is unknown.
 func Named(kind Kind, name string) Value {
 	switch kind {
 	case KindAccount:
--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -8,10 +8,10 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// CheckPut judges the writing of an object against the state before it: the
-// object by itself, the objects that it names, and that no other account holds
-// one of its keys. The replicated state keeps the text of its errors, so a
-// release that changes one changes the state of the log's records.
+// CheckPut validates the write of an object against the state before it: the object
+// itself, that the objects it references exist, and that no other account has one of
+// its keys. The replicated state stores the texts of its errors, so that nodes of two
+// releases with different texts would have different states.
 func CheckPut(s State, v Value) error {
 	if err := Validate(v); err != nil {
 		return err
@@ -22,7 +22,7 @@
 	case *pb.Model:
 		return checkModelVersion(s, v)
 	case *pb.Adapter:
-		return first(
+		return firstError(
 			checkExists(s, "adapter.model", KindModel, v.GetModel()),
 			checkAllExist(s, "adapter.accounts", KindAccount, v.GetAccounts()),
 		)
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// CheckDelete judges the deletion of an object: it must not be named by others.
+// CheckDelete validates the deletion of an object. It fails with UnknownObject if the
+// object does not exist, and with StillReferenced if another one references it.
 func CheckDelete(s State, kind Kind, name string) error {
 	if _, ok := s.Find(kind, name); !ok {
 		return unknownObject(kind, name)
@@ -44,8 +45,9 @@
 	return nil
 }
 
-// firstReferrer names the first referrer by kind and name, so that every node
-// gives the same message; it is empty where nothing names the object.
+// firstReferrer returns the kind and name of the first object, by kind and name, that
+// references an object, or "" if there is none. The order makes the error text equal
+// on every node.
 func firstReferrer(s State, kind Kind, name string) string {
 	for _, from := range kinds {
 		var names []string
@@ -61,7 +63,7 @@
 	return ""
 }
 
-// references reports whether v names the object.
+// references reports whether v references the object with a kind and name.
 func references(v Value, kind Kind, name string) bool {
 	switch v := v.(type) {
 	case *pb.Model:
@@ -88,15 +90,15 @@
 
 func checkAllExist(s State, field string, kind Kind, names []string) error {
 	for i, name := range names {
-		if err := checkExists(s, indexed(field, i), kind, name); err != nil {
+		if err := checkExists(s, elementField(field, i), kind, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkModelVersion refuses a version that is not there or was withdrawn. A
-// model without a version is allowed: it is not served.
+// checkModelVersion rejects a version that does not exist or is withdrawn. A model may
+// have no version; it is then not served.
 func checkModelVersion(s State, m *pb.Model) error {
 	if m.GetVersion() == "" {
 		return nil
@@ -112,7 +114,8 @@
 	return nil
 }
 
-// checkKeysUnused keeps accounts apart: a key belongs to one account only.
+// checkKeysUnused rejects a key that another account has, since a key must identify
+// one account. The error names the first such key.
 func checkKeysUnused(s State, a *pb.ClientAccount) error {
 	taken := -1
 	for v := range s.All(KindAccount) {
@@ -129,5 +132,5 @@
 	if taken < 0 {
 		return nil
 	}
-	return invalid(indexed("account.key_hashes", taken), "another account holds this key")
+	return invalid(elementField("account.key_hashes", taken), "another account holds this key")
 }
--- a/internal/config/replica.go
+++ b/internal/config/replica.go
@@ -10,7 +10,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// Schema makes the configuration a state that the log replicates.
+// Schema implements the changelog schema of the configuration.
 type Schema struct{}
 
 var _ changelog.Schema[Value] = Schema{}
@@ -23,27 +23,27 @@
 // Validate implements changelog.Schema.
 func (Schema) Validate(s *changelog.Snapshot[Value], c changelog.Change, value Value) error {
 	if c.Op == changelog.OpDelete {
-		return CheckDelete(replicated{s}, Kind(c.Kind), c.Key)
+		return CheckDelete(snapshotState{s}, Kind(c.Kind), c.Key)
 	}
 	if value.GetName() != c.Key {
 		return invalid(c.Kind+".name", "name %q: the change is for %q", value.GetName(), c.Key)
 	}
-	return CheckPut(replicated{s}, value)
+	return CheckPut(snapshotState{s}, value)
 }
 
-// replicated is a snapshot of the replicated state as a State.
-type replicated struct{ snapshot *changelog.Snapshot[Value] }
+// snapshotState implements State with a snapshot of the replicated state.
+type snapshotState struct{ snapshot *changelog.Snapshot[Value] }
 
-var _ State = replicated{}
+var _ State = snapshotState{}
 
 // Find implements State.
-func (r replicated) Find(kind Kind, name string) (Value, bool) {
+func (r snapshotState) Find(kind Kind, name string) (Value, bool) {
 	o, ok := r.snapshot.Get(string(kind), name)
 	return o.Value, ok
 }
 
 // All implements State.
-func (r replicated) All(kind Kind) iter.Seq[Value] {
+func (r snapshotState) All(kind Kind) iter.Seq[Value] {
 	return func(yield func(Value) bool) {
 		for o := range r.snapshot.All() {
 			if o.Kind == string(kind) && !yield(o.Value) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Replica joins a node's copy of the replicated state to its Store.
+// Replica applies the changes in a node's copy of the replicated log to its Store.
 type Replica struct {
 	log   *changelog.Store[Value]
 	store *Store
@@ -61,12 +61,13 @@
 
 var _ Proposer = (*Replica)(nil)
 
-// NewReplica returns a replica that is the one writer of store. Call Run.
+// NewReplica returns a replica, which must be the only writer of store. Call Run to
+// start it.
 func NewReplica(log *changelog.Store[Value], store *Store) *Replica {
 	return &Replica{log: log, store: store}
 }
 
-// Run feeds the store with what the log's copy applies, until ctx ends.
+// Run applies the changes of the replicated state to the store until ctx ends.
 func (r *Replica) Run(ctx context.Context) error {
 	after := r.store.View().Applied()
 	for {
@@ -74,14 +75,14 @@
 		if err != nil {
 			return err
 		}
-		r.feed(update)
+		r.applyUpdate(update)
 		after = update.Snapshot.Applied()
 	}
 }
 
-// feed takes over one update. Of several writes of an object in it only the
-// newest has a value; those before it are left out.
-func (r *Replica) feed(update changelog.Update[Value]) {
+// applyUpdate applies one update to the store. If it writes an object several times,
+// only the newest value is available, so the earlier writes are skipped.
+func (r *Replica) applyUpdate(update changelog.Update[Value]) {
 	applied := update.Snapshot.Applied()
 	if update.Reset {
 		r.store.Reset(applied, entries(update.Snapshot))
@@ -130,7 +131,7 @@
 	return Outcome{Revision: outcome.Offset}, nil
 }
 
-// proposeError gives an error of the replicated state its result code.
+// proposeError converts an error of the replicated state to a result.
 func proposeError(err error) error {
 	var conflict *changelog.ConflictError
 	var refused *changelog.InvalidError
--- a/internal/config/replica_test.go
+++ b/internal/config/replica_test.go
@@ -15,14 +15,14 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// node is one replica of the configuration over a shared log.
-type node struct {
+// testReplica is a node's replica of the configuration in a shared log.
+type testReplica struct {
 	*Replica
 	t *testing.T
 }
 
-func startNode(t *testing.T, log *logtest.Log) node {
-	n := node{NewReplica(changelog.NewStore(log, Schema{}, 0), NewStore()), t}
+func startReplica(t *testing.T, log *logtest.Log) testReplica {
+	n := testReplica{NewReplica(changelog.NewStore(log, Schema{}, 0), NewStore()), t}
 	must.NoError(t, n.log.LoadFromLog(t.Context()))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -31,14 +31,14 @@
 	return n
 }
 
-// put proposes an object within a second of virtual time.
-func (n node) put(id string, basedOn int64, v Value) (int64, *result.Error) {
+// put proposes the write of an object, with a timeout of one second of virtual time.
+func (n testReplica) put(id string, basedOn int64, v Value) (int64, *result.Error) {
 	raw, err := Encode(v)
 	must.NoError(n.t, err)
 	return n.propose(Change{ID: id, Kind: KindOf(v), Name: v.GetName(), BasedOn: basedOn, Value: raw})
 }
 
-func (n node) propose(c Change) (int64, *result.Error) {
+func (n testReplica) propose(c Change) (int64, *result.Error) {
 	ctx, cancel := context.WithTimeout(n.t.Context(), time.Second)
 	defer cancel()
 	outcome, err := n.Propose(ctx, c)
@@ -49,8 +49,8 @@
 	return outcome.Revision, nil
 }
 
-// names returns the objects of a kind at a node after it has read the log.
-func (n node) names(kind Kind) (names []string) {
+// names returns the names of a replica's objects of a kind after it has read the log.
+func (n testReplica) names(kind Kind) (names []string) {
 	must.NoError(n.t, n.log.Poll(n.t.Context()))
 	synctest.Wait()
 	for _, item := range n.store.View().Items(kind) {
@@ -62,16 +62,16 @@
 func TestReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := new(logtest.Log)
-		a, b := startNode(t, log), startNode(t, log)
+		a, b := startReplica(t, log), startReplica(t, log)
 
-		// Operators race on one object at two nodes: one wins.
+		// Two operators write the same object at two nodes: one write succeeds.
 		won, refused := a.put("c1", 0, &pb.ClientAccount{Name: "mill", KeyHashes: []string{HashKey("k1")}})
 		must.Nil(t, refused)
 		_, refused = b.put("c2", 0, &pb.ClientAccount{Name: "mill"})
 		must.Eq(t, result.RevisionConflict, refused.Code)
 		must.Eq(t, won, refused.Revision)
 
-		// A key belongs to one account, whichever node is asked.
+		// A second account with the same key is rejected, also at another node.
 		_, refused = b.put("c3", 0, &pb.ClientAccount{Name: "thief", KeyHashes: []string{HashKey("k1")}})
 		must.Eq(t, result.InvalidObject, refused.Code)
 		must.Eq(t, "account.key_hashes[0]", refused.Field)
@@ -80,7 +80,8 @@
 		_, refused = b.propose(Change{ID: "c4", Kind: KindAccount, Name: "named", Value: raw})
 		must.Eq(t, "account.name", refused.Field)
 
-		// The answer is lost after its effect; the repeat gets the first outcome.
+		// The response is lost after the change was appended; a retry gets the first
+		// outcome.
 		log.LoseAnswers(1)
 		first, refused := a.put("c5", 0, &pb.Model{Name: "m"})
 		must.Nil(t, refused)
@@ -88,11 +89,11 @@
 		must.Nil(t, refused)
 		must.Eq(t, first, again)
 
-		// An outage longer than the caller waits leaves the outcome open.
+		// If the log is down for longer than the caller's timeout, the outcome is unknown.
 		log.SetDown(true)
 		_, refused = a.put("c6", 0, &pb.Model{Name: "m2"})
 		must.Eq(t, result.OutcomeUnknown, refused.Code)
-		must.Eq(t, []string{"m"}, b.withoutLog(KindModel))
+		must.Eq(t, []string{"m"}, b.localNames(KindModel))
 		log.SetDown(false)
 
 		_, refused = b.put("c7", 0, engine("e1", "m"))
@@ -102,9 +103,9 @@
 		_, refused = a.propose(Change{ID: "c9", Kind: KindAccount, Name: "mill", BasedOn: won, Delete: true})
 		must.Nil(t, refused)
 
-		// A node that starts later holds the same.
-		late := startNode(t, log)
-		for _, n := range []node{a, b, late} {
+		// A node that starts later has the same state.
+		late := startReplica(t, log)
+		for _, n := range []testReplica{a, b, late} {
 			must.Eq(t, []string{"e1"}, n.names(KindEndpoint))
 			must.Len(t, 0, n.names(KindAccount))
 			must.Len(t, 1, n.store.View().Engines("m"))
@@ -113,8 +114,8 @@
 	})
 }
 
-// withoutLog returns the names that a node serves while the log is down.
-func (n node) withoutLog(kind Kind) (names []string) {
+// localNames returns the names of a replica's objects of a kind without reading the log.
+func (n testReplica) localNames(kind Kind) (names []string) {
 	synctest.Wait()
 	for v := range n.store.View().All(kind) {
 		names = append(names, v.GetName())
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// historyLen is the number of changes that a watcher may lag behind: about
-	// 100 minutes at 57,000 changes a day.
-	historyLen = 4096
-	// watchBatch bounds what one watcher copies under the lock.
-	watchBatch = 64
+	// maxHistory is the number of changes that a watcher may lag behind, which is
+	// about 100 minutes at 57,000 changes a day.
+	maxHistory = 4096
+	// maxWatchBatch is the maximum number of changes copied for a watcher while the
+	// lock is held.
+	maxWatchBatch = 64
 )
 
-// Store holds the newest View and the latest changes. Its one writer feeds it
-// accepted changes in the log's order; readers and watchers may be many.
+// Store holds the newest View and the most recent changes. A single writer applies
+// accepted changes in log order; any number of goroutines may read and watch.
 type Store struct {
 	view atomic.Pointer[View]
 
 	mu      sync.Mutex
 	history []Entry
-	// floor is the revision after which history is complete.
-	floor   int64
-	changed chan struct{}
+	// historyAfter is the revision after which history has every change.
+	historyAfter int64
+	changed      chan struct{}
 }
 
 // NewStore returns a store with the empty configuration at offset 0.
@@ -40,8 +41,8 @@
 // View returns the newest view.
 func (s *Store) View() *View { return s.view.Load() }
 
-// Apply takes one accepted change. A change at or below the applied offset is
-// skipped, so feeding one twice is harmless.
+// Apply applies one accepted change. A change at or below the applied offset is
+// skipped, so applying one twice has no effect.
 func (s *Store) Apply(e Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,20 +51,20 @@
 		return
 	}
 	s.view.Store(view.With(e))
-	s.remember(e)
-	s.wake()
+	s.appendHistory(e)
+	s.notifyWaiters()
 }
 
-// Advance takes note that the log was read up to an offset without a change.
+// Advance records that the log was read up to an offset without further changes.
 func (s *Store) Advance(applied int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view.Store(s.View().Advance(applied))
-	s.wake()
+	s.notifyWaiters()
 }
 
-// Wait returns once the view is complete up to an offset, or with the error of
-// ctx.
+// Wait returns nil once the view has applied the log up to an offset, or the error of
+// ctx if it ends first.
 func (s *Store) Wait(ctx context.Context, applied int64) error {
 	for {
 		s.mu.Lock()
@@ -80,9 +81,9 @@
 	}
 }
 
-// Reset replaces the configuration by a snapshot that is complete up to an
-// offset. It is skipped when it is older than what is there: an applied
-// configuration never reverts. Watchers from before it must list again.
+// Reset replaces the configuration with a snapshot at an offset. A snapshot that is not
+// newer than the current view is ignored, so that the configuration never reverts.
+// Watches from before the offset fail, and their callers must list again.
 func (s *Store) Reset(applied int64, objects iter.Seq[Entry]) {
 	view := NewView()
 	for e := range objects {
@@ -96,37 +97,37 @@
 	}
 	s.view.Store(view)
 	s.history = nil
-	s.floor = view.applied
-	s.wake()
+	s.historyAfter = view.applied
+	s.notifyWaiters()
 }
 
-func (s *Store) remember(e Entry) {
-	if len(s.history) == historyLen {
-		s.floor = s.history[0].Revision
+func (s *Store) appendHistory(e Entry) {
+	if len(s.history) == maxHistory {
+		s.historyAfter = s.history[0].Revision
 		s.history = s.history[1:]
 	}
 	s.history = append(s.history, e)
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Watch yields every change after a revision, in order and without a gap, until
-// ctx ends. It ends with WatchOffsetGone where the changes are no longer kept,
-// and with WatchTooSlow where the watcher fell behind what is kept; all watchers
-// share one history, so a slow one costs no memory.
+// Watch yields every change after a revision, in order and without gaps, until ctx
+// ends. It fails with WatchOffsetGone if the history no longer has these changes, and
+// with WatchTooSlow if the watcher falls behind the history later. All watchers share
+// one history, so a slow one needs no memory.
 func (s *Store) Watch(ctx context.Context, after int64) iter.Seq2[Entry, error] {
 	return func(yield func(Entry, error) bool) {
-		gone := result.WatchOffsetGone
+		code := result.WatchOffsetGone
 		for {
 			batch, changed, ok := s.since(after)
 			if !ok {
-				yield(Entry{}, result.New(gone, result.WithField("after")))
+				yield(Entry{}, result.New(code, result.WithField("after")))
 				return
 			}
-			gone = result.WatchTooSlow
+			code = result.WatchTooSlow
 			for _, e := range batch {
 				if !yield(e, nil) {
 					return
@@ -145,17 +146,17 @@
 	}
 }
 
-// since returns the changes after a revision, or a channel that closes with the
-// next change; ok is false where changes are missing.
+// since returns the first changes after a revision, at most maxWatchBatch, and a channel
+// that is closed at the next change. ok is false if the history lacks such changes.
 func (s *Store) since(after int64) (batch []Entry, changed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.floor {
+	if after < s.historyAfter {
 		return nil, nil, false
 	}
 	i, _ := slices.BinarySearchFunc(s.history, after+1, func(e Entry, revision int64) int {
 		return int(e.Revision - revision)
 	})
-	end := min(i+watchBatch, len(s.history))
+	end := min(i+maxWatchBatch, len(s.history))
 	return slices.Clone(s.history[i:end]), s.changed, true
 }
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shardCount keeps a shard near 50 entries at 12,000 endpoints, so that a
-// change copies two kilobytes of shard pointers and one small map.
+// shardCount results in about 50 entries per shard at 12,000 endpoints. A change then
+// copies two kilobytes of shard pointers and one small map.
 const shardCount = 256
 
-// table is an immutable map: with and without return a changed copy that
-// shares all shards but one.
+// table is an immutable hash map. The methods with and without return a modified copy
+// that shares all shards but one with the original.
 type table[V any] struct {
 	shards *[shardCount]map[string]V
 	size   int
@@ -45,7 +45,8 @@
 	return t
 }
 
-// copyShard makes t hold a copy of its shards with the key's shard writable.
+// copyShard replaces t's shard array and the shard of key with copies, and returns the
+// copied shard, which may be modified.
 func (t *table[V]) copyShard(key string) map[string]V {
 	shards := *t.shards
 	t.shards = &shards
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -16,7 +16,8 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// maxKeyHashes bounds the keys of one account: enough to replace keys one by one.
+// maxKeyHashes is the maximum number of keys of one account. It allows an account to
+// replace its keys one at a time.
 const maxKeyHashes = 16
 
 var (
@@ -26,8 +27,9 @@
 	}
 )
 
-// Validate checks an object by itself, without the others. The error is an
-// InvalidObject that names the field.
+// Validate validates an object without regard to other objects. The error has the
+// code InvalidObject and the field. The replicated state stores the error texts of
+// this package, so they must not change; see CheckPut.
 func Validate(v Value) error {
 	switch v := v.(type) {
 	case *pb.ClientAccount:
@@ -48,8 +50,8 @@
 	return result.New(result.InvalidObject, result.WithField(field), result.WithMessage(format, args...))
 }
 
-// first returns the first error.
-func first(errs ...error) error {
+// firstError returns the first error that is not nil, or nil.
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -67,7 +69,7 @@
 
 func checkNames(field string, names []string) error {
 	for i, name := range names {
-		at := indexed(field, i)
+		at := elementField(field, i)
 		if err := checkName(at, name); err != nil {
 			return err
 		}
@@ -78,7 +80,7 @@
 	return nil
 }
 
-func indexed(field string, i int) string { return field + "[" + strconv.Itoa(i) + "]" }
+func elementField(field string, i int) string { return field + "[" + strconv.Itoa(i) + "]" }
 
 func checkNonNegative(field string, x float64) error {
 	if x >= 0 && !math.IsInf(x, 1) {
@@ -95,7 +97,7 @@
 }
 
 func validateAccount(a *pb.ClientAccount) error {
-	return first(
+	return firstError(
 		checkName("account.name", a.GetName()),
 		checkKeyHashes(a.GetKeyHashes()),
 		checkNonNegative("account.limits.requests_per_second", a.GetLimits().GetRequestsPerSecond()),
@@ -113,17 +115,17 @@
 	for i, hash := range hashes {
 		raw, err := hex.DecodeString(hash)
 		if err != nil || len(raw) != sha256.Size || hash != strings.ToLower(hash) {
-			return invalid(indexed(field, i), "want the SHA-256 of the key as 64 lower-case hex digits")
+			return invalid(elementField(field, i), "want the SHA-256 of the key as 64 lower-case hex digits")
 		}
 		if slices.Index(hashes, hash) != i {
-			return invalid(indexed(field, i), "hash stands twice")
+			return invalid(elementField(field, i), "hash stands twice")
 		}
 	}
 	return nil
 }
 
 func validateVersion(v *pb.ModelVersion) error {
-	if err := first(checkName("version.model", v.GetModel()), checkName("version.version", v.GetVersion())); err != nil {
+	if err := firstError(checkName("version.model", v.GetModel()), checkName("version.version", v.GetVersion())); err != nil {
 		return err
 	}
 	if want := VersionName(v.GetModel(), v.GetVersion()); v.GetName() != want {
@@ -141,7 +143,7 @@
 			return err
 		}
 	}
-	return first(
+	return firstError(
 		checkName("model.name", m.GetName()),
 		checkNonNegative("model.max_context_tokens", float64(m.GetMaxContextTokens())),
 		checkNonNegative("model.objective.first_token_seconds", m.GetObjective().GetFirstTokenSeconds()),
@@ -152,7 +154,7 @@
 }
 
 func validateAdapter(a *pb.Adapter) error {
-	return first(
+	return firstError(
 		checkName("adapter.name", a.GetName()),
 		checkName("adapter.model", a.GetModel()),
 		checkNames("adapter.accounts", a.GetAccounts()),
@@ -165,7 +167,7 @@
 			return err
 		}
 	}
-	return first(
+	return firstError(
 		checkName("endpoint.name", e.GetName()),
 		checkEndpointKind(e),
 		checkURL("endpoint.url", e.GetUrl()),
@@ -176,7 +178,7 @@
 	)
 }
 
-// checkEndpointKind refuses fields that the endpoint's kind gives no meaning.
+// checkEndpointKind rejects an unknown kind and fields that don't apply to the kind.
 func checkEndpointKind(e *pb.Endpoint) error {
 	kind := e.GetKind()
 	switch kind {
@@ -199,7 +201,8 @@
 	return nil
 }
 
-// checkURL accepts http://IP:port and https://IP:port: nothing resolves names.
+// checkURL accepts http://IP:port and https://IP:port. Host names are rejected, since
+// nodes don't resolve names.
 func checkURL(field, text string) error {
 	const want = "want http://IP:PORT or https://IP:PORT"
 	u, err := url.Parse(text)
@@ -223,7 +226,7 @@
 	for i, call := range calls {
 		method, path, _ := strings.Cut(call, " ")
 		if !slices.Contains(idempotentMethods, method) || !strings.HasPrefix(path, "/") || strings.ContainsAny(path, " ?#") {
-			return invalid(indexed("endpoint.idempotent", i), `%q: want "METHOD /path"`, call)
+			return invalid(elementField("endpoint.idempotent", i), `%q: want "METHOD /path"`, call)
 		}
 	}
 	return nil
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -15,8 +15,8 @@
 // Item is one object with the revision of the change that wrote it.
 type Item struct {
 	Revision int64
-	// Created is the revision that the object began with. One that was deleted
-	// and made again under its name has another.
+	// Created is the revision that created the object. An object that is created
+	// again after a deletion, under the same name, has a new one.
 	Created int64
 	Value   Value
 }
@@ -25,18 +25,19 @@
 type Entry struct {
 	// Revision is the change's offset in the log.
 	Revision int64
-	// ChangeID is empty where the source of the change does not tell it.
+	// ChangeID is empty if the source of the change does not provide it.
 	ChangeID string
 	Kind     Kind
 	Name     string
-	// Created is the revision that the object began with; 0 leaves it to the view.
+	// Created is the revision that created the object; if it is 0, the view
+	// determines it.
 	Created int64
-	// Value is nil where the object was deleted.
+	// Value is nil if the change deletes the object.
 	Value Value
 }
 
-// View is the whole configuration after one offset of the log. It is immutable
-// and safe for use by many goroutines; the values in it must not be changed.
+// View is the complete configuration at one offset of the log. It is immutable and
+// safe for concurrent use; the values in it must not be modified.
 type View struct {
 	applied   int64
 	items     map[Kind]table[Item]
@@ -61,7 +62,7 @@
 	return v
 }
 
-// Applied returns the log offset up to which the view is complete.
+// Applied returns the log offset up to which changes are applied in the view.
 func (v *View) Applied() int64 { return v.applied }
 
 // Len returns the number of objects of a kind.
@@ -76,7 +77,7 @@
 	return t.get(name)
 }
 
-// Items returns the objects of a kind in the order of their names.
+// Items returns the objects of a kind, sorted by name.
 func (v *View) Items(kind Kind) []Item {
 	t, ok := v.items[kind]
 	if !ok {
@@ -111,24 +112,24 @@
 	}
 }
 
-// AccountByKey returns the account that holds a bearer key. A suspended account
-// is returned too.
+// AccountByKey returns the account that a bearer key belongs to, even if the account
+// is suspended.
 func (v *View) AccountByKey(key string) (*pb.ClientAccount, bool) {
 	return v.byKey.get(HashKey(key))
 }
 
-// HashKey returns the form in which accounts hold a bearer key.
+// HashKey returns the SHA-256 hash of a bearer key in hex, as accounts store it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Account returns the client account of a name.
+// Account returns the client account with a name.
 func (v *View) Account(name string) (*pb.ClientAccount, bool) {
 	return find[*pb.ClientAccount](v, KindAccount, name)
 }
 
-// Model returns the model of a name.
+// Model returns the model with a name.
 func (v *View) Model(name string) (*pb.Model, bool) { return find[*pb.Model](v, KindModel, name) }
 
 // Version returns a weight version of a model.
@@ -136,12 +137,12 @@
 	return find[*pb.ModelVersion](v, KindVersion, VersionName(model, version))
 }
 
-// Adapter returns the adapter of a name.
+// Adapter returns the adapter with a name.
 func (v *View) Adapter(name string) (*pb.Adapter, bool) {
 	return find[*pb.Adapter](v, KindAdapter, name)
 }
 
-// Endpoint returns the endpoint of a name, also while it is leaving.
+// Endpoint returns the endpoint with a name, even if it is leaving.
 func (v *View) Endpoint(name string) (*pb.Endpoint, bool) {
 	return find[*pb.Endpoint](v, KindEndpoint, name)
 }
@@ -152,16 +153,17 @@
 	return typed, ok
 }
 
-// Engines returns the engines that new requests of a model may go to, by name;
-// leaving ones are left out. The slice must not be changed.
+// Engines returns the engines that serve a model, sorted by name, without those that
+// are leaving. The slice must not be modified.
 func (v *View) Engines(model string) []*pb.Endpoint { return v.byModel[model] }
 
-// Services returns the endpoints that new calls of a service may go to, by
-// name; leaving ones are left out. The slice must not be changed.
+// Services returns the endpoints of a service, sorted by name, without those that are
+// leaving. The slice must not be modified.
 func (v *View) Services(name string) []*pb.Endpoint { return v.byService[name] }
 
-// With returns the view after one accepted change. The cost does not grow with
-// the number of accounts, and only by copied pointers with that of endpoints.
+// With returns the view after one accepted change. Its cost does not depend on the
+// number of accounts; with the number of endpoints only the number of copied
+// pointers grows.
 func (v *View) With(e Entry) *View {
 	t, ok := v.items[e.Kind]
 	if !ok {
@@ -173,15 +175,15 @@
 	if e.Value == nil {
 		t = t.without(e.Name)
 	} else {
-		t = t.with(e.Name, Item{Revision: e.Revision, Created: created(old, e), Value: e.Value})
+		t = t.with(e.Name, Item{Revision: e.Revision, Created: createdRevision(old, e), Value: e.Value})
 	}
 	next.items = maps.Clone(v.items)
 	next.items[e.Kind] = t
-	next.index(old.Value, e.Value)
+	next.updateIndexes(old.Value, e.Value)
 	return &next
 }
 
-func created(old Item, e Entry) int64 {
+func createdRevision(old Item, e Entry) int64 {
 	switch {
 	case e.Created != 0:
 		return e.Created
@@ -191,15 +193,16 @@
 	return e.Revision
 }
 
-// AccountID names a client account for as long as it exists: an account that is
-// made again under the name of a deleted one has another id, so that it never
-// meets the former one's context, runs or tickets.
+// AccountID returns an id that is unique to a client account over time. An account
+// that is created under the name of a deleted one has a new id, so that it has no
+// access to the deleted account's cached context, runs or tickets.
 func (v *View) AccountID(name string) string {
 	item, _ := v.Item(KindAccount, name)
 	return name + "@" + strconv.FormatInt(item.Created, 10)
 }
 
-// Advance returns the view with a higher applied offset and the same objects.
+// Advance returns a view with the same objects and a higher applied offset. It
+// returns v if applied is not higher.
 func (v *View) Advance(applied int64) *View {
 	if applied <= v.applied {
 		return v
@@ -209,9 +212,9 @@
 	return &next
 }
 
-// index moves an object from its old to its new places in the indexes; each of
+// updateIndexes replaces an object's old value with its new one in the indexes. Each of
 // the two may be nil.
-func (v *View) index(before, after Value) {
+func (v *View) updateIndexes(before, after Value) {
 	if a, ok := before.(*pb.ClientAccount); ok {
 		for _, hash := range a.GetKeyHashes() {
 			v.byKey = v.byKey.without(hash)
@@ -222,10 +225,10 @@
 			v.byKey = v.byKey.with(hash, a)
 		}
 	}
-	gone, _ := before.(*pb.Endpoint)
-	here, _ := after.(*pb.Endpoint)
-	v.byModel = reindex(v.byModel, gone, here, servedModels)
-	v.byService = reindex(v.byService, gone, here, servedServices)
+	oldEndpoint, _ := before.(*pb.Endpoint)
+	newEndpoint, _ := after.(*pb.Endpoint)
+	v.byModel = reindex(v.byModel, oldEndpoint, newEndpoint, servedModels)
+	v.byService = reindex(v.byService, oldEndpoint, newEndpoint, servedServices)
 }
 
 func servedModels(e *pb.Endpoint) []string {
--- a/internal/config/view_test.go
+++ b/internal/config/view_test.go
@@ -28,31 +28,31 @@
 	return Entry{Kind: KindEndpoint, Name: name, Value: e}
 }
 
-// Any sequence of writes and deletes leaves the same view as writing what is
-// left of it into an empty one, and no earlier view changes.
+// TestViewMatchesRebuild applies random writes and deletions. The view must equal one
+// that is built from the remaining objects only, and an earlier view must not change.
 func TestViewMatchesRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		view, left := NewView(), map[string]Entry{}
+		view, remaining := NewView(), map[string]Entry{}
 		var earlier *View
 		var earlierEngines []*pb.Endpoint
 		for i := range rapid.IntRange(1, 30).Draw(t, "changes") {
 			e := drawEntry(t)
 			e.Revision = int64(i + 1)
 			kept := e
-			kept.Created = left[string(e.Kind)+e.Name].Created
+			kept.Created = remaining[string(e.Kind)+e.Name].Created
 			if kept.Created == 0 {
-				kept.Created = e.Revision // new, or made again
+				kept.Created = e.Revision // new, or created again after a deletion
 			}
-			left[string(e.Kind)+e.Name] = kept
+			remaining[string(e.Kind)+e.Name] = kept
 			if rapid.Bool().Draw(t, "delete") {
 				e.Value = nil
-				delete(left, string(e.Kind)+e.Name)
+				delete(remaining, string(e.Kind)+e.Name)
 			}
 			earlier, earlierEngines = view, slices.Clone(view.Engines("m1"))
 			view = view.With(e)
 		}
 		rebuilt := NewView()
-		for _, e := range left {
+		for _, e := range remaining {
 			rebuilt = rebuilt.With(e)
 		}
 		must.Eq(t, earlierEngines, earlier.Engines("m1"))
@@ -67,7 +67,7 @@
 }
 
 func TestViewLookups(t *testing.T) {
-	view := seed()
+	view := seedView()
 	account, ok := view.AccountByKey("k1")
 	must.True(t, ok)
 	must.Eq(t, "mill", account.GetName())
@@ -79,7 +79,7 @@
 	must.False(t, ok)
 }
 
-func put1(revision int64) Entry {
+func accountEntry(revision int64) Entry {
 	v := &pb.ClientAccount{Name: fmt.Sprint("a", revision)}
 	return Entry{Revision: revision, Kind: KindAccount, Name: v.Name, Value: v}
 }
@@ -87,8 +87,8 @@
 func TestStoreWatch(t *testing.T) {
 	s := NewStore()
 	for i := range int64(3) {
-		s.Apply(put1(i + 1))
-		s.Apply(put1(i + 1)) // a repeat is skipped
+		s.Apply(accountEntry(i + 1))
+		s.Apply(accountEntry(i + 1)) // a duplicate is skipped
 	}
 	next := int64(4)
 	var seen []int64
@@ -98,7 +98,7 @@
 		if next > 6 {
 			break
 		}
-		s.Apply(put1(next))
+		s.Apply(accountEntry(next))
 		next++
 	}
 	must.Eq(t, []int64{2, 3, 4, 5}, seen)
@@ -106,31 +106,31 @@
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range s.Watch(ended, 6) {
-		t.Fatal("nothing is newer than 6")
+		t.Fatal("watch after revision 6 yielded a change, but 6 is the newest")
 	}
 }
 
 func TestStoreWatchSlow(t *testing.T) {
 	s := NewStore()
-	s.Apply(put1(1))
+	s.Apply(accountEntry(1))
 	count, last := 0, error(nil)
 	for _, err := range s.Watch(t.Context(), 0) {
 		count, last = count+1, err
 		if count == 1 {
-			for i := range int64(historyLen + 1) {
-				s.Apply(put1(i + 2))
+			for i := range int64(maxHistory + 1) {
+				s.Apply(accountEntry(i + 2))
 			}
 		}
 	}
 	must.Eq(t, 2, count)
 	must.True(t, result.Is(last, result.WatchTooSlow))
-	must.Len(t, historyLen, s.history)
+	must.Len(t, maxHistory, s.history)
 }
 
 func TestStoreReset(t *testing.T) {
 	s := NewStore()
-	s.Reset(9, slices.Values([]Entry{put1(3)}))
-	s.Reset(8, slices.Values([]Entry{put1(4)})) // older: an applied configuration never reverts
+	s.Reset(9, slices.Values([]Entry{accountEntry(3)}))
+	s.Reset(8, slices.Values([]Entry{accountEntry(4)})) // older than the applied offset, so ignored
 	must.Eq(t, 9, s.View().Applied())
 	_, ok := s.View().Account("a3")
 	must.True(t, ok)
@@ -139,8 +139,9 @@
 	}
 }
 
-// fleet returns the configuration at design size.
-func fleet(endpoints int) *View {
+// largeView returns a configuration with 1300 accounts and the given number of
+// endpoints, the size that the system is designed for.
+func largeView(endpoints int) *View {
 	view := NewView()
 	for i := range 1300 {
 		name := fmt.Sprint("account", i)
@@ -155,7 +156,7 @@
 
 func BenchmarkWith(b *testing.B) {
 	for _, endpoints := range []int{9, 100, 1000, 12000} {
-		view := fleet(endpoints)
+		view := largeView(endpoints)
 		account := Entry{Kind: KindAccount, Name: "account7", Value: &pb.ClientAccount{Name: "account7", KeyHashes: []string{HashKey("k")}}}
 		moved := Entry{Kind: KindEndpoint, Name: "endpoint7", Value: engine("endpoint7", "m7", "m9")}
 		for name, e := range map[string]Entry{"account": account, "endpoint": moved} {
@@ -170,7 +171,7 @@
 }
 
 func BenchmarkChange(b *testing.B) {
-	view := fleet(12000).With(Entry{Kind: KindModel, Name: "m1", Value: &pb.Model{Name: "m1"}})
+	view := largeView(12000).With(Entry{Kind: KindModel, Name: "m1", Value: &pb.Model{Name: "m1"}})
 	for _, change := range []Value{
 		engine("endpoint7", "m1"),
 		&pb.ClientAccount{Name: "account7", KeyHashes: []string{HashKey("k1"), HashKey("k2")}},
@@ -189,28 +190,30 @@
 	}
 }
 
-// The operators' List of the whole fleet stays far under its limit of 32 MiB.
+// TestListSize checks that a List response with 12,000 endpoints is far smaller than the
+// limit of 32 MiB.
 func TestListSize(t *testing.T) {
-	const most = 8 << 20
+	const maxBytes = 8 << 20
 	list := new(pb.ListResponse)
-	for _, item := range fleet(12000).Items(KindEndpoint) {
+	for _, item := range largeView(12000).Items(KindEndpoint) {
 		list.Objects = append(list.Objects, ToObject(item.Value, 1<<40))
 	}
 	raw, err := protojson.Marshal(list)
 	must.NoError(t, err)
-	must.Less(t, most, len(raw))
+	must.Less(t, maxBytes, len(raw))
 	t.Logf("12,000 endpoints: %d bytes of JSON, %d of protobuf", len(raw), proto.Size(list))
 }
 
 func TestWithAllocs(t *testing.T) {
-	view := fleet(12000)
+	view := largeView(12000)
 	e := Entry{Kind: KindEndpoint, Name: "endpoint7", Value: engine("endpoint7", "m7", "m9")}
-	const most = 30
-	must.LessEq(t, most, testing.AllocsPerRun(100, func() { view.With(e) }))
+	const maxAllocs = 30
+	must.LessEq(t, maxAllocs, testing.AllocsPerRun(100, func() { view.With(e) }))
 }
 
-// An account that is made again under a name is another account.
-func TestAccountIDsAreNeverGivenOutAgain(t *testing.T) {
+// TestAccountIDsAreNotReused checks that an account created under the name of a deleted
+// one has a new id, and that an update keeps the id.
+func TestAccountIDsAreNotReused(t *testing.T) {
 	mill := &pb.ClientAccount{Name: "mill"}
 	at := func(v *View, revision int64, value Value) *View {
 		return v.With(Entry{Revision: revision, Kind: KindAccount, Name: "mill", Value: value})
