--- a/internal/configsync/peers.go
+++ b/internal/configsync/peers.go
@@ -8,7 +8,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-type none struct{}
+type empty struct{}
 
 type recordsRequest struct {
 	From int64 `json:"from"`
@@ -18,7 +18,8 @@
 	Image []byte `json:"image"`
 }
 
-// NodeStatus is how far a node has applied the configuration.
+// NodeStatus is the applied configuration offset of a node, and whether its
+// configuration is stale.
 type NodeStatus struct {
 	Applied int64 `json:"applied"`
 	Stale   bool  `json:"stale"`
@@ -26,7 +27,7 @@
 
 // Notify implements changelog.Peers.
 func (s *Sync) Notify(ctx context.Context, to string, n changelog.Notice) error {
-	_, err := callPeer[changelog.Notice, none](ctx, s, to, methodNotify, &n)
+	_, err := callPeer[changelog.Notice, empty](ctx, s, to, methodNotify, &n)
 	return err
 }
 
@@ -41,19 +42,20 @@
 
 // Snapshot implements changelog.Peers.
 func (s *Sync) Snapshot(ctx context.Context, to string) ([]byte, error) {
-	resp, err := callPeer[none, snapshotResponse](ctx, s, to, methodSnapshot, &none{})
+	resp, err := callPeer[empty, snapshotResponse](ctx, s, to, methodSnapshot, &empty{})
 	if err != nil {
 		return nil, err
 	}
 	return resp.Image, nil
 }
 
-// PeerStatus asks a node how far it is. Safe to repeat.
+// PeerStatus returns the configuration status of a node, by a call to the node unless it
+// is this one. The call can be retried safely.
 func (s *Sync) PeerStatus(ctx context.Context, node string) (NodeStatus, error) {
 	if node == s.cluster.Self().ID {
 		return s.ownStatus(), nil
 	}
-	resp, err := callPeer[none, NodeStatus](ctx, s, node, methodStatus, &none{})
+	resp, err := callPeer[empty, NodeStatus](ctx, s, node, methodStatus, &empty{})
 	if err != nil {
 		return NodeStatus{}, err
 	}
@@ -61,7 +63,7 @@
 }
 
 func (s *Sync) ownStatus() NodeStatus {
-	return NodeStatus{Applied: s.typed.View().Applied(), Stale: s.Status().Stale}
+	return NodeStatus{Applied: s.configStore.View().Applied(), Stale: s.Status().Stale}
 }
 
 func callPeer[Req, Resp any](ctx context.Context, s *Sync, to, method string, req *Req) (*Resp, error) {
@@ -74,9 +76,9 @@
 	return peers.Call[Req, Resp](ctx, s.cluster.Pool, m.Addr, method, req)
 }
 
-func (s *Sync) serveNotify(_ context.Context, _ peers.Identity, n *changelog.Notice) (*none, error) {
+func (s *Sync) serveNotify(_ context.Context, _ peers.Identity, n *changelog.Notice) (*empty, error) {
 	s.follower.Handle(*n)
-	return &none{}, nil
+	return &empty{}, nil
 }
 
 func (s *Sync) serveRecords(_ context.Context, _ peers.Identity, req *recordsRequest) (*changelog.Notice, error) {
@@ -84,12 +86,12 @@
 	return &n, err
 }
 
-func (s *Sync) serveSnapshot(context.Context, peers.Identity, *none) (*snapshotResponse, error) {
+func (s *Sync) serveSnapshot(context.Context, peers.Identity, *empty) (*snapshotResponse, error) {
 	image, err := s.follower.Image()
 	return &snapshotResponse{Image: image}, err
 }
 
-func (s *Sync) serveStatus(context.Context, peers.Identity, *none) (*NodeStatus, error) {
+func (s *Sync) serveStatus(context.Context, peers.Identity, *empty) (*NodeStatus, error) {
 	status := s.ownStatus()
 	return &status, nil
 }
--- a/internal/configsync/sync.go
+++ b/internal/configsync/sync.go
@@ -1,5 +1,5 @@
-// Package configsync keeps a node's configuration in step with the log: it joins
-// the replicated changelog with the typed configuration and the peers.
+// Package configsync keeps a node's configuration up to date with the log. It connects
+// the replicated changelog, the typed configuration and the calls between nodes.
 package configsync
 
 import (
@@ -29,26 +29,26 @@
 	methodSnapshot = "config.snapshot"
 	methodStatus   = "config.status"
 
-	// callTimeout bounds one call to a peer.
+	// callTimeout is the timeout of one call to a peer.
 	callTimeout = 2 * time.Second
-	// Checkpoints come well before a day's retention: every 2,000 changes are
-	// about every 50 minutes at 57,000 changes a day.
+	// The checkpoint intervals are much shorter than the log's retention of one day:
+	// 2,000 changes take about 50 minutes at 57,000 changes a day.
 	checkpointChanges  = 2000
 	checkpointInterval = time.Hour
-	// maxSilence is how long a node serves without hearing the log or any other
-	// node.
+	// maxSilence is the maximum time that a node serves without contact with the log
+	// or any other node.
 	maxSilence = 30 * time.Second
 )
 
 // Sync is the configuration service.
 type Sync struct {
-	cluster  *cluster.Cluster
-	store    *changelog.Store[config.Value]
-	follower *changelog.Follower[config.Value]
-	replica  *config.Replica
-	typed    *config.Store
-	served   atomic.Bool // the typed configuration has caught up once
-	log      zerolog.Logger
+	cluster        *cluster.Cluster
+	changelogStore *changelog.Store[config.Value]
+	follower       *changelog.Follower[config.Value]
+	replica        *config.Replica
+	configStore    *config.Store
+	hasCaughtUp    atomic.Bool // configStore has caught up with the log once; see caughtUp
+	log            zerolog.Logger
 }
 
 var (
@@ -58,16 +58,16 @@
 	_ changelog.Peers = (*Sync)(nil)
 )
 
-// New returns the service of the node self over one stream of the log. maxStale is the age of
-// the configuration after which the node takes no new work.
+// New returns the service of the node self for one stream of the log. maxStale is the age of
+// the configuration after which the node accepts no new work.
 func New(self string, log changelog.Log, maxStale time.Duration, logger zerolog.Logger) *Sync {
 	s := &Sync{
-		store: changelog.NewStore[config.Value](log, config.Schema{}, 0),
-		typed: config.NewStore(),
-		log:   logger.With().Str("service", Name).Logger(),
+		changelogStore: changelog.NewStore[config.Value](log, config.Schema{}, 0),
+		configStore:    config.NewStore(),
+		log:            logger.With().Str("service", Name).Logger(),
 	}
-	s.replica = config.NewReplica(s.store, s.typed)
-	s.follower = changelog.NewFollower(s.store, s, changelog.Options{
+	s.replica = config.NewReplica(s.changelogStore, s.configStore)
+	s.follower = changelog.NewFollower(s.changelogStore, s, changelog.Options{
 		Self:        self,
 		Checkpoint:  changelog.CheckpointPolicy{Changes: checkpointChanges, Interval: checkpointInterval},
 		MaxStale:    maxStale,
@@ -106,23 +106,24 @@
 }
 
 // Typed returns the typed configuration.
-func (s *Sync) Typed() *config.Store { return s.typed }
+func (s *Sync) Typed() *config.Store { return s.configStore }
 
 // View returns the newest typed configuration.
-func (s *Sync) View() *config.View { return s.typed.View() }
+func (s *Sync) View() *config.View { return s.configStore.View() }
 
-// Status tells how fresh the configuration is.
+// Status returns the state and age of the configuration. It is also stale while the
+// node is isolated.
 func (s *Sync) Status() changelog.FollowerStatus {
 	status := s.follower.Status()
 	status.Stale = status.Stale || s.isolated(status.Silence)
 	return status
 }
 
-// Ready tells why this node may not take new work, or nil.
+// Ready returns the reason why this node can't accept new work, or nil.
 func (s *Sync) Ready() *result.Error {
 	status := s.Status()
 	if !status.Ready || !s.caughtUp(max(status.Applied, status.NewestKnown)) {
-		return result.New(result.NodeStale, result.WithMessage("the node has no configuration yet"))
+		return result.New(result.NodeStale, result.WithMessage("the node has not read its configuration yet"))
 	}
 	if status.Stale {
 		return result.New(result.NodeStale)
@@ -130,21 +131,22 @@
 	return nil
 }
 
-// isolated tells a node that hears neither the log nor any other node, while the
-// platform lists others: its configuration may have been changed without it. A
-// node alone has only the log, and serves through its outages.
+// isolated reports whether the node has had no contact with the log or any other node
+// for maxSilence, while the platform lists other nodes. The configuration may then have
+// changed without this node's knowledge. A single node only depends on the log, and
+// continues to serve during an outage of it.
 func (s *Sync) isolated(silence time.Duration) bool {
 	return silence > maxSilence && s.cluster.Listed().Len() > 1
 }
 
-// caughtUp tells whether the typed configuration, which requests are served by,
-// has reached an offset once since the start. A state that was just begun lacks
-// the tail of the log, so that a request would meet no account or model.
+// caughtUp reports whether the typed configuration, which requests are served with, has
+// reached an offset once since the start. Before that it lacks the latest changes, so
+// that requests could fail for a missing account or model.
 func (s *Sync) caughtUp(offset int64) bool {
-	if !s.served.Load() && s.typed.View().Applied() >= offset {
-		s.served.Store(true)
+	if !s.hasCaughtUp.Load() && s.configStore.View().Applied() >= offset {
+		s.hasCaughtUp.Store(true)
 	}
-	return s.served.Load()
+	return s.hasCaughtUp.Load()
 }
 
 // Propose implements config.Proposer.
