--- a/internal/limits/exchange.go
+++ b/internal/limits/exchange.go
@@ -9,16 +9,18 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// borrow carries one request for shares. A lost one is followed by a new one.
-func (s *Service) borrow(ctx context.Context, call limit.LeaseCall) {
+// requestShares sends one request for shares. A lost request is not resent; the borrower
+// makes a new one.
+func (s *Service) requestShares(ctx context.Context, call limit.LeaseCall) {
 	grant, err := exchange(ctx, s, call.To, methodLease, &call.Request, s.serveLease)
 	if err == nil {
 		s.borrower.Receive(time.Now(), *grant)
 	}
 }
 
-// acquire carries one request for parts. A lost one is followed by a new one.
-func (s *Service) acquire(ctx context.Context, call limit.PartCall) {
+// requestParts sends one request for parts. A lost request is not resent; the lender
+// makes a new one.
+func (s *Service) requestParts(ctx context.Context, call limit.PartCall) {
 	grant, err := exchange(ctx, s, call.To, methodPart, &call.Request, s.servePart)
 	if err != nil {
 		return
@@ -26,7 +28,7 @@
 	s.mu.Lock()
 	s.lender.Receive(time.Now(), *grant)
 	s.mu.Unlock()
-	s.wake()
+	s.requestRound()
 }
 
 func exchange[Req, Resp any](ctx context.Context, s *Service, to limit.NodeID, method string, req *Req, local func(context.Context, peers.Identity, *Req) (*Resp, error)) (*Resp, error) {
@@ -45,7 +47,7 @@
 	grant := s.lender.Handle(time.Now(), *req)
 	for _, share := range grant.Shares {
 		if share.Wait > 0 {
-			s.wake() // parts are missing: ask the keepers at once
+			s.requestRound() // parts are missing: request them from the keepers at once
 			break
 		}
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,8 +1,8 @@
-// Package limits holds each client account's limit over all nodes: it carries
-// the messages of coord/limit over the peers' connections.
+// Package limits enforces each client account's limits across all nodes. It sends the
+// messages of package coord/limit over the connections between nodes.
 //
-// Guarantee: that of coord/limit, whose bound is stated there. A request that is
-// refused is not_run and says when to come back.
+// Guarantee: the bound that package coord/limit states. The error of a rejected request
+// has the run state not_run and the time after which to retry.
 package limits
 
 import (
@@ -27,32 +27,32 @@
 const Name = "limits"
 
 const (
-	methodLease = "limit.lease" // sent once; a lost one is followed by a new one
-	methodPart  = "limit.part"  // safe to repeat
-
-	callTimeout   = time.Second
-	forgetEvery   = 5 * time.Second
-	kickInterval  = 5 * time.Millisecond // least time between two rounds
-	holdFor       = 60 * time.Millisecond
-	holdTries     = 4
-	tickFraction  = 10
-	ownerPrefix   = "account/"
-	keepersPrefix = "limit/"
+	methodLease = "limit.lease" // sent once; a lost request is replaced with a new one
+	methodPart  = "limit.part"  // can be retried safely
+
+	callTimeout      = time.Second
+	expireInterval   = 5 * time.Second
+	minRoundInterval = 5 * time.Millisecond // minimum time between two rounds on request
+	maxAdmitWait     = 60 * time.Millisecond
+	maxAdmitRetries  = 4
+	roundsPerLease   = 10
+	ownerPrefix      = "account/"
+	keepersPrefix    = "limit/"
 )
 
-// Directory gives the newest configuration.
+// Directory provides the newest configuration.
 type Directory interface {
 	View() *config.View
 }
 
 // Service is the limits service.
 type Service struct {
-	settings  limit.Settings
-	log       zerolog.Logger
-	cluster   *cluster.Cluster
-	directory Directory
-	borrower  *limit.Borrower
-	kick      chan struct{}
+	settings       limit.Settings
+	log            zerolog.Logger
+	cluster        *cluster.Cluster
+	directory      Directory
+	borrower       *limit.Borrower
+	roundRequested chan struct{}
 
 	mu     sync.Mutex // guards lender and keeper
 	lender *limit.Lender
@@ -64,12 +64,12 @@
 	_ kernel.Runner  = (*Service)(nil)
 )
 
-// New returns the service for a fleet of at most maxNodes nodes.
+// New returns the service for a system of at most maxNodes nodes.
 func New(maxNodes int, log zerolog.Logger) *Service {
 	return &Service{
-		settings: limit.DefaultSettings(maxNodes),
-		log:      log.With().Str("service", Name).Logger(),
-		kick:     make(chan struct{}, 1),
+		settings:       limit.DefaultSettings(maxNodes),
+		log:            log.With().Str("service", Name).Logger(),
+		roundRequested: make(chan struct{}, 1),
 	}
 }
 
@@ -101,75 +101,76 @@
 
 // Run implements kernel.Runner.
 func (s *Service) Run(ctx context.Context) error {
-	ticker := time.NewTicker(s.settings.Lease / tickFraction)
+	ticker := time.NewTicker(s.settings.Lease / roundsPerLease)
 	defer ticker.Stop()
-	forget := time.NewTicker(forgetEvery)
+	forget := time.NewTicker(expireInterval)
 	defer forget.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-forget.C:
-			s.forget()
+			s.expireKeeper()
 		case <-ticker.C:
-			s.round(ctx)
-		case <-s.kick:
-			s.round(ctx)
-			retry.Sleep(ctx, kickInterval)
+			s.sendPending(ctx)
+		case <-s.roundRequested:
+			s.sendPending(ctx)
+			retry.Sleep(ctx, minRoundInterval)
 		}
 	}
 }
 
-func (s *Service) forget() {
+func (s *Service) expireKeeper() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keeper.Forget(time.Now())
 }
 
-// round sends what is due. Answers come in while later rounds run.
-func (s *Service) round(ctx context.Context) {
+// sendPending sends the requests for shares and parts that are pending. It does not wait
+// for the responses.
+func (s *Service) sendPending(ctx context.Context) {
 	now := time.Now()
 	for _, call := range s.borrower.Next(now) {
-		go s.borrow(ctx, call)
+		go s.requestShares(ctx, call)
 	}
 	s.mu.Lock()
 	parts := s.lender.Next(now)
 	s.mu.Unlock()
 	for _, call := range parts {
-		go s.acquire(ctx, call)
+		go s.requestParts(ctx, call)
 	}
 }
 
-// Admit counts a request of an account with the tokens that it may use. A share
-// that is on its way is waited for briefly. The function that it returns is
-// called once, with the tokens really used.
+// Admit counts a request with its maximum number of tokens against the account's
+// limits, or rejects it. If a share is in flight, it retries up to maxAdmitRetries
+// times. The caller calls done once, with the number of tokens that were used.
 func (s *Service) Admit(ctx context.Context, account *pb.ClientAccount, tokens int) (done func(used int), err error) {
 	name := account.GetName()
 	charged := float64(tokens)
 	decision := s.borrower.Allow(time.Now(), name, charged)
-	for range holdTries {
-		if decision.OK() || decision.RetryAfter == 0 || decision.RetryAfter > holdFor {
+	for range maxAdmitRetries {
+		if decision.OK() || decision.RetryAfter == 0 || decision.RetryAfter > maxAdmitWait {
 			break
 		}
-		s.wake()
+		s.requestRound()
 		retry.Sleep(ctx, decision.RetryAfter)
 		decision = s.borrower.Allow(time.Now(), name, charged)
 	}
 	if !decision.OK() {
-		s.wake()
-		return nil, refusal(decision)
+		s.requestRound()
+		return nil, limitError(decision)
 	}
 	return func(used int) { s.borrower.Done(time.Now(), name, float64(used)-charged) }, nil
 }
 
-func (s *Service) wake() {
+func (s *Service) requestRound() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.roundRequested <- struct{}{}:
 	default:
 	}
 }
 
-func refusal(d limit.Decision) error {
+func limitError(d limit.Decision) error {
 	after := result.WithRetryAfter(d.RetryAfter)
 	switch d.Reason {
 	case limit.RunsReached:
@@ -196,7 +197,8 @@
 	return limit.NodeID(id)
 }
 
-// keepers depends on the platform's list alone, never on who seems alive.
+// keepers returns the nodes that keep an account's parts. It depends only on the
+// platform's list of nodes, never on which nodes appear alive.
 func (s *Service) keepers(account string) []limit.NodeID {
 	ids := s.cluster.Listed().AppendTop(nil, s.settings.Parts, keepersPrefix+account)
 	out := make([]limit.NodeID, len(ids))
