--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,26 +12,26 @@
 //go:embed schema.json
 var schemaJSON []byte
 
-// Schema returns the JSON schema of the settings file, which is also the source
-// of its manual.
+// Schema returns the JSON schema of the settings file, from which its documentation is
+// generated.
 func Schema() []byte { return schemaJSON }
 
-// Problem is one thing wrong with a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	Code    result.Code // SettingUnknown to SettingInvalid
 	Path    string      // JSON pointer to the field
 	Message string
 }
 
-// String describes the problem in one line, with the number of its code.
+// String returns a line with the code's number and name, the path and the message.
 func (p Problem) String() string {
 	return fmt.Sprintf("%d %s (%s): %s", int(p.Code), p.Code, p.Path, p.Message)
 }
 
-// Problems is a non-empty list of what is wrong.
+// Problems is a non-empty list of errors in a file.
 type Problems []Problem
 
-// Error implements error, a line for each problem.
+// Error implements error. The text has one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -42,7 +42,7 @@
 
 var checker = NewChecker("settings.json", schemaJSON)
 
-// checkValues checks what the schema can't.
+// checkValues checks the rules that the schema can't express.
 func checkValues(s *Settings) Problems {
 	listeners := []struct{ path, address string }{
 		{"/callers/address", s.Callers.Address},
@@ -53,10 +53,10 @@
 	for i, l := range listeners {
 		host, _, err := net.SplitHostPort(l.address)
 		if err != nil || net.ParseIP(host) == nil {
-			problems = append(problems, Problem{result.SettingInvalid, l.path, fmt.Sprintf("%q is not an IP address with a port", l.address)})
+			problems = append(problems, Problem{result.SettingInvalid, l.path, fmt.Sprintf("%q is not an IP address and port", l.address)})
 		}
 		for _, other := range listeners[:i] {
-			if clash(l.address, other.address) {
+			if addressesConflict(l.address, other.address) {
 				problems = append(problems, Problem{result.SettingClash, l.path, fmt.Sprintf("%s is also the address of %s", l.address, other.path)})
 			}
 		}
@@ -70,31 +70,32 @@
 	return problems
 }
 
-// checkAdvertised makes sure that other nodes are told an address to call.
+// checkAdvertised checks that the advertised address, or else the listener's, is one that
+// other nodes can connect to.
 func checkAdvertised(p Peers) (Problem, bool) {
 	address := p.Advertise
 	if address == "" {
 		address = p.Address
 	}
 	host, _, err := net.SplitHostPort(address)
-	if err == nil && net.ParseIP(host) != nil && !unspecified(host) {
+	if err == nil && net.ParseIP(host) != nil && !isUnspecified(host) {
 		return Problem{}, true
 	}
-	return Problem{result.SettingInvalid, "/peers/advertise", fmt.Sprintf("%q is not an IP address with a port that other nodes can call", address)}, false
+	return Problem{result.SettingInvalid, "/peers/advertise", fmt.Sprintf("%q is not an IP address and port that other nodes can connect to", address)}, false
 }
 
-// clash tells whether both addresses can't be listened on at once. Port 0 takes
-// a free port and never clashes.
-func clash(a, b string) bool {
+// addressesConflict reports whether two addresses can't be listened on at the same time.
+// Port 0 selects a free port, so it never conflicts.
+func addressesConflict(a, b string) bool {
 	hostA, portA, errA := net.SplitHostPort(a)
 	hostB, portB, errB := net.SplitHostPort(b)
 	if errA != nil || errB != nil || portA != portB || portA == "0" {
 		return false
 	}
-	return hostA == hostB || unspecified(hostA) || unspecified(hostB)
+	return hostA == hostB || isUnspecified(hostA) || isUnspecified(hostB)
 }
 
-func unspecified(host string) bool {
+func isUnspecified(host string) bool {
 	ip := net.ParseIP(host)
 	return ip != nil && ip.IsUnspecified()
 }
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -16,12 +16,12 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// Checker checks JSON documents by a schema. It is safe for concurrent use.
+// Checker validates JSON documents against a schema. It is safe for concurrent use.
 type Checker struct {
 	compiled func() (*jsonschema.Schema, error)
 }
 
-// NewChecker returns a checker by a schema, which may use the format "go-duration".
+// NewChecker returns a checker for a JSON schema, which may use the format "go-duration".
 func NewChecker(name string, schema []byte) *Checker {
 	return &Checker{sync.OnceValues(func() (*jsonschema.Schema, error) { return compile(name, schema) })}
 }
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	c := jsonschema.NewCompiler()
-	c.RegisterFormat(&jsonschema.Format{Name: "go-duration", Validate: validDuration})
+	c.RegisterFormat(&jsonschema.Format{Name: "go-duration", Validate: checkDuration})
 	c.AssertFormat()
 	if err := c.AddResource(name, doc); err != nil {
 		return nil, err
@@ -42,14 +42,14 @@
 
 var errNotPositive = errors.New("want more than 0")
 
-func validDuration(v any) error {
+func checkDuration(v any) error {
 	s, ok := v.(string)
 	if !ok {
-		return nil // the schema's type says so already
+		return nil // the schema's type keyword reports this
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		return errors.New(`want a number with its unit, as "250ms" or "5m"`)
+		return errors.New(`want a number with a unit, such as "250ms" or "5m"`)
 	}
 	if d <= 0 {
 		return errNotPositive
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Check returns what is wrong with a document, empty where nothing is.
+// Check returns the problems of a document, or nil if it is valid.
 func (c *Checker) Check(data []byte) Problems {
 	schema, err := c.compiled()
 	if err != nil {
@@ -69,12 +69,12 @@
 	}
 	var invalid *jsonschema.ValidationError
 	if errors.As(schema.Validate(doc), &invalid) {
-		return leaves(invalid, nil)
+		return appendLeafProblems(invalid, nil)
 	}
 	return nil
 }
 
-// Decode decodes a file that satisfies the schema into a value, which holds the defaults before.
+// Decode validates a document and decodes it into a value that holds the defaults.
 func (c *Checker) Decode(data []byte, into any) Problems {
 	if problems := c.Check(data); len(problems) > 0 {
 		return problems
@@ -87,19 +87,21 @@
 	return nil
 }
 
-// leaves collects the innermost errors: they name the field that is wrong.
-func leaves(e *jsonschema.ValidationError, to Problems) Problems {
+// appendLeafProblems appends the innermost errors of e to a list, since these have the
+// path of the field that is not valid.
+func appendLeafProblems(e *jsonschema.ValidationError, to Problems) Problems {
 	if len(e.Causes) == 0 {
 		text := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
 		return append(to, Problem{Code: codeOf(e.ErrorKind), Path: "/" + strings.Join(e.InstanceLocation, "/"), Message: text})
 	}
 	for _, cause := range e.Causes {
-		to = leaves(cause, to)
+		to = appendLeafProblems(cause, to)
 	}
 	return to
 }
 
-// codeOf returns the code of a schema error. The only format is that of durations.
+// codeOf returns the result code of a schema error. It takes every format error for one
+// of a duration, since go-duration is the only format.
 func codeOf(k jsonschema.ErrorKind) result.Code {
 	switch k := k.(type) {
 	case *kind.AdditionalProperties:
--- a/internal/settings/markdown.go
+++ b/internal/settings/markdown.go
@@ -16,10 +16,10 @@
 Generated from ` + "`internal/settings/schema.json`" + ` by ` + "`go test ./internal/settings -update`" + `; a test
 checks that this page is current.
 
-A node reads one JSON file of settings at its start. A field that is not known,
-of another type or out of its range stops the start, with the path of the field;
-` + "`cherryward check --settings FILE`" + ` tells the same without starting. Durations are written
-with their unit: ` + "`250ms`, `1.5s`, `2m0s`, `1h`" + `.
+A node reads one JSON file of settings at startup. It does not start if a field is
+unknown, has the wrong type or is out of range, and reports the path of the field;
+` + "`cherryward check --settings FILE`" + ` reports the same problems without starting. Durations are
+written with a unit: ` + "`250ms`, `1.5s`, `2m0s`, `1h`" + `.
 `
 
 const tableHead = `
@@ -29,11 +29,11 @@
 
 const (
 	required  = "(required)"
-	none      = "-"
+	noValue   = "-"
 	defPrefix = "#/$defs/"
 )
 
-// fieldSchema is the part of JSON Schema that schema.json uses.
+// fieldSchema has the keywords of JSON Schema that schema.json uses.
 type fieldSchema struct {
 	Ref         string                 `json:"$ref"`
 	Defs        map[string]fieldSchema `json:"$defs"`
@@ -50,7 +50,7 @@
 	Properties  properties             `json:"properties"`
 }
 
-// properties are fields in the order of the file.
+// properties holds the fields of an object in the order of the file.
 type properties []property
 
 type property struct {
@@ -84,7 +84,7 @@
 func writeMarkdown(w io.Writer) error {
 	var root fieldSchema
 	if err := json.Unmarshal(Schema(), &root); err != nil {
-		return eris.Wrap(err, "read the schema")
+		return eris.Wrap(err, "decode the settings schema")
 	}
 	page := &markdown{defs: root.Defs}
 	page.WriteString(markdownHead)
@@ -96,24 +96,25 @@
 	return err
 }
 
-// markdown is the page while it is written.
+// markdown is a buffer for the page, with the schema's definitions.
 type markdown struct {
 	bytes.Buffer
 	defs map[string]fieldSchema
 }
 
-// rows writes the fields of an object, those of objects in it included.
+// rows writes a table row for each field of an object, including nested objects.
 func (m *markdown) rows(path string, object fieldSchema) {
 	for _, p := range object.Properties {
 		field := m.resolve(p.schema)
 		full := path + "." + p.name
-		deflt := defaultOf(field, slices.Contains(object.Required, p.name))
-		fmt.Fprintf(m, "| `%s` | %s | %s | %s | %s |\n", full, typeOf(field), unitOf(p.name, field), deflt, field.Description)
+		defaultText := defaultOf(field, slices.Contains(object.Required, p.name))
+		fmt.Fprintf(m, "| `%s` | %s | %s | %s | %s |\n", full, typeOf(field), unitOf(p.name, field), defaultText, field.Description)
 		m.rows(full, field)
 	}
 }
 
-// resolve fills in the definition that a field refers to.
+// resolve returns the definition that a field references, with the field's description
+// and default, or the field itself if it has no reference.
 func (m *markdown) resolve(field fieldSchema) fieldSchema {
 	name, ok := strings.CutPrefix(field.Ref, defPrefix)
 	if !ok {
@@ -147,7 +148,7 @@
 	case strings.HasSuffix(name, "_bytes"):
 		return "bytes"
 	}
-	return none
+	return noValue
 }
 
 func defaultOf(f fieldSchema, isRequired bool) string {
@@ -157,5 +158,5 @@
 	case len(f.Default) > 0:
 		return "`" + strings.Trim(string(f.Default), `"`) + "`"
 	}
-	return none
+	return noValue
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,8 @@
-// Package settings reads and checks a node's settings file.
+// Package settings reads and validates a node's settings file.
 //
-// The file is JSON. schema.json is the manual of every field and the first
-// check; what a schema can't say (addresses that clash, files that are missing)
-// is checked here. Every problem found is reported with its result code and the
-// path of its field.
+// The file is JSON. schema.json documents every field and is validated first; rules that
+// a schema can't express, such as conflicting addresses, are checked in code. Every
+// problem is reported with its result code and the path of its field.
 package settings
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/cherryward/cherryward/internal/placement"
 )
 
-// Settings are the settings of one node.
+// Settings holds the settings of one node.
 type Settings struct {
 	Node        Node        `json:"node"`
 	Callers     Listener    `json:"callers"`
@@ -30,24 +29,25 @@
 	Logging     Logging     `json:"logging"`
 }
 
-// Node says which node this is.
+// Node identifies the node.
 type Node struct {
 	ID            string   `json:"id"`
 	FailureDomain string   `json:"failure_domain"`
 	StopTimeout   Duration `json:"stop_timeout"`
 }
 
-// Listener is an address to listen on, with TLS where a certificate is given.
+// Listener is an address to listen on. It uses TLS if a certificate is set.
 type Listener struct {
 	Address string `json:"address"`
 	TLS     *TLS   `json:"tls,omitempty"`
 }
 
-// TLS names the PEM files of a certificate and its key.
+// TLS holds the paths of the PEM files of a certificate and its key.
 type TLS struct {
 	CertificateFile string `json:"certificate_file"`
 	KeyFile         string `json:"key_file"`
-	// AuthorityFile holds the authorities that a peer's certificate must come from.
+	// AuthorityFile has the certificate authorities that are trusted for peers'
+	// certificates.
 	AuthorityFile string `json:"authority_file,omitempty"`
 }
 
@@ -60,24 +60,24 @@
 // Peers is the listener for the other nodes and the key that all nodes share.
 type Peers struct {
 	Listener
-	// Advertise is the address that other nodes are told. Default: Address.
+	// Advertise is the address that other nodes connect to. Default: Address.
 	Advertise string `json:"advertise,omitempty"`
 	Key       string `json:"key"`
 }
 
-// Log is the platform's log service.
+// Log configures access to the platform's log service.
 type Log struct {
 	URL    string `json:"url"`
 	Stream string `json:"stream"`
 }
 
-// Hosts is the platform's list of hosts.
+// Hosts configures access to the platform's list of hosts.
 type Hosts struct {
 	URL          string   `json:"url"`
 	PollInterval Duration `json:"poll_interval"`
 }
 
-// Requests bounds what callers may ask for.
+// Requests sets limits and timeouts for callers' requests.
 type Requests struct {
 	MaxBodyBytes    int64    `json:"max_body_bytes"`
 	DefaultTimeout  Duration `json:"default_timeout"`
@@ -87,26 +87,26 @@
 	DrainGrace      Duration `json:"drain_grace"`
 }
 
-// Limits sizes the sharing of client accounts' limits.
+// Limits configures how nodes share client accounts' limits.
 type Limits struct {
-	// MaxNodes is the most nodes that ever run at once. Default 16. It must be the
-	// same on all nodes: an account's static share is divided by it.
+	// MaxNodes is the maximum number of nodes that run at the same time. Default 16.
+	// It must be equal on all nodes, since an account's static share is divided by it.
 	MaxNodes int `json:"max_nodes"`
 }
 
-// KeptContext says when contexts go to the store hosts.
+// KeptContext configures when contexts are exported to store hosts.
 type KeptContext struct {
-	// ExportAfter is the time between a turn and the decision on its export.
-	// Default 2m, for gaps of minutes to days.
+	// ExportAfter is the time between a turn and the decision whether to export its
+	// context. Default 2m, for gaps between turns of minutes to days.
 	ExportAfter Duration `json:"export_after"`
 }
 
-// Logging says what is logged.
+// Logging configures the log output.
 type Logging struct {
 	Level string `json:"level"`
 }
 
-// Default returns the settings that hold for every field that a file leaves out.
+// Default returns the values of the fields that a settings file omits.
 func Default() Settings {
 	return Settings{
 		Node:        Node{StopTimeout: Duration(2 * time.Minute)},
@@ -130,7 +130,7 @@
 	}
 }
 
-// Duration is a time.Duration written as "1.5s" or "20ms".
+// Duration is a time.Duration that is encoded as text such as "1.5s" or "20ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -145,8 +145,8 @@
 	return err
 }
 
-// Load reads and checks the file. The error is Problems when the file can be
-// read but says something wrong.
+// Load reads and validates a settings file. The error is of type Problems if the file
+// can be read but is not valid.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -155,7 +155,8 @@
 	return Parse(data)
 }
 
-// Parse checks data and returns the settings it holds, with defaults applied.
+// Parse validates a settings file's contents and returns the settings, with defaults for
+// omitted fields.
 func Parse(data []byte) (*Settings, error) {
 	s := Default()
 	if problems := checker.Decode(data, &s); len(problems) > 0 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -40,7 +40,7 @@
 	must.Eq(t, Default().Requests, s.Requests)
 }
 
-func TestParseNamesCodeAndPathOfEachProblem(t *testing.T) {
+func TestParseReportsCodeAndPath(t *testing.T) {
 	cases := []struct {
 		name, old, new, path string
 		code                 result.Code
@@ -52,7 +52,7 @@
 		{"clashing addresses", `127.0.0.1:8082`, `127.0.0.1:8080`, "/peers/address", result.SettingClash},
 		{"clash with a wildcard", `127.0.0.1:8082`, `0.0.0.0:8081`, "/peers/address", result.SettingClash},
 		{"host name", `127.0.0.1:8082`, `localhost:8082`, "/peers/address", result.SettingInvalid},
-		{"nothing to call", `127.0.0.1:8082`, `0.0.0.0:8082`, "/peers/advertise", result.SettingInvalid},
+		{"unspecified peer address", `127.0.0.1:8082`, `0.0.0.0:8082`, "/peers/advertise", result.SettingInvalid},
 		{"short key", `0123456789abcdef`, `short`, "/peers/key", result.SettingInvalid},
 		{"negative duration", `"250ms"`, `"-1s"`, "/hosts/poll_interval", result.SettingInvalid},
 		{"not JSON", `"log"`, `log`, "/", result.SettingInvalid},
@@ -71,7 +71,8 @@
 	}
 }
 
-// The schema is the manual, so its defaults must be those of the code.
+// TestSchemaDefaultsAreCurrent checks that the defaults that the schema documents are
+// those of the code.
 func TestSchemaDefaultsAreCurrent(t *testing.T) {
 	type node struct {
 		Default    any             `json:"default"`
@@ -93,7 +94,7 @@
 	}
 }
 
-var update = flag.Bool("update", false, "write docs/SETTINGS.md anew")
+var update = flag.Bool("update", false, "regenerate docs/SETTINGS.md")
 
 func TestMarkdownCurrent(t *testing.T) {
 	const page = "../../docs/SETTINGS.md"
@@ -107,7 +108,7 @@
 	must.Eq(t, want.String(), string(got), must.Sprint("run: go test ./internal/settings -update"))
 }
 
-// fieldPaths returns the paths of all fields of a settings struct.
+// fieldPaths returns the JSON paths of all fields of a settings struct.
 func fieldPaths(prefix string, typ reflect.Type) (paths []string) {
 	for i := range typ.NumField() {
 		f := typ.Field(i)
@@ -129,8 +130,9 @@
 	return paths
 }
 
-// The page must hold every field of the struct, with what it does.
-func TestMarkdownHoldsEveryField(t *testing.T) {
+// TestMarkdownHasEveryField checks that the page has a row with a description for every
+// field of the struct.
+func TestMarkdownHasEveryField(t *testing.T) {
 	var page bytes.Buffer
 	must.NoError(t, writeMarkdown(&page))
 	for _, path := range fieldPaths("", reflect.TypeFor[Settings]()) {
@@ -145,7 +147,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse(data)
 		if err == nil && s.Peers.Key == "" {
-			t.Fatal("accepted without a peers' key")
+			t.Fatal("Parse accepted settings without a key for peers")
 		}
 	})
 }
