--- a/internal/telemetry/node_test.go
+++ b/internal/telemetry/node_test.go
@@ -17,7 +17,7 @@
 	"github.com/cherryward/cherryward/standin/engine"
 )
 
-// read returns a node's metrics by name and labels.
+// read returns the values of a node's metrics by name and labels.
 func read(t *testing.T, m *demo.Member) map[string]float64 {
 	t.Helper()
 	resp, err := http.Get("http://" + m.CallersAddr().String() + "/metrics")
@@ -37,7 +37,7 @@
 	return out
 }
 
-func TestNodesServeTheirFigures(t *testing.T) {
+func TestNodesServeMetrics(t *testing.T) {
 	f, err := demo.Start(demo.Options{Nodes: 2, Engines: make([]engine.Config, 3), Log: zerolog.Nop()})
 	must.NoError(t, err)
 	defer func() { must.NoError(t, f.Close()) }()
@@ -53,12 +53,12 @@
 	}
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return owned() == 3 }), wait.Timeout(10*time.Second)))
 	for _, m := range f.Nodes {
-		figures := read(t, m)
-		must.Eq(t, 2, figures[`cherryward_members{state="alive"}`])
-		must.Positive(t, figures["cherryward_peer_sent_bytes_total"])
-		must.Positive(t, figures["cherryward_peer_received_bytes_total"])
-		must.Positive(t, figures["cherryward_config_applied_offset"])
-		must.Eq(t, 1, figures["cherryward_config_ready"])
-		must.Positive(t, figures["process_cpu_seconds_total"])
+		values := read(t, m)
+		must.Eq(t, 2, values[`cherryward_members{state="alive"}`])
+		must.Positive(t, values["cherryward_peer_sent_bytes_total"])
+		must.Positive(t, values["cherryward_peer_received_bytes_total"])
+		must.Positive(t, values["cherryward_config_applied_offset"])
+		must.Eq(t, 1, values["cherryward_config_ready"])
+		must.Positive(t, values["process_cpu_seconds_total"])
 	}
 }
--- a/internal/telemetry/ranking.go
+++ b/internal/telemetry/ranking.go
@@ -13,73 +13,78 @@
 )
 
 const (
-	// namedAccounts bounds the client accounts that have series of their own.
-	namedAccounts = 32
-	// otherAccounts is the label that the remaining accounts share. An account of
-	// this very name is counted there too.
+	// maxNamedAccounts is the maximum number of named accounts: client accounts that
+	// have series of their own.
+	maxNamedAccounts = 32
+	// otherAccounts is the label that the remaining accounts share. An account with
+	// this name is counted there as well.
 	otherAccounts = "other"
-	// rankInterval is the time between two looks at who is named.
+	// rankInterval is the time between two updates of the named accounts.
 	rankInterval = 10 * time.Minute
-	// decay divides the traffic of the past at each look.
-	decay = 2
-	// lead is how many times a named account's traffic another one must have to
-	// take its place, so that accounts of like size do not take turns.
-	lead = 2
+	// trafficDecay is the divisor of past traffic at each update.
+	trafficDecay = 2
+	// minTrafficRatio is the ratio to a named account's traffic that another account
+	// must exceed to replace it, so that accounts with similar traffic don't
+	// alternate.
+	minTrafficRatio = 2
 )
 
-// ranking decides which client accounts are named. It is safe for concurrent use.
+// ranking selects the named accounts by traffic. It is safe for concurrent use.
 type ranking struct {
-	set    *metrics.Set
-	mu     sync.RWMutex
-	byName map[string]*account
-	other  account // the series of all that are not named
-	named  int
-	next   time.Time // of the next look
+	set        *metrics.Set
+	mu         sync.RWMutex
+	byName     map[string]*account
+	other      account // the shared series of all accounts that are not named
+	named      int
+	nextUpdate time.Time // time of the next update
 }
 
-// account is what is kept of one client account.
+// account is the state of one client account.
 type account struct {
 	name    string
-	traffic atomic.Uint64 // recent, in tokens
+	traffic atomic.Uint64 // recent traffic, in tokens
 	named   bool
-	classes [runs.Classes]*series // of a named account; made on first use
+	classes [runs.Classes]*series // only of a named account; created on first use
 }
 
 func newRanking(set *metrics.Set, now time.Time) *ranking {
 	return &ranking{
-		set:    set,
-		byName: make(map[string]*account),
-		other:  account{name: otherAccounts},
-		next:   now.Add(rankInterval),
+		set:        set,
+		byName:     make(map[string]*account),
+		other:      account{name: otherAccounts},
+		nextUpdate: now.Add(rankInterval),
 	}
 }
 
-// series adds to an account's traffic and returns the series that count it.
+// series adds to an account's traffic and returns the series for its requests of a
+// class. The common case only takes the read lock.
 func (r *ranking) series(name string, class runs.Class, traffic uint64, now time.Time) *series {
 	r.mu.RLock()
 	a, known := r.byName[name]
 	var s *series
 	if known {
 		a.traffic.Add(traffic)
-		s = r.holder(a).classes[class]
+		s = r.seriesAccount(a).classes[class]
 	}
-	due := !now.Before(r.next)
+	updateDue := !now.Before(r.nextUpdate)
 	r.mu.RUnlock()
-	if s != nil && !due {
+	if s != nil && !updateDue {
 		return s
 	}
 	return r.seriesSlow(name, class, traffic, known, now)
 }
 
-// holder returns the account whose series count a's requests.
-func (r *ranking) holder(a *account) *account {
+// seriesAccount returns the account with the series for a's requests: a itself if it is
+// named, else the shared one.
+func (r *ranking) seriesAccount(a *account) *account {
 	if a.named {
 		return a
 	}
 	return &r.other
 }
 
-// seriesSlow looks at the ranking where it is time, and makes what is missing.
+// seriesSlow is the part of series that takes the write lock: it updates the ranking once
+// rankInterval has passed, and creates the account and series if they don't exist.
 func (r *ranking) seriesSlow(name string, class runs.Class, traffic uint64, counted bool, now time.Time) *series {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,11 +92,11 @@
 	if !counted {
 		a.traffic.Add(traffic)
 	}
-	if !now.Before(r.next) {
-		r.next = now.Add(rankInterval)
-		r.rank()
+	if !now.Before(r.nextUpdate) {
+		r.nextUpdate = now.Add(rankInterval)
+		r.update()
 	}
-	h := r.holder(a)
+	h := r.seriesAccount(a)
 	if h.classes[class] == nil {
 		h.classes[class] = newSeries(r.set, h.name, class)
 	}
@@ -105,40 +110,41 @@
 	}
 	a = &account{name: name}
 	r.byName[name] = a
-	if r.named < namedAccounts && name != otherAccounts {
-		r.name(a)
+	if r.named < maxNamedAccounts && name != otherAccounts {
+		r.addNamed(a)
 	}
 	return a
 }
 
-// rank gives names to accounts that have grown well beyond named ones, forgets
-// accounts without recent traffic, and lets the past count for less.
-func (r *ranking) rank() {
-	named, unnamed := r.split()
-	slices.SortFunc(named, func(a, b *account) int { return larger(b, a) })
-	slices.SortFunc(unnamed, larger)
+// update replaces named accounts with accounts whose traffic is larger by more than
+// minTrafficRatio, decays the traffic of all accounts, and evicts accounts without recent
+// traffic.
+func (r *ranking) update() {
+	named, unnamed := r.partition()
+	slices.SortFunc(named, func(a, b *account) int { return compareByTraffic(b, a) })
+	slices.SortFunc(unnamed, compareByTraffic)
 	for _, a := range unnamed {
-		if r.named < namedAccounts {
-			r.name(a)
+		if r.named < maxNamedAccounts {
+			r.addNamed(a)
 			continue
 		}
-		if len(named) == 0 || a.traffic.Load() <= lead*named[0].traffic.Load() {
+		if len(named) == 0 || a.traffic.Load() <= minTrafficRatio*named[0].traffic.Load() {
 			break
 		}
-		r.unname(named[0])
-		r.name(a)
+		r.removeNamed(named[0])
+		r.addNamed(a)
 		named = named[1:]
 	}
 	for name, a := range r.byName {
-		a.traffic.Store(a.traffic.Load() / decay)
+		a.traffic.Store(a.traffic.Load() / trafficDecay)
 		if a.traffic.Load() == 0 {
-			r.forget(name, a)
+			r.evict(name, a)
 		}
 	}
 }
 
-// split returns the named accounts and those that could be named.
-func (r *ranking) split() (named, unnamed []*account) {
+// partition returns the named accounts, and the others that can become named.
+func (r *ranking) partition() (named, unnamed []*account) {
 	for _, a := range r.byName {
 		switch {
 		case a.named:
@@ -150,19 +156,19 @@
 	return named, unnamed
 }
 
-// larger orders accounts by their traffic, the largest first; names break ties.
-func larger(a, b *account) int {
+// compareByTraffic orders accounts by descending traffic, then by name.
+func compareByTraffic(a, b *account) int {
 	return cmp.Or(cmp.Compare(b.traffic.Load(), a.traffic.Load()), cmp.Compare(a.name, b.name))
 }
 
-func (r *ranking) name(a *account) {
+func (r *ranking) addNamed(a *account) {
 	a.named = true
 	r.named++
 }
 
-// unname ends an account's series. What they counted is not added to the shared
-// ones, whose rates would jump.
-func (r *ranking) unname(a *account) {
+// removeNamed unregisters an account's series. Their counts are not added to the shared
+// series, since that would show as a spike in the rates.
+func (r *ranking) removeNamed(a *account) {
 	a.named = false
 	r.named--
 	for class, s := range a.classes {
@@ -173,9 +179,9 @@
 	}
 }
 
-func (r *ranking) forget(name string, a *account) {
+func (r *ranking) evict(name string, a *account) {
 	if a.named {
-		r.unname(a)
+		r.removeNamed(a)
 	}
 	delete(r.byName, name)
 }
--- a/internal/telemetry/ranking_test.go
+++ b/internal/telemetry/ranking_test.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	fleetAccounts = 1300 // of the largest fleet that is planned for
-	// Bounds at that size, with all classes in use.
+	maxAccounts = 1300 // client accounts of the largest planned system
+	// Bounds with this number of accounts and all classes in use.
 	maxBytes = 1 << 20
 	maxLines = 8000
 )
 
 func accountName(i int) string { return fmt.Sprintf("account-%04d", i) }
 
-// load sends two hours' prompts of all accounts, six rounds in each interval, and
-// returns how often an account was given a name. The k-th account of order has a
-// share of 1/(k+1), within a tenth.
-func load(m *Metrics, rng *rand.Rand, order []int) (given int) {
+// simulateTraffic records prompts of all accounts for two hours, in six rounds per ranking
+// interval, and returns how often an account became named. The k-th account of order has
+// traffic proportional to 1/(k+1), with a variation of a tenth.
+func simulateTraffic(m *Metrics, rng *rand.Rand, order []int) (becameNamed int) {
 	const rounds = 6
-	before := namedNow(m)
+	before := namedAccounts(m)
 	for range 12 * rounds {
 		time.Sleep(rankInterval / rounds)
 		for k, i := range order {
-			measure := prompt(accountName(i))
+			measure := promptMetrics(accountName(i))
 			measure.Summary.PromptTokens = (90_000 + rng.IntN(20_000)) / (k + 1)
 			measure.Class = runs.Class(i % int(runs.Classes))
 			m.Request(measure)
 		}
-		now := namedNow(m)
-		given += len(slices.DeleteFunc(slices.Clone(now), func(name string) bool { return slices.Contains(before, name) }))
+		now := namedAccounts(m)
+		becameNamed += len(slices.DeleteFunc(slices.Clone(now), func(name string) bool { return slices.Contains(before, name) }))
 		before = now
 	}
-	return given
+	return becameNamed
 }
 
-func namedNow(m *Metrics) []string {
-	named, _ := m.accounts.split()
+func namedAccounts(m *Metrics) []string {
+	named, _ := m.accounts.partition()
 	names := make([]string, len(named))
 	for i, a := range named {
 		names[i] = a.name
@@ -53,55 +53,56 @@
 	return names
 }
 
-func TestLargeAccountsAreNamedAndStayNamed(t *testing.T) {
+func TestLargeAccountsKeepOwnSeries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, rng := New(), rand.New(rand.NewPCG(1, 2))
-		order := rng.Perm(fleetAccounts)
-		load(m, rng, order)
+		order := rng.Perm(maxAccounts)
+		simulateTraffic(m, rng, order)
 		checkNamed(t, m, order)
-		must.Zero(t, load(m, rng, order), must.Sprint("names changed under steady traffic"))
+		must.Zero(t, simulateTraffic(m, rng, order), must.Sprint("named accounts changed under steady traffic"))
 
-		slices.Reverse(order) // the large become small
-		must.Eq(t, namedAccounts, load(m, rng, order))
+		slices.Reverse(order) // the largest accounts become the smallest
+		must.Eq(t, maxNamedAccounts, simulateTraffic(m, rng, order))
 		checkNamed(t, m, order)
-		must.Zero(t, load(m, rng, order), must.Sprint("names changed under steady traffic"))
+		must.Zero(t, simulateTraffic(m, rng, order), must.Sprint("named accounts changed under steady traffic"))
 
-		time.Sleep(40 * rankInterval) // each look is made by a request
+		time.Sleep(40 * rankInterval) // only requests update the ranking, so nothing changes
 		for range 40 {
 			time.Sleep(rankInterval)
-			m.Request(prompt("mill"))
+			m.Request(promptMetrics("mill"))
 		}
 		must.MapLen(t, 1, m.accounts.byName)
-		must.Eq(t, []string{"mill"}, namedNow(m))
+		must.Eq(t, []string{"mill"}, namedAccounts(m))
 	})
 }
 
-// checkNamed checks that all names are given out, and that the accounts which
-// lead those that are too small for a name by far have one.
+// checkNamed checks that the maximum number of accounts is named, and that every account
+// with more than minTrafficRatio times the traffic of the largest one beyond this number
+// is among them.
 func checkNamed(t *testing.T, m *Metrics, order []int) {
 	t.Helper()
-	named := namedNow(m)
-	must.SliceLen(t, namedAccounts, named)
+	named := namedAccounts(m)
+	must.SliceLen(t, maxNamedAccounts, named)
 	for k, i := range order {
-		if k < namedAccounts/lead-1 {
+		if k < maxNamedAccounts/minTrafficRatio-1 {
 			must.SliceContains(t, named, accountName(i), must.Sprintf("account of rank %d", k))
 		}
 	}
 }
 
-func TestAccountNamedOtherIsCountedWithTheOthers(t *testing.T) {
+func TestAccountNamedOtherSharesSeries(t *testing.T) {
 	m := New()
-	m.Request(prompt(otherAccounts))
-	must.SliceEmpty(t, namedNow(m))
+	m.Request(promptMetrics(otherAccounts))
+	must.SliceEmpty(t, namedAccounts(m))
 	must.SliceContains(t, scrape(m), `cherryward_prompt_tokens_total{account="other",class="batch"} 80`)
 }
 
-// fleetMetrics returns metrics that have seen every account in every class.
-func fleetMetrics() *Metrics {
+// fullMetrics returns metrics with a request of every account in every class.
+func fullMetrics() *Metrics {
 	m := New()
-	for i := range fleetAccounts {
+	for i := range maxAccounts {
 		for class := range runs.Classes {
-			measure := prompt(accountName(i))
+			measure := promptMetrics(accountName(i))
 			measure.Class = class
 			m.Request(measure)
 		}
@@ -110,22 +111,22 @@
 }
 
 func TestCostAtFleetSize(t *testing.T) {
-	before := heap()
-	m := fleetMetrics()
-	used := heap() - before
+	before := heapBytes()
+	m := fullMetrics()
+	used := heapBytes() - before
 	lines := len(scrape(m))
-	t.Logf("%d accounts: %d bytes, %d lines", fleetAccounts, used, lines)
+	t.Logf("%d accounts: %d bytes, %d lines", maxAccounts, used, lines)
 	must.Less(t, maxBytes, used)
 	must.LessEq(t, maxLines, lines)
-	measures := []string{accountName(0), accountName(fleetAccounts - 1)}
-	for _, name := range measures {
-		measure := prompt(name)
+	names := []string{accountName(0), accountName(maxAccounts - 1)}
+	for _, name := range names {
+		measure := promptMetrics(name)
 		must.Zero(t, testing.AllocsPerRun(1000, func() { m.Request(measure) }), must.Sprint(name))
 	}
 	runtime.KeepAlive(m)
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
@@ -133,23 +134,23 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	m := fleetMetrics()
-	measures := make([]string, fleetAccounts)
-	for i := range measures {
-		measures[i] = accountName(i)
+	m := fullMetrics()
+	names := make([]string, maxAccounts)
+	for i := range names {
+		names[i] = accountName(i)
 	}
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
-		measure := prompt("")
+		measure := promptMetrics("")
 		for i := 0; p.Next(); i++ {
-			measure.Account = measures[i%fleetAccounts]
+			measure.Account = names[i%maxAccounts]
 			m.Request(measure)
 		}
 	})
 }
 
 func BenchmarkScrape(b *testing.B) {
-	m := fleetMetrics()
+	m := fullMetrics()
 	for b.Loop() {
 		scrape(m)
 	}
--- a/internal/telemetry/series.go
+++ b/internal/telemetry/series.go
@@ -9,24 +9,24 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-// Upper bounds of the histograms' buckets. They are fixed, so that the series of
-// all nodes can be added up.
+// Upper bounds of the histograms' buckets. They are fixed, so that the series of all
+// nodes can be summed.
 var (
 	secondsBounds = []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30, 60, 300, 1800}
 	gapBounds     = []float64{0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5}
 	shareBounds   = []float64{0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.99, 1}
 )
 
-// classNames are the class labels, as callers write them.
+// classNames holds the class labels, which are the values of the priority header.
 var classNames = [runs.Classes]string{
 	runs.ClassInteractive: "interactive",
 	runs.ClassStandard:    "standard",
 	runs.ClassBatch:       "batch",
 }
 
-// series are the metrics of one account label and class.
+// series holds the metrics of one account label and class.
 type series struct {
-	names []string // as registered
+	names []string // registered names, with labels
 
 	queue, firstToken, tokenGap, total, recomputed *metrics.PrometheusHistogram
 	prompt, cached, output, imported               *metrics.Counter
@@ -46,7 +46,7 @@
 	s.queue = histogram(nameQueue, secondsBounds)
 	s.firstToken = histogram(nameFirstToken, secondsBounds)
 	s.tokenGap = histogram(nameTokenGap, gapBounds)
-	s.total = histogram(nameTotal, secondsBounds)
+	s.total = histogram(nameRequestSeconds, secondsBounds)
 	s.recomputed = histogram(nameRecomputed, shareBounds)
 	s.prompt = counter(namePromptTokens)
 	s.cached = counter(nameCachedTokens)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *series) request(r *entry.RequestMetrics) {
+func (s *series) observe(r *entry.RequestMetrics) {
 	s.total.Update(r.Total.Seconds())
 	for _, gap := range r.TokenGaps {
 		s.tokenGap.Update(gap.Seconds())
@@ -75,7 +75,7 @@
 		s.firstToken.Update(sum.FirstToken.Seconds())
 	}
 	if sum.PromptTokens == 0 {
-		return // no engine began the run
+		return // no engine started the run
 	}
 	s.prompt.Add(sum.PromptTokens)
 	s.cached.Add(sum.CachedTokens)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,9 +1,9 @@
-// Package telemetry keeps a node's metrics and serves them in the Prometheus
-// text format.
+// Package telemetry collects a node's metrics and serves them in the Prometheus text
+// format.
 //
-// Guarantee: the number of series is bounded, whatever the number of client
-// accounts: the largest by recent traffic are named, the rest share one label.
-// Measuring a request of a known account allocates nothing.
+// Guarantee: the number of series is bounded for any number of client accounts. The
+// accounts with the most recent traffic have series of their own; the others share one
+// label. Recording a request of a known account does not allocate.
 package telemetry
 
 import (
@@ -17,11 +17,10 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// success is the code label of requests that were answered.
+// success is the code label of requests that succeeded.
 const success result.Code = 0
 
-// Metrics are the metrics of one node. All methods may be called at any time
-// and by several goroutines at once.
+// Metrics holds the metrics of one node. It is safe for concurrent use.
 type Metrics struct {
 	set        *metrics.Set
 	outcomes   map[result.Code]*metrics.Counter
@@ -32,13 +31,13 @@
 
 var _ entry.Recorder = (*Metrics)(nil)
 
-// New returns the metrics of a node that has served nothing yet.
+// New returns the metrics of a node, with all counters at zero.
 func New() *Metrics {
 	set := metrics.NewSet()
 	m := &Metrics{
 		set:        set,
 		outcomes:   make(map[result.Code]*metrics.Counter),
-		ungoverned: set.NewCounter(nameUngoverned),
+		ungoverned: set.NewCounter(nameRunsWithoutGrant),
 		exported:   set.NewCounter(nameExported),
 		accounts:   newRanking(set, time.Now()),
 	}
@@ -49,7 +48,8 @@
 	return m
 }
 
-// addOutcome starts a code's counter at zero, so that its first increase shows.
+// addOutcome registers a result code's counter at zero, so that its first increment is
+// visible as a rate.
 func (m *Metrics) addOutcome(code result.Code) {
 	m.outcomes[code] = m.set.NewCounter(nameRequests + `{code="` + strconv.Itoa(int(code)) + `"}`)
 }
@@ -65,16 +65,16 @@
 		return
 	}
 	traffic := uint64(1 + r.Summary.PromptTokens + r.Summary.OutputTokens)
-	m.accounts.series(r.Account, r.Class, traffic, time.Now()).request(&r)
+	m.accounts.series(r.Account, r.Class, traffic, time.Now()).observe(&r)
 }
 
-// Exported counts bytes of kept context that went from an engine to a store host.
+// Exported adds bytes of context that were exported from an engine to a store host.
 func (m *Metrics) Exported(bytes int64) { m.exported.AddInt64(bytes) }
 
-// Ungoverned counts a run that started without its owner's grant.
+// Ungoverned counts a run that was started without a grant of the endpoint's owner.
 func (m *Metrics) Ungoverned() { m.ungoverned.Inc() }
 
-// ServeHTTP writes the metrics.
+// ServeHTTP serves the metrics of the node and of its process.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -22,10 +22,10 @@
 	"github.com/cherryward/cherryward/internal/runs"
 )
 
-var update = flag.Bool("update", false, "write docs/METRICS.md anew")
+var update = flag.Bool("update", false, "regenerate docs/METRICS.md")
 
-// prompt is the measure of an answered prompt of 80 tokens, 60 of them cached.
-func prompt(account string) entry.RequestMetrics {
+// promptMetrics returns the metrics of a successful prompt of 80 tokens, 60 of them cached.
+func promptMetrics(account string) entry.RequestMetrics {
 	m := entry.RequestMetrics{Account: account, Class: runs.ClassBatch, Total: 3 * time.Second, IsPrompt: true}
 	m.TokenGaps = []time.Duration{30 * time.Millisecond, 40 * time.Millisecond}
 	m.Summary = runs.Summary{
@@ -38,7 +38,7 @@
 	return m
 }
 
-// scrape returns the lines of this package's metrics.
+// scrape returns the served lines of this package's metrics.
 func scrape(m *Metrics) []string {
 	rec := httptest.NewRecorder()
 	m.ServeHTTP(rec, nil)
@@ -46,8 +46,8 @@
 	return slices.DeleteFunc(lines, func(l string) bool { return !strings.HasPrefix(l, "cherryward_") })
 }
 
-// watched returns metrics with all figures attached.
-func watched(owned func() []*pb.EndpointStatus) *Metrics {
+// newWatchedMetrics returns metrics with all Watch methods called.
+func newWatchedMetrics(owned func() []*pb.EndpointStatus) *Metrics {
 	m := New()
 	traffic := &peers.Traffic{}
 	traffic.Sent.Store(11)
@@ -70,15 +70,15 @@
 func TestServedValues(t *testing.T) {
 	a, b := &pb.EndpointStatus{Name: "a", Running: 2}, &pb.EndpointStatus{Name: "b", Running: 3, Waiting: 4}
 	owned := []*pb.EndpointStatus{a, b}
-	m := watched(func() []*pb.EndpointStatus { return owned })
-	m.Request(prompt("mill"))
+	m := newWatchedMetrics(func() []*pb.EndpointStatus { return owned })
+	m.Request(promptMetrics("mill"))
 	m.Request(entry.RequestMetrics{Account: "mill", Code: result.RequestRate})
 	m.Request(entry.RequestMetrics{Code: result.MissingKey})
 	m.Request(entry.RequestMetrics{Code: 1999})
 	m.Exported(512)
 	m.Ungoverned()
 	_ = scrape(m)
-	owned = []*pb.EndpointStatus{b, {Name: "c"}} // a went, c came
+	owned = []*pb.EndpointStatus{b, {Name: "c"}} // a lost, c gained
 	lines := scrape(m)
 	mill := `{account="mill",class="batch"}`
 	le := func(bound string) string { return `_bucket{account="mill",class="batch",le="` + bound + `"}` }
@@ -119,18 +119,18 @@
 	} {
 		must.SliceContains(t, lines, want)
 	}
-	// The first reading found two endpoints, the second one gone and one new.
+	// The first read gained two endpoints; the second lost one and gained one.
 	must.SliceContains(t, scrape(m), "cherryward_owner_changes_total 4")
 }
 
-func TestCatalogueIsWhatIsServed(t *testing.T) {
-	m := watched(func() []*pb.EndpointStatus { return nil })
-	m.Request(prompt("mill"))
+func TestCatalogueMatchesServedMetrics(t *testing.T) {
+	m := newWatchedMetrics(func() []*pb.EndpointStatus { return nil })
+	m.Request(promptMetrics("mill"))
 	served := map[string]bool{}
 	for _, line := range scrape(m) {
 		name, _, _ := strings.Cut(line, " ")
 		name, _, _ = strings.Cut(name, "{")
-		served[family(name)] = true
+		served[metricFamily(name)] = true
 	}
 	described := map[string]bool{}
 	for _, d := range catalogue {
@@ -140,8 +140,8 @@
 	must.MapLen(t, len(catalogue), described)
 }
 
-// family strips what the text format adds to a histogram's name.
-func family(name string) string {
+// metricFamily returns a metric's name without the suffixes of a histogram's lines.
+func metricFamily(name string) string {
 	for _, suffix := range []string{"_bucket", "_sum", "_count"} {
 		if base, ok := strings.CutSuffix(name, suffix); ok {
 			return base
--- a/internal/telemetry/watch.go
+++ b/internal/telemetry/watch.go
@@ -10,10 +10,10 @@
 	"github.com/cherryward/cherryward/internal/rollout"
 )
 
-// memberStates are the states that members are counted by.
+// memberStates holds the states by which members are counted.
 var memberStates = []member.State{member.Alive, member.Suspect, member.Leaving, member.Dead}
 
-// WatchMembers adds the number of members by state.
+// WatchMembers registers the number of members by state.
 func (m *Metrics) WatchMembers(view func() member.View) {
 	for _, state := range memberStates {
 		m.set.NewGauge(nameMembers+`{state="`+state.String()+`"}`, func() float64 {
@@ -32,55 +32,57 @@
 	return n
 }
 
-// WatchPeers adds the traffic with the other nodes.
+// WatchPeers registers the traffic with other nodes.
 func (m *Metrics) WatchPeers(traffic *peers.Traffic) {
 	m.set.NewGauge(namePeerSent, func() float64 { return float64(traffic.Sent.Load()) })
 	m.set.NewGauge(namePeerReceived, func() float64 { return float64(traffic.Received.Load()) })
 	m.set.NewGauge(namePeerCalls, func() float64 { return float64(traffic.Calls.Load()) })
 }
 
-// WatchConfig adds what the node knows of the configuration, and how old that is.
+// WatchConfig registers the offsets and the age of the node's configuration.
 func (m *Metrics) WatchConfig(status func() changelog.FollowerStatus) {
 	m.set.NewGauge(nameConfigApplied, func() float64 { return float64(status().Applied) })
 	m.set.NewGauge(nameConfigKnown, func() float64 { return float64(status().NewestKnown) })
 	m.set.NewGauge(nameConfigLogAge, func() float64 { return status().LogAge.Seconds() })
 	m.set.NewGauge(nameConfigSilence, func() float64 { return status().Silence.Seconds() })
-	m.set.NewGauge(nameConfigReady, func() float64 { return oneIf(status().Ready && !status().Stale) })
+	m.set.NewGauge(nameConfigReady, func() float64 { return boolToFloat(status().Ready && !status().Stale) })
 }
 
-// WatchRollout adds the orders given to engines, and the log's records for them.
+// WatchRollout registers the counts of orders to engines and of records appended to the
+// log for claims.
 func (m *Metrics) WatchRollout(counts *rollout.Counters, appends func() int64) {
 	gauge := func(name string, value func() int64) {
 		m.set.NewGauge(name, func() float64 { return float64(value()) })
 	}
 	gauge(nameOrders+`{kind="load"}`, counts.Loads.Load)
 	gauge(nameOrders+`{kind="unload"}`, counts.Unloads.Load)
-	gauge(nameUncertain, counts.Uncertain.Load)
-	gauge(nameUndone, counts.Undone.Load)
+	gauge(nameOrdersUncertain, counts.Uncertain.Load)
+	gauge(nameRolloutsUndone, counts.Undone.Load)
 	gauge(nameClaims, appends)
 }
 
-func oneIf(set bool) float64 {
+func boolToFloat(set bool) float64 {
 	if set {
 		return 1
 	}
 	return 0
 }
 
-// WatchOwned adds the endpoints that the node owns and the runs on them. Changes
-// of the owner are counted between two readings of the metrics.
+// WatchOwned registers the number of endpoints that the node owns, the runs on them, and
+// the changes of ownership. Changes are counted when the metrics are read, so one that
+// is reversed between two reads is not counted.
 func (m *Metrics) WatchOwned(owned func() []*pb.EndpointStatus) {
 	changes := &ownerChanges{counter: m.set.NewCounter(nameOwnerChanges).Add}
-	m.set.NewGauge(nameOwned, func() float64 {
+	m.set.NewGauge(nameOwnedEndpoints, func() float64 {
 		now := owned()
-		changes.note(now)
+		changes.update(now)
 		return float64(len(now))
 	})
-	m.set.NewGauge(nameRunning, func() float64 { return sum(owned(), (*pb.EndpointStatus).GetRunning) })
-	m.set.NewGauge(nameWaiting, func() float64 { return sum(owned(), (*pb.EndpointStatus).GetWaiting) })
+	m.set.NewGauge(nameGrantedRuns, func() float64 { return sumRuns(owned(), (*pb.EndpointStatus).GetRunning) })
+	m.set.NewGauge(nameWaitingRuns, func() float64 { return sumRuns(owned(), (*pb.EndpointStatus).GetWaiting) })
 }
 
-func sum(endpoints []*pb.EndpointStatus, of func(*pb.EndpointStatus) int32) float64 {
+func sumRuns(endpoints []*pb.EndpointStatus, of func(*pb.EndpointStatus) int32) float64 {
 	total := 0.0
 	for _, e := range endpoints {
 		total += float64(of(e))
@@ -88,7 +90,7 @@
 	return total
 }
 
-// ownerChanges counts endpoints that came to this node or went from it.
+// ownerChanges counts the endpoints that this node gained or lost.
 type ownerChanges struct {
 	counter func(int)
 
@@ -96,7 +98,7 @@
 	owned map[string]struct{}
 }
 
-func (c *ownerChanges) note(endpoints []*pb.EndpointStatus) {
+func (c *ownerChanges) update(endpoints []*pb.EndpointStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := make(map[string]struct{}, len(endpoints))
