--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -16,41 +16,42 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// writer writes objects one after the other and prints what became of each.
-type writer struct {
+// objectWriter writes objects one at a time and prints the outcome of each.
+type objectWriter struct {
 	client *client
 	out    io.Writer
 	wait   bool
 
-	// last is the newest accepted write, sent at lastSent.
-	last     *pb.ApplyRequest
-	lastSent time.Time
-	answer   *pb.ApplyResponse
+	// lastRequest is the newest accepted write, which was sent at lastSent and got
+	// lastResponse.
+	lastRequest  *pb.ApplyRequest
+	lastSent     time.Time
+	lastResponse *pb.ApplyResponse
 }
 
-// applyAll writes every object, also when one of them fails.
-func (w *writer) applyAll(ctx context.Context, objects []parsedObject) error {
+// applyAll writes every object, even if one of them fails.
+func (w *objectWriter) applyAll(ctx context.Context, objects []parsedObject) error {
 	var failures []error
 	for i, o := range objects {
 		err := w.applyOne(ctx, o, i == len(objects)-1)
 		if err != nil {
-			w.line(statusOf(err), o.id(), result.From(err).Error())
+			w.printLine(statusOf(err), o.id(), result.From(err).Error())
 			failures = append(failures, fmt.Errorf("%s: %w", o.id(), err))
 		}
 	}
-	if err := w.inForce(ctx); err != nil {
+	if err := w.reportInForce(ctx); err != nil {
 		failures = append(failures, err)
 	}
 	return errors.Join(failures...)
 }
 
-func (w *writer) applyOne(ctx context.Context, o parsedObject, final bool) error {
+func (w *objectWriter) applyOne(ctx context.Context, o parsedObject, final bool) error {
 	current, err := w.client.get(ctx, string(o.kind), o.value.GetName())
 	if err != nil {
 		return err
 	}
-	if same(current, o.value) {
-		w.line("unchanged", o.id(), fmt.Sprintf("revision %d", current.GetRevision()))
+	if hasValue(current, o.value) {
+		w.printLine("unchanged", o.id(), fmt.Sprintf("revision %d", current.GetRevision()))
 		return nil
 	}
 	req := &pb.ApplyRequest{
@@ -65,8 +66,9 @@
 	return w.write(ctx, req, "accepted", o.id())
 }
 
-// remove deletes one object; basedOn 0 takes the object as it is now.
-func (w *writer) remove(ctx context.Context, kind config.Kind, name string, basedOn int64) error {
+// remove deletes one object. If basedOn is 0, the deletion is based on the object's
+// current revision.
+func (w *objectWriter) remove(ctx context.Context, kind config.Kind, name string, basedOn int64) error {
 	if basedOn == 0 {
 		current, err := w.client.get(ctx, string(kind), name)
 		if err != nil {
@@ -84,43 +86,44 @@
 	if err := w.write(ctx, req, "deleted", string(kind)+"/"+name); err != nil {
 		return err
 	}
-	return w.inForce(ctx)
+	return w.reportInForce(ctx)
 }
 
-func (w *writer) write(ctx context.Context, req *pb.ApplyRequest, done, id string) error {
+func (w *objectWriter) write(ctx context.Context, req *pb.ApplyRequest, done, id string) error {
 	sent := time.Now()
 	res, err := w.client.apply(ctx, req)
 	if err != nil {
 		return err
 	}
-	w.last, w.lastSent, w.answer = req, sent, res
-	w.line(done, id, fmt.Sprintf("revision %d", res.GetRevision()))
+	w.lastRequest, w.lastSent, w.lastResponse = req, sent, res
+	w.printLine(done, id, fmt.Sprintf("revision %d", res.GetRevision()))
 	return nil
 }
 
-// inForce tells when the newest write was in force at every live node. The log
-// orders all writes, so those before it are in force as well. Where the newest
-// write did not wait yet it is repeated, which applies nothing twice.
-func (w *writer) inForce(ctx context.Context) error {
-	if !w.wait || w.last == nil {
+// reportInForce waits until the newest write is applied at every live node, and prints the
+// time that this took. Earlier writes are then applied as well, since the log orders all
+// writes. If the newest write did not wait, it is sent again with the same change id,
+// which does not apply it twice.
+func (w *objectWriter) reportInForce(ctx context.Context) error {
+	if !w.wait || w.lastRequest == nil {
 		return nil
 	}
-	if !w.last.Wait {
-		w.last.Wait = true
-		res, err := w.client.apply(ctx, w.last)
+	if !w.lastRequest.Wait {
+		w.lastRequest.Wait = true
+		res, err := w.client.apply(ctx, w.lastRequest)
 		if err != nil {
 			return err
 		}
-		w.answer = res
+		w.lastResponse = res
 	}
-	if late := w.answer.GetWaitingFor(); len(late) > 0 {
-		return fmt.Errorf("accepted, but not yet in force at %s", strings.Join(late, ", "))
+	if behind := w.lastResponse.GetWaitingFor(); len(behind) > 0 {
+		return fmt.Errorf("accepted, but not yet applied at %s", strings.Join(behind, ", "))
 	}
 	_, err := fmt.Fprintf(w.out, "in force at every live node %.3f s after the last write\n", time.Since(w.lastSent).Seconds())
 	return err
 }
 
-func (w *writer) line(status, id, text string) {
+func (w *objectWriter) printLine(status, id, text string) {
 	fmt.Fprintf(w.out, "%-10s %-32s %s\n", status, id, text)
 }
 
@@ -131,8 +134,8 @@
 	return "failed"
 }
 
-// same reports whether the object has the value already.
-func same(current *pb.Object, value config.Value) bool {
+// hasValue reports whether the object already has the value.
+func hasValue(current *pb.Object, value config.Value) bool {
 	if current == nil {
 		return false
 	}
--- a/internal/ctl/capacity.go
+++ b/internal/ctl/capacity.go
@@ -11,8 +11,8 @@
 func capacityCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "show what a node costs at the planned size, from measured slopes",
-		Flags: []cli.Flag{&cli.BoolFlag{Name: flagMarkdown, Usage: "write the tables of docs/CAPACITY.md"}},
+		Usage: "show the resource use of a node at the planned size, extrapolated from measurements",
+		Flags: []cli.Flag{&cli.BoolFlag{Name: flagMarkdown, Usage: "print the tables of docs/CAPACITY.md"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Bool(flagMarkdown) {
 				return capacity.WriteMarkdown(s.Out)
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -18,23 +18,24 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// dialTimeout bounds the connecting to one server before the next is tried.
+// dialTimeout is the timeout for connecting to one server.
 const dialTimeout = 2 * time.Second
 
-// server is one node's operators' port.
-type server struct {
+// nodeServer is the operators' listener of one node.
+type nodeServer struct {
 	url    string
 	config cherrywardv1connect.ConfigServiceClient
 	status cherrywardv1connect.StatusServiceClient
 }
 
-// client calls the first of several servers that can answer.
+// client sends calls to the first of several servers that responds.
 type client struct {
-	servers []server
+	servers []nodeServer
 	timeout time.Duration
 }
 
-// newClient returns a client of the servers; timeout bounds one attempt.
+// newClient returns a client of the servers. timeout applies to each attempt at one
+// server.
 func newClient(urls []string, credential string, timeout time.Duration) *client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	web := &http.Client{Transport: bearer{
@@ -43,7 +44,7 @@
 	}}
 	c := &client{timeout: timeout}
 	for _, url := range urls {
-		c.servers = append(c.servers, server{
+		c.servers = append(c.servers, nodeServer{
 			url:    url,
 			config: cherrywardv1connect.NewConfigServiceClient(web, url),
 			status: cherrywardv1connect.NewStatusServiceClient(web, url),
@@ -52,7 +53,7 @@
 	return c
 }
 
-// bearer sends the credential with every request.
+// bearer is a transport that adds the credential to every request.
 type bearer struct {
 	next       http.RoundTripper
 	credential string
@@ -65,44 +66,44 @@
 	return b.next.RoundTrip(r)
 }
 
-// elsewhere lists the results for which another server may do better. Repeating
-// a write there is safe: it carries the same change id.
-var elsewhere = []result.Code{
+// retryElsewhere lists the results after which the next server is tried. Retrying a write
+// there is safe because it has the same change id.
+var retryElsewhere = []result.Code{
 	result.EndpointUnreachable, result.OutcomeUnknown, result.LogUnavailable,
 	result.Draining, result.NodeStale, result.Overloaded,
 }
 
-// rpc is one call at one server.
-type rpc[Res any] func(ctx context.Context, s server) (*connect.Response[Res], error)
+// rpc is a call to one server.
+type rpc[Res any] func(ctx context.Context, s nodeServer) (*connect.Response[Res], error)
 
-// call tries one server after the other until one answers. The codes in also
-// are passed over too.
+// call tries the servers in order until one succeeds or fails with a result that another
+// server would return as well. After the codes in also it tries the next server, too.
 func call[Res any](ctx context.Context, c *client, do rpc[Res], also ...result.Code) (*Res, error) {
 	var failures []error
 	for _, s := range c.servers {
-		res, err := attempt(ctx, c, s, do)
+		res, err := callServer(ctx, c, s, do)
 		if err == nil {
 			return res.Msg, nil
 		}
 		e := remoteError(err)
 		failures = append(failures, fmt.Errorf("%s: %w", s.url, e))
-		if !slices.Contains(elsewhere, e.Code) && !slices.Contains(also, e.Code) {
+		if !slices.Contains(retryElsewhere, e.Code) && !slices.Contains(also, e.Code) {
 			break
 		}
 	}
-	// The last failure comes first: it decides the exit code.
+	// The last failure must be the first in the list, since it determines the exit code.
 	slices.Reverse(failures)
 	return nil, errors.Join(failures...)
 }
 
-func attempt[Res any](ctx context.Context, c *client, s server, do rpc[Res]) (*connect.Response[Res], error) {
+func callServer[Res any](ctx context.Context, c *client, s nodeServer, do rpc[Res]) (*connect.Response[Res], error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	return do(ctx, s)
 }
 
-// remoteError returns the result that a server attached to its error. Without
-// one, the server was not reached or did not answer.
+// remoteError returns the result that a server attached to its error. An error without
+// one means that the server was not reached, did not respond, or is not a node.
 func remoteError(err error) *result.Error {
 	var wire *connect.Error
 	if !errors.As(err, &wire) {
@@ -121,13 +122,15 @@
 	case connect.CodeUnavailable:
 		return result.Wrap(err, result.EndpointUnreachable, result.WithMessage("the server can't be reached"))
 	case connect.CodeUnimplemented:
-		// A node serves all calls. After its end another program may listen at its address.
+		// Nodes implement all calls. After a node has ended, another program may listen
+		// at its address.
 		return result.Wrap(err, result.EndpointUnreachable, result.WithMessage("no node answers at this address"))
 	case connect.CodeDeadlineExceeded:
 		return result.Wrap(err, result.OutcomeUnknown, result.WithMessage("the server did not answer in time"))
 	case connect.CodeUnknown, connect.CodeInternal, connect.CodeUnauthenticated, connect.CodePermissionDenied:
-		// A node's own error says its result. Another program answers here, or the answer broke off.
-		return result.Wrap(err, result.OutcomeUnknown, result.WithMessage("no node's answer came from this address"))
+		// A node's error has a result. Either another program responded, or the response
+		// was cut off.
+		return result.Wrap(err, result.OutcomeUnknown, result.WithMessage("the response from this address is not a node's"))
 	}
 	return result.From(err)
 }
@@ -143,14 +146,14 @@
 }
 
 func (c *client) apply(ctx context.Context, req *pb.ApplyRequest) (*pb.ApplyResponse, error) {
-	return call(ctx, c, func(ctx context.Context, s server) (*connect.Response[pb.ApplyResponse], error) {
+	return call(ctx, c, func(ctx context.Context, s nodeServer) (*connect.Response[pb.ApplyResponse], error) {
 		return s.config.Apply(ctx, connect.NewRequest(req))
 	})
 }
 
-// get returns an object, or nil where there is none.
+// get returns an object, or nil if it does not exist.
 func (c *client) get(ctx context.Context, kind, name string) (*pb.Object, error) {
-	res, err := call(ctx, c, func(ctx context.Context, s server) (*connect.Response[pb.GetResponse], error) {
+	res, err := call(ctx, c, func(ctx context.Context, s nodeServer) (*connect.Response[pb.GetResponse], error) {
 		return s.config.Get(ctx, connect.NewRequest(&pb.GetRequest{Kind: kind, Name: name}))
 	})
 	if result.Is(err, result.UnknownObject) {
@@ -160,21 +163,21 @@
 }
 
 func (c *client) list(ctx context.Context, kind string) (*pb.ListResponse, error) {
-	return call(ctx, c, func(ctx context.Context, s server) (*connect.Response[pb.ListResponse], error) {
+	return call(ctx, c, func(ctx context.Context, s nodeServer) (*connect.Response[pb.ListResponse], error) {
 		return s.config.List(ctx, connect.NewRequest(&pb.ListRequest{Kind: kind}))
 	})
 }
 
 func (c *client) status(ctx context.Context) (*pb.StatusResponse, error) {
-	return call(ctx, c, func(ctx context.Context, s server) (*connect.Response[pb.StatusResponse], error) {
+	return call(ctx, c, func(ctx context.Context, s nodeServer) (*connect.Response[pb.StatusResponse], error) {
 		return s.status.Status(ctx, connect.NewRequest(&pb.StatusRequest{}))
 	})
 }
 
-// explain asks one node after the other: only the one that took the request
-// keeps a record of it.
+// explain calls the nodes in order until one has a record of the request. Only the node
+// that received the request has it.
 func (c *client) explain(ctx context.Context, requestID string) (*pb.ExplainRequestResponse, error) {
-	return call(ctx, c, func(ctx context.Context, s server) (*connect.Response[pb.ExplainRequestResponse], error) {
+	return call(ctx, c, func(ctx context.Context, s nodeServer) (*connect.Response[pb.ExplainRequestResponse], error) {
 		return s.status.ExplainRequest(ctx, connect.NewRequest(&pb.ExplainRequestRequest{RequestId: requestID}))
 	}, result.UnknownRequest)
 }
--- a/internal/ctl/commands.go
+++ b/internal/ctl/commands.go
@@ -35,26 +35,27 @@
 )
 
 const (
-	// defaultTimeout covers a write of 10 s and a wait of 20 s at the server.
+	// defaultTimeout exceeds the server's timeouts of 10 s for a write and 20 s for the
+	// wait after it.
 	defaultTimeout      = 40 * time.Second
 	defaultLoadRequests = 1000
 	defaultLoadStreams  = 50
 	defaultLoadDuration = 30 * time.Second
-	// afterNow watches from the present on.
-	afterNow = -1
+	// afterCurrent starts a watch after the current revision.
+	afterCurrent = -1
 )
 
-// Streams are the tool's input and output.
+// Streams holds the tool's input and outputs.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
 }
 
-// Run runs the tool and returns its exit code. args begins with the tool's name.
+// Run runs the tool and returns its exit code. args[0] is the tool's name.
 func Run(ctx context.Context, args []string, streams Streams) int {
 	err := root(streams).Run(ctx, args)
 	if err != nil {
-		report(streams.Err, err)
+		printError(streams.Err, err)
 	}
 	return exitCode(err)
 }
@@ -68,9 +69,9 @@
 		ErrWriter: s.Err,
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: flagServer, Aliases: []string{"s"}, Sources: cli.EnvVars("CHERRYCTL_SERVER"),
-				Usage: "operators' `URL` of a node; several may be given, a dead one is passed over"},
+				Usage: "`URL` of a node's operator listener; may be repeated, the next one is tried if a node is unavailable"},
 			&cli.StringFlag{Name: flagToken, Sources: cli.EnvVars("CHERRYCTL_TOKEN"), Usage: "operators' `CREDENTIAL`"},
-			&cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "time for one attempt at one server"},
+			&cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "timeout of each attempt at one server"},
 		},
 		Commands: []*cli.Command{
 			applyCommand(s), getCommand(s), deleteCommand(s), watchCommand(s), statusCommand(s),
@@ -86,13 +87,13 @@
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 	for _, c := range append(cmd.Commands, cmd) {
-		c.OnUsageError = wrongUsage
+		c.OnUsageError = asUsageError
 	}
 	return cmd
 }
 
-// connected returns a client of the servers that the flags name.
-func connected(cmd *cli.Command) (*client, error) {
+// clientFromFlags returns a client of the servers in the flags.
+func clientFromFlags(cmd *cli.Command) (*client, error) {
 	urls := cmd.StringSlice(flagServer)
 	if len(urls) == 0 {
 		return nil, usagef("--server or CHERRYCTL_SERVER: no server given")
@@ -109,16 +110,16 @@
 	return newClient(urls, cmd.String(flagToken), cmd.Duration(flagTimeout)), nil
 }
 
-// wantArgs checks the number of arguments.
-func wantArgs(cmd *cli.Command, least, most int) error {
-	if n := cmd.Args().Len(); n < least || n > most {
+// checkArgs checks the number of arguments.
+func checkArgs(cmd *cli.Command, minArgs, maxArgs int) error {
+	if n := cmd.Args().Len(); n < minArgs || n > maxArgs {
 		return usagef("%s: want arguments %s", cmd.Name, cmd.ArgsUsage)
 	}
 	return nil
 }
 
 func outputFlag() cli.Flag {
-	return &cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Value: formatTable, Usage: "table or json",
+	return &cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Value: formatTable, Usage: "output `FORMAT`: table or json",
 		Validator: func(format string) error {
 			if format != formatTable && format != formatJSON {
 				return fmt.Errorf("format %q: want %s or %s", format, formatTable, formatJSON)
@@ -128,15 +129,15 @@
 }
 
 func waitFlag() cli.Flag {
-	return &cli.BoolFlag{Name: flagWait, Usage: "return when the change is in force at every live node"}
+	return &cli.BoolFlag{Name: flagWait, Usage: "wait until every live node has applied the change"}
 }
 
 func applyCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:  "apply",
-		Usage: "write the objects of a file: one, a list, or several",
+		Usage: "create or update the objects in a file: one object, a list, or a sequence",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagFile, Aliases: []string{"f"}, Required: true, Usage: "`FILE` with JSON, or - for standard input"},
+			&cli.StringFlag{Name: flagFile, Aliases: []string{"f"}, Required: true, Usage: "`FILE` with JSON objects, or - for standard input"},
 			waitFlag(),
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -144,11 +145,11 @@
 			if err != nil {
 				return err
 			}
-			c, err := connected(cmd)
+			c, err := clientFromFlags(cmd)
 			if err != nil {
 				return err
 			}
-			w := &writer{client: c, out: s.Out, wait: cmd.Bool(flagWait)}
+			w := &objectWriter{client: c, out: s.Out, wait: cmd.Bool(flagWait)}
 			return w.applyAll(ctx, objects)
 		},
 	}
@@ -173,10 +174,10 @@
 		ArgsUsage: "[KIND [NAME]]",
 		Flags:     []cli.Flag{outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 0, 2); err != nil {
+			if err := checkArgs(cmd, 0, 2); err != nil {
 				return err
 			}
-			c, err := connected(cmd)
+			c, err := clientFromFlags(cmd)
 			if err != nil {
 				return err
 			}
@@ -207,22 +208,22 @@
 		Usage:     "delete an object",
 		ArgsUsage: "KIND NAME",
 		Flags: []cli.Flag{
-			&cli.Int64Flag{Name: flagBasedOn, Usage: "`REVISION` that the deletion is based on; the present one if not given"},
+			&cli.Int64Flag{Name: flagBasedOn, Usage: "`REVISION` of the object that the deletion is based on (default: the current one)"},
 			waitFlag(),
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 2, 2); err != nil {
+			if err := checkArgs(cmd, 2, 2); err != nil {
 				return err
 			}
 			kind, err := config.ParseKind(cmd.Args().Get(0))
 			if err != nil {
 				return err
 			}
-			c, err := connected(cmd)
+			c, err := clientFromFlags(cmd)
 			if err != nil {
 				return err
 			}
-			w := &writer{client: c, out: s.Out, wait: cmd.Bool(flagWait)}
+			w := &objectWriter{client: c, out: s.Out, wait: cmd.Bool(flagWait)}
 			return w.remove(ctx, kind, cmd.Args().Get(1), cmd.Int64(flagBasedOn))
 		},
 	}
--- a/internal/ctl/commands_show.go
+++ b/internal/ctl/commands_show.go
@@ -13,10 +13,10 @@
 		Name:  "watch",
 		Usage: "print changes as they are accepted",
 		Flags: []cli.Flag{
-			&cli.Int64Flag{Name: flagAfter, Value: afterNow, Usage: "start after this `REVISION`; the present one if not given"},
+			&cli.Int64Flag{Name: flagAfter, Value: afterCurrent, Usage: "start after this `REVISION` (default: the current one)"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			c, err := connected(cmd)
+			c, err := clientFromFlags(cmd)
 			if err != nil {
 				return err
 			}
@@ -39,7 +39,7 @@
 		Usage: "show nodes, owners, endpoints and the revision applied at each node",
 		Flags: []cli.Flag{outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			c, err := connected(cmd)
+			c, err := clientFromFlags(cmd)
 			if err != nil {
 				return err
 			}
@@ -58,7 +58,7 @@
 		Usage:     "explain a result code, by number or name",
 		ArgsUsage: "CODE",
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 1, 1); err != nil {
+			if err := checkArgs(cmd, 1, 1); err != nil {
 				return err
 			}
 			info, ok := result.Lookup(cmd.Args().First())
@@ -73,14 +73,14 @@
 func explainRequestCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:      "explain-request",
-		Usage:     "tell why a recent request was placed as it was",
+		Usage:     "explain why an endpoint was selected for a recent request",
 		ArgsUsage: "REQUEST-ID",
 		Flags:     []cli.Flag{outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 1, 1); err != nil {
+			if err := checkArgs(cmd, 1, 1); err != nil {
 				return err
 			}
-			c, err := connected(cmd)
+			c, err := clientFromFlags(cmd)
 			if err != nil {
 				return err
 			}
@@ -97,7 +97,7 @@
 	return &cli.Command{
 		Name:  "codes",
 		Usage: "list the result codes",
-		Flags: []cli.Flag{&cli.BoolFlag{Name: flagMarkdown, Usage: "write docs/RESULT-CODES.md"}},
+		Flags: []cli.Flag{&cli.BoolFlag{Name: flagMarkdown, Usage: "print the contents of docs/RESULT-CODES.md"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Bool(flagMarkdown) {
 				return result.WriteMarkdown(s.Out)
@@ -115,13 +115,13 @@
 func loadCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "send a bounded load of chat requests to a caller port on loopback",
+		Usage: "send a bounded load of chat requests to a node's caller listener on loopback",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagURL, Required: true, Usage: "callers' `URL` of a node"},
+			&cli.StringFlag{Name: flagURL, Required: true, Usage: "`URL` of a node's caller listener"},
 			&cli.StringFlag{Name: flagKey, Required: true, Sources: cli.EnvVars("CHERRYCTL_KEY"), Usage: "client account's bearer `KEY`"},
-			&cli.StringFlag{Name: flagModel, Required: true, Usage: "`MODEL` to ask for"},
+			&cli.StringFlag{Name: flagModel, Required: true, Usage: "`MODEL` of the requests"},
 			&cli.IntFlag{Name: flagRequests, Value: defaultLoadRequests, Usage: "number of requests"},
-			&cli.IntFlag{Name: flagConcurrency, Value: defaultLoadStreams, Usage: "requests open at once"},
+			&cli.IntFlag{Name: flagConcurrency, Value: defaultLoadStreams, Usage: "maximum number of concurrent requests"},
 			&cli.DurationFlag{Name: flagDuration, Value: defaultLoadDuration, Usage: "stop after this time"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -24,10 +24,10 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// fakeSystem is one live node that applied all but its lag, and one dead node.
+// fakeSystem is a system of a live node, which has applied all changes, and a dead node.
 type fakeSystem struct {
 	log *configtest.Log
-	// requestID is the request that the node keeps a record of.
+	// requestID is the request of which the node has a record.
 	requestID string
 }
 
@@ -50,8 +50,8 @@
 	return &pb.ExplainRequestResponse{RequestId: id, Chosen: "e1", Candidates: []*pb.Candidate{{Endpoint: "e1", Reason: "least cost"}}}, nil
 }
 
-// start serves a node's operators' port on loopback.
-func start(t *testing.T, system fakeSystem) (url string) {
+// startNode starts a node's operator listener on the loopback interface.
+func startNode(t *testing.T, system fakeSystem) (url string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	s := operator.New(operator.Options{
@@ -73,12 +73,12 @@
 	return "http://" + ln.Addr().String()
 }
 
-type runner struct {
+type toolRunner struct {
 	t       *testing.T
 	servers string
 }
 
-func (r runner) run(in string, args ...string) (code int, out string) {
+func (r toolRunner) run(in string, args ...string) (code int, out string) {
 	r.t.Helper()
 	r.t.Setenv("CHERRYCTL_SERVER", r.servers)
 	r.t.Setenv("CHERRYCTL_TOKEN", "secret")
@@ -87,8 +87,8 @@
 	return code, buf.String()
 }
 
-// want runs the tool and checks its exit code and parts of its output.
-func (r runner) want(code int, in, args string, parts ...string) string {
+// expect runs the tool and checks that it exits with code and prints the parts.
+func (r toolRunner) expect(code int, in, args string, parts ...string) string {
 	r.t.Helper()
 	got, out := r.run(in, strings.Fields(args)...)
 	must.Eq(r.t, code, got, must.Sprint(args, "\n", out))
@@ -98,8 +98,9 @@
 	return out
 }
 
-// A file with every kind, in an order in which it can't be created.
-const fleetFile = `[
+// allKindsFile has objects of all kinds except adapter, in an order in which they can't be
+// created.
+const allKindsFile = `[
  {"endpoint": {"name": "e1", "kind": "ENDPOINT_KIND_ENGINE", "url": "http://127.0.0.1:9", "failure_domain": "north", "models": ["m"]}},
  {"model": {"name": "m", "version": "v1"}}
 ]
@@ -108,50 +109,50 @@
 
 func TestConfigurationEndToEnd(t *testing.T) {
 	log := configtest.New()
-	node := start(t, fakeSystem{log: log})
-	r := runner{t, deadServer(t) + "," + node}
+	node := startNode(t, fakeSystem{log: log})
+	r := toolRunner{t, deadServer(t) + "," + node}
 
-	r.want(0, fleetFile, "apply -f - --wait", "accepted   account/mill", "accepted   endpoint/e1", "in force at every live node")
+	r.expect(0, allKindsFile, "apply -f - --wait", "accepted   account/mill", "accepted   endpoint/e1", "in force at every live node")
 	must.Eq(t, 4, log.View().Applied())
-	r.want(0, fleetFile, "apply -f -", "unchanged  endpoint/e1")
+	r.expect(0, allKindsFile, "apply -f -", "unchanged  endpoint/e1")
 	must.Eq(t, 4, log.View().Applied())
 
-	// What get writes can be edited and applied; it carries its revision.
+	// The output of get can be edited and applied; it includes the revision.
 	path := filepath.Join(t.TempDir(), "account.json")
-	edited := strings.ReplaceAll(r.want(0, "", "get -o json account mill"), `"name"`, `"suspended": true, "name"`)
+	edited := strings.ReplaceAll(r.expect(0, "", "get -o json account mill"), `"name"`, `"suspended": true, "name"`)
 	must.NoError(t, os.WriteFile(path, []byte(edited), 0o600))
-	r.want(0, "", "apply -f "+path, "accepted   account/mill                     revision 5")
+	r.expect(0, "", "apply -f "+path, "accepted   account/mill                     revision 5")
 	stale := strings.ReplaceAll(edited, `"suspended": true, `, `"weight": 2, `)
-	r.want(1, stale, "apply -f -", "conflict   account/mill", "5001 revision_conflict", "write with the revision given")
-	r.want(1, fleetFile+stale, "apply -f - --wait", "conflict   account/mill", "in force at every live node")
-
-	r.want(0, "", "get", "KIND      NAME", "endpoint  e1", `{"name":"e1",`)
-	r.want(1, "", "get model none", "5002 unknown_object")
-	r.want(2, "", "get none", "5003 invalid_object (kind)")
-	r.want(1, "", "delete model m", "5007 still_referenced", `endpoint "e1"`)
-	r.want(1, "", "delete endpoint e1 --based-on 1", "5001 revision_conflict")
-	r.want(0, "", "delete endpoint e1 --wait", "deleted    endpoint/e1", "in force")
-	r.want(2, "", "delete nothing e1", "(kind)")
-	r.want(2, `{"adapter": {"name": "a", "model": "none"}}`, "apply -f -", "adapter.model")
+	r.expect(1, stale, "apply -f -", "conflict   account/mill", "5001 revision_conflict", "write with the revision given")
+	r.expect(1, allKindsFile+stale, "apply -f - --wait", "conflict   account/mill", "in force at every live node")
+
+	r.expect(0, "", "get", "KIND      NAME", "endpoint  e1", `{"name":"e1",`)
+	r.expect(1, "", "get model none", "5002 unknown_object")
+	r.expect(2, "", "get none", "5003 invalid_object (kind)")
+	r.expect(1, "", "delete model m", "5007 still_referenced", `endpoint "e1"`)
+	r.expect(1, "", "delete endpoint e1 --based-on 1", "5001 revision_conflict")
+	r.expect(0, "", "delete endpoint e1 --wait", "deleted    endpoint/e1", "in force")
+	r.expect(2, "", "delete nothing e1", "(kind)")
+	r.expect(2, `{"adapter": {"name": "a", "model": "none"}}`, "apply -f -", "adapter.model")
 
 	must.NoError(t, os.WriteFile(path, nil, 0o600))
-	r.want(2, "", "apply -f "+path, "no objects given")
-	r.want(2, "", "apply -f "+path+"x", "no such file")
+	r.expect(2, "", "apply -f "+path, "no objects given")
+	r.expect(2, "", "apply -f "+path+"x", "no such file")
 }
 
-func TestLostAnswerIsRepeatedElsewhere(t *testing.T) {
+func TestLostResponseIsRetriedAtNextServer(t *testing.T) {
 	log := configtest.New()
-	r := runner{t, start(t, fakeSystem{log: log}) + "," + start(t, fakeSystem{log: log})}
+	r := toolRunner{t, startNode(t, fakeSystem{log: log}) + "," + startNode(t, fakeSystem{log: log})}
 	log.LoseAnswers.Store(1)
-	r.want(0, `{"account": {"name": "mill"}}`, "apply -f -", "accepted   account/mill                     revision 1")
+	r.expect(0, `{"account": {"name": "mill"}}`, "apply -f -", "accepted   account/mill                     revision 1")
 	must.Eq(t, 1, log.View().Applied())
 	log.LoseAnswers.Store(2)
-	r.want(1, `{"account": {"name": "lab"}}`, "apply -f -", "5004 outcome_unknown")
+	r.expect(1, `{"account": {"name": "lab"}}`, "apply -f -", "5004 outcome_unknown")
 	must.Eq(t, 2, log.View().Applied())
 }
 
 func TestInput(t *testing.T) {
-	r := runner{t, deadServer(t)}
+	r := toolRunner{t, deadServer(t)}
 	for in, part := range map[string]string{
 		`{"account": {"name": "a"}} {`:                               "after 1 objects",
 		`[{"account": {"name": "a"}}, {"account": {"naame": "a"}}]`:  `(line 1:14): unknown field "naame"`,
@@ -160,47 +161,47 @@
 		`{"revision": 1}`: "no object given",
 		`7`:               "object 1",
 	} {
-		r.want(2, in, "apply -f -", part)
+		r.expect(2, in, "apply -f -", part)
 	}
-	r.want(1, `{"account": {"name": "a"}}`, "apply -f -", "failed     account/a", "4001 endpoint_unreachable")
-	r.want(2, "", "--server nonsense get", "--server")
-	r.want(2, "", "get a b c", "want arguments [KIND [NAME]]")
-	r.want(2, "", "explain 1", `no result code "1"`)
-	r.want(0, "", "explain executor_gone", "3009", "may_have_run")
+	r.expect(1, `{"account": {"name": "a"}}`, "apply -f -", "failed     account/a", "4001 endpoint_unreachable")
+	r.expect(2, "", "--server nonsense get", "--server")
+	r.expect(2, "", "get a b c", "want arguments [KIND [NAME]]")
+	r.expect(2, "", "explain 1", `no result code "1"`)
+	r.expect(0, "", "explain executor_gone", "3009", "may_have_run")
 }
 
-// TestForeignServer passes over an address at which another program answers, as one may that
-// got the port of a node which ended.
-func TestForeignServer(t *testing.T) {
+// TestOtherProgramAtServerAddress checks that the next server is tried if another program responds at a
+// server's address, as happens if it reuses the port of a node that has ended.
+func TestOtherProgramAtServerAddress(t *testing.T) {
 	foreign := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(foreign.Close)
-	r := runner{t, foreign.URL + "," + start(t, fakeSystem{log: configtest.New()})}
-	r.want(0, "", "status", "as seen by node n1")
+	r := toolRunner{t, foreign.URL + "," + startNode(t, fakeSystem{log: configtest.New()})}
+	r.expect(0, "", "status", "as seen by node n1")
 	r.servers = foreign.URL
-	r.want(1, "", "status", "4001 endpoint_unreachable", "no node answers at this address")
+	r.expect(1, "", "status", "4001 endpoint_unreachable", "no node answers at this address")
 	for _, status := range []int{http.StatusOK, http.StatusFound, http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusInternalServerError, http.StatusServiceUnavailable} {
 		other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
-		r.servers = other.URL + "," + start(t, fakeSystem{log: configtest.New()})
-		r.want(0, "", "status", "as seen by node n1")
+		r.servers = other.URL + "," + startNode(t, fakeSystem{log: configtest.New()})
+		r.expect(0, "", "status", "as seen by node n1")
 		other.Close()
 	}
 }
 
 func TestStatusAndExplain(t *testing.T) {
 	log := configtest.New()
-	r := runner{t, start(t, fakeSystem{log: log}) + "," + start(t, fakeSystem{log: log, requestID: "r1"})}
-	r.want(0, "", "status", "as seen by node n1", "n1             north           ready, stale  7        ff", "engine  n1", "50%")
-	r.want(0, "", "status -o json", `"failure_domain": "north"`)
-	r.want(0, "", "explain-request r1", "went to e1", "*  e1", "least cost")
-	r.want(1, "", "explain-request r2", "5010 unknown_request")
-	r.want(1, "", "--token wrong status", "5006 operator_credential")
+	r := toolRunner{t, startNode(t, fakeSystem{log: log}) + "," + startNode(t, fakeSystem{log: log, requestID: "r1"})}
+	r.expect(0, "", "status", "as seen by node n1", "n1             north           ready, stale  7        ff", "engine  n1", "50%")
+	r.expect(0, "", "status -o json", `"failure_domain": "north"`)
+	r.expect(0, "", "explain-request r1", "went to e1", "*  e1", "least cost")
+	r.expect(1, "", "explain-request r2", "5010 unknown_request")
+	r.expect(1, "", "--token wrong status", "5006 operator_credential")
 }
 
-func TestWatchGoesOnElsewhere(t *testing.T) {
+func TestWatchContinuesAtNextServer(t *testing.T) {
 	log := configtest.New()
-	r := runner{t, deadServer(t) + "," + start(t, fakeSystem{log: log})}
-	r.want(0, `{"account": {"name": "a"}} {"account": {"name": "b"}}`, "apply -f -")
-	r.want(0, "", "delete account b")
+	r := toolRunner{t, deadServer(t) + "," + startNode(t, fakeSystem{log: log})}
+	r.expect(0, `{"account": {"name": "a"}} {"account": {"name": "b"}}`, "apply -f -")
+	r.expect(0, "", "delete account b")
 	ctx, cancel := context.WithCancel(t.Context())
 	reader, out := io.Pipe()
 	done := make(chan int, 1)
@@ -220,7 +221,7 @@
 	const token = "data: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\n"
 	answers := map[string]string{
 		"1": token + token + "data: [DONE]\n\n",
-		"2": token, // no final mark
+		"2": token, // no [DONE] event
 		"3": token + `data: {"error":{"code":"endpoint_broke_off"}}` + "\n\n",
 	}
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -234,12 +235,12 @@
 		_, _ = io.WriteString(w, `{"error":{"code":"shed"}}`)
 	}))
 	defer node.Close()
-	r := runner{t, ""}
-	r.want(0, "", "load --key k --model m --requests 5 --concurrency 2 --url "+node.URL,
+	r := toolRunner{t, ""}
+	r.expect(0, "", "load --key k --model m --requests 5 --concurrency 2 --url "+node.URL,
 		"ok                  1", "truncated           1", "endpoint_broke_off  1", "shed                2", "5 requests in", "p99")
-	r.want(1, "", "load --key bad --model m --requests 1 --url "+node.URL, "no request was answered whole")
-	r.want(1, "", "load --key k --model m --requests 1 --url "+deadServer(t), "connection_failed  1")
-	r.want(2, "", "load --key k --model m --url http://10.0.0.1:80", "loopback")
-	r.want(2, "", "load --key k --model m --requests 0 --url "+node.URL, "--requests")
-	r.want(2, "", "load --key k --model m --duration 1h --url "+node.URL, "--duration")
+	r.expect(1, "", "load --key bad --model m --requests 1 --url "+node.URL, "no request received a complete answer")
+	r.expect(1, "", "load --key k --model m --requests 1 --url "+deadServer(t), "connection_failed  1")
+	r.expect(2, "", "load --key k --model m --url http://10.0.0.1:80", "loopback")
+	r.expect(2, "", "load --key k --model m --requests 0 --url "+node.URL, "--requests")
+	r.expect(2, "", "load --key k --model m --duration 1h --url "+node.URL, "--duration")
 }
--- a/internal/ctl/doc.go
+++ b/internal/ctl/doc.go
@@ -1,6 +1,6 @@
-// Package ctl is the operators' command-line tool, cherryctl.
+// Package ctl implements cherryctl, the operators' command-line tool.
 //
-// Guarantee: a command exits with 0 only when it did all that it was asked, with
-// 2 when its input was wrong and with 1 otherwise. A write carries one change id
-// over all servers that it tries, so it is never applied twice.
+// Guarantee: a command exits with 0 only if it succeeded completely, with 2 if its
+// input was not valid, and with 1 otherwise. A write has the same change id at all
+// servers that are tried, so it is never applied twice.
 package ctl
--- a/internal/ctl/domains.go
+++ b/internal/ctl/domains.go
@@ -18,14 +18,14 @@
 func domainsCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:         "domains",
-		Usage:        "show which failure domains are evacuated, and how many endpoints of each are cold or leave",
+		Usage:        "show which failure domains are evacuated, and how many endpoints of each are cold or draining",
 		Flags:        []cli.Flag{storeFlag(), outputFlag()},
-		OnUsageError: wrongUsage,
+		OnUsageError: asUsageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 0, 0); err != nil {
+			if err := checkArgs(cmd, 0, 0); err != nil {
 				return err
 			}
-			store, err := storeOf(cmd)
+			store, err := storeFromFlags(cmd)
 			if err != nil {
 				return err
 			}
@@ -40,8 +40,8 @@
 	}
 }
 
-// storeOf returns the platform's metadata store that the flags name.
-func storeOf(cmd *cli.Command) (*platform.Store, error) {
+// storeFromFlags returns the platform's metadata store at the address in the flags.
+func storeFromFlags(cmd *cli.Command) (*platform.Store, error) {
 	addr, err := netip.ParseAddrPort(cmd.String(flagStore))
 	if err != nil || addr.Port() == 0 {
 		return nil, usagef("--store or CHERRYCTL_STORE: %q: want IP:PORT", cmd.String(flagStore))
@@ -49,20 +49,21 @@
 	return platform.NewStore(addr.String()), nil
 }
 
-// shownDomain is a failure domain as the store's newest records tell of it.
-type shownDomain struct {
+// domainStatus is the state of a failure domain by the store's newest records.
+type domainStatus struct {
 	Domain    string `json:"domain"`
 	Evacuated bool   `json:"evacuated"`
 	Endpoints int    `json:"endpoints"`
 	Cold      int    `json:"cold"`
-	// ColdForMs is how much longer the last of the cold ones is cold, by its newest heartbeat.
+	// ColdForMs is the longest remaining time that one of the cold endpoints is cold, by
+	// its newest heartbeat.
 	ColdForMs int64 `json:"cold_for_ms"`
 	Draining  int   `json:"draining"`
 }
 
-// readDomains reads the operators' orders and the endpoints' entries. Entries that can't be read name no
-// endpoint.
-func readDomains(ctx context.Context, store *platform.Store) ([]*shownDomain, error) {
+// readDomains reads the operators' orders and the endpoints' entries, and returns the domains in both.
+// Entries that can't be decoded are ignored.
+func readDomains(ctx context.Context, store *platform.Store) ([]*domainStatus, error) {
 	orders, err := store.Topic(platform.TopicOperator).Newest(ctx)
 	if err != nil {
 		return nil, err
@@ -71,10 +72,10 @@
 	if err != nil {
 		return nil, err
 	}
-	byName := make(map[string]*shownDomain)
-	at := func(name string) *shownDomain {
+	byName := make(map[string]*domainStatus)
+	at := func(name string) *domainStatus {
 		if byName[name] == nil {
-			byName[name] = &shownDomain{Domain: name}
+			byName[name] = &domainStatus{Domain: name}
 		}
 		return byName[name]
 	}
@@ -98,14 +99,14 @@
 			d.ColdForMs = max(d.ColdForMs, e.ColdLeft.Milliseconds())
 		}
 	}
-	domains := make([]*shownDomain, 0, len(byName))
+	domains := make([]*domainStatus, 0, len(byName))
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		domains = append(domains, byName[name])
 	}
 	return domains, nil
 }
 
-func showDomains(w io.Writer, domains []*shownDomain, format string) error {
+func showDomains(w io.Writer, domains []*domainStatus, format string) error {
 	if format == formatJSON {
 		return writeJSON(w, domains)
 	}
@@ -114,5 +115,5 @@
 		coldFor := time.Duration(d.ColdForMs) * time.Millisecond
 		rows = append(rows, fmt.Sprintf("%s\t%t\t%d\t%d\t%s\t%d", d.Domain, d.Evacuated, d.Endpoints, d.Cold, coldFor, d.Draining))
 	}
-	return table(w, "DOMAIN\tEVACUATED\tENDPOINTS\tCOLD\tCOLD FOR\tDRAINING", rows)
+	return writeTable(w, "DOMAIN\tEVACUATED\tENDPOINTS\tCOLD\tCOLD FOR\tDRAINING", rows)
 }
--- a/internal/ctl/domains_test.go
+++ b/internal/ctl/domains_test.go
@@ -15,8 +15,8 @@
 	"github.com/cherryward/cherryward/standin/metastore"
 )
 
-// TestDomains shows evacuated domains, also one without endpoints, beside what entries tell of endpoints,
-// and passes over entries that name none.
+// TestDomains checks that evacuated domains are listed, even without endpoints, with the counts of
+// their endpoints' entries, and that entries that can't be decoded are ignored.
 func TestDomains(t *testing.T) {
 	store := metastore.New()
 	served := httptest.NewServer(store.Handler())
--- a/internal/ctl/endpoints.go
+++ b/internal/ctl/endpoints.go
@@ -18,21 +18,22 @@
 
 const (
 	flagNodeReady = "ready"
-	// pathEndpoints is where a gateway node lists restricted endpoints, at its ready address.
+	// pathEndpoints is the path of the list of restricted endpoints at a gateway node's
+	// ready address.
 	pathEndpoints = "/endpoints"
 )
 
 func endpointsCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:  "endpoints",
-		Usage: "show the endpoints that are limited, draining, cold or backing off, as a gateway node knows them",
+		Usage: "show the endpoints that are rate limited, draining, cold or in backoff, in a gateway node's view",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagNodeReady, Sources: cli.EnvVars("CHERRYCTL_READY"), Usage: "`IP:PORT` where the node answers the balancer"},
+			&cli.StringFlag{Name: flagNodeReady, Sources: cli.EnvVars("CHERRYCTL_READY"), Usage: "`IP:PORT` of the node's readiness listener"},
 			outputFlag(),
 		},
-		OnUsageError: wrongUsage,
+		OnUsageError: asUsageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 0, 0); err != nil {
+			if err := checkArgs(cmd, 0, 0); err != nil {
 				return err
 			}
 			addr, err := netip.ParseAddrPort(cmd.String(flagNodeReady))
@@ -50,22 +51,22 @@
 	}
 }
 
-// readEndpoints asks a node which endpoints are restricted.
+// readEndpoints requests the list of restricted endpoints from a node.
 func readEndpoints(ctx context.Context, node netip.AddrPort) ([]fleet.Status, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.String()+pathEndpoints, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "make a request")
+		return nil, eris.Wrap(err, "create request")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask a node")
+		return nil, eris.Wrap(err, "request endpoints from node")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("the node answered with status %d", resp.StatusCode)
+		return nil, eris.Errorf("the node responded with status %d, want 200", resp.StatusCode)
 	}
 	var listed []fleet.Status
-	return listed, eris.Wrap(json.NewDecoder(resp.Body).Decode(&listed), "read a node's answer")
+	return listed, eris.Wrap(json.NewDecoder(resp.Body).Decode(&listed), "decode the node's list of endpoints")
 }
 
 func showEndpoints(w io.Writer, listed []fleet.Status, format string) error {
@@ -77,37 +78,37 @@
 		s := &listed[i]
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%t", s.Endpoint, s.Service, s.Domain, limitText(s.Limit), backoffText(s.Backoff), drainingText(s), s.Cold))
 	}
-	return table(w, "ENDPOINT\tSERVICE\tDOMAIN\tLIMIT\tBACKOFF\tDRAINING\tCOLD", rows)
+	return writeTable(w, "ENDPOINT\tSERVICE\tDOMAIN\tLIMIT\tBACKOFF\tDRAINING\tCOLD", rows)
 }
 
-const none = "-"
+const noValue = "-"
 
 func limitText(l *fleet.LimitStatus) string {
 	if l == nil {
-		return none
+		return noValue
 	}
 	by := "told"
 	if l.Direct {
 		by = "answer"
 	}
-	return fmt.Sprintf("%g/s (%s %s ago)", l.PerSecond, by, ms(l.AgeMs))
+	return fmt.Sprintf("%g/s (%s %s ago)", l.PerSecond, by, milliseconds(l.AgeMs))
 }
 
 func backoffText(b *fleet.BackoffStatus) string {
 	if b == nil {
-		return none
+		return noValue
 	}
-	return fmt.Sprintf("%s (asked %s ago)", ms(b.LeftMs), ms(b.AgeMs))
+	return fmt.Sprintf("%s (asked %s ago)", milliseconds(b.LeftMs), milliseconds(b.AgeMs))
 }
 
 func drainingText(s *fleet.Status) string {
 	switch {
 	case s.DrainingForMs != nil:
-		return fmt.Sprintf("answer %s ago", ms(*s.DrainingForMs))
+		return fmt.Sprintf("answer %s ago", milliseconds(*s.DrainingForMs))
 	case s.Draining:
 		return "entry"
 	}
-	return none
+	return noValue
 }
 
-func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/ctl/endpoints_test.go
+++ b/internal/ctl/endpoints_test.go
@@ -18,7 +18,8 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// restrictedFleet has an endpoint of each kind, and one that takes any number of requests.
+// restrictedFleet returns a fleet with an endpoint for each kind of restriction, and one without
+// restrictions.
 func restrictedFleet(now time.Time) *fleet.Fleet {
 	f := fleet.New(zerolog.Nop())
 	for i, id := range []string{"any", "cold", "drains", "answers", "limited", "backs-off", "told"} {
@@ -32,7 +33,7 @@
 	return f
 }
 
-// TestEndpoints shows what keeps requests from endpoints, told by whom and how long ago.
+// TestEndpoints checks that the restrictions of endpoints are shown with their source and age.
 func TestEndpoints(t *testing.T) {
 	now := time.Now()
 	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,7 +41,7 @@
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		_ = json.NewEncoder(w).Encode(restrictedFleet(now).Restricted(now)) // the command sees what is missing
+		_ = json.NewEncoder(w).Encode(restrictedFleet(now).Restricted(now)) // a write error shows as an incomplete list in the command
 	}))
 	defer served.Close()
 	run := func(args ...string) (int, string) {
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -19,7 +19,7 @@
 	exitUsage  = 2
 )
 
-// usageError is wrong input: flags, arguments or a file.
+// usageError reports input that is not valid: flags, arguments or a file.
 type usageError struct{ err error }
 
 var _ error = (*usageError)(nil)
@@ -27,17 +27,19 @@
 // Error implements error.
 func (e *usageError) Error() string { return e.err.Error() }
 
-// Unwrap returns what was wrong.
+// Unwrap returns the cause.
 func (e *usageError) Unwrap() error { return e.err }
 
 func usagef(format string, args ...any) error {
 	return &usageError{fmt.Errorf(format, args...)}
 }
 
-// wrongUsage makes the error of a command line that can't be parsed one of usage.
-func wrongUsage(_ context.Context, _ *cli.Command, err error, _ bool) error { return &usageError{err} }
+// asUsageError converts the parse error of a command line to a usageError.
+func asUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
+	return &usageError{err}
+}
 
-// inputCodes are the results that blame the input.
+// inputCodes lists the results that are caused by the input.
 var inputCodes = []result.Code{result.InvalidObject, result.MalformedBody, result.BodyTooLarge, result.UnknownField}
 
 // exitCode returns the exit code for an error.
@@ -55,8 +57,8 @@
 	return exitFailed
 }
 
-// report writes an error and, where it has a code, what to do about it.
-func report(w io.Writer, err error) {
+// printError writes an error and, if it has a result code, the action for it.
+func printError(w io.Writer, err error) {
 	fmt.Fprintf(w, "cherryctl: %v\n", err)
 	var coded *result.Error
 	if errors.As(err, &coded) {
--- a/internal/ctl/experiment.go
+++ b/internal/ctl/experiment.go
@@ -23,13 +23,13 @@
 	flagCompare  = "compare"
 )
 
-// outputMode is that of the files of results.
-const outputMode = 0o644
+// outputFileMode is the mode of result files.
+const outputFileMode = 0o644
 
 func experimentCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:     "experiment",
-		Usage:    "compare policies over a described fleet and load, in virtual time",
+		Usage:    "compare policies in a simulation of the fleet and load in a file, in virtual time",
 		Commands: []*cli.Command{experimentRunCommand(s)},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			return usagef("experiment: want: experiment run FILE, not %q", strings.Join(cmd.Args().Slice(), " "))
@@ -40,19 +40,19 @@
 func experimentRunCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:      "run",
-		Usage:     "play each policy with each seed, and compare them",
+		Usage:     "simulate each policy with each seed, and compare the results",
 		ArgsUsage: "FILE",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: flagParallel, Value: max(runtime.GOMAXPROCS(0)/2, 1), Usage: "`RUNS` at once"},
-			&cli.StringFlag{Name: flagOut, Value: ".", Usage: "`DIRECTORY` for NAME.jsonl and NAME.svg"},
-			&cli.StringFlag{Name: flagCompare, Usage: "`FIRST,SECOND` policy to compare; the first two if not given"},
+			&cli.IntFlag{Name: flagParallel, Value: max(runtime.GOMAXPROCS(0)/2, 1), Usage: "maximum number of concurrent `RUNS`"},
+			&cli.StringFlag{Name: flagOut, Value: ".", Usage: "output `DIRECTORY` for NAME.jsonl and NAME.svg"},
+			&cli.StringFlag{Name: flagCompare, Usage: "`FIRST,SECOND` policies to compare (default: the first two of the file)"},
 		},
-		OnUsageError: wrongUsage,
+		OnUsageError: asUsageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 1, 1); err != nil {
+			if err := checkArgs(cmd, 1, 1); err != nil {
 				return err
 			}
-			t, err := newTrial(cmd)
+			t, err := newExperimentRun(cmd)
 			if err != nil {
 				return err
 			}
@@ -61,20 +61,20 @@
 	}
 }
 
-// trial is an experiment with how to run it.
-type trial struct {
+// experimentRun is an experiment with the options of the command.
+type experimentRun struct {
 	file          *experiment.File
 	parallel      int
 	out           string
 	first, second string
 }
 
-func newTrial(cmd *cli.Command) (*trial, error) {
+func newExperimentRun(cmd *cli.Command) (*experimentRun, error) {
 	file, err := experiment.Load(cmd.Args().First())
 	if err != nil {
 		return nil, experimentError(cmd.Args().First(), err)
 	}
-	t := &trial{file: file, parallel: cmd.Int(flagParallel), out: cmd.String(flagOut)}
+	t := &experimentRun{file: file, parallel: cmd.Int(flagParallel), out: cmd.String(flagOut)}
 	if t.parallel < 1 {
 		return nil, usagef("--%s: want 1 or more", flagParallel)
 	}
@@ -89,17 +89,19 @@
 	return t, nil
 }
 
-// experimentError returns a file's problems, or that it can't be read, as wrong input.
+// experimentError converts a read error or the problems of an experiment file to a
+// usageError.
 func experimentError(path string, err error) error {
 	var problems settings.Problems
 	if errors.As(err, &problems) {
-		return usagef("%s: wrong experiment\n%w", path, problems)
+		return usagef("%s: experiment is not valid\n%w", path, problems)
 	}
 	return &usageError{err}
 }
 
-// run plays the experiment, writes its files, and prints what came of it.
-func (t *trial) run(ctx context.Context, s Streams) error {
+// run simulates the experiment, writes its result files, and prints the summary and the
+// comparison.
+func (t *experimentRun) run(ctx context.Context, s Streams) error {
 	if err := os.MkdirAll(t.out, 0o755); err != nil {
 		return &usageError{err}
 	}
@@ -120,7 +122,7 @@
 	return t.file.WriteComparison(s.Out, runs, t.first, t.second)
 }
 
-func (t *trial) writeFiles(runs []experiment.Run) error {
+func (t *experimentRun) writeFiles(runs []experiment.Run) error {
 	err := t.writeFile(".jsonl", func(w io.Writer) error { return experiment.WriteRuns(w, runs) })
 	if err != nil {
 		return err
@@ -128,9 +130,9 @@
 	return t.writeFile(".svg", func(w io.Writer) error { return t.file.WritePlot(w, runs) })
 }
 
-// writeFile writes a file whole, or returns why it can't.
-func (t *trial) writeFile(suffix string, write func(io.Writer) error) error {
-	file, err := os.OpenFile(filepath.Join(t.out, t.file.Name+suffix), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, outputMode)
+// writeFile creates or truncates a result file and writes it.
+func (t *experimentRun) writeFile(suffix string, write func(io.Writer) error) error {
+	file, err := os.OpenFile(filepath.Join(t.out, t.file.Name+suffix), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, outputFileMode)
 	if err != nil {
 		return err
 	}
--- a/internal/ctl/experiment_test.go
+++ b/internal/ctl/experiment_test.go
@@ -19,7 +19,7 @@
  "policies": [{"name": "usual"}, {"name": "open", "memory_admission": false}, {"name": "patient", "waiting_share": 0.5}]
 }`
 
-// runExperiment returns the exit code and both outputs.
+// runExperiment runs the experiment command and returns its exit code and both outputs.
 func runExperiment(t *testing.T, args ...string) (code int, out, errs string) {
 	var stdout, stderr bytes.Buffer
 	code = Run(t.Context(), append([]string{"cherryctl", "experiment"}, args...), Streams{In: strings.NewReader(""), Out: &stdout, Err: &stderr})
@@ -81,5 +81,5 @@
 	}
 	entries, err := os.ReadDir(dir)
 	must.NoError(t, err)
-	must.SliceLen(t, 2, entries, must.Sprint("nothing is written for wrong input"))
+	must.SliceLen(t, 2, entries, must.Sprint("files were written for input that is not valid"))
 }
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -21,18 +21,18 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Bounds of the load generator, which is for loopback trials only.
+// Limits of the load generator, which is only for tests on the loopback interface.
 const (
 	maxLoadRequests    = 1_000_000
 	maxLoadConcurrency = 10_000
 	maxLoadDuration    = 10 * time.Minute
 	// maxEventBytes bounds one line of a stream.
 	maxEventBytes = 1 << 20
-	// maxErrorBytes bounds an error's body.
+	// maxErrorBytes bounds the body of an error response.
 	maxErrorBytes = 64 << 10
 )
 
-// Outcomes that are no result codes.
+// Outcomes that are not result codes.
 const (
 	outcomeOK         = "ok"
 	outcomeTruncated  = "truncated"
@@ -40,7 +40,7 @@
 	outcomeDeadline   = "duration_over"
 )
 
-// loadPlan is what to send.
+// loadPlan describes the requests to send.
 type loadPlan struct {
 	url, key, model       string
 	requests, concurrency int
@@ -67,11 +67,11 @@
 	return nil
 }
 
-// loadReport is what became of the requests.
+// loadReport counts the outcomes of the requests.
 type loadReport struct {
 	mu       sync.Mutex
 	outcomes map[string]int
-	// firstToken has the seconds to the first token of each whole answer.
+	// firstToken has the time to the first token of each complete answer, in seconds.
 	firstToken []float64
 	took       time.Duration
 }
@@ -85,7 +85,7 @@
 	}
 }
 
-// runLoad sends the plan's requests and returns what became of them.
+// runLoad sends the plan's requests and returns their outcomes.
 func runLoad(ctx context.Context, p loadPlan) *loadReport {
 	ctx, cancel := context.WithTimeout(ctx, p.duration)
 	defer cancel()
@@ -111,7 +111,7 @@
 	return report
 }
 
-// send makes one streamed request and reads its answer to the end.
+// send sends one streamed request and reads its answer to the end.
 func (p loadPlan) send(ctx context.Context, web *http.Client, n int64) (outcome string, firstToken time.Duration) {
 	body, err := p.body(n)
 	if err != nil {
@@ -126,15 +126,15 @@
 	start := time.Now()
 	res, err := web.Do(req)
 	if err != nil {
-		return failure(ctx, outcomeConnection), 0
+		return outcomeOf(ctx, outcomeConnection), 0
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return refusal(res), 0
+		return errorOutcome(res), 0
 	}
 	outcome, first := readStream(res.Body)
 	if outcome == outcomeTruncated {
-		outcome = failure(ctx, outcome)
+		outcome = outcomeOf(ctx, outcome)
 	}
 	return outcome, first.Sub(start)
 }
@@ -147,16 +147,17 @@
 	return sjson.Set(body, "messages.0.content", fmt.Sprintf("load request %d", n))
 }
 
-// failure tells apart a request that the end of the trial cut.
-func failure(ctx context.Context, outcome string) string {
+// outcomeOf returns outcomeDeadline for a request that failed because the load's duration
+// was over, else the given outcome.
+func outcomeOf(ctx context.Context, outcome string) string {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return outcomeDeadline
 	}
 	return outcome
 }
 
-// refusal returns the result code of an error answer.
-func refusal(res *http.Response) string {
+// errorOutcome returns the result code in an error response, or its HTTP status.
+func errorOutcome(res *http.Response) string {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
 	if code := gjson.GetBytes(body, "error.code").String(); err == nil && code != "" {
 		return code
@@ -164,8 +165,8 @@
 	return fmt.Sprintf("http_%d", res.StatusCode)
 }
 
-// readStream reads server-sent events to the end and returns when the first
-// token came; only a stream with its final mark is ok.
+// readStream reads server-sent events to the end and returns the outcome and the arrival
+// time of the first token. The outcome is ok only if the stream has its [DONE] event.
 func readStream(r io.Reader) (outcome string, first time.Time) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxEventBytes)
@@ -193,12 +194,12 @@
 		total += r.outcomes[outcome]
 		rows = append(rows, fmt.Sprintf("%s\t%d", outcome, r.outcomes[outcome]))
 	}
-	if err := table(w, "OUTCOME\tREQUESTS", rows); err != nil {
+	if err := writeTable(w, "OUTCOME\tREQUESTS", rows); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "\n%d requests in %.2f s\n", total, r.took.Seconds())
 	if len(r.firstToken) == 0 {
-		return errors.New("no request was answered whole")
+		return errors.New("no request received a complete answer")
 	}
 	slices.Sort(r.firstToken)
 	quantile := func(p float64) float64 { return 1000 * stat.Quantile(p, stat.Empirical, r.firstToken, nil) }
--- a/internal/ctl/objects.go
+++ b/internal/ctl/objects.go
@@ -14,22 +14,21 @@
 	"github.com/cherryward/cherryward/internal/config"
 )
 
-// maxFileBytes bounds an input file: more than 12,000 endpoints.
+// maxFileBytes bounds an input file; it suffices for more than 12,000 endpoints.
 const maxFileBytes = 64 << 20
 
 // parsedObject is one object of an input file.
 type parsedObject struct {
 	kind  config.Kind
 	value config.Value
-	// revision is the revision that the write is based on; 0 is not given.
+	// revision is the revision that the write is based on, or 0 if the file has none.
 	revision int64
 }
 
 func (o parsedObject) id() string { return string(o.kind) + "/" + o.value.GetName() }
 
-// readObjects reads one object, a list of them, or several one after the other.
-// Every object is checked; they come back in an order in which they can be
-// created.
+// readObjects reads one object, a list of objects, or a sequence of both. It validates
+// every object and returns them in an order in which they can be created.
 func readObjects(r io.Reader) ([]parsedObject, error) {
 	decoder := json.NewDecoder(io.LimitReader(r, maxFileBytes))
 	var objects []parsedObject
@@ -42,7 +41,7 @@
 		if err != nil {
 			return nil, usagef("after %d objects: not valid JSON: %w", len(objects), err)
 		}
-		elements, err := split(raw)
+		elements, err := splitList(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -63,8 +62,8 @@
 	return objects, nil
 }
 
-// split returns the elements of a list, or the one object that raw is.
-func split(raw json.RawMessage) ([]json.RawMessage, error) {
+// splitList returns the elements of a JSON list, or raw itself if it is not a list.
+func splitList(raw json.RawMessage) ([]json.RawMessage, error) {
 	if !bytes.HasPrefix(raw, []byte("[")) {
 		return []json.RawMessage{raw}, nil
 	}
@@ -90,7 +89,7 @@
 	return parsedObject{kind: config.KindOf(value), value: value, revision: message.GetRevision()}, nil
 }
 
-// writeObjects writes objects as a JSON list that apply reads.
+// writeObjects writes objects as a JSON list, which the apply command can read.
 func writeObjects(w io.Writer, objects []*pb.Object) error {
 	list := make([]json.RawMessage, 0, len(objects))
 	for _, o := range objects {
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -14,13 +14,13 @@
 	"github.com/cherryward/cherryward/platform"
 )
 
-// flagStore names the address of the platform's metadata store.
+// flagStore is the flag for the address of the platform's metadata store.
 const flagStore = "store"
 
 func quarantineCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:     "quarantine",
-		Usage:    "list and release requests that gateway nodes hold, as endpoints ended under them",
+		Usage:    "list and release requests that gateway nodes quarantined because endpoints failed while running them",
 		Commands: []*cli.Command{quarantineListCommand(s), quarantineReleaseCommand(s)},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			return usagef("quarantine: want: quarantine list, or quarantine release FINGERPRINT, not %q", strings.Join(cmd.Args().Slice(), " "))
@@ -35,11 +35,11 @@
 func quarantineListCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:         "list",
-		Usage:        "show which requests are held, until when, and which endpoints ended under them",
+		Usage:        "show which requests are held, until when, and which endpoints failed while running them",
 		Flags:        []cli.Flag{storeFlag(), outputFlag()},
-		OnUsageError: wrongUsage,
+		OnUsageError: asUsageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 0, 0); err != nil {
+			if err := checkArgs(cmd, 0, 0); err != nil {
 				return err
 			}
 			topic, err := nodesTopic(cmd)
@@ -61,12 +61,12 @@
 func quarantineReleaseCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:         "release",
-		Usage:        "have a held request sent again, at all nodes",
+		Usage:        "let all nodes send a held request again",
 		ArgsUsage:    "FINGERPRINT",
 		Flags:        []cli.Flag{storeFlag()},
-		OnUsageError: wrongUsage,
+		OnUsageError: asUsageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 1, 1); err != nil {
+			if err := checkArgs(cmd, 1, 1); err != nil {
 				return err
 			}
 			f, err := quarantine.ParseFingerprint(cmd.Args().First())
@@ -79,13 +79,14 @@
 			}
 			ctx, cancel := context.WithTimeout(ctx, cmd.Duration(flagTimeout))
 			defer cancel()
-			return release(ctx, s.Out, topic, f)
+			return releaseHold(ctx, s.Out, topic, f)
 		},
 	}
 }
 
-// release removes the record of a request that is held.
-func release(ctx context.Context, w io.Writer, topic *platform.Topic, f quarantine.Fingerprint) error {
+// releaseHold deletes the record of a held request. It fails with UnknownObject if the
+// request is not held.
+func releaseHold(ctx context.Context, w io.Writer, topic *platform.Topic, f quarantine.Fingerprint) error {
 	holds, err := quarantine.ReadHolds(ctx, topic, time.Now())
 	if err != nil {
 		return result.Wrap(err, result.LogUnavailable)
@@ -103,19 +104,19 @@
 	return result.New(result.UnknownObject, result.WithMessage("no request with fingerprint %s is held", f))
 }
 
-// nodesTopic returns the topic that holds the records, at the store that the flags name.
+// nodesTopic returns the topic with the records of held requests, at the store in the flags.
 func nodesTopic(cmd *cli.Command) (*platform.Topic, error) {
-	store, err := storeOf(cmd)
+	store, err := storeFromFlags(cmd)
 	if err != nil {
 		return nil, err
 	}
 	return store.Topic(platform.NodesTopic), nil
 }
 
-// shownHold is a held request as JSON.
-type shownHold struct {
+// holdStatus is the JSON form of a held request.
+type holdStatus struct {
 	Fingerprint string    `json:"fingerprint"`
-	Held        bool      `json:"held"` // false: its time is over, and the next ending holds it again
+	Held        bool      `json:"held"` // false if Until has passed; the next failure of an endpoint holds the request again
 	Since       time.Time `json:"since"`
 	Until       time.Time `json:"until"`
 	Node        string    `json:"node,omitempty"`
@@ -123,9 +124,9 @@
 }
 
 func showHolds(w io.Writer, holds []quarantine.Hold, now time.Time, format string) error {
-	shown := make([]shownHold, 0, len(holds))
+	shown := make([]holdStatus, 0, len(holds))
 	for _, h := range holds {
-		shown = append(shown, shownHold{
+		shown = append(shown, holdStatus{
 			Fingerprint: h.Fingerprint.String(), Held: now.Before(h.Until),
 			Since: h.Since.UTC(), Until: h.Until.UTC(), Node: h.Node, Endpoints: h.Endpoints,
 		})
@@ -138,5 +139,5 @@
 		rows = append(rows, fmt.Sprintf("%s\t%t\t%s\t%s\t%s\t%s", h.Fingerprint, h.Held,
 			h.Since.Format(time.RFC3339), h.Until.Format(time.RFC3339), h.Node, strings.Join(h.Endpoints, ",")))
 	}
-	return table(w, "FINGERPRINT\tHELD\tSINCE\tUNTIL\tNODE\tENDPOINTS", rows)
+	return writeTable(w, "FINGERPRINT\tHELD\tSINCE\tUNTIL\tNODE\tENDPOINTS", rows)
 }
--- a/internal/ctl/quarantine_test.go
+++ b/internal/ctl/quarantine_test.go
@@ -16,7 +16,7 @@
 	"github.com/cherryward/cherryward/standin/metastore"
 )
 
-// runQuarantine returns the exit code and both outputs.
+// runQuarantine runs the quarantine command and returns its exit code and both outputs.
 func runQuarantine(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -24,8 +24,8 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// TestQuarantine lists held requests among nodes' entries and records that can't be read, and
-// releases one.
+// TestQuarantine checks that held requests are listed, that nodes' entries and records that can't
+// be decoded are ignored, and that a held request can be released.
 func TestQuarantine(t *testing.T) {
 	const held, over = "00112233445566778899aabbccddeeff", "ffeeddccbbaa99887766554433221100"
 	store := metastore.New()
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -27,16 +27,16 @@
 	formatJSON  = "json"
 )
 
-// watchPause is the time before a watch that lost every server tries again.
-const watchPause = time.Second
+// watchRetryInterval is the time before a watch retries after every server has failed.
+const watchRetryInterval = time.Second
 
-// watchEnds lists the results that no other server would answer otherwise.
-var watchEnds = []result.Code{
+// finalWatchCodes lists the results that every other server would return as well.
+var finalWatchCodes = []result.Code{
 	result.WatchOffsetGone, result.WatchTooSlow, result.OperatorCredential, result.InvalidObject,
 }
 
-// table writes rows of tab-separated cells as aligned columns.
-func table(w io.Writer, head string, rows []string) error {
+// writeTable writes rows of tab-separated cells in aligned columns.
+func writeTable(w io.Writer, head string, rows []string) error {
 	tabs := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tabs, head)
 	for _, row := range rows {
@@ -61,7 +61,7 @@
 		}
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%d\t%s", config.KindOf(value), value.GetName(), o.GetRevision(), text))
 	}
-	return table(w, "KIND\tNAME\tREVISION\tVALUE", rows)
+	return writeTable(w, "KIND\tNAME\tREVISION\tVALUE", rows)
 }
 
 func showStatus(w io.Writer, s *pb.StatusResponse, format string) error {
@@ -84,11 +84,11 @@
 			e.GetPrefillTokensPerSecond(), 100*e.GetCacheUsed(), float64(e.GetLinkBytesPerSecond())/(1<<20)))
 	}
 	fmt.Fprintf(w, "as seen by node %s\n\n", s.GetNode())
-	if err := table(w, "NODE\tADDRESS\tFAILURE DOMAIN\tSTATE\tAPPLIED\tINCARNATION", nodes); err != nil {
+	if err := writeTable(w, "NODE\tADDRESS\tFAILURE DOMAIN\tSTATE\tAPPLIED\tINCARNATION", nodes); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
-	return table(w, "ENDPOINT\tKIND\tOWNER\tSTATE\tRUNNING\tWAITING\tPREFILL TOK/S\tCACHE\tLINK MIB/S", endpoints)
+	return writeTable(w, "ENDPOINT\tKIND\tOWNER\tSTATE\tRUNNING\tWAITING\tPREFILL TOK/S\tCACHE\tLINK MIB/S", endpoints)
 }
 
 func kindName(kind pb.EndpointKind) string {
@@ -109,7 +109,7 @@
 			c.GetCostSeconds(), c.GetWaitSeconds(), c.GetRecomputeTokens(), c.GetImportBytes(), c.GetReason()))
 	}
 	fmt.Fprintf(w, "request %s went to %s\n\n", r.GetRequestId(), r.GetChosen())
-	return table(w, "\tENDPOINT\tCOST S\tWAIT S\tRECOMPUTE TOK\tIMPORT BYTES\tREASON", rows)
+	return writeTable(w, "\tENDPOINT\tCOST S\tWAIT S\tRECOMPUTE TOK\tIMPORT BYTES\tREASON", rows)
 }
 
 func showMessage(w io.Writer, m proto.Message) error {
@@ -120,8 +120,8 @@
 	return writeJSON(w, json.RawMessage(raw))
 }
 
-// watch prints changes after a revision until ctx ends. When a server goes away
-// it says so on errs and goes on at the next one, without a gap.
+// watch prints the changes after a revision until ctx ends. If a server fails, it prints
+// the error to errs and continues at the next server without skipping changes.
 func watch(ctx context.Context, c *client, w, errs io.Writer, after int64) error {
 	for {
 		for _, s := range c.servers {
@@ -130,19 +130,20 @@
 				return nil
 			}
 			e := remoteError(err)
-			if slices.Contains(watchEnds, e.Code) {
+			if slices.Contains(finalWatchCodes, e.Code) {
 				return fmt.Errorf("%s: after revision %d: %w", s.url, after, e)
 			}
 			fmt.Fprintf(errs, "cherryctl: %s: after revision %d: %v\n", s.url, after, e)
 		}
-		if !retry.Sleep(ctx, watchPause) {
+		if !retry.Sleep(ctx, watchRetryInterval) {
 			return nil
 		}
 	}
 }
 
-// watchOne prints one server's changes and moves after along.
-func watchOne(ctx context.Context, s server, w io.Writer, after *int64) error {
+// watchOne prints the changes from one server until its watch ends, and sets after to the
+// revision of the last one.
+func watchOne(ctx context.Context, s nodeServer, w io.Writer, after *int64) error {
 	stream, err := s.config.Watch(ctx, connect.NewRequest(&pb.WatchRequest{After: *after}))
 	if err != nil {
 		return err
