--- a/internal/result/body.go
+++ b/internal/result/body.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Body is an error as sent to callers, in the OpenAI error shape.
+// Body is an error as it is sent to callers, in the OpenAI error format.
 type Body struct {
 	Error BodyError `json:"error"`
 }
 
-// BodyError is the OpenAI error object with the number, run state and request
-// id of this daemon. Param and Code are null where they do not apply.
+// BodyError is the OpenAI error object with the additional fields number, run_state,
+// request_id and retry_after_ms. Param is null if the error has no field.
 type BodyError struct {
 	Message      string   `json:"message"`
 	Type         string   `json:"type"`
@@ -20,7 +20,7 @@
 	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
 }
 
-// Body returns the error as sent to a caller. The cause stays out of it.
+// Body returns the error as it is sent to a caller, without its cause.
 func (e *Error) Body(requestID string) Body {
 	var param *string
 	if e.Field != "" {
@@ -38,8 +38,8 @@
 	}}
 }
 
-// RetryAfterSeconds returns the value of the Retry-After header, rounded up;
-// 0 means that the header is left out.
+// RetryAfterSeconds returns the value of the Retry-After header in seconds, rounded up.
+// If it is 0, the header is omitted.
 func (e *Error) RetryAfterSeconds() int64 {
 	return int64((e.RetryAfter + time.Second - 1) / time.Second)
 }
--- a/internal/result/code.go
+++ b/internal/result/code.go
@@ -6,13 +6,12 @@
 	"strconv"
 )
 
-// Code is the number of a result. Its thousands tell the range:
-// 1 the request itself, 2 authentication and limits, 3 not available or
-// overloaded, 4 endpoints and their answers, 5 configuration and operators,
-// 6 settings, 7 peers, 9 faults of the daemon.
+// Code is the number of a result. The thousands digit is its category: 1 the request
+// itself, 2 authentication and limits, 3 not available or overloaded, 4 endpoints and
+// their answers, 5 configuration and operators, 6 settings, 7 peers, 9 internal errors.
 type Code int
 
-// Requests that are wrong in themselves.
+// Requests that are not valid.
 const (
 	MalformedBody    Code = 1001
 	UnknownField     Code = 1002
@@ -95,7 +94,7 @@
 	SettingClash   Code = 6004
 	SettingMissing Code = 6005
 	SettingInvalid Code = 6006
-	// ExperimentClash is for the files of experiments.
+	// ExperimentClash is used for experiment files.
 	ExperimentClash Code = 6007
 )
 
@@ -105,36 +104,37 @@
 	PeerMethod Code = 7002
 )
 
-// Internal is a fault of the daemon itself.
+// Internal is an internal error of the daemon.
 const Internal Code = 9001
 
-// statusCallerGone is the customary status for a caller that closed its
-// connection first; nobody reads it but the logs.
+// statusCallerGone is the conventional status for a caller that closed its connection.
+// It is only visible in logs.
 const statusCallerGone = 499
 
-// Info describes a code for machines and for people.
+// Info describes a code.
 type Info struct {
 	Code Code
 	// Name is the code's short name, as in "unknown_model".
 	Name string
 	// Status is the HTTP status that the code is sent with.
 	Status int
-	// RunState holds unless the error states another.
+	// RunState is the run state of an error with this code, unless the error has
+	// another.
 	RunState RunState
-	// Retry is true where repeating the same request is safe and may succeed.
+	// Retry reports whether sending the same request again is safe and may succeed.
 	Retry bool
-	// Meaning is one sentence on what happened.
+	// Meaning describes in one sentence what happened.
 	Meaning string
-	// Action is one sentence on what to do.
+	// Action describes in one sentence what to do.
 	Action string
 }
 
 var (
-	byCode = indexBy(table, func(i Info) Code { return i.Code })
-	byName = indexBy(table, func(i Info) string { return i.Name })
+	byCode = indexInfos(table, func(i Info) Code { return i.Code })
+	byName = indexInfos(table, func(i Info) string { return i.Name })
 )
 
-func indexBy[K comparable](infos []Info, key func(Info) K) map[K]Info {
+func indexInfos[K comparable](infos []Info, key func(Info) K) map[K]Info {
 	index := make(map[K]Info, len(infos))
 	for _, info := range infos {
 		index[key(info)] = info
@@ -169,7 +169,7 @@
 	return "server_error"
 }
 
-// Lookup finds a code by its number or its short name.
+// Lookup returns the description of the code with a number or short name.
 func Lookup(text string) (Info, bool) {
 	if info, ok := byName[text]; ok {
 		return info, true
@@ -182,5 +182,5 @@
 	return info, ok
 }
 
-// All returns every code in the order of their numbers.
+// All returns the descriptions of all codes, sorted by number.
 func All() []Info { return slices.Clone(table) }
--- a/internal/result/doc.go
+++ b/internal/result/doc.go
@@ -1,8 +1,7 @@
-// Package result holds the numbered result codes of the daemon.
+// Package result defines the numbered result codes of the daemon.
 //
-// Guarantee: every failure that leaves a node carries one code and one run
-// state. The run state is the caller's proof of what happened: an error that
-// says not_run is only made where the request cannot have reached an endpoint,
-// or where the endpoint itself said so. Numbers and names never change meaning;
-// a code that falls out of use is not given out again.
+// Guarantee: every error that a node returns has one code and one run state. Callers can
+// rely on the run state: an error has not_run only if the request cannot have reached an
+// endpoint, or if the endpoint reported that it did not run it. The meaning of a number or
+// name never changes, and a code that is no longer used is not reused.
 package result
--- a/internal/result/error.go
+++ b/internal/result/error.go
@@ -10,15 +10,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Error is a failure with its code. Find it in a chain with errors.As or From.
+// Error is an error with a result code. errors.As and From find it in an error chain.
 type Error struct {
 	Code     Code
 	RunState RunState
-	// Field is the path of the field at fault, as in "endpoint.url".
+	// Field is the path of the field that caused the error, such as "endpoint.url".
 	Field string
-	// Message is for the caller; it never holds another account's data.
+	// Message is sent to the caller; it never contains another account's data.
 	Message string
-	// RetryAfter is the least time to wait before a retry; 0 gives no advice.
+	// RetryAfter is the minimum time to wait before a retry, or 0 if it is not known.
 	RetryAfter time.Duration
 	// Revision is the object's current revision on a RevisionConflict.
 	Revision int64
@@ -31,10 +31,10 @@
 // Option sets one property of a new Error.
 type Option func(*Error)
 
-// WithField names the field at fault.
+// WithField sets the path of the field that caused the error.
 func WithField(path string) Option { return func(e *Error) { e.Field = path } }
 
-// WithMessage replaces the code's meaning by a more exact message.
+// WithMessage replaces the code's meaning with a more specific message.
 func WithMessage(format string, args ...any) Option {
 	return func(e *Error) { e.Message = fmt.Sprintf(format, args...) }
 }
@@ -42,14 +42,14 @@
 // WithRunState replaces the code's run state.
 func WithRunState(s RunState) Option { return func(e *Error) { e.RunState = s } }
 
-// WithRetryAfter advises the least time to wait before a retry.
+// WithRetryAfter sets the minimum time to wait before a retry.
 func WithRetryAfter(d time.Duration) Option { return func(e *Error) { e.RetryAfter = d } }
 
-// WithRevision states the object's current revision.
+// WithRevision sets the object's current revision.
 func WithRevision(revision int64) Option { return func(e *Error) { e.Revision = revision } }
 
-// New returns an error of a code. It records no stack: a refusal under
-// overload must stay cheap.
+// New returns an error with a code. It records no stack trace, since rejecting requests
+// under overload must be cheap.
 func New(code Code, opts ...Option) *Error {
 	info := code.Info()
 	e := &Error{Code: info.Code, RunState: info.RunState, Message: info.Meaning}
@@ -59,16 +59,16 @@
 	return e
 }
 
-// Wrap returns an error of a code that was caused by err, with the stack of the
-// place where it was wrapped. The cause goes to logs and is not sent to callers.
+// Wrap returns an error with a code, the cause err, and the stack trace of the call. The
+// cause is logged and is not sent to callers.
 func Wrap(err error, code Code, opts ...Option) *Error {
 	e := New(code, opts...)
 	e.cause = eris.Wrap(err, e.Message)
 	return e
 }
 
-// From finds the Error in a chain. An error without a code becomes
-// DeadlinePassed or CallerGone where its context ended, and Internal otherwise.
+// From returns the Error in an error chain. An error without a code becomes
+// DeadlinePassed or CallerGone if it is the error of an ended context, else Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -89,7 +89,8 @@
 	return errors.As(err, &e) && e.Code == code
 }
 
-// Error describes the failure and its cause in one line.
+// Error returns the code's number and name, the field, and the cause or message. ParseText
+// parses this format.
 func (e *Error) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %s", int(e.Code), e.Code)
--- a/internal/result/text.go
+++ b/internal/result/text.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// errorText matches what Error.Error writes.
+// errorText matches the text that Error.Error returns.
 var errorText = regexp.MustCompile(`^(\d{4}) [a-z_]+(?: \(([^)]*)\))?: (.*)$`)
 
-// ParseText reads back the code, field and message of an Error from its text,
-// as the log keeps it. ok is false for any other text.
+// ParseText returns the Error with the code, field and message of a text that Error.Error
+// returned, as stored in the log. ok is false for any other text.
 func ParseText(text string) (e *Error, ok bool) {
 	parts := errorText.FindStringSubmatch(text)
 	if parts == nil {
