--- a/internal/logservice/logservice.go
+++ b/internal/logservice/logservice.go
@@ -1,5 +1,5 @@
-// Package logservice speaks HTTP to the outside services of the standalone mode: the
-// append-only log and the list of hosts.
+// Package logservice is the HTTP client of the external services of the standalone mode:
+// the append-only log and the list of hosts.
 package logservice
 
 import (
@@ -21,26 +21,26 @@
 )
 
 const (
-	callTimeout  = 5 * time.Second
-	maxAnswer    = 64 << 20
-	maxErrorBody = 4 << 10
-	// firstOffset is added to the log's offsets, which begin at 0: to the
-	// library, 0 is the offset before the first record.
+	callTimeout      = 5 * time.Second
+	maxResponseBytes = 64 << 20
+	maxErrorBytes    = 4 << 10
+	// firstOffset is added to the log's offsets, which start at 0. Package changelog
+	// uses 0 for the offset before the first record.
 	firstOffset = 1
 )
 
-// RefusedError is a service's answer other than success.
-type RefusedError struct {
+// StatusError is a response with an error status.
+type StatusError struct {
 	Status int
 	Reason logwire.Error
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
-	return fmt.Sprintf("platform refused with status %d: %s %s", e.Status, e.Reason.Code, e.Reason.Message)
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("platform service responded with status %d: %s %s", e.Status, e.Reason.Code, e.Reason.Message)
 }
 
-// Log is one stream of the platform's log. It is safe for concurrent use.
+// Log accesses one stream of the platform's log. It is safe for concurrent use.
 type Log struct {
 	base string // URL of the stream's records
 	http *http.Client
@@ -48,12 +48,12 @@
 
 var _ changelog.Log = (*Log)(nil)
 
-// NewLog returns the stream of that name.
+// NewLog returns a client of a stream of the log service at a base URL.
 func NewLog(base, stream string) *Log {
 	return &Log{base: base + logwire.PathStreams + url.PathEscape(stream) + "/records", http: &http.Client{Timeout: callTimeout}}
 }
 
-// Append implements changelog.Log. After an error the record may be in the log.
+// Append implements changelog.Log. If it fails, the record may still be in the log.
 func (l *Log) Append(ctx context.Context, data []byte) (int64, error) {
 	body, err := json.Marshal(logwire.AppendRequest{Data: data})
 	if err != nil {
@@ -80,30 +80,30 @@
 	return batch, nil
 }
 
-// ErrUnchanged means that the list of hosts has the version that is known.
+// ErrUnchanged is returned by Hosts.List if the list has not changed since the last call.
 var ErrUnchanged = errors.New("the list of hosts has not changed")
 
 // Hosts reads the platform's list of hosts. It is not safe for concurrent use.
 type Hosts struct {
 	url  string
 	http *http.Client
-	tag  string // of the list read last
+	etag string // of the last list that was read
 }
 
-// NewHosts returns a reader of the list at a base URL.
+// NewHosts returns a client of the host list service at a base URL.
 func NewHosts(base string) *Hosts {
 	return &Hosts{url: base + hostwire.PathHosts, http: &http.Client{Timeout: callTimeout}}
 }
 
-// List returns the present list, which lags behind the truth, or ErrUnchanged
-// where it is the one that was returned last.
+// List returns the current list, or ErrUnchanged if it is the one that was returned last.
+// The list lags behind the actual state of the hosts.
 func (h *Hosts) List(ctx context.Context) (*hostwire.List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.url, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "platform request")
+		return nil, eris.Wrap(err, "create platform request")
 	}
-	if h.tag != "" {
-		req.Header.Set("If-None-Match", h.tag)
+	if h.etag != "" {
+		req.Header.Set("If-None-Match", h.etag)
 	}
 	out := new(hostwire.List)
 	resp, err := exchange(h.http, req, out)
@@ -113,39 +113,40 @@
 	if resp.StatusCode == http.StatusNotModified {
 		return nil, ErrUnchanged
 	}
-	h.tag = resp.Header.Get("ETag")
+	h.etag = resp.Header.Get("ETag")
 	return out, nil
 }
 
 func call(ctx context.Context, client *http.Client, method, target string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "platform request")
+		return eris.Wrap(err, "create platform request")
 	}
 	_, err = exchange(client, req, out)
 	return err
 }
 
-// exchange sends a request and decodes its answer, unless that is 304.
+// exchange sends a request and decodes the response, unless its status is 304. It returns
+// a StatusError for an error status.
 func exchange(client *http.Client, req *http.Request, out any) (*http.Response, error) {
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "call platform")
+		return nil, eris.Wrap(err, "call platform service")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified {
 		return resp, nil
 	}
 	if resp.StatusCode/100 != 2 {
-		return nil, refused(resp)
+		return nil, statusError(resp)
 	}
-	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxAnswer))
-	return resp, eris.Wrap(dec.Decode(out), "decode platform's answer")
+	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxResponseBytes))
+	return resp, eris.Wrap(dec.Decode(out), "decode response of platform service")
 }
 
-func refused(resp *http.Response) error {
-	e := &RefusedError{Status: resp.StatusCode}
-	// The body only explains the status; without one the status stands alone.
-	_ = json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxErrorBody)).Decode(&e.Reason)
+func statusError(resp *http.Response) error {
+	e := &StatusError{Status: resp.StatusCode}
+	// The body only has details of the error, so the status is enough without it.
+	_ = json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxErrorBytes)).Decode(&e.Reason)
 	return e
 }
--- a/internal/logservice/logservice_test.go
+++ b/internal/logservice/logservice_test.go
@@ -11,8 +11,8 @@
 	"github.com/cherryward/cherryward/standin/platformlog"
 )
 
-// The list of hosts is read as a whole only when it has changed.
-func TestHostsAreReadOnceForEachChange(t *testing.T) {
+// TestHostsReturnsErrUnchanged checks that the list of hosts is only returned after a change.
+func TestHostsReturnsErrUnchanged(t *testing.T) {
 	list := hostlist.New(hostlist.Config{})
 	server := httptest.NewServer(list.Handler())
 	t.Cleanup(server.Close)
@@ -27,8 +27,9 @@
 	}
 }
 
-// The library counts offsets from 1, the log from 0.
-func TestLogCountsFromOne(t *testing.T) {
+// TestLogOffsetsStartAtOne checks that offsets start at 1, as package changelog expects, and
+// not at 0 as those of the log service.
+func TestLogOffsetsStartAtOne(t *testing.T) {
 	service := platformlog.New(platformlog.Config{})
 	server := httptest.NewServer(service.Handler())
 	t.Cleanup(server.Close)
