--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -68,7 +68,7 @@
 	if _, err := ParseKind(string(kind)); err != nil {
 		return nil, err
 	}
-	return Named(kind, ""), nil
+	return NewNamed(kind, ""), nil
 }
 
 // State is the set of objects that a change is validated against.
@@ -129,9 +129,9 @@
 		result.WithMessage("no object given: want one of %v", kinds))
 }
 
-// Named returns an object of a kind with only its name set, as for a deletion. It
+// NewNamed returns an object of a kind with only its name set, as for a deletion. It
 // returns nil if the kind is unknown.
-func Named(kind Kind, name string) Value {
+func NewNamed(kind Kind, name string) Value {
 	switch kind {
 	case KindAccount:
 		return &pb.ClientAccount{Name: name}
--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -79,7 +79,7 @@
 	req := &pb.ApplyRequest{
 		ChangeId: newChangeID(),
 		BasedOn:  basedOn,
-		Object:   config.ToObject(config.Named(kind, name), 0),
+		Object:   config.ToObject(config.NewNamed(kind, name), 0),
 		Delete:   true,
 		Wait:     w.wait,
 	}
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -74,10 +74,10 @@
 	if err != nil {
 		return sink.fail(err, info.id)
 	}
-	return sink.finish(sum, body.wantsUsage())
+	return sink.finish(sum, body.includesUsage())
 }
 
-func (c *common) wantsUsage() bool {
+func (c *common) includesUsage() bool {
 	return c.StreamOptions != nil && c.StreamOptions.IncludeUsage
 }
 
@@ -108,7 +108,7 @@
 func (s *Server) resume(c echo.Context, eventID, object string) error {
 	setReadDeadline(c, time.Time{}) // the body is not read, so it needs no deadline
 	info := requestOf(c)
-	info.prompt = true
+	info.isPrompt = true
 	run, offset, err := runid.ParseEventID(eventID)
 	if err != nil {
 		return err
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -192,7 +192,7 @@
 	if err := sink.Tokens(answer.Summary.Run, answer.Summary.OutputTokens, answer.Text); err != nil {
 		return err
 	}
-	return sink.finish(answer.Summary, body.wantsUsage())
+	return sink.finish(answer.Summary, body.includesUsage())
 }
 
 // fingerprintParts returns every part of a prompt that affects its answer.
@@ -201,4 +201,4 @@
 	return [][]byte{[]byte(object), []byte(req.Model), []byte(req.Adapter), []byte(req.Prompt), sampling}
 }
 
-func itoa(n int64) string { return strconv.FormatInt(n, 10) }
+func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
--- a/internal/entry/prompts.go
+++ b/internal/entry/prompts.go
@@ -76,7 +76,7 @@
 // prompt validates and admits a prompt, runs it and writes its answer.
 func (s *Server) prompt(c echo.Context, body *common, p prompt, object string) error {
 	info := requestOf(c)
-	info.prompt = true
+	info.isPrompt = true
 	if err := s.checkAcceptsWork(); err != nil {
 		return err
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -39,7 +39,7 @@
 	accountID string
 	class     runs.Class
 	summary   runs.Summary
-	prompt    bool
+	isPrompt  bool
 	gaps      []time.Duration
 	outcome   *result.Error
 }
@@ -109,7 +109,7 @@
 		Summary:   info.summary,
 		Total:     total,
 		TokenGaps: info.gaps,
-		IsPrompt:  info.prompt,
+		IsPrompt:  info.isPrompt,
 	})
 	s.logRequest(c, info, total)
 }
@@ -127,7 +127,7 @@
 		Str("path", c.Path()).
 		Int("status", c.Response().Status).
 		Dur("total_ms", total)
-	if info.prompt {
+	if info.isPrompt {
 		event.Str("run", info.summary.Run).
 			Str("endpoint", info.summary.Endpoint).
 			Int("prompt_tokens", info.summary.PromptTokens).
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -113,7 +113,7 @@
 		return
 	}
 	if wait := e.RetryAfterSeconds(); wait > 0 {
-		c.Response().Header().Set(echo.HeaderRetryAfter, itoa(wait))
+		c.Response().Header().Set(echo.HeaderRetryAfter, formatInt(wait))
 	}
 	_ = c.JSON(e.Status(), e.Body(info.id))
 }
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -62,7 +62,7 @@
 	value := e.Value
 	if value == nil {
 		res.Deleted = true
-		value = config.Named(e.Kind, e.Name)
+		value = config.NewNamed(e.Kind, e.Name)
 	}
 	res.Object = config.ToObject(value, e.Revision)
 	return res
--- a/internal/result/code.go
+++ b/internal/result/code.go
@@ -88,12 +88,12 @@
 
 // Settings of a process.
 const (
-	SettingUnknown Code = 6001
-	SettingType    Code = 6002
-	SettingUnit    Code = 6003
-	SettingClash   Code = 6004
-	SettingMissing Code = 6005
-	SettingInvalid Code = 6006
+	SettingUnknown  Code = 6001
+	SettingType     Code = 6002
+	SettingUnit     Code = 6003
+	SettingConflict Code = 6004
+	SettingMissing  Code = 6005
+	SettingInvalid  Code = 6006
 	// ExperimentClash is used for experiment files.
 	ExperimentClash Code = 6007
 )
--- a/internal/result/table.go
+++ b/internal/result/table.go
@@ -133,7 +133,7 @@
 		"A setting has the wrong type.", "Correct the field in the error."},
 	{SettingUnit, "setting_unit", http.StatusBadRequest, NotRun, false,
 		"A setting has no unit or an unknown one.", "Write durations with a unit, such as \"250ms\" or \"5m\"."},
-	{SettingClash, "setting_clash", http.StatusBadRequest, NotRun, false,
+	{SettingConflict, "setting_clash", http.StatusBadRequest, NotRun, false,
 		"Two settings have conflicting addresses.", "Give each listener a different address."},
 	{SettingMissing, "setting_missing", http.StatusBadRequest, NotRun, false,
 		"A required setting is missing.", "Add the field in the error."},
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -57,7 +57,7 @@
 		}
 		for _, other := range listeners[:i] {
 			if addressesConflict(l.address, other.address) {
-				problems = append(problems, Problem{result.SettingClash, l.path, fmt.Sprintf("%s is also the address of %s", l.address, other.path)})
+				problems = append(problems, Problem{result.SettingConflict, l.path, fmt.Sprintf("%s is also the address of %s", l.address, other.path)})
 			}
 		}
 	}
