--- a/internal/kvcache/breaker.go
+++ b/internal/kvcache/breaker.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	breakerFailures = 3 // in a row
-	breakerFirst    = time.Second
-	breakerLongest  = 30 * time.Second
+	breakerFailures = 3 // consecutive failures that open the breaker
+	breakerMinPause = time.Second
+	breakerMaxPause = 30 * time.Second
 )
 
-// ErrStoreDown reports a call that was not made because the store host's breaker
+// ErrStoreDown is returned instead of calling a store host whose circuit breaker
 // is open.
-var ErrStoreDown = errors.New("kvcache: store host is left out after failures")
+var ErrStoreDown = errors.New("kvcache: store host unavailable: circuit breaker is open")
 
-// breaker leaves out a store host that fails or answers too late, so that its
-// prompts are recomputed at once. After a pause, which doubles up to 30 s, one
-// call tries again. Safe for concurrent use.
+// breaker is the circuit breaker of one store host. It opens after repeated errors
+// or timeouts, so that prompts are recomputed without waiting for the store host.
+// While it is open it allows one trial call after each pause; the pause doubles up
+// to 30 s. Safe for concurrent use.
 type breaker struct {
-	mu       sync.Mutex
-	failures int
-	until    time.Time // closed to calls until then
-	pause    *backoff.ExponentialBackOff
+	mu           sync.Mutex
+	failures     int
+	blockedUntil time.Time // no calls before this time
+	pause        *backoff.ExponentialBackOff
 }
 
-// newBreaker returns a closed breaker: calls are allowed.
+// newBreaker returns a closed breaker, which allows calls.
 func newBreaker() *breaker {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = breakerFirst
-	pause.MaxInterval = breakerLongest
+	pause.InitialInterval = breakerMinPause
+	pause.MaxInterval = breakerMaxPause
 	pause.Multiplier = 2
-	pause.RandomizationFactor = 0 // one owner a store host: nothing to spread
+	pause.RandomizationFactor = 0 // a store host has one owner, so retries need no jitter
 	return &breaker{pause: pause}
 }
 
-// Allow tells whether a call may be made. While the breaker is open it allows
+// Allow reports whether a call may be made. While the breaker is open it allows
 // one call after each pause.
 func (b *breaker) Allow(now time.Time) bool {
 	b.mu.Lock()
@@ -47,22 +48,23 @@
 	if b.failures < breakerFailures {
 		return true
 	}
-	if now.Before(b.until) {
+	if now.Before(b.blockedUntil) {
 		return false
 	}
-	b.until = now.Add(b.pause.NextBackOff())
+	b.blockedUntil = now.Add(b.pause.NextBackOff())
 	return true
 }
 
-// Open tells whether the store host is left out. Unlike Allow it changes nothing.
+// Open reports whether the breaker is open. Unlike Allow it does not change state.
 func (b *breaker) Open() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.failures >= breakerFailures
 }
 
-// Record takes the outcome of a call. Refusals by the store host are successes;
-// a call that its own caller gave up says nothing.
+// Record updates the breaker with the outcome of a call. ErrExists and ErrNotFound
+// count as successes because the store host responded; calls canceled by the
+// caller are ignored.
 func (b *breaker) Record(now time.Time, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
@@ -76,6 +78,6 @@
 	}
 	b.failures++
 	if b.failures == breakerFailures {
-		b.until = now.Add(b.pause.NextBackOff())
+		b.blockedUntil = now.Add(b.pause.NextBackOff())
 	}
 }
--- a/internal/kvcache/chain.go
+++ b/internal/kvcache/chain.go
@@ -12,10 +12,10 @@
 
 // Sizes of the chain.
 const (
-	TextChunkBytes  = 2048  // bytes of prompt text under one fingerprint
-	TokenChunkIDs   = 512   // token ids under one fingerprint
+	TextChunkBytes  = 2048  // bytes of prompt text per fingerprint
+	TokenChunkIDs   = 512   // token ids per fingerprint
 	fingerprintSize = 16    // bytes
-	maxChainLength  = 16384 // fingerprints that a decoder accepts
+	maxChainLength  = 16384 // maximum number of fingerprints accepted when decoding
 )
 
 const (
@@ -23,10 +23,10 @@
 	tokenIDBytes = 8
 )
 
-// ErrBadChain reports a chain encoding that does not decode.
+// ErrBadChain is returned for a chain encoding that cannot be decoded.
 var ErrBadChain = errors.New("kvcache: malformed chain")
 
-// Unit tells what a prompt is measured in.
+// Unit is the unit in which a prompt is measured.
 type Unit uint8
 
 // The units of a prompt.
@@ -35,7 +35,7 @@
 	UnitTokens             // token ids
 )
 
-// ChunkSize is the number of units under one fingerprint.
+// ChunkSize returns the number of units per fingerprint.
 func (u Unit) ChunkSize() int {
 	if u == UnitTokens {
 		return TokenChunkIDs
@@ -43,8 +43,9 @@
 	return TextChunkBytes
 }
 
-// Identity is the root of a chain: prompts that differ in any field never
-// share a fingerprint. Adapter is empty for the bare model.
+// Identity is hashed into every fingerprint of a chain, so prompts whose identities
+// differ in any field never share a fingerprint. Adapter is empty for the base
+// model.
 type Identity struct {
 	Account string
 	Model   string
@@ -55,11 +56,11 @@
 // Fingerprint identifies a prefix of a prompt together with its Identity.
 type Fingerprint [fingerprintSize]byte
 
-// String is the lower-case hex form.
+// String returns the fingerprint as lower-case hex.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Chain holds the fingerprints of a prompt's prefixes, one for each whole chunk
-// from the first. The partial chunk at the end has none.
+// Chain holds the fingerprints of a prompt's prefixes, one per complete chunk, in
+// order. A partial chunk at the end has no fingerprint.
 type Chain []Fingerprint
 
 var (
@@ -67,7 +68,7 @@
 	_ json.Unmarshaler = (*Chain)(nil)
 )
 
-// TextChain fingerprints a prompt of text. It allocates the result only.
+// TextChain returns the chain of a text prompt. It allocates only the result.
 func (id Identity) TextChain(prompt string) Chain {
 	chain := make(Chain, len(prompt)/TextChunkBytes)
 	digest := id.rootDigest(UnitText)
@@ -81,7 +82,8 @@
 	return chain
 }
 
-// TokenChain fingerprints a prompt of token ids. It allocates the result only.
+// TokenChain returns the chain of a prompt of token ids. It allocates only the
+// result.
 func (id Identity) TokenChain(ids []int) Chain {
 	chain := make(Chain, len(ids)/TokenChunkIDs)
 	digest := id.rootDigest(UnitTokens)
@@ -97,7 +99,8 @@
 	return chain
 }
 
-// Root identifies the identity itself: the fingerprint of the empty prefix.
+// Root returns the fingerprint of the empty prefix, which depends only on the
+// identity and the unit.
 func (id Identity) Root(unit Unit) Fingerprint {
 	digest := id.rootDigest(unit)
 	return Fingerprint(digest[:fingerprintSize])
@@ -107,8 +110,8 @@
 	return sha256.Sum256(encodeFields(chainDomain, string(rune('0'+unit)), id.Account, id.Model, id.Version, id.Adapter))
 }
 
-// encodeFields puts the length in front of each field, so that no two lists of
-// fields have the same encoding.
+// encodeFields prefixes each field with its length, so that different lists of
+// fields always have different encodings.
 func encodeFields(fields ...string) []byte {
 	var out []byte
 	for _, field := range fields {
@@ -118,7 +121,8 @@
 	return out
 }
 
-// MarshalJSON writes the chain as one base64 string: 22 bytes a fingerprint.
+// MarshalJSON encodes the chain as a single base64 string, about 22 bytes per
+// fingerprint.
 func (c Chain) MarshalJSON() ([]byte, error) {
 	raw := make([]byte, 0, len(c)*fingerprintSize)
 	for i := range c {
@@ -131,22 +135,22 @@
 	return append(out, '"'), nil
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote. It returns ErrBadChain for
-// anything else and for chains longer than maxChainLength.
+// UnmarshalJSON decodes the output of MarshalJSON. It returns ErrBadChain for
+// any other input and for chains longer than maxChainLength.
 func (c *Chain) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
 		return fmt.Errorf("%w: %w", ErrBadChain, err)
 	}
 	if len(text) > base64.RawStdEncoding.EncodedLen(maxChainLength*fingerprintSize) {
-		return fmt.Errorf("%w: too long", ErrBadChain)
+		return fmt.Errorf("%w: encoding exceeds the maximum chain length", ErrBadChain)
 	}
 	raw, err := base64.RawStdEncoding.Strict().DecodeString(text)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBadChain, err)
 	}
 	if len(raw)%fingerprintSize != 0 {
-		return fmt.Errorf("%w: %d bytes", ErrBadChain, len(raw))
+		return fmt.Errorf("%w: %d bytes is not a whole number of fingerprints", ErrBadChain, len(raw))
 	}
 	chain := make(Chain, len(raw)/fingerprintSize)
 	for i := range chain {
--- a/internal/kvcache/chain_test.go
+++ b/internal/kvcache/chain_test.go
@@ -37,7 +37,7 @@
 			seen[at] = true
 		}
 	}
-	// The fixed value keeps nodes of different releases in agreement.
+	// Nodes of different releases must compute the same fingerprint.
 	must.Eq(t, "ad0eb983c5e5d181528396abd9dec244", base.TextChain(prompt)[1].String())
 }
 
--- a/internal/kvcache/density.go
+++ b/internal/kvcache/density.go
@@ -8,13 +8,13 @@
 
 const (
 	defaultTokensPerByte = 0.25
-	densityDecay         = 0.9  // weight left to the past by each observation
-	densityCapacity      = 8192 // pairs of model and account
+	densityDecay         = 0.9  // factor applied to the sums of earlier observations
+	densityCapacity      = 8192 // (model, account) pairs
 )
 
 type densityKey struct {
 	model   string
-	account string // empty: all accounts of the model
+	account string // empty for all accounts of the model
 }
 
 type densityStat struct {
@@ -27,14 +27,14 @@
 	s.bytes = s.bytes*densityDecay + float64(bytes)
 }
 
-// Density learns tokens per byte of prompt text for each model and client
-// account, from what engines report. Safe for concurrent use.
+// Density estimates the tokens per byte of prompt text for each model and client
+// account from the token counts that engines report. Safe for concurrent use.
 type Density struct {
 	mu    sync.Mutex
 	stats *simplelru.LRU[densityKey, *densityStat]
 }
 
-// NewDensity returns an estimator that knows nothing yet.
+// NewDensity returns an estimator without observations.
 func NewDensity() *Density {
 	stats, err := simplelru.NewLRU[densityKey, *densityStat](densityCapacity, nil)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return &Density{stats: stats}
 }
 
-// Observe takes one prompt's size in bytes and in tokens.
+// Observe records the size of one prompt in bytes and in tokens.
 func (d *Density) Observe(model, account string, bytes, tokens int) {
 	if bytes <= 0 || tokens <= 0 {
 		return
@@ -54,8 +54,8 @@
 	d.stat(densityKey{model: model}).observe(bytes, tokens)
 }
 
-// TokensPerByte is the account's own ratio, else the model's over all accounts,
-// else a default of 0.25.
+// TokensPerByte returns the ratio observed for the account and model. It falls
+// back to the model's ratio over all accounts, then to a default of 0.25.
 func (d *Density) TokensPerByte(model, account string) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,8 @@
 	return defaultTokensPerByte
 }
 
-// Estimate is the number of tokens expected in a prompt of so many bytes.
+// Estimate returns the expected number of tokens in a prompt of the given size in
+// bytes.
 func (d *Density) Estimate(model, account string, bytes int) int {
 	return int(float64(bytes)*d.TokensPerByte(model, account) + 0.5)
 }
--- a/internal/kvcache/engineindex.go
+++ b/internal/kvcache/engineindex.go
@@ -7,15 +7,15 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Block is one whole block of an engine's cache: ID is the engine's chain hash
-// over the cache salt, model, version, adapter and all tokens up to EndToken.
+// Block is a complete block of an engine's KV cache. ID is the engine's chained
+// hash of the cache salt, model, version, adapter and all tokens up to EndToken.
 type Block struct {
 	ID       string
 	EndToken int
 	Bytes    int64
 }
 
-// Placement ties a block to the shortest fingerprinted prefix that covers it.
+// Placement assigns a block to the shortest fingerprinted prefix that covers it.
 // Index is the block's position in its chain of blocks, from 0.
 type Placement struct {
 	At    Fingerprint
@@ -23,69 +23,69 @@
 	Block Block
 }
 
-// Held is what one engine is believed to hold of a prompt.
-type Held struct {
+// CachedPrefix is the estimated part of a prompt that an engine has cached.
+type CachedPrefix struct {
 	Tokens int
 	Blocks int
 }
 
-// Event tells that a block entered or left an engine's memory.
+// Event records that a block was added to or removed from an engine's cache.
 type Event struct {
 	Seq     uint64
 	Block   string
 	Removed bool
 }
 
-// blockState is shared by all cells that name the block. Conversations that
-// part inside a chunk have one cell each for the block that ends in it.
+// blockState is shared by all chunk entries that refer to the block. Conversations
+// that diverge within a chunk have separate entries for the block that ends in it.
 type blockState struct {
-	block   Block
-	index   int
-	present bool
-	refs    int
+	block  Block
+	index  int
+	cached bool
+	refs   int
 }
 
-// cell is what is known at one fingerprint: the blocks that end in its chunk,
-// in order of index, and the number of tokens up to the chunk's end where a
-// prompt ended there (0: unknown).
-type cell struct {
+// chunkEntry holds the state of one fingerprint: the blocks that end in its chunk,
+// ordered by index, and the number of tokens up to the end of the chunk. The number
+// is known only if a prompt's last complete chunk was this one, and otherwise 0.
+type chunkEntry struct {
 	tokens int
 	blocks []*blockState
 }
 
-// EngineIndex is what an engine's owner believes to be in the engine's memory.
-// It is a belief: the engine's own block ids decide what is reused. Memory is
-// bounded by the capacity. Safe for concurrent use.
+// EngineIndex is the owner's estimate of the blocks in an engine's cache. It may be
+// wrong: the engine decides by its own block ids what is reused. The capacity
+// bounds its memory. Safe for concurrent use.
 type EngineIndex struct {
 	mu          sync.Mutex
 	capacity    int
 	incarnation string
-	last        uint64 // number of the last event reflected
+	lastSeq     uint64 // sequence number of the last event applied
 	synced      bool
-	doubted     bool // another incarnation was seen since the last Resync
-	cells       *simplelru.LRU[Fingerprint, *cell]
+	stale       bool // another incarnation was seen since the last Resync; lookups find nothing
+	entries     *simplelru.LRU[Fingerprint, *chunkEntry]
 	byID        map[string]*blockState
 }
 
-// NewEngineIndex returns an empty index of at most capacity blocks and as many
-// fingerprints. It needs a Resync first.
+// NewEngineIndex returns an empty index of at most capacity blocks and capacity
+// fingerprints. Call Resync before the first use.
 func NewEngineIndex(capacity int) *EngineIndex {
 	x := &EngineIndex{capacity: max(capacity, 1), byID: make(map[string]*blockState)}
-	cells, err := simplelru.NewLRU[Fingerprint, *cell](x.capacity, x.dropped)
+	cells, err := simplelru.NewLRU[Fingerprint, *chunkEntry](x.capacity, x.onEvict)
 	if err != nil {
 		panic(err) // the capacity is positive
 	}
-	x.cells = cells
+	x.entries = cells
 	return x
 }
 
-// Lookup is the longest run of blocks from the first that the engine is
-// believed to hold. Tokens is at most promptTokens unless that is 0.
-func (x *EngineIndex) Lookup(chain Chain, promptTokens int) Held {
+// Lookup returns the longest run of consecutive cached blocks, starting with the
+// first block of the chain. Tokens is limited to promptTokens unless that is 0.
+func (x *EngineIndex) Lookup(chain Chain, promptTokens int) CachedPrefix {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var held Held
-	x.walk(chain, func(_ Fingerprint, state *blockState) {
+	var held CachedPrefix
+	x.walkCached(chain, func(_ Fingerprint, state *blockState) {
 		held.Blocks++
 		held.Tokens = state.block.EndToken
 	})
@@ -95,25 +95,26 @@
 	return held
 }
 
-// Placements lists the blocks that Lookup counts, as an export needs them.
+// Placements returns the blocks that Lookup counts, in the form that exports use.
 func (x *EngineIndex) Placements(chain Chain) []Placement {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []Placement
-	x.walk(chain, func(at Fingerprint, state *blockState) {
+	x.walkCached(chain, func(at Fingerprint, state *blockState) {
 		out = append(out, Placement{At: at, Index: state.index, Block: state.block})
 	})
 	return out
 }
 
-// walk visits the consecutive present blocks of the chain from the first.
-func (x *EngineIndex) walk(chain Chain, visit func(Fingerprint, *blockState)) {
-	if x.doubted {
+// walkCached calls visit for the consecutive cached blocks of the chain, starting with
+// the first.
+func (x *EngineIndex) walkCached(chain Chain, visit func(Fingerprint, *blockState)) {
+	if x.stale {
 		return
 	}
 	count := 0
 	for _, at := range chain {
-		c, ok := x.cells.Peek(at)
+		c, ok := x.entries.Peek(at)
 		if !ok {
 			continue
 		}
@@ -121,7 +122,7 @@
 			if state.index < count {
 				continue
 			}
-			if state.index > count || !state.present {
+			if state.index > count || !state.cached {
 				return
 			}
 			visit(at, state)
@@ -130,49 +131,49 @@
 	}
 }
 
-// NeedsResync tells that events are missing, that the engine was restarted, or
-// that the index is new: read the engine's state and call Resync.
+// NeedsResync reports whether events are missing, the engine was restarted or the
+// index is new. The caller must then read the engine's state and call Resync.
 func (x *EngineIndex) NeedsResync() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return !x.synced || x.doubted
+	return !x.synced || x.stale
 }
 
-// Since is the number of the last event that the index reflects: read events
-// after it.
-func (x *EngineIndex) Since() uint64 {
+// LastSeq returns the sequence number of the last event that the index covers. The
+// next read of events starts after it.
+func (x *EngineIndex) LastSeq() uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.last
+	return x.lastSeq
 }
 
-// Resync takes the engine's full state: the ids of all blocks in memory, and
-// last, the number of the last event that they include. Another incarnation
-// empties the index.
+// Resync replaces the estimate by the engine's full state: the ids of all cached
+// blocks, and the sequence number of the last event that they reflect. A new
+// incarnation clears the index.
 func (x *EngineIndex) Resync(incarnation string, last uint64, blocks []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.incarnation != incarnation {
-		x.cells.Purge()
+		x.entries.Purge()
 	}
 	x.incarnation = incarnation
-	x.last = last
+	x.lastSeq = last
 	x.synced = true
-	x.doubted = false
+	x.stale = false
 	for _, state := range x.byID {
-		state.present = false
+		state.cached = false
 	}
 	for _, id := range blocks {
-		x.setPresent(id, true)
+		x.setCached(id, true)
 	}
 }
 
-// Apply takes cache events in order of sequence. Late ones are ignored. After a
-// gap only removals are believed until Resync.
+// Apply applies cache events, ordered by sequence number. Events that are already
+// covered are ignored. After a gap only removals are applied until Resync.
 func (x *EngineIndex) Apply(incarnation string, events []Event) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.current(incarnation) {
+	if !x.checkIncarnation(incarnation) {
 		return
 	}
 	for _, event := range events {
@@ -180,52 +181,54 @@
 	}
 }
 
-// Reached notes that a read of events covered all numbers up to last. If fewer
-// events came, the last ones are missing.
-func (x *EngineIndex) Reached(incarnation string, last uint64) {
+// AdvanceTo records that a read of events covered all sequence numbers up to last.
+// If the events applied end before last, some are missing and the index needs a
+// Resync.
+func (x *EngineIndex) AdvanceTo(incarnation string, last uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.current(incarnation) || last <= x.last {
+	if !x.checkIncarnation(incarnation) || last <= x.lastSeq {
 		return
 	}
 	x.synced = false
-	x.last = last
+	x.lastSeq = last
 }
 
 func (x *EngineIndex) apply(event Event) {
-	if event.Seq <= x.last {
+	if event.Seq <= x.lastSeq {
 		return
 	}
-	if event.Seq > x.last+1 {
+	if event.Seq > x.lastSeq+1 {
 		x.synced = false
 	}
-	x.last = event.Seq
+	x.lastSeq = event.Seq
 	if event.Removed || x.synced {
-		x.setPresent(event.Block, !event.Removed)
+		x.setCached(event.Block, !event.Removed)
 	}
 }
 
-// current accepts the first incarnation seen. Any other one, which may be older
-// or newer, puts the whole index in doubt until Resync.
-func (x *EngineIndex) current(incarnation string) bool {
+// checkIncarnation reports whether the incarnation is that of the index, which is
+// the first one seen. Any other incarnation, older or newer, makes the whole index
+// stale until Resync.
+func (x *EngineIndex) checkIncarnation(incarnation string) bool {
 	if x.incarnation == "" {
 		x.incarnation = incarnation
 	}
 	if x.incarnation == incarnation {
 		return true
 	}
-	x.doubted = true
+	x.stale = true
 	return false
 }
 
-func (x *EngineIndex) setPresent(id string, present bool) {
+func (x *EngineIndex) setCached(id string, present bool) {
 	if state, ok := x.byID[id]; ok {
-		state.present = present
+		state.cached = present
 	}
 }
 
-// dropped runs when a cell leaves the index.
-func (x *EngineIndex) dropped(_ Fingerprint, c *cell) {
+// onEvict releases the blocks of an entry that is removed from the LRU cache.
+func (x *EngineIndex) onEvict(_ Fingerprint, c *chunkEntry) {
 	for _, state := range c.blocks {
 		x.release(state)
 	}
@@ -239,20 +242,21 @@
 	}
 }
 
-// put records a block at a fingerprint. A different block of the same index
-// there is dropped: the prefix was placed too short for one of them.
+// put records a block at a fingerprint. It replaces a different block with the same
+// index and reports a conflict: the prefix chosen for one of the two is too short
+// to determine the block.
 func (x *EngineIndex) put(at Fingerprint, index int, block Block) (conflict bool) {
-	c, ok := x.cells.Get(at)
+	c, ok := x.entries.Get(at)
 	if !ok {
-		c = &cell{}
-		x.cells.Add(at, c)
+		c = &chunkEntry{}
+		x.entries.Add(at, c)
 	}
 	for i, state := range c.blocks {
 		if state.index != index {
 			continue
 		}
 		if state.block.ID == block.ID {
-			state.present = true
+			state.cached = true
 			return false
 		}
 		c.blocks = slices.Delete(c.blocks, i, i+1)
@@ -264,17 +268,17 @@
 	return conflict
 }
 
-func (x *EngineIndex) attach(c *cell, index int, block Block) {
+func (x *EngineIndex) attach(c *chunkEntry, index int, block Block) {
 	state, ok := x.byID[block.ID]
 	if !ok {
 		state = &blockState{block: block, index: index}
 		x.byID[block.ID] = state
 	}
-	state.present = true
+	state.cached = true
 	state.refs++
 	c.blocks = append(c.blocks, state)
 	slices.SortFunc(c.blocks, func(a, b *blockState) int { return a.index - b.index })
-	for len(x.byID) > x.capacity && x.cells.Len() > 1 {
-		x.cells.RemoveOldest()
+	for len(x.byID) > x.capacity && x.entries.Len() > 1 {
+		x.entries.RemoveOldest()
 	}
 }
--- a/internal/kvcache/engineindex_test.go
+++ b/internal/kvcache/engineindex_test.go
@@ -14,7 +14,8 @@
 
 var testIdentity = Identity{Account: "a", Model: "m", Version: "v"}
 
-// conversation returns a prompt of so many bytes; equal tags give equal texts.
+// conversation returns a prompt of the given size in bytes. Prompts with the same tag
+// have a common prefix.
 func conversation(tag string, bytes int) string {
 	out := make([]byte, 0, bytes+64)
 	for i := 0; len(out) < bytes; i++ {
@@ -23,7 +24,7 @@
 	return string(out[:bytes])
 }
 
-// engineRun is the run that an engine with four bytes a token would report.
+// engineRun returns the run that an engine with four bytes per token would report.
 func engineRun(prompt string) Run {
 	run := Run{
 		Incarnation:  "i1",
@@ -48,21 +49,21 @@
 	x := syncedIndex(1000)
 	first := engineRun(conversation("c", 50_000))
 	x.Observe(first)
-	// 12,500 tokens: six whole blocks, the sixth ends at byte 48,000 in chunk 24.
-	must.Eq(t, Held{Tokens: 12_000, Blocks: 6}, x.Lookup(first.Chain, 12_500))
-	must.Eq(t, Held{Tokens: 5_000, Blocks: 6}, x.Lookup(first.Chain, 5_000))
-	must.Eq(t, Held{Tokens: 2_000, Blocks: 1}, x.Lookup(first.Chain[:4], 0))
-	must.Eq(t, Held{}, x.Lookup(first.Chain[:3], 0)) // the block ends in chunk 4
+	// 12,500 tokens are six complete blocks; the sixth ends at byte 48,000, in chunk 24.
+	must.Eq(t, CachedPrefix{Tokens: 12_000, Blocks: 6}, x.Lookup(first.Chain, 12_500))
+	must.Eq(t, CachedPrefix{Tokens: 5_000, Blocks: 6}, x.Lookup(first.Chain, 5_000))
+	must.Eq(t, CachedPrefix{Tokens: 2_000, Blocks: 1}, x.Lookup(first.Chain[:4], 0))
+	must.Eq(t, CachedPrefix{}, x.Lookup(first.Chain[:3], 0)) // the block ends in chunk 4
 	next := engineRun(conversation("c", 80_000))
-	must.Eq(t, Held{Tokens: 12_000, Blocks: 6}, x.Lookup(next.Chain, 20_000))
+	must.Eq(t, CachedPrefix{Tokens: 12_000, Blocks: 6}, x.Lookup(next.Chain, 20_000))
 	x.Observe(next)
-	must.Len(t, 9, x.Placements(next.Chain)) // the tenth ends past the last whole chunk
-	must.Eq(t, Held{}, x.Lookup(testIdentity.TextChain(conversation("d", 50_000)), 0))
+	must.Len(t, 9, x.Placements(next.Chain)) // the tenth ends after the last complete chunk
+	must.Eq(t, CachedPrefix{}, x.Lookup(testIdentity.TextChain(conversation("d", 50_000)), 0))
 }
 
-func TestEngineIndexLearnsUnevenDensity(t *testing.T) {
+func TestEngineIndexInterpolatesUnevenDensity(t *testing.T) {
 	x := syncedIndex(1000)
-	// The first 40 chunks hold 100 tokens each, the next 40 hold 900 each.
+	// The first 40 chunks have 100 tokens each, the next 40 have 900 each.
 	prompt := conversation("c", 80*TextChunkBytes)
 	chain := testIdentity.TextChain(prompt)
 	blocks := func(tokens int) (out []Block) {
@@ -75,13 +76,13 @@
 	x.Observe(Run{Incarnation: "i1", Chain: chain, PromptSize: len(prompt), PromptTokens: 40_000, Blocks: blocks(40_000)})
 	must.Eq(t, 2000, x.Lookup(chain[:20], 0).Tokens)
 	must.Eq(t, 0, x.Lookup(chain[:19], 0).Tokens)
-	// Block 6,000 ends 2,000/900 chunks past chunk 40.
+	// The block that ends at token 6,000 ends 2,000/900 chunks after chunk 40.
 	must.Eq(t, 4000, x.Lookup(chain[:42], 0).Tokens)
 	must.Eq(t, 6000, x.Lookup(chain[:43], 0).Tokens)
 	must.Eq(t, 40_000, x.Lookup(chain, 0).Tokens)
 }
 
-func TestEngineIndexConversationsThatPartInsideAChunk(t *testing.T) {
+func TestEngineIndexConversationsDivergeInsideAChunk(t *testing.T) {
 	x := syncedIndex(1000)
 	shared := conversation("s", 8_100) // chunk 4 ends at 8,192, the first block at 8,000
 	a, b := engineRun(shared+conversation("a", 20_000)), engineRun(shared+conversation("b", 20_000))
@@ -114,8 +115,8 @@
 			x.Apply("i1", []Event{{5, id(0), true}})
 			x.Resync("i1", 5, all[:3])
 		}, 3, false},
-		{"read reached no further", func(x *EngineIndex) { x.Apply("i1", []Event{{1, id(4), true}}); x.Reached("i1", 1) }, 4, false},
-		{"last events missing", func(x *EngineIndex) { x.Apply("i1", []Event{{1, id(4), true}}); x.Reached("i1", 2) }, 4, true},
+		{"read reached no further", func(x *EngineIndex) { x.Apply("i1", []Event{{1, id(4), true}}); x.AdvanceTo("i1", 1) }, 4, false},
+		{"last events missing", func(x *EngineIndex) { x.Apply("i1", []Event{{1, id(4), true}}); x.AdvanceTo("i1", 2) }, 4, true},
 		{"another incarnation", func(x *EngineIndex) { x.Apply("i2", nil) }, 0, true},
 		{"another incarnation was a late message", func(x *EngineIndex) {
 			x.Apply("i0", nil)
@@ -146,12 +147,12 @@
 }
 
 func TestEngineIndexMemoryIsBounded(t *testing.T) {
-	const capacity, conversations = 600, 100 // 30 blocks each: five times too many
+	const capacity, conversations = 600, 100 // 30 blocks each: five times the capacity
 	x := syncedIndex(capacity)
 	for i := range conversations {
 		x.Observe(engineRun(conversation(fmt.Sprint("c", i), 240_000)))
 		must.LessEq(t, capacity, len(x.byID))
-		must.LessEq(t, capacity, x.cells.Len())
+		must.LessEq(t, capacity, x.entries.Len())
 	}
 	last := engineRun(conversation(fmt.Sprint("c", conversations-1), 240_000))
 	must.Eq(t, 29, x.Lookup(last.Chain, 0).Blocks)
@@ -167,7 +168,7 @@
 	must.LessEq(t, 700, perBlock)
 }
 
-// heapGrowth is the live heap that build's result occupies.
+// heapGrowth returns the live heap size of build's result in bytes.
 func heapGrowth(build func() any) int {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -189,7 +190,7 @@
 	}
 }
 
-func TestDensityLearnsPerAccount(t *testing.T) {
+func TestDensityPerAccount(t *testing.T) {
 	d := NewDensity()
 	must.Eq(t, 250, d.Estimate("m", "a", 1000))
 	for range 50 {
--- a/internal/kvcache/engineobserve.go
+++ b/internal/kvcache/engineobserve.go
@@ -5,51 +5,52 @@
 	"sort"
 )
 
-// Run is what an engine's answer told about one finished run. Where the next turn
-// repeats prompt and output word for word, Chain, PromptSize and PromptTokens may
-// cover both.
+// Run is an engine's report on a finished run. If the next turn of the conversation
+// repeats prompt and output verbatim, Chain, PromptSize and PromptTokens may cover
+// both.
 type Run struct {
 	Incarnation  string
 	Chain        Chain
 	Unit         Unit
 	PromptSize   int     // in Unit
-	PromptTokens int     // as the engine counted them
-	Blocks       []Block // whole blocks of prompt and output, from the first
+	PromptTokens int     // counted by the engine
+	Blocks       []Block // complete blocks of prompt and output, in order
 }
 
-// mark is a point where the number of tokens in a prefix is known. Depth counts
+// tokenPoint is a prefix with a known number of tokens. Depth is its length in
 // chunks and may be fractional.
-type mark struct {
+type tokenPoint struct {
 	depth  float64
 	tokens float64
 }
 
-// Observe learns from a finished run which blocks its prompt's prefixes stand
-// for. The engine counts in tokens and the chain in chunks: a block goes to the
-// first whole chunk at or past its end, interpolated between the points where
-// prompts of this conversation ended. Blocks that end past the last whole chunk
-// are left to the conversation's next turn.
+// Observe records which blocks belong to the prefixes of a finished run's prompt.
+// Engines count tokens while the chain counts chunks. Observe therefore assigns a
+// block to the first complete chunk at or after the block's end, interpolating
+// between the ends of this conversation's earlier prompts. Blocks that end after
+// the last complete chunk are recorded by the conversation's next turn.
 func (x *EngineIndex) Observe(run Run) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.current(run.Incarnation) || run.PromptTokens <= 0 || run.PromptSize <= 0 {
+	if !x.checkIncarnation(run.Incarnation) || run.PromptTokens <= 0 || run.PromptSize <= 0 {
 		return
 	}
-	marks := x.marks(run)
-	known := x.onChain(run.Chain)
+	points := x.tokenPoints(run)
+	placed := x.placedBlocks(run.Chain)
 	for i := len(run.Blocks) - 1; i >= 0; i-- {
 		block := run.Blocks[i]
-		if at, ok := known[block.ID]; ok {
+		if at, ok := placed[block.ID]; ok {
 			x.put(at, i, block)
 			continue
 		}
-		x.place(run.Chain, depthOf(marks, block.EndToken), i, block)
+		x.place(run.Chain, depthOf(points, block.EndToken), i, block)
 	}
-	x.noteEnd(run, marks)
+	x.recordEnd(run, points)
 }
 
-// place puts a block at a depth, or one deeper where another conversation has
-// shown that the prefix of that depth does not decide the block.
+// place records a block at the given depth in chunks. It moves the block one chunk
+// deeper if a conversation with the same prefix at that depth has another block
+// with this index.
 func (x *EngineIndex) place(chain Chain, depth, index int, block Block) {
 	if depth > len(chain) {
 		return
@@ -63,7 +64,7 @@
 }
 
 func (x *EngineIndex) remove(at Fingerprint, id string) {
-	c, ok := x.cells.Peek(at)
+	c, ok := x.entries.Peek(at)
 	if !ok {
 		return
 	}
@@ -76,26 +77,27 @@
 	}
 }
 
-// ObserveStart corrects the belief by what a run's answer says was cached:
-// blocks of the chain past cachedTokens are not in memory.
+// ObserveStart corrects the estimate by the number of cached tokens that the engine
+// reported at the start of a run: blocks of the chain that end after cachedTokens
+// are not cached.
 func (x *EngineIndex) ObserveStart(incarnation string, chain Chain, cachedTokens int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.current(incarnation) {
+	if !x.checkIncarnation(incarnation) {
 		return
 	}
-	x.walk(chain, func(_ Fingerprint, state *blockState) {
+	x.walkCached(chain, func(_ Fingerprint, state *blockState) {
 		if state.block.EndToken > cachedTokens {
-			state.present = false
+			state.cached = false
 		}
 	})
 }
 
-// ObserveImport records blocks that the engine has reported imported.
+// ObserveImport records blocks that the engine reported as imported.
 func (x *EngineIndex) ObserveImport(incarnation string, placements []Placement) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.current(incarnation) {
+	if !x.checkIncarnation(incarnation) {
 		return
 	}
 	for i := len(placements) - 1; i >= 0; i-- {
@@ -104,80 +106,84 @@
 	}
 }
 
-// marks lists the known points of the run's prompt, from the start to its end.
-func (x *EngineIndex) marks(run Run) []mark {
-	end := mark{
+// tokenPoints returns the prefixes of the run's prompt whose token count is known,
+// from the empty prefix to the full prompt.
+func (x *EngineIndex) tokenPoints(run Run) []tokenPoint {
+	end := tokenPoint{
 		depth:  float64(run.PromptSize) / float64(run.Unit.ChunkSize()),
 		tokens: float64(run.PromptTokens),
 	}
-	marks := []mark{{}}
+	points := []tokenPoint{{}}
 	for i, at := range run.Chain {
-		c, ok := x.cells.Peek(at)
+		c, ok := x.entries.Peek(at)
 		if !ok {
 			continue
 		}
 		tokens := float64(c.tokens)
-		if tokens > marks[len(marks)-1].tokens && tokens < end.tokens {
-			marks = append(marks, mark{depth: float64(i + 1), tokens: tokens})
+		if tokens > points[len(points)-1].tokens && tokens < end.tokens {
+			points = append(points, tokenPoint{depth: float64(i + 1), tokens: tokens})
 		}
 	}
-	return append(marks, end)
+	return append(points, end)
 }
 
-// noteEnd keeps the number of tokens up to the prompt's last whole chunk.
-func (x *EngineIndex) noteEnd(run Run, marks []mark) {
+// recordEnd stores the number of tokens up to the end of the prompt's last complete
+// chunk.
+func (x *EngineIndex) recordEnd(run Run, points []tokenPoint) {
 	if len(run.Chain) == 0 {
 		return
 	}
 	at := run.Chain[len(run.Chain)-1]
-	c, ok := x.cells.Get(at)
+	c, ok := x.entries.Get(at)
 	if !ok {
-		c = &cell{}
-		x.cells.Add(at, c)
+		c = &chunkEntry{}
+		x.entries.Add(at, c)
 	}
-	c.tokens = tokensAt(marks, float64(len(run.Chain)))
+	c.tokens = tokensAt(points, float64(len(run.Chain)))
 }
 
-// onChain tells where the chain's blocks are already placed.
-func (x *EngineIndex) onChain(chain Chain) map[string]Fingerprint {
-	known := make(map[string]Fingerprint)
+// placedBlocks returns the fingerprints at which the chain's blocks are recorded,
+// by block id.
+func (x *EngineIndex) placedBlocks(chain Chain) map[string]Fingerprint {
+	placed := make(map[string]Fingerprint)
 	for _, at := range chain {
-		c, ok := x.cells.Peek(at)
+		c, ok := x.entries.Peek(at)
 		if !ok {
 			continue
 		}
 		for _, state := range c.blocks {
-			known[state.block.ID] = at
+			placed[state.block.ID] = at
 		}
 	}
-	return known
+	return placed
 }
 
-// depthOf is the number of whole chunks that cover so many tokens, at least 1.
-func depthOf(marks []mark, tokens int) int {
-	want := float64(tokens)
-	i := sort.Search(len(marks), func(i int) bool { return marks[i].tokens >= want })
-	if i == len(marks) {
+// depthOf returns the number of complete chunks that cover the given number of
+// tokens, at least 1. It returns math.MaxInt if the last point has fewer tokens.
+func depthOf(points []tokenPoint, tokens int) int {
+	target := float64(tokens)
+	i := sort.Search(len(points), func(i int) bool { return points[i].tokens >= target })
+	if i == len(points) {
 		return math.MaxInt
 	}
 	if i == 0 {
 		return 1
 	}
-	from, to := marks[i-1], marks[i]
-	depth := from.depth + (want-from.tokens)/(to.tokens-from.tokens)*(to.depth-from.depth)
+	from, to := points[i-1], points[i]
+	depth := from.depth + (target-from.tokens)/(to.tokens-from.tokens)*(to.depth-from.depth)
 	return max(1, int(math.Ceil(depth-depthSlack)))
 }
 
-// depthSlack keeps rounding errors from moving a block one chunk deeper.
+// depthSlack prevents rounding errors from moving a block one chunk deeper.
 const depthSlack = 1e-9
 
-func tokensAt(marks []mark, depth float64) int {
-	last := len(marks) - 1
-	i := sort.Search(last, func(i int) bool { return marks[i].depth >= depth })
+func tokensAt(points []tokenPoint, depth float64) int {
+	last := len(points) - 1
+	i := sort.Search(last, func(i int) bool { return points[i].depth >= depth })
 	if i == 0 {
 		return 0
 	}
-	from, to := marks[i-1], marks[i]
+	from, to := points[i-1], points[i]
 	if to.depth <= from.depth {
 		return int(from.tokens)
 	}
--- a/internal/kvcache/estimate.go
+++ b/internal/kvcache/estimate.go
@@ -6,18 +6,19 @@
 	"github.com/cherryward/cherryward/internal/kvcache/link"
 )
 
-// StoreEstimate is what placement needs to weigh an import against recomputing:
-// an import of Bytes ends after QueueDelay + Bytes/BytesPerSecond.
+// StoreEstimate lets placement compare an import with recomputation. The expected
+// duration of an import is QueueDelay + Bytes/BytesPerSecond.
 type StoreEstimate struct {
 	Store          string // base URL of the store host
-	Tokens         int    // that the store host covers from the prompt's start
-	Bytes          int64  // to move, past what the engine holds
+	Tokens         int    // tokens from the prompt's start that the store host covers
+	Bytes          int64  // bytes to transfer, without the part that the engine has cached
 	BytesPerSecond float64
 	QueueDelay     time.Duration
 }
 
-// Estimate tells what an import over the path would bring and take now. It is
-// empty while the store host is left out, which means recompute.
+// Estimate returns the size and expected speed of an import over the path now. The
+// estimate is empty if there is nothing to import or the store host's breaker is
+// open; the prompt is then recomputed.
 func (h *StoreHost) Estimate(chain Chain, layout string, engineTokens int, path link.Path) StoreEstimate {
 	held := h.Lookup(chain, layout, engineTokens)
 	if held.Bytes == 0 {
--- a/internal/kvcache/export.go
+++ b/internal/kvcache/export.go
@@ -9,19 +9,21 @@
 
 // Errors of exports.
 var (
-	// ErrPaused: the store host was full or failing shortly ago, or is left out.
-	ErrPaused = errors.New("kvcache: exports to the store host are paused")
-	// ErrTooLate: the export took so long that a sweep may delete its blocks.
-	ErrTooLate = errors.New("kvcache: export took too long to be published")
-	// ErrNotVerified: a block is not complete in the store host or its checksum
-	// is not the one that the engine wrote.
-	ErrNotVerified = errors.New("kvcache: block is not complete in the store host")
+	// ErrExportsPaused is returned shortly after the store host was full or failed to
+	// store a block, and while its breaker is open.
+	ErrExportsPaused = errors.New("kvcache: exports to the store host are paused")
+	// ErrExportTooLate is returned for an export that took so long that a sweep may
+	// delete its blocks.
+	ErrExportTooLate = errors.New("kvcache: export took too long, blocks may be swept before they are published")
+	// ErrNotVerified is returned for a block that is incomplete on the store host or
+	// whose checksum differs from that of the bytes the engine wrote.
+	ErrNotVerified = errors.New("kvcache: block is incomplete on the store host or fails its checksum")
 )
 
-// RandomName makes a block name that no node makes twice: 128 random bits.
+// RandomName returns a block name that is unique across nodes: 128 random bits.
 func RandomName() string { return rand.Text() }
 
-// Request is whose context, for which engine layout, an export or import is for.
+// Request identifies the prompt and the engine's KV layout of an export or import.
 type Request struct {
 	Identity
 	Layout string
@@ -29,23 +31,24 @@
 	Chain  Chain
 }
 
-// ExportPlan is a set of blocks that the store host lacks, under names made for
-// this export alone. Its manifests are in chain order.
+// ExportPlan is a set of blocks missing from the store host. The block names are
+// used by this export only. Its manifests are in chain order.
 type ExportPlan struct {
 	Transfer  Transfer
 	manifests []Manifest
 	reserved  time.Time
 }
 
-// Reserve plans the export of the blocks, in chain order from the first, that
-// have no manifest yet. At most maxBlocks are taken, 0 is no limit. The plan is
-// empty when there is nothing to move. It holds nothing in the store host.
+// Reserve plans the export of the blocks that have no manifest yet. placements must
+// be in chain order from the first block. The plan has at most maxBlocks blocks (0:
+// no limit) and is empty if there is nothing to export. Reserve does not allocate
+// space on the store host.
 func (h *StoreHost) Reserve(req Request, placements []Placement, maxBlocks int, bytesPerSecond int64) (ExportPlan, error) {
 	if h.breaker.Open() || h.exportsPaused() {
-		return ExportPlan{}, ErrPaused
+		return ExportPlan{}, ErrExportsPaused
 	}
 	plan := ExportPlan{
-		Transfer: Transfer{Store: h.url, BytesPerSecond: bytesPerSecond, Timeout: h.timing.LongestExport},
+		Transfer: Transfer{Store: h.url, BytesPerSecond: bytesPerSecond, Timeout: h.timing.MaxExport},
 		reserved: h.clock(),
 	}
 	stored := h.Index.Manifests(req.Chain, req.Layout)
@@ -56,7 +59,7 @@
 		}
 		if i < len(stored) {
 			if stored[i].Block != p.Block.ID {
-				break // another conversation's, placed too short; see docs/design
+				break // stored by a conversation that diverges within this chunk; see docs/design
 			}
 			parent = stored[i].Key
 			continue
@@ -64,7 +67,7 @@
 		if maxBlocks > 0 && len(plan.manifests) == maxBlocks {
 			break
 		}
-		m := h.draft(req, p, parent)
+		m := h.newManifest(req, p, parent)
 		plan.manifests = append(plan.manifests, m)
 		plan.Transfer.Blocks = append(plan.Transfer.Blocks, transferBlock(m, req.Salt))
 		parent = m.Key
@@ -72,7 +75,7 @@
 	return plan, nil
 }
 
-// Bytes is the size of the blocks to move.
+// Bytes returns the total size of the blocks to transfer.
 func (p ExportPlan) Bytes() int64 {
 	var sum int64
 	for _, m := range p.manifests {
@@ -81,7 +84,7 @@
 	return sum
 }
 
-func (h *StoreHost) draft(req Request, p Placement, parent string) Manifest {
+func (h *StoreHost) newManifest(req Request, p Placement, parent string) Manifest {
 	return Manifest{
 		Key:      newStoreKey(p.At, req.Layout, p.Index).String(),
 		Parent:   parent,
@@ -102,9 +105,9 @@
 	}
 }
 
-// Export orders the engine to write the plan's blocks and publishes those that
-// arrived whole. It returns the number of blocks published. After an error the
-// unpublished blocks are left to Sweep; a new plan may be made at once.
+// Export has the engine write the plan's blocks, publishes those that arrived
+// complete and returns the number of blocks published. After an error, Sweep
+// deletes the unpublished blocks; a new plan may be made immediately.
 func (h *StoreHost) Export(ctx context.Context, engine Engine, plan ExportPlan) (int, error) {
 	if len(plan.manifests) == 0 {
 		return 0, nil
@@ -118,10 +121,10 @@
 	return h.commit(ctx, plan, results)
 }
 
-// commit publishes the blocks of a finished export in chain order: each is
-// verified in the store host, then its manifest is put. It stops at the first
-// block that did not arrive whole or whose outcome is unknown, since the blocks
-// after it can't be reached. A plan is committed once: after an error make a new
+// commit publishes the blocks of a finished export in chain order: it verifies each
+// block on the store host, then puts its manifest. It stops at the first block that
+// is incomplete or whose outcome is unknown, because lookups cannot reach the
+// blocks after it. After an error the plan must not be committed again; make a new
 // one.
 func (h *StoreHost) commit(ctx context.Context, plan ExportPlan, results []TransferResult) (int, error) {
 	for i, m := range plan.manifests {
@@ -135,8 +138,8 @@
 			h.discardVerified(ctx, err, plan.manifests[i:])
 			return i, err
 		}
-		if h.clock().Sub(plan.reserved) > h.timing.LongestExport+h.timing.Grace-h.timing.Call {
-			return i, ErrTooLate
+		if h.clock().Sub(plan.reserved) > h.timing.MaxExport+h.timing.Grace-h.timing.Call {
+			return i, ErrExportTooLate
 		}
 		if err := h.publish(ctx, m); err != nil {
 			return i, err
@@ -145,7 +148,8 @@
 	return len(plan.manifests), nil
 }
 
-// verify asks the store host itself for the block.
+// verify checks size, checksum and completeness of the block on the store host. It
+// returns ErrNotVerified if they do not match the manifest.
 func (h *StoreHost) verify(ctx context.Context, m Manifest) error {
 	info, err := h.store.BlockInfo(ctx, m.Name)
 	if errors.Is(err, ErrNotFound) {
@@ -160,8 +164,9 @@
 	return nil
 }
 
-// publish puts the manifest. Whoever finds another's manifest under the key has
-// lost a race: its own block, which no manifest can name, is deleted.
+// publish puts the manifest. If another writer has already published a manifest
+// under the key, publish deletes the block, which no manifest can refer to, and
+// indexes the existing manifest.
 func (h *StoreHost) publish(ctx context.Context, m Manifest) error {
 	err := h.store.PutManifest(ctx, m)
 	if err == nil {
@@ -169,16 +174,16 @@
 		return nil
 	}
 	if !errors.Is(err, ErrExists) {
-		return err // unknown: the manifest may be there, so the block stays
+		return err // the manifest may have been stored, so keep the block
 	}
-	there, err := h.store.Manifest(ctx, m.Key)
+	existing, err := h.store.Manifest(ctx, m.Key)
 	if err != nil {
 		return err
 	}
-	if there.Name != m.Name {
+	if existing.Name != m.Name {
 		h.discard(ctx, []Manifest{m})
 	}
-	h.Index.Add(there, h.clock())
+	h.Index.Add(existing, h.clock())
 	return nil
 }
 
@@ -188,8 +193,8 @@
 	}
 }
 
-// discard deletes blocks that no manifest has ever named. What it can't delete is
-// left to Sweep.
+// discard deletes blocks that no manifest has ever referred to. Sweep deletes those
+// that discard fails to delete.
 func (h *StoreHost) discard(ctx context.Context, manifests []Manifest) {
 	for _, m := range manifests {
 		if err := h.store.DeleteBlock(ctx, m.Name); err != nil && !errors.Is(err, ErrNotFound) {
--- a/internal/kvcache/fakeengine_test.go
+++ b/internal/kvcache/fakeengine_test.go
@@ -8,18 +8,18 @@
 
 const fakeBlockBytes = 64
 
-// fakeEngine moves blocks between its memory and the store. The right bytes of a
-// block follow from its id. Breaking writes it reports as done, as an engine may
-// that does not see its connection break.
+// fakeEngine copies blocks to and from the store. The correct contents of a block
+// are derived from its id. It reports a write that breaks off as successful, like an
+// engine that does not detect a broken connection.
 type fakeEngine struct {
-	store   *fakeStore
-	breaks  func() bool
-	claimed map[string]string // checksums reported, by block name
+	store      *fakeStore
+	breakWrite func() bool       // reports whether to write the next block incompletely
+	reported   map[string]string // checksums reported, by block name
 }
 
 var _ Engine = (*fakeEngine)(nil)
 
-func rightBytes(block string) []byte {
+func blockContents(block string) []byte {
 	sum := sha256.Sum256([]byte(block))
 	return slices.Repeat(sum[:], fakeBlockBytes/len(sum))
 }
@@ -27,15 +27,15 @@
 func (e *fakeEngine) Export(_ context.Context, t Transfer) ([]TransferResult, error) {
 	var out []TransferResult
 	for _, b := range t.Blocks {
-		data := rightBytes(b.Block)
+		data := blockContents(b.Block)
 		r := TransferResult{Block: b.Block, OK: true, Checksum: checksumOf(data), Bytes: int64(len(data))}
-		if e.claimed == nil {
-			e.claimed = map[string]string{}
+		if e.reported == nil {
+			e.reported = map[string]string{}
 		}
-		e.claimed[b.Name] = r.Checksum
+		e.reported[b.Name] = r.Checksum
 		err := e.store.call("write", func() error {
 			bytes := len(data)
-			if e.breaks != nil && e.breaks() {
+			if e.breakWrite != nil && e.breakWrite() {
 				bytes /= 2
 			}
 			if e.store.write(b.Name, data, bytes) != nil {
@@ -63,8 +63,8 @@
 				return nil
 			}
 			e.store.accepted++
-			if string(stored.data) != string(rightBytes(b.Block)) {
-				e.store.violate("engine took wrong bytes for block %s", b.Block)
+			if string(stored.data) != string(blockContents(b.Block)) {
+				e.store.recordViolation("engine accepted wrong contents for block %s", b.Block)
 			}
 			return nil
 		})
--- a/internal/kvcache/fakestore_test.go
+++ b/internal/kvcache/fakestore_test.go
@@ -13,23 +13,23 @@
 )
 
 var (
-	errLost = errors.New("answer lost")
+	errLost = errors.New("response lost")
 	errDown = errors.New("store host is down")
 )
 
 type fakeBlock struct {
-	data     []byte
-	complete bool
-	born     time.Time
-	claims   string // checksum that the store host tells, if not the bytes' own
+	data             []byte
+	complete         bool
+	created          time.Time
+	reportedChecksum string // reported checksum, if it differs from that of data
 }
 
-// sweepAge is the age up to which no sweep deletes a block.
-var sweepAge = testTiming.LongestExport + testTiming.Grace
+// sweepAge is the age in the store host's clock up to which a block is never swept.
+var sweepAge = testTiming.MaxExport + testTiming.Grace
 
 // fakeStore is a store host in memory. It checks the block safety invariants on
-// each call and keeps the first violation. Before each call it asks step, which
-// may park the caller, or have the call fail before or after its effect.
+// each call and records the first violation. Before each call it runs step, which
+// may block the caller or make the call fail before or after it takes effect.
 type fakeStore struct {
 	now       time.Time
 	blocks    map[string]fakeBlock
@@ -39,14 +39,15 @@
 	down      bool
 	step      func(call string) (before, after error)
 
-	used        map[string]bool // names ever written
-	published   map[string]bool // names that a manifest has ever named
+	used        map[string]bool // all names written, including deleted ones
+	published   map[string]bool // names that a manifest has referred to, including deleted ones
 	unpublished map[string]time.Time
-	// restoredMidway: old contents came back during an owner's call, which can
-	// then delete a block under its manifest. Reads must still be right or misses.
-	restoredMidway bool
-	violation      error
-	accepted       int // blocks that engines took as correct
+	// restoredDuringCall is set if an older state was restored during an owner's call,
+	// which may then delete a block that has a manifest. Reads must still return the
+	// correct contents or miss.
+	restoredDuringCall bool
+	violation          error
+	accepted           int // blocks that engines took as correct
 }
 
 var _ Store = (*fakeStore)(nil)
@@ -61,13 +62,14 @@
 
 func (s *fakeStore) clock() time.Time { return s.now }
 
-func (s *fakeStore) violate(format string, args ...any) {
+func (s *fakeStore) recordViolation(format string, args ...any) {
 	if s.violation == nil {
 		s.violation = fmt.Errorf(format, args...)
 	}
 }
 
-// call runs effect between the two points where a step may fail.
+// call runs effect unless step makes the call fail before it. step may also replace
+// a nil result by an error.
 func (s *fakeStore) call(name string, effect func() error) error {
 	var after error
 	if s.step != nil {
@@ -84,7 +86,7 @@
 
 func (s *fakeStore) generation() string { return fmt.Sprint("g", s.restarts) }
 
-// page returns up to limit keys after the given one.
+// page returns up to limit keys that sort after the given one.
 func page[V any](m map[string]V, after string, limit int) (keys []string, more bool) {
 	for _, key := range slices.Sorted(maps.Keys(m)) {
 		if key > after {
@@ -94,7 +96,7 @@
 	return keys[:min(limit, len(keys))], len(keys) > limit
 }
 
-// fakePage makes listings take several calls.
+// fakePage is small so that listings need several calls.
 const fakePage = 3
 
 func (s *fakeStore) ListManifests(_ context.Context, after string, _ int) (out ManifestPage, err error) {
@@ -124,8 +126,8 @@
 func (s *fakeStore) info(name string) BlockInfo {
 	b := s.blocks[name]
 	return BlockInfo{
-		Name: name, Bytes: int64(len(b.data)), Checksum: cmp.Or(b.claims, checksumOf(b.data)),
-		Complete: b.complete, Tier: TierDisk, Age: s.now.Sub(b.born),
+		Name: name, Bytes: int64(len(b.data)), Checksum: cmp.Or(b.reportedChecksum, checksumOf(b.data)),
+		Complete: b.complete, Tier: TierDisk, Age: s.now.Sub(b.created),
 	}
 }
 
@@ -141,8 +143,8 @@
 }
 
 func (s *fakeStore) PutManifest(_ context.Context, m Manifest) error {
-	if b, ok := s.blocks[m.Name]; ok && s.now.Sub(b.born) > sweepAge {
-		s.violate("manifest of %s put when a sweep may delete its block", m.Name)
+	if b, ok := s.blocks[m.Name]; ok && s.now.Sub(b.created) > sweepAge {
+		s.recordViolation("manifest of %s put when a sweep may delete its block", m.Name)
 	}
 	return s.call("put manifest", func() error {
 		if _, ok := s.manifests[m.Key]; ok {
@@ -150,12 +152,12 @@
 		}
 		b, ok := s.blocks[m.Name]
 		if !s.used[m.Name] || (ok && (!b.complete || checksumOf(b.data) != m.Checksum)) {
-			s.violate("manifest of %s put before its block was whole", m.Name)
+			s.recordViolation("manifest of %s put before its block was complete", m.Name)
 		}
 		s.manifests[m.Key] = m
-		// A put that was sent in time and arrives this late can't be told from one
-		// of a dead writer: a sweep may delete its block, and reads are misses.
-		s.published[m.Name] = ok && s.now.Sub(b.born) <= sweepAge
+		// A put that was sent in time but arrives this late looks like one of a crashed
+		// writer: a sweep may delete its block, and reads then miss.
+		s.published[m.Name] = ok && s.now.Sub(b.created) <= sweepAge
 		return nil
 	})
 }
@@ -187,7 +189,7 @@
 		if _, ok := s.blocks[name]; !ok {
 			return ErrNotFound
 		}
-		if !s.restoredMidway {
+		if !s.restoredDuringCall {
 			s.checkDelete(name)
 		}
 		delete(s.blocks, name)
@@ -198,11 +200,11 @@
 func (s *fakeStore) checkDelete(name string) {
 	for _, m := range s.manifests {
 		if m.Name == name && s.published[name] {
-			s.violate("block %s deleted under its manifest", name)
+			s.recordViolation("block %s deleted under its manifest", name)
 		}
 	}
-	if s.published[name] && s.now.Sub(s.unpublished[name]) < testTiming.LongestImport {
-		s.violate("block %s deleted %s after its manifest", name, s.now.Sub(s.unpublished[name]))
+	if s.published[name] && s.now.Sub(s.unpublished[name]) < testTiming.MaxImport {
+		s.recordViolation("block %s deleted %s after its manifest", name, s.now.Sub(s.unpublished[name]))
 	}
 }
 
@@ -214,21 +216,22 @@
 	return u, err
 }
 
-// write stores the first bytes of a block under a new name.
+// write stores the given number of bytes of a block under a new name. It fails if
+// the store is full.
 func (s *fakeStore) write(name string, data []byte, bytes int) error {
 	if s.used[name] {
-		s.violate("name %s used again", name)
+		s.recordViolation("name %s used again", name)
 	}
 	if len(s.blocks) >= s.capacity {
 		return errors.New("full")
 	}
 	s.used[name] = true
-	s.blocks[name] = fakeBlock{data: slices.Clone(data[:bytes]), complete: bytes == len(data), born: s.now}
+	s.blocks[name] = fakeBlock{data: slices.Clone(data[:bytes]), complete: bytes == len(data), created: s.now}
 	return nil
 }
 
-// snapshot returns a function that restarts the store host with its present
-// contents.
+// snapshot returns a function that restarts the store host with the contents it had
+// when snapshot was called.
 func (s *fakeStore) snapshot() (restore func()) {
 	blocks, manifests := maps.Clone(s.blocks), maps.Clone(s.manifests)
 	return func() {
--- a/internal/kvcache/fault_test.go
+++ b/internal/kvcache/fault_test.go
@@ -6,9 +6,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestWriterKilledAtEachStep kills the owner before and after the effect of each
-// of its calls. Another owner then reads right blocks or none, exports the rest
-// itself, and in the end nothing is left over.
+// TestWriterKilledAtEachStep stops an owner before and after each of its calls takes
+// effect. Another owner must then read correct blocks or none and be able to export
+// the rest, and sweeps must delete all orphaned blocks.
 func TestWriterKilledAtEachStep(t *testing.T) {
 	for step := 0; ; step++ {
 		for _, after := range []bool{false, true} {
@@ -28,18 +28,18 @@
 			_, err := export(newOwner(t, s, "a"), e, req)
 			s.step = nil
 			if err == nil && !after {
-				must.Greater(t, 10, step) // each of 4 blocks: write, verify, publish
+				must.Greater(t, 10, step) // write, verify and publish for each of 4 blocks
 				return
 			}
 			b := newOwner(t, s, "b")
 			must.NoError(t, b.Load(ctx))
-			imported(b, e, req)
+			importedBlocks(b, e, req)
 			_, err = export(b, e, req)
 			must.NoError(t, err)
-			must.Eq(t, 4, imported(b, e, req))
+			must.Eq(t, 4, importedBlocks(b, e, req))
 			for range 4 {
 				must.NoError(t, b.Sweep(ctx))
-				s.now = s.now.Add(testTiming.LongestExport + testTiming.Grace)
+				s.now = s.now.Add(testTiming.MaxExport + testTiming.Grace)
 			}
 			must.MapLen(t, 4, s.blocks)
 			must.NoError(t, s.violation)
@@ -47,10 +47,10 @@
 	}
 }
 
-func TestOnlyWholeBlocksArePublished(t *testing.T) {
-	right := rightBytes("b")
+func TestOnlyCompleteBlocksArePublished(t *testing.T) {
+	right := blockContents("b")
 	m := Manifest{Name: "n", Bytes: fakeBlockBytes, Checksum: checksumOf(right)}
-	other := rightBytes("other")
+	other := blockContents("other")
 	cases := map[string]struct {
 		block fakeBlock
 		want  error
@@ -58,7 +58,7 @@
 		"whole":      {fakeBlock{data: right, complete: true}, nil},
 		"incomplete": {fakeBlock{data: right}, ErrNotVerified},
 		"other":      {fakeBlock{data: other, complete: true}, ErrNotVerified},
-		"short":      {fakeBlock{data: right[1:], complete: true, claims: m.Checksum}, ErrNotVerified},
+		"short":      {fakeBlock{data: right[1:], complete: true, reportedChecksum: m.Checksum}, ErrNotVerified},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestPutThatIsRepeated has a put answered by ErrExists for its own manifest, as
-// when a transport repeats it.
-func TestPutThatIsRepeated(t *testing.T) {
+// TestRepeatedPut covers a put that returns ErrExists for its own manifest, as when
+// the transport repeats the request.
+func TestRepeatedPut(t *testing.T) {
 	s := newFakeStore()
 	h, e, req := newOwner(t, s, "a"), &fakeEngine{store: s}, request("c", 2)
 	plan, err := h.Reserve(req, placements(req), 0, 0)
@@ -83,7 +83,7 @@
 		must.NoError(t, err)
 		must.Eq(t, 2, n)
 	}
-	must.Eq(t, 2, imported(h, e, req))
+	must.Eq(t, 2, importedBlocks(h, e, req))
 	must.NoError(t, s.violation)
 }
 
@@ -93,7 +93,7 @@
 	cases := []struct {
 		name  string
 		fault func(*fakeStore, *StoreHost)
-		right int // blocks imported after the fault
+		right int // blocks imported after the fault; all must be correct
 	}{
 		{"no fault", func(*fakeStore, *StoreHost) {}, 4},
 		{"block missing", func(s *fakeStore, _ *StoreHost) { delete(s.blocks, s.manifests[key(2)].Name) }, 2},
@@ -106,7 +106,7 @@
 		{"last manifest gone", func(s *fakeStore, _ *StoreHost) { delete(s.manifests, key(3)) }, 3},
 		{"all manifests gone", func(s *fakeStore, _ *StoreHost) { clear(s.manifests) }, 0},
 		{"down", func(s *fakeStore, _ *StoreHost) { s.down = true }, 0},
-		{"left out", func(s *fakeStore, h *StoreHost) {
+		{"breaker open", func(s *fakeStore, h *StoreHost) {
 			for range breakerFailures {
 				h.breaker.Record(s.now, errDown)
 			}
@@ -119,13 +119,13 @@
 			_, err := export(h, e, req)
 			must.NoError(t, err)
 			c.fault(s, h)
-			must.Eq(t, c.right, imported(h, e, req))
+			must.Eq(t, c.right, importedBlocks(h, e, req))
 			must.NoError(t, s.violation)
 		})
 	}
 }
 
-func TestManifestsThatDoNotFitAreMisses(t *testing.T) {
+func TestMismatchedManifestsAreMisses(t *testing.T) {
 	cases := map[string]func(*Manifest){
 		"account":  func(m *Manifest) { m.Account = "other" },
 		"model":    func(m *Manifest) { m.Model = "other" },
@@ -140,7 +140,7 @@
 		"block":    func(m *Manifest) { m.Block = "" },
 	}
 	req := request("c", 4)
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := newFakeStore()
 			h, e := newOwner(t, s, "a"), &fakeEngine{store: s}
@@ -148,33 +148,33 @@
 			must.NoError(t, err)
 			key := newStoreKey(req.Chain[2], testLayout, 2).String()
 			m := s.manifests[key]
-			spoil(&m)
+			corrupt(&m)
 			s.manifests[key] = m
 			must.NoError(t, h.Load(ctx))
-			must.Eq(t, 2, imported(h, e, req))
+			must.Eq(t, 2, importedBlocks(h, e, req))
 		})
 	}
 }
 
-func TestRefusedBlocksAreGivenUp(t *testing.T) {
+func TestRefusedBlocksAreFreed(t *testing.T) {
 	s := newFakeStore()
 	h, e, req := newOwner(t, s, "a"), &fakeEngine{store: s}, request("c", 2)
 	_, err := export(h, e, req)
 	must.NoError(t, err)
 	last := newStoreKey(req.Chain[1], testLayout, 1).String()
 	m, _ := h.Index.manifest(last)
-	for range 2 * badImports { // an engine that can't reach the store host
-		must.NoError(t, h.suspect(ctx, m, TransferResult{Block: m.Block}))
+	for range 2 * maxImportRefusals { // an engine that can't reach the store host
+		must.NoError(t, h.checkFailedImport(ctx, m, TransferResult{Block: m.Block}))
 	}
 	must.Eq(t, 2, h.Lookup(req.Chain, testLayout, 0).Blocks)
-	// The store host does not notice that its disk has changed the bytes.
+	// The disk has corrupted the block and the store host does not detect it.
 	m.Checksum = checksumOf(nil)
 	s.manifests[last] = m
-	s.blocks[m.Name] = fakeBlock{data: s.blocks[m.Name].data, complete: true, born: s.now, claims: m.Checksum}
+	s.blocks[m.Name] = fakeBlock{data: s.blocks[m.Name].data, complete: true, created: s.now, reportedChecksum: m.Checksum}
 	must.NoError(t, h.Load(ctx))
-	for range badImports {
+	for range maxImportRefusals {
 		must.Eq(t, 2, h.Lookup(req.Chain, testLayout, 0).Blocks)
-		must.Eq(t, 1, imported(h, e, req))
+		must.Eq(t, 1, importedBlocks(h, e, req))
 	}
 	must.Eq(t, 1, h.Lookup(req.Chain, testLayout, 0).Blocks)
 }
@@ -187,12 +187,12 @@
 	must.ErrorIs(t, err, ErrNotVerified)
 	must.Eq(t, 3, n)
 	_, err = export(h, e, req)
-	must.ErrorIs(t, err, ErrPaused)
-	must.Eq(t, 3, imported(h, e, req)) // imports go on
+	must.ErrorIs(t, err, ErrExportsPaused)
+	must.Eq(t, 3, importedBlocks(h, e, req)) // imports are not paused
 	value := func(c Candidate) float64 { return float64(c.EndToken) }
 	must.NoError(t, h.Evict(ctx, fakeBlockBytes+1, 0, value))
-	must.NoError(t, h.Evict(ctx, 2*fakeBlockBytes, 0, value)) // already on their way out
-	must.Eq(t, 1, imported(h, e, req))
+	must.NoError(t, h.Evict(ctx, 2*fakeBlockBytes, 0, value)) // already being freed
+	must.Eq(t, 1, importedBlocks(h, e, req))
 	must.NoError(t, h.Flush(ctx))
 	must.MapLen(t, 3, s.blocks)
 	s.now = s.now.Add(testTiming.Grace)
@@ -214,10 +214,10 @@
 	must.NoError(t, err)
 	m, _ := a.Index.manifest(newStoreKey(req.Chain[1], testLayout, 1).String())
 	s.step = func(call string) (error, error) {
-		if call == "read" { // the engine is as slow as its order allows
+		if call == "read" { // the engine takes as long as its timeout allows
 			s.step = nil
 			must.NoError(t, a.free(ctx, m))
-			s.now = s.now.Add(testTiming.LongestImport)
+			s.now = s.now.Add(testTiming.MaxImport)
 			must.NoError(t, a.Flush(ctx))
 		}
 		return nil, nil
@@ -225,11 +225,11 @@
 	got, err := b.Import(ctx, e, plan)
 	must.NoError(t, err)
 	must.Len(t, 2, got)
-	must.Eq(t, 1, imported(b, e, req)) // a new plan sees that the manifest is gone
+	must.Eq(t, 1, importedBlocks(b, e, req)) // a new plan sees that the manifest is gone
 	must.NoError(t, s.violation)
 }
 
-func TestStoreComesBackWithOldContents(t *testing.T) {
+func TestStoreRestoredFromOldContents(t *testing.T) {
 	s := newFakeStore()
 	h, e, old, young := newOwner(t, s, "a"), &fakeEngine{store: s}, request("old", 2), request("young", 3)
 	_, err := export(h, e, old)
@@ -239,13 +239,13 @@
 	_, err = export(h, e, young)
 	must.NoError(t, err)
 	restore()
-	must.Eq(t, 0, imported(h, e, young)) // before the owner has noticed
+	must.Eq(t, 0, importedBlocks(h, e, young)) // before the owner detects the restart
 	s.now = s.now.Add(testTiming.Grace)
-	must.NoError(t, h.Flush(ctx)) // the manifests of the freed blocks are back
+	must.NoError(t, h.Flush(ctx)) // the manifests of the freed blocks exist again
 	must.NoError(t, s.violation)
 	restore()
 	_, err = h.Refresh(ctx)
 	must.NoError(t, err)
-	must.Eq(t, 2, imported(h, e, old))
+	must.Eq(t, 2, importedBlocks(h, e, old))
 	must.NoError(t, s.violation)
 }
--- a/internal/kvcache/free.go
+++ b/internal/kvcache/free.go
@@ -11,45 +11,47 @@
 	"github.com/cherryward/cherryward/internal/kvcache/policy"
 )
 
-const flushBatch = 64 // calls to the store host in one Flush or Sweep
+const flushBatch = 64 // maximum number of blocks or manifests handled by one Flush or Sweep
 
-// pending is a block on its way out. Its manifest is gone once unpublished.
-type pending struct {
+// pendingFree is a block that is being freed. Once unpublished is set, its manifest
+// is deleted.
+type pendingFree struct {
 	key         string
 	name        string
 	bytes       int64
 	unpublished bool
-	due         time.Time
+	deleteAfter time.Time
 }
 
-// free takes a block out of use: its manifest goes now, the block itself in a
-// Flush after the grace. It may be repeated, and several owners may do it.
+// free deletes a block's manifest now and schedules the block for deletion by a
+// Flush after the grace period. It is idempotent, and several owners may free the
+// same block.
 func (h *StoreHost) free(ctx context.Context, m Manifest) error {
 	h.Index.Remove(m.Key, m.Name)
-	return h.unpublish(ctx, pending{key: m.Key, name: m.Name, bytes: m.Bytes})
+	return h.unpublish(ctx, pendingFree{key: m.Key, name: m.Name, bytes: m.Bytes})
 }
 
-// unpublish deletes the manifest. Only the store host's own word that it is gone
-// starts the grace; after an unknown outcome Flush tries again.
-func (h *StoreHost) unpublish(ctx context.Context, p pending) error {
+// unpublish deletes the manifest. The grace period starts only when the store host
+// confirms the deletion; after an unknown outcome Flush retries.
+func (h *StoreHost) unpublish(ctx context.Context, p pendingFree) error {
 	err := h.store.DeleteManifest(ctx, p.key, p.name)
 	if errors.Is(err, ErrNotFound) {
 		err = nil
 	}
 	if err == nil {
 		p.unpublished = true
-		p.due = h.clock().Add(h.timing.Grace)
+		p.deleteAfter = h.clock().Add(h.timing.Grace)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.frees[p.name] = p
+	h.pendingFrees[p.name] = p
 	return err
 }
 
-// Flush deletes the blocks whose grace has passed and repeats what failed, a
-// bounded number in each call. Call it every second or so.
+// Flush deletes blocks whose grace period has passed and retries failed deletions
+// of manifests, a bounded number per call. Call it about once a second.
 func (h *StoreHost) Flush(ctx context.Context) error {
-	for _, p := range h.dueFrees() {
+	for _, p := range h.readyFrees() {
 		if err := h.flush(ctx, p); err != nil {
 			return err
 		}
@@ -57,14 +59,14 @@
 	return nil
 }
 
-// flush deletes one block, unless its manifest is back: a store host that was
-// restored from older contents may publish it again.
-func (h *StoreHost) flush(ctx context.Context, p pending) error {
-	there, err := h.store.Manifest(ctx, p.key)
+// flush deletes one block. If its manifest exists again, because the store host was
+// restored from an older state, flush deletes the manifest first.
+func (h *StoreHost) flush(ctx context.Context, p pendingFree) error {
+	existing, err := h.store.Manifest(ctx, p.key)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	if !p.unpublished || (err == nil && there.Name == p.name) {
+	if !p.unpublished || (err == nil && existing.Name == p.name) {
 		return h.unpublish(ctx, p)
 	}
 	return h.deleteBlock(ctx, p.name)
@@ -74,45 +76,45 @@
 	if err := h.store.DeleteBlock(ctx, name); err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	h.forget(name)
+	h.untrack(name)
 	return nil
 }
 
-func (h *StoreHost) dueFrees() []pending {
+func (h *StoreHost) readyFrees() []pendingFree {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
-	var out []pending
-	for _, p := range h.frees {
-		if !p.unpublished || !now.Before(p.due) {
+	var out []pendingFree
+	for _, p := range h.pendingFrees {
+		if !p.unpublished || !now.Before(p.deleteAfter) {
 			out = append(out, p)
 		}
 	}
-	slices.SortFunc(out, func(a, b pending) int {
-		return cmp.Or(a.due.Compare(b.due), strings.Compare(a.name, b.name))
+	slices.SortFunc(out, func(a, b pendingFree) int {
+		return cmp.Or(a.deleteAfter.Compare(b.deleteAfter), strings.Compare(a.name, b.name))
 	})
 	return out[:min(len(out), flushBatch)]
 }
 
-func (h *StoreHost) forget(name string) {
+func (h *StoreHost) untrack(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.frees, name)
+	delete(h.pendingFrees, name)
 	delete(h.orphans, name)
 }
 
-// pendingBytes is the size of the blocks that are on their way out.
+// pendingBytes returns the total size of the blocks that are being freed.
 func (h *StoreHost) pendingBytes() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var sum int64
-	for _, p := range h.frees {
+	for _, p := range h.pendingFrees {
 		sum += p.bytes
 	}
 	return sum
 }
 
-// Candidate is one stored block as a value function sees it.
+// Candidate is a stored block passed to the value function of Evict.
 type Candidate struct {
 	Identity
 	Bytes    int64
@@ -120,15 +122,16 @@
 	Idle     time.Duration // since its prefix last served a run
 }
 
-// Evict frees the ends of chains until need bytes are on their way out, the
-// least valuable per byte first. The value is in expected seconds saved; floor
-// is the number of bytes that an account keeps against larger ones.
+// Evict frees blocks from the ends of chains, lowest value per byte first, until
+// need bytes are being freed. value returns the expected seconds saved by keeping a
+// block. An account is reduced below floor bytes only if no other account has a
+// block to spare.
 func (h *StoreHost) Evict(ctx context.Context, need, floor int64, value func(Candidate) float64) error {
 	need -= h.pendingBytes()
 	if need <= 0 {
 		return nil
 	}
-	stored := h.Index.stored(h.clock(), value)
+	stored := h.Index.evictionCandidates(h.clock(), value)
 	for _, key := range policy.PlanEviction(stored, need, floor) {
 		m, ok := h.Index.manifest(key)
 		if !ok {
@@ -141,9 +144,9 @@
 	return nil
 }
 
-// stored lists the index's blocks for eviction. A block that can't be reached
-// since its parent is gone has no value.
-func (x *StoreIndex) stored(now time.Time, value func(Candidate) float64) []policy.Stored {
+// evictionCandidates returns the index's blocks for eviction. A block whose parent
+// is missing cannot be reached and has value 0.
+func (x *StoreIndex) evictionCandidates(now time.Time, value func(Candidate) float64) []policy.Stored {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := make([]policy.Stored, 0, len(x.blocks))
@@ -178,5 +181,5 @@
 	if !ok {
 		return Manifest{}, false
 	}
-	return b.full(), true
+	return b.fullManifest(), true
 }
--- a/internal/kvcache/link/budget.go
+++ b/internal/kvcache/link/budget.go
@@ -1,12 +1,12 @@
-// Package link shares the bandwidth of store hosts and of the links before them
-// between the transfers that engines make.
+// Package link divides the bandwidth of store hosts, and of the links to them, among
+// the transfers of engines.
 //
-// Guarantee: an import that somebody waits for is admitted as if there were no
-// exports, and an import that would end past its deadline is refused at once, so
-// that its prompt is recomputed. Budgets order no bytes themselves: each
-// reservation states the rate that the transfer's order must carry. Reservations
-// expire, so that a lost answer never blocks a link. Losing a budget's state
-// costs efficiency only.
+// Guarantee: an import is admitted as if there were no exports, because a caller
+// waits for it. An import that would end after its deadline is rejected immediately,
+// so that its prompt is recomputed. Budgets do not transfer data themselves: each
+// reservation states the rate limit that the transfer request must contain.
+// Reservations expire, so a lost response cannot block a link permanently. Losing a
+// budget's state only reduces efficiency.
 package link
 
 import (
@@ -16,84 +16,86 @@
 	"time"
 )
 
-// Kind tells who waits for a transfer.
+// Kind is the direction of a transfer, which determines its priority.
 type Kind uint8
 
 // The kinds of transfer.
 const (
-	Import Kind = iota // a caller waits
-	Export             // nobody waits
+	Import Kind = iota // a caller waits for it
+	Export             // runs in the background
 )
 
-// Errors of Reserve. Both are final for this transfer at this time.
+// Errors of Reserve. The caller should not retry the transfer immediately.
 var (
-	ErrTooSlow = errors.New("link: transfer would end past its deadline")
-	ErrBusy    = errors.New("link: no bandwidth to spare for an export")
+	ErrTooSlow = errors.New("link: transfer would end after its deadline")
+	ErrBusy    = errors.New("link: no bandwidth available for an export")
 )
 
 const (
-	// exportShare bounds what exports take while imports are under way.
+	// exportShare is the maximum share of the bandwidth for exports while imports are
+	// in flight.
 	exportShare = 0.25
-	// exportBacklog bounds the time that all exports under way would take.
+	// exportBacklog is the maximum expected time to finish all exports in flight.
 	exportBacklog = 2 * time.Second
-	// expirySlack and expiryFactor let a reservation outlive its expected end.
+	// expirySlack and expiryFactor extend a reservation beyond its expected end.
 	expirySlack  = 2 * time.Second
 	expiryFactor = 3
 
-	speedWeight   = 0.3 // of one observation in the measured speed
-	cappedShare   = 0.8 // a transfer this close to its own rate tells no more
+	speedWeight   = 0.3 // weight of one observation in the measured speed
+	cappedShare   = 0.8 // above this share of its rate limit, a transfer gives only a lower bound of the speed
 	useHalfLife   = 30 * time.Second
 	maxUse        = 0.95
-	minSpeedBytes = 1 << 16 // transfers under this size tell nothing of speed
+	minSpeedBytes = 1 << 16 // smaller transfers are ignored in the speed measurement
 
-	// A speed that nothing has measured for speedFresh drifts back to the limit,
-	// so that a link which was slow once is tried again.
+	// A speed that was last measured more than speedFresh ago returns gradually to
+	// the limit, so that a link that was once slow is tried again.
 	speedFresh    = 30 * time.Second
 	speedHalfLife = 60 * time.Second
 )
 
-// Reservation is bandwidth held for one transfer on one budget.
+// Reservation is bandwidth reserved for one transfer on one budget.
 type Reservation struct {
-	ID             uint64
-	Kind           Kind
-	Bytes          int64
-	BytesPerSecond int64         // rate that the order must carry
-	Takes          time.Duration // expected, from now to the transfer's end
-	Expires        time.Time
+	ID               uint64
+	Kind             Kind
+	Bytes            int64
+	BytesPerSecond   int64         // rate limit to set in the transfer request
+	ExpectedDuration time.Duration // from the reservation to the transfer's end
+	Expires          time.Time
 }
 
-type held struct {
+type openReservation struct {
 	Reservation
 	started time.Time
-	shared  float64 // the budget's shared seconds when the transfer started
+	shared  float64 // Budget.shared when the transfer started
 }
 
 // Budget is the bandwidth of one store host or one link. Safe for concurrent
 // use.
 type Budget struct {
 	mu       sync.Mutex
-	limit    float64 // bytes per second that may be used
+	limit    float64 // maximum bytes per second
 	speed    float64 // measured, bytes per second
 	speedAt  time.Time
 	lastID   uint64
-	open     map[uint64]*held
-	imports  int64     // bytes reserved
-	exports  int64     // bytes reserved
+	open     map[uint64]*openReservation
+	imports  int64     // bytes reserved for imports
+	exports  int64     // bytes reserved for exports
 	shared   float64   // integral of the number of open transfers, seconds
-	sharedAt time.Time // when shared was last brought up to date
-	used     float64   // decayed sum of bytes
+	sharedAt time.Time // time of the last update of shared
+	used     float64   // decayed sum of bytes transferred
 	usedAt   time.Time
 }
 
-// NewBudget returns a budget of so many bytes per second, which the measured
-// speed may lower.
+// NewBudget returns a budget with the given limit in bytes per second. A lower
+// measured speed reduces it.
 func NewBudget(bytesPerSecond int64) *Budget {
 	limit := float64(max(bytesPerSecond, 1))
-	return &Budget{limit: limit, speed: limit, open: make(map[uint64]*held)}
+	return &Budget{limit: limit, speed: limit, open: make(map[uint64]*openReservation)}
 }
 
-// Reserve asks for a transfer. A zero deadline is none. It fails with ErrTooSlow
-// or ErrBusy. Each reservation ends by Done, Cancel, Abort, or its expiry.
+// Reserve reserves bandwidth for a transfer. A zero deadline means no deadline. It
+// returns ErrTooSlow or ErrBusy if the transfer is not admitted. Each reservation is
+// ended by Done, Cancel or Abort, or expires.
 func (b *Budget) Reserve(now time.Time, kind Kind, bytes int64, deadline time.Time) (Reservation, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,59 +103,60 @@
 	if kind == Export && !b.exportFits(bytes) {
 		return Reservation{}, ErrBusy
 	}
-	takes := b.queueDelay(kind) + seconds(float64(bytes)/b.rateFor(kind))
-	if !deadline.IsZero() && now.Add(takes).After(deadline) {
+	duration := b.queueDelay(kind) + seconds(float64(bytes)/b.rateFor(kind))
+	if !deadline.IsZero() && now.Add(duration).After(deadline) {
 		return Reservation{}, ErrTooSlow
 	}
 	b.lastID++
 	r := Reservation{
-		ID: b.lastID, Kind: kind, Bytes: bytes, Takes: takes,
-		BytesPerSecond: max(1, int64(b.orderRate(kind))),
-		Expires:        expiry(now, takes, deadline),
+		ID: b.lastID, Kind: kind, Bytes: bytes, ExpectedDuration: duration,
+		BytesPerSecond: max(1, int64(b.rateLimit(kind))),
+		Expires:        expiry(now, duration, deadline),
 	}
-	b.open[r.ID] = &held{Reservation: r, started: now, shared: b.shared}
-	b.reserve(kind, bytes)
+	b.open[r.ID] = &openReservation{Reservation: r, started: now, shared: b.shared}
+	b.addReserved(kind, bytes)
 	return r, nil
 }
 
-// expiry is when a transfer whose end nobody has told is taken for ended: after
-// its deadline, when its order has been cancelled, or well after its expected end.
-func expiry(now time.Time, takes time.Duration, deadline time.Time) time.Time {
+// expiry returns the time after which a transfer without a reported end is assumed
+// to have ended: shortly after its deadline, by which its request has been canceled,
+// or else well after its expected end.
+func expiry(now time.Time, duration time.Duration, deadline time.Time) time.Time {
 	if !deadline.IsZero() {
 		return deadline.Add(expirySlack)
 	}
-	return now.Add(expiryFactor*takes + expirySlack)
+	return now.Add(expiryFactor*duration + expirySlack)
 }
 
-// Done ends a transfer of so many bytes and learns the link's speed from it.
-// Unknown and expired reservations are ignored.
+// Done ends a transfer after the given number of bytes and updates the measured
+// speed. Unknown and expired reservations are ignored.
 func (b *Budget) Done(now time.Time, id uint64, bytes int64) {
-	b.change(now, id, func(h *held) {
+	b.withOpen(now, id, func(h *openReservation) {
 		b.release(h)
 		b.used += float64(bytes)
 		b.observe(h, bytes, now)
 	})
 }
 
-// Cancel gives a reservation back that was not used: the order was refused or is
-// not wanted any more. Calling it again is harmless.
+// Cancel releases an unused reservation, for example because the transfer request
+// was rejected or is no longer needed. It is idempotent.
 func (b *Budget) Cancel(now time.Time, id uint64) {
-	b.change(now, id, b.release)
+	b.withOpen(now, id, b.release)
 }
 
-// Abort gives up a transfer that was overtaken by its deadline. One that has
-// already taken longer than expected shows that the link is slower.
+// Abort ends a transfer that exceeded its deadline. If the transfer has already
+// taken longer than expected, Abort lowers the measured speed.
 func (b *Budget) Abort(now time.Time, id uint64) {
-	b.change(now, id, func(h *held) {
+	b.withOpen(now, id, func(h *openReservation) {
 		b.release(h)
-		if now.Sub(h.started) > h.Takes {
+		if now.Sub(h.started) > h.ExpectedDuration {
 			b.observe(h, h.Bytes, now)
 		}
 	})
 }
 
-// change calls f with a reservation that is neither unknown nor expired.
-func (b *Budget) change(now time.Time, id uint64, f func(*held)) {
+// withOpen calls f with the reservation unless it is unknown or expired.
+func (b *Budget) withOpen(now time.Time, id uint64, f func(*openReservation)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
@@ -162,7 +165,8 @@
 	}
 }
 
-// BytesPerSecond is the present speed for one more transfer of the kind.
+// BytesPerSecond returns the current expected speed of one more transfer of the
+// kind.
 func (b *Budget) BytesPerSecond(now time.Time, kind Kind) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -170,7 +174,7 @@
 	return b.rateFor(kind)
 }
 
-// QueueDelay is the time that the transfers before one more would take.
+// QueueDelay returns the expected time to finish the transfers ahead of a new one.
 func (b *Budget) QueueDelay(now time.Time, kind Kind) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -178,8 +182,8 @@
 	return b.queueDelay(kind)
 }
 
-// Price is what a byte costs now in seconds: its time on the link, more when
-// the link is in use.
+// Price returns the current cost of a byte in seconds: its transfer time, increased
+// by the link's utilization and export backlog.
 func (b *Budget) Price(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -199,8 +203,9 @@
 	return b.rate()
 }
 
-// orderRate lets a transfer find out that the link is faster than measured.
-func (b *Budget) orderRate(kind Kind) float64 {
+// rateLimit returns the rate limit for a transfer request. It may exceed the measured
+// speed so that a transfer can show that the link has become faster.
+func (b *Budget) rateLimit(kind Kind) float64 {
 	if kind == Export && b.imports > 0 {
 		return b.rateFor(kind)
 	}
@@ -222,7 +227,7 @@
 	return seconds(float64(ahead) / b.rate())
 }
 
-func (b *Budget) reserve(kind Kind, bytes int64) {
+func (b *Budget) addReserved(kind Kind, bytes int64) {
 	if kind == Import {
 		b.imports += bytes
 		return
@@ -230,14 +235,15 @@
 	b.exports += bytes
 }
 
-func (b *Budget) release(h *held) {
+func (b *Budget) release(h *openReservation) {
 	delete(b.open, h.ID)
-	b.reserve(h.Kind, -h.Bytes)
+	b.addReserved(h.Kind, -h.Bytes)
 }
 
-// observe takes the speed that all transfers had together while h ran. A
-// transfer that reached its own rate shows only that the link is no slower.
-func (b *Budget) observe(h *held, bytes int64, now time.Time) {
+// observe updates the measured speed with the combined speed of all transfers while
+// h was running. A transfer that reached its own rate limit gives only a lower bound
+// of the link's speed, so it cannot reduce the measured speed.
+func (b *Budget) observe(h *openReservation, bytes int64, now time.Time) {
 	took := now.Sub(h.started).Seconds()
 	if bytes < minSpeedBytes || took <= 0 {
 		return
@@ -251,7 +257,7 @@
 	b.speedAt = now
 }
 
-// advance brings the decayed sums to now and drops what has expired.
+// advance updates the decayed values to now and releases expired reservations.
 func (b *Budget) advance(now time.Time) {
 	if b.sharedAt.IsZero() {
 		b.sharedAt, b.usedAt, b.speedAt = now, now, now
--- a/internal/kvcache/link/budget_test.go
+++ b/internal/kvcache/link/budget_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestImportsGoBeforeExports(t *testing.T) {
+func TestImportsPrecedeExports(t *testing.T) {
 	b := NewBudget(10 * mb)
 	_, err := b.Reserve(start, Export, 15*mb, time.Time{})
 	must.NoError(t, err)
@@ -20,7 +20,7 @@
 	must.Eq(t, 0, b.QueueDelay(start, Import))
 	in, err := b.Reserve(start, Import, 10*mb, start.Add(time.Second))
 	must.NoError(t, err)
-	must.Eq(t, time.Second, in.Takes)
+	must.Eq(t, time.Second, in.ExpectedDuration)
 	_, err = b.Reserve(start, Import, mb, start.Add(time.Second))
 	must.ErrorIs(t, err, ErrTooSlow)
 	b.Cancel(start, in.ID)
@@ -42,11 +42,12 @@
 	must.Eq(t, start.Add(3*time.Second+expirySlack), r.Expires)
 	must.Eq(t, time.Second, b.QueueDelay(r.Expires, Import))
 	must.Eq(t, 0, b.QueueDelay(r.Expires.Add(1), Import))
-	b.Done(r.Expires.Add(2), r.ID, 10*mb) // late: no effect
+	b.Done(r.Expires.Add(2), r.ID, 10*mb) // after the expiry: no effect
 	must.Eq(t, 10*mb, b.BytesPerSecond(r.Expires.Add(2), Import))
 }
 
-// run makes transfers one after another at a true speed.
+// run makes consecutive transfers over a link with the given actual speed and
+// returns the time at the end.
 func run(t *testing.T, b *Budget, now time.Time, speed float64, transfers int) time.Time {
 	for range transfers {
 		r, err := b.Reserve(now, Import, mb, time.Time{})
@@ -64,8 +65,8 @@
 	now = run(t, b, now, 8*mb, 20)
 	must.Between(t, 7.5*mb, b.BytesPerSecond(now, Import), 8.5*mb)
 	now = run(t, b, now, mb, 20).Add(10 * time.Minute)
-	must.Greater(t, 9*mb, b.BytesPerSecond(now, Import)) // tried again after a while
-	// Two transfers at once at half speed each: the link itself is not slower.
+	must.Greater(t, 9*mb, b.BytesPerSecond(now, Import)) // an old measurement expires
+	// Two concurrent transfers at half speed each do not mean that the link is slower.
 	c := NewBudget(10 * mb)
 	for range 10 {
 		one, _ := c.Reserve(now, Import, mb, time.Time{})
@@ -77,12 +78,12 @@
 	must.Between(t, 9*mb, c.BytesPerSecond(now, Import), 10*mb)
 }
 
-func TestAbortsShowASlowLink(t *testing.T) {
+func TestAbortLowersMeasuredSpeed(t *testing.T) {
 	b, now := NewBudget(10*mb), start
 	for range 10 {
 		r, err := b.Reserve(now, Import, mb, time.Time{})
 		must.NoError(t, err)
-		b.Abort(now.Add(r.Takes/2), r.ID) // early: shows nothing
+		b.Abort(now.Add(r.ExpectedDuration/2), r.ID) // ended before the expected time: no measurement
 		must.Eq(t, 10*mb, b.BytesPerSecond(now, Import))
 	}
 	for range 10 {
@@ -104,17 +105,17 @@
 	must.Less(t, 1.1*idle.Price(later), busy.Price(later))
 }
 
-func TestPathHoldsAllOrNone(t *testing.T) {
+func TestPathReservesAllOrNone(t *testing.T) {
 	store, link := NewBudget(100*mb), NewBudget(10*mb)
 	path := Path{store, link}
-	hold, err := path.Reserve(start, Import, 10*mb, start.Add(time.Second))
+	reservation, err := path.Reserve(start, Import, 10*mb, start.Add(time.Second))
 	must.NoError(t, err)
-	must.Eq(t, time.Second, hold.Takes)
-	must.Eq(t, 10*mb, hold.BytesPerSecond)
+	must.Eq(t, time.Second, reservation.ExpectedDuration)
+	must.Eq(t, 10*mb, reservation.BytesPerSecond)
 	must.Eq(t, Estimate{BytesPerSecond: 10 * mb, QueueDelay: time.Second}, path.Estimate(start, Import))
 	_, err = path.Reserve(start, Import, 10*mb, start.Add(time.Second))
 	must.ErrorIs(t, err, ErrTooSlow)
 	must.Eq(t, 100*time.Millisecond, store.QueueDelay(start, Import))
-	hold.Done(start.Add(time.Second), 10*mb)
+	reservation.Done(start.Add(time.Second), 10*mb)
 	must.Eq(t, 0, path.Estimate(start.Add(time.Second), Import).QueueDelay)
 }
--- a/internal/kvcache/link/path.go
+++ b/internal/kvcache/link/path.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// Path is all budgets that a transfer passes: its store host's and those of the
-// links between. The slowest decides.
+// Path is the list of budgets that a transfer uses: that of its store host and those
+// of the links in between. The slowest one determines the speed.
 type Path []*Budget
 
-// Hold is bandwidth held on every budget of a path.
-type Hold struct {
-	Kind           Kind
-	Bytes          int64
-	BytesPerSecond int64         // rate that the order must carry
-	Takes          time.Duration // expected, from now to the transfer's end
-	Expires        time.Time     // of the first reservation to expire
+// PathReservation is bandwidth reserved for one transfer on every budget of a path.
+type PathReservation struct {
+	Kind             Kind
+	Bytes            int64
+	BytesPerSecond   int64         // rate limit to set in the transfer request
+	ExpectedDuration time.Duration // from the reservation to the transfer's end
+	Expires          time.Time     // expiry of the first reservation to expire
 
-	parts []part
+	reservations []budgetReservation
 }
 
-type part struct {
+type budgetReservation struct {
 	budget *Budget
 	id     uint64
 }
 
-// Estimate is what placement needs to weigh an import: the speed and the delay
-// before it.
+// Estimate is the expected speed of a transfer and the delay before it starts, used
+// by placement to rate an import.
 type Estimate struct {
 	BytesPerSecond float64
 	QueueDelay     time.Duration
 }
 
-// Reserve holds the transfer on all budgets or on none. It fails like
-// Budget.Reserve. An empty path is unbounded.
-func (p Path) Reserve(now time.Time, kind Kind, bytes int64, deadline time.Time) (Hold, error) {
-	hold := Hold{Kind: kind, Bytes: bytes}
+// Reserve reserves bandwidth for the transfer on all budgets or on none. It returns
+// the errors of Budget.Reserve. An empty path has no limit.
+func (p Path) Reserve(now time.Time, kind Kind, bytes int64, deadline time.Time) (PathReservation, error) {
+	reservation := PathReservation{Kind: kind, Bytes: bytes}
 	for _, budget := range p {
 		r, err := budget.Reserve(now, kind, bytes, deadline)
 		if err != nil {
-			hold.Cancel(now)
-			return Hold{}, err
+			reservation.Cancel(now)
+			return PathReservation{}, err
 		}
-		hold.add(budget, r)
+		reservation.add(budget, r)
 	}
-	return hold, nil
+	return reservation, nil
 }
 
-func (h *Hold) add(budget *Budget, r Reservation) {
-	first := len(h.parts) == 0
-	h.parts = append(h.parts, part{budget: budget, id: r.ID})
-	h.Takes = max(h.Takes, r.Takes)
+func (h *PathReservation) add(budget *Budget, r Reservation) {
+	first := len(h.reservations) == 0
+	h.reservations = append(h.reservations, budgetReservation{budget: budget, id: r.ID})
+	h.ExpectedDuration = max(h.ExpectedDuration, r.ExpectedDuration)
 	if first || r.BytesPerSecond < h.BytesPerSecond {
 		h.BytesPerSecond = r.BytesPerSecond
 	}
@@ -56,28 +56,28 @@
 	}
 }
 
-// Done ends the transfer on all budgets; bytes is what was moved.
-func (h Hold) Done(now time.Time, bytes int64) {
-	for _, p := range h.parts {
+// Done ends the transfer on all budgets after the given number of bytes.
+func (h PathReservation) Done(now time.Time, bytes int64) {
+	for _, p := range h.reservations {
 		p.budget.Done(now, p.id, bytes)
 	}
 }
 
-// Cancel gives the bandwidth back. Calling it again is harmless.
-func (h Hold) Cancel(now time.Time) {
-	for _, p := range h.parts {
+// Cancel releases the bandwidth on all budgets. It is idempotent.
+func (h PathReservation) Cancel(now time.Time) {
+	for _, p := range h.reservations {
 		p.budget.Cancel(now, p.id)
 	}
 }
 
-// Abort gives up a transfer that was overtaken by its deadline.
-func (h Hold) Abort(now time.Time) {
-	for _, p := range h.parts {
+// Abort ends a transfer that exceeded its deadline.
+func (h PathReservation) Abort(now time.Time) {
+	for _, p := range h.reservations {
 		p.budget.Abort(now, p.id)
 	}
 }
 
-// Estimate is the path's present speed and delay for one more transfer.
+// Estimate returns the path's current speed and delay for one more transfer.
 func (p Path) Estimate(now time.Time, kind Kind) Estimate {
 	var e Estimate
 	for i, budget := range p {
@@ -90,7 +90,8 @@
 	return e
 }
 
-// Price is what a byte costs on the path in seconds.
+// Price returns the current cost of a byte in seconds: the highest price of the
+// path's budgets.
 func (p Path) Price(now time.Time) float64 {
 	price := 0.0
 	for _, budget := range p {
--- a/internal/kvcache/plan.go
+++ b/internal/kvcache/plan.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	checksumBytes = 32 // SHA-256
-	planTries     = 3  // shorter prefixes tried when the store host lacks the longest
-	badImports    = 2  // times that engines refuse a block before it is given up
+	checksumBytes     = 32 // SHA-256
+	maxPlanAttempts   = 3  // prefixes tried, each one block shorter, if the store host lacks the longest
+	maxImportRefusals = 2  // refusals by engines after which a block is freed
 )
 
-// ErrPlanExpired reports an import plan whose check is too old to start from.
+// ErrPlanExpired is returned for an import plan that was checked too long ago to be
+// started.
 var ErrPlanExpired = errors.New("kvcache: import plan has expired")
 
-// ImportPlan is a set of checked blocks to import, in chain order.
+// ImportPlan is a set of blocks to import, in chain order, whose manifests were
+// checked.
 type ImportPlan struct {
 	Transfer   Transfer
 	Placements []Placement
@@ -25,7 +27,7 @@
 	checked   time.Time
 }
 
-// Bytes is the size of the blocks to move.
+// Bytes returns the total size of the blocks to transfer.
 func (p ImportPlan) Bytes() int64 {
 	var sum int64
 	for _, m := range p.manifests {
@@ -34,22 +36,22 @@
 	return sum
 }
 
-// PlanImport chooses the blocks that the engine lacks past engineTokens and up to
-// maxTokens (0: no limit). Every manifest is checked against the request, and the
-// last one is read again from the store host: blocks are freed from the tail, so
-// that the ones before it are published too. Any mismatch is a miss: the plan is
-// shorter or empty. An error is a miss as well.
+// PlanImport selects the blocks that end after engineTokens and no later than
+// maxTokens (0: no limit). It checks every manifest against the request and reads
+// the last one again from the store host. Blocks are freed from the end of the
+// chain, so if the last one is still published the ones before it are too. Any
+// mismatch makes the plan shorter or empty; callers treat an error as a miss.
 func (h *StoreHost) PlanImport(ctx context.Context, req Request, engineTokens, maxTokens int, bytesPerSecond int64) (ImportPlan, error) {
 	if h.breaker.Open() {
 		return ImportPlan{}, ErrStoreDown
 	}
 	usable := checkChain(req, h.Index.Manifests(req.Chain, req.Layout), maxTokens)
-	checked, err := h.recheck(ctx, usable, engineTokens)
+	checked, err := h.confirmLast(ctx, usable, engineTokens)
 	if err != nil || len(checked) == 0 {
 		return ImportPlan{}, err
 	}
 	plan := ImportPlan{
-		Transfer: Transfer{Store: h.url, BytesPerSecond: bytesPerSecond, Timeout: h.timing.LongestImport},
+		Transfer: Transfer{Store: h.url, BytesPerSecond: bytesPerSecond, Timeout: h.timing.MaxImport},
 		checked:  h.clock(),
 	}
 	for _, m := range checked {
@@ -70,15 +72,15 @@
 	})
 }
 
-// checkChain cuts the manifests before the first that doesn't fit the request or
-// its parent, or that ends past maxTokens.
+// checkChain returns the manifests before the first one that does not match the
+// request or its parent, or that ends after maxTokens.
 func checkChain(req Request, manifests []Manifest, maxTokens int) []Manifest {
 	parent := Manifest{}
 	for i, m := range manifests {
 		if maxTokens > 0 && m.EndToken > maxTokens {
 			return manifests[:i]
 		}
-		if !fits(req, m, parent, i) {
+		if !validManifest(req, m, parent, i) {
 			return manifests[:i]
 		}
 		parent = m
@@ -86,7 +88,7 @@
 	return manifests
 }
 
-func fits(req Request, m, parent Manifest, index int) bool {
+func validManifest(req Request, m, parent Manifest, index int) bool {
 	key, ok := parseStoreKey(m.Key)
 	return ok && key == newStoreKey(key.at, req.Layout, index) &&
 		m.Identity == req.Identity && m.Layout == req.Layout &&
@@ -100,18 +102,20 @@
 	return err == nil && len(raw) == checksumBytes
 }
 
-// recheck reads the last manifest again, and goes back while it has changed.
-func (h *StoreHost) recheck(ctx context.Context, manifests []Manifest, engineTokens int) ([]Manifest, error) {
-	for range planTries {
+// confirmLast reads the last manifest again from the store host. If it has changed,
+// confirmLast removes it from the list and tries the one before, up to
+// maxPlanAttempts times.
+func (h *StoreHost) confirmLast(ctx context.Context, manifests []Manifest, engineTokens int) ([]Manifest, error) {
+	for range maxPlanAttempts {
 		if len(manifests) == 0 || manifests[len(manifests)-1].EndToken <= engineTokens {
 			return nil, nil
 		}
 		last := manifests[len(manifests)-1]
-		there, err := h.store.Manifest(ctx, last.Key)
+		existing, err := h.store.Manifest(ctx, last.Key)
 		if err != nil && !errors.Is(err, ErrNotFound) {
 			return nil, err
 		}
-		if err == nil && there == last {
+		if err == nil && existing == last {
 			return manifests, nil
 		}
 		h.Index.Remove(last.Key, last.Name)
@@ -119,14 +123,14 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ready = false // far out of date: the next Refresh loads again
+	h.loaded = false // the index is far out of date: the next Refresh reloads it
 	return nil, nil
 }
 
-// Import orders the engine to read the plan's blocks and returns those that it
-// now holds, up to the first that failed; the rest is recomputed. Cancel the
-// context when the import is overtaken by its caller's deadline. A block that
-// turns out missing, partial or corrupted is taken out of use.
+// Import has the engine read the plan's blocks and returns the blocks imported, up
+// to the first failure; the rest of the prompt is recomputed. Cancel the context
+// when the import exceeds its caller's deadline. A block that turns out to be
+// missing, incomplete or corrupted is freed.
 func (h *StoreHost) Import(ctx context.Context, engine Engine, plan ImportPlan) ([]Placement, error) {
 	if len(plan.manifests) == 0 {
 		return nil, nil
@@ -145,22 +149,23 @@
 			return plan.Placements[:i], nil
 		}
 		if !results[i].OK {
-			return plan.Placements[:i], h.suspect(ctx, m, results[i])
+			return plan.Placements[:i], h.checkFailedImport(ctx, m, results[i])
 		}
 	}
 	return plan.Placements, nil
 }
 
-// suspect takes a block that an engine did not take in out of use when the store
-// host does not hold it whole, or when engines have read and refused it before.
-// An engine that can't reach the store host says nothing of the block.
-func (h *StoreHost) suspect(ctx context.Context, m Manifest, result TransferResult) error {
+// checkFailedImport frees a block whose import failed if it is incomplete on the
+// store host, or if engines have read and refused it maxImportRefusals times. A
+// failure before all bytes were read, for example because the engine cannot reach
+// the store host, does not count as a refusal.
+func (h *StoreHost) checkFailedImport(ctx context.Context, m Manifest, result TransferResult) error {
 	refused := 0
 	if result.Bytes == m.Bytes {
-		refused = h.Index.refuse(m.Key)
+		refused = h.Index.countRefusal(m.Key)
 	}
 	err := h.verify(ctx, m)
-	if err == nil && refused < badImports {
+	if err == nil && refused < maxImportRefusals {
 		return nil
 	}
 	if err != nil && !errors.Is(err, ErrNotVerified) {
--- a/internal/kvcache/policy/evict.go
+++ b/internal/kvcache/policy/evict.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// Stored is one block in a store as eviction sees it. Blocks form trees: Parent
-// is the key of the block before it, empty or unknown for the first.
+// Stored is a stored block that may be evicted. Blocks form trees: Parent is the
+// key of the preceding block, empty or unknown for the first.
 type Stored struct {
 	Key     string
 	Parent  string
@@ -12,11 +12,12 @@
 	Value   float64 // expected seconds saved by keeping it
 }
 
-// PlanEviction chooses blocks to drop until need bytes are free. Only ends of
-// chains go, the least value per byte first; a dropped end makes its parent an
-// end. No account is taken below floor bytes as long as another one has an end
-// to spare. The result is in the order of dropping; it falls short of need only
-// when there is nothing left.
+// PlanEviction selects blocks to evict until need bytes are free and returns their
+// keys in order of eviction. It evicts only blocks without children, lowest value
+// per byte first; once all children of a block are evicted, the block itself may
+// follow. An account is reduced below floor bytes only if no other account has a
+// block that it can lose and keep floor bytes. The result frees less than need bytes
+// only if no blocks are left.
 func PlanEviction(blocks []Stored, need, floor int64) []string {
 	e := newEviction(blocks, floor)
 	var keys []string
@@ -27,31 +28,31 @@
 		}
 		keys = append(keys, block.Key)
 		need -= block.Bytes
-		e.drop(block)
+		e.evict(block)
 	}
 	return keys
 }
 
 type eviction struct {
-	byKey    map[string]*Stored
-	children map[string]int
-	held     map[string]int64 // bytes by account
-	floor    int64
-	ends     endHeap
-	spared   endHeap // ends whose account would fall below the floor
+	byKey          map[string]*Stored
+	children       map[string]int
+	bytesByAccount map[string]int64
+	floor          int64
+	ends           endHeap
+	belowFloor     endHeap // ends whose eviction would take the account below the floor
 }
 
 func newEviction(blocks []Stored, floor int64) *eviction {
 	e := &eviction{
-		byKey:    make(map[string]*Stored, len(blocks)),
-		children: make(map[string]int, len(blocks)),
-		held:     make(map[string]int64),
-		floor:    floor,
+		byKey:          make(map[string]*Stored, len(blocks)),
+		children:       make(map[string]int, len(blocks)),
+		bytesByAccount: make(map[string]int64),
+		floor:          floor,
 	}
 	for i := range blocks {
 		block := &blocks[i]
 		e.byKey[block.Key] = block
-		e.held[block.Account] += block.Bytes
+		e.bytesByAccount[block.Account] += block.Bytes
 		if block.Parent != "" {
 			e.children[block.Parent]++
 		}
@@ -64,23 +65,25 @@
 	return e
 }
 
-// next is the cheapest end of an account above its floor, else the cheapest.
+// next removes and returns the end with the lowest value per byte among those whose
+// account stays at or above the floor; if there is none, the lowest of all ends. It
+// returns nil if no ends are left.
 func (e *eviction) next() *Stored {
 	for e.ends.Len() > 0 {
 		block := heap.Pop(&e.ends).(*Stored)
-		if e.held[block.Account]-block.Bytes >= e.floor {
+		if e.bytesByAccount[block.Account]-block.Bytes >= e.floor {
 			return block
 		}
-		heap.Push(&e.spared, block)
+		heap.Push(&e.belowFloor, block)
 	}
-	if e.spared.Len() > 0 {
-		return heap.Pop(&e.spared).(*Stored)
+	if e.belowFloor.Len() > 0 {
+		return heap.Pop(&e.belowFloor).(*Stored)
 	}
 	return nil
 }
 
-func (e *eviction) drop(block *Stored) {
-	e.held[block.Account] -= block.Bytes
+func (e *eviction) evict(block *Stored) {
+	e.bytesByAccount[block.Account] -= block.Bytes
 	parent, ok := e.byKey[block.Parent]
 	if !ok {
 		return
@@ -91,7 +94,8 @@
 	}
 }
 
-// endHeap orders ends by value per byte, then by key.
+// endHeap is a min-heap of blocks without children, ordered by value per byte, then
+// by key.
 type endHeap []*Stored
 
 var _ heap.Interface = (*endHeap)(nil)
@@ -108,10 +112,10 @@
 	return a.Key < b.Key
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *endHeap) Push(x any) { *h = append(*h, x.(*Stored)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *endHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/kvcache/policy/export.go
+++ b/internal/kvcache/policy/export.go
@@ -1,15 +1,14 @@
 package policy
 
-// Offer is one export that could be made: the blocks of a prefix that the store
-// does not hold yet.
+// Offer is a possible export: the blocks of a prefix that are not in the store yet.
 type Offer struct {
-	ReturnChance float64 // that the prompt returns after the engine has dropped it
-	SavedSeconds float64 // prefill less import time, if it returns
-	Bytes        int64   // to move over the link
-	Uses         int     // runs that had this prefix so far, this one included
+	ReturnChance float64 // probability that the prompt returns after the engine has evicted it
+	SavedSeconds float64 // prefill time minus import time, if it returns
+	Bytes        int64   // bytes to transfer over the link
+	Uses         int     // number of runs with this prefix, including the current one
 }
 
-// Value is the expected number of seconds saved per byte of link.
+// Value returns the expected number of seconds saved per byte transferred.
 func (o Offer) Value() float64 {
 	if o.Bytes <= 0 {
 		return 0
@@ -17,22 +16,22 @@
 	return o.ReturnChance * max(0, o.SavedSeconds) / float64(o.Bytes)
 }
 
-// ExportPolicy decides whether to buy an export at the link's present price in
+// ExportPolicy decides whether to make an export, given the link's current price in
 // seconds per byte.
 type ExportPolicy interface {
 	Worth(offer Offer, price float64) bool
 }
 
-// ExportNever makes no exports.
+// ExportNever rejects every export.
 type ExportNever struct{}
 
-// ExportAlways makes every export.
+// ExportAlways accepts every export.
 type ExportAlways struct{}
 
-// ExportSecondUse makes an export once a prefix has been used twice.
+// ExportSecondUse accepts an export if its prefix has been used at least twice.
 type ExportSecondUse struct{}
 
-// ExportByValue makes the exports whose value exceeds the link's price.
+// ExportByValue accepts the exports whose value exceeds the link's price.
 type ExportByValue struct{}
 
 var (
@@ -42,16 +41,17 @@
 	_ ExportPolicy = ExportByValue{}
 )
 
-// Worth is false.
+// Worth returns false.
 func (ExportNever) Worth(Offer, float64) bool { return false }
 
-// Worth is true for any offer with bytes to move.
+// Worth reports whether the offer has bytes to transfer.
 func (ExportAlways) Worth(offer Offer, _ float64) bool { return offer.Bytes > 0 }
 
-// Worth is true from the second use on.
+// Worth reports whether the prefix has been used at least twice and has bytes to
+// transfer.
 func (ExportSecondUse) Worth(offer Offer, _ float64) bool {
 	return offer.Bytes > 0 && offer.Uses >= 2
 }
 
-// Worth compares value and price.
+// Worth reports whether the offer's value exceeds the price.
 func (ExportByValue) Worth(offer Offer, price float64) bool { return offer.Value() > price }
--- a/internal/kvcache/policy/policy_test.go
+++ b/internal/kvcache/policy/policy_test.go
@@ -24,7 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// turns ends a turn every ten minutes; one in every returns after gap.
+// turns records count turns, one every ten minutes, and a return after gap for one
+// turn in every. It returns the time of the last turn.
 func turns(r *Returns, account string, count, every int, gap time.Duration) time.Time {
 	now := start
 	for i := range count {
@@ -37,28 +38,28 @@
 	return now
 }
 
-func TestReturnsLearnsPerAccount(t *testing.T) {
+func TestReturnsPerAccount(t *testing.T) {
 	r := NewReturns()
 	must.Between(t, 0.4, r.Chance("new", start, 0, 0, 30*day), 0.6)
 	now := turns(r, "often", 1000, 1, time.Hour)
 	turns(r, "never", 1000, 1001, time.Hour)
 	must.Greater(t, 0.85, r.Chance("often", now, 0, 0, 30*day))
 	must.Less(t, 0.05, r.Chance("never", now, 0, 0, 30*day))
-	// Nearly all come back about an hour later: not before, not after.
+	// Nearly all conversations return after about an hour, not earlier or later.
 	must.Less(t, 0.05, r.Chance("often", now, 0, 0, 10*time.Minute))
 	must.Less(t, 0.05, r.Chance("often", now, 0, 3*time.Hour, 30*day))
 	must.Less(t, 0.35, r.Chance("often", now, 3*time.Hour, 0, 30*day))
 }
 
-func TestReturnsAllowsForYoungTurns(t *testing.T) {
-	// Half of the turns come back after two days; the node has run for four, so
-	// that half of the turns have had no time to return.
+func TestReturnsIgnoresGapsBeyondTurnAge(t *testing.T) {
+	// Half of the turns return after two days. The node has run for four days, so half
+	// of the turns are too recent to have returned.
 	r := NewReturns()
 	now := turns(r, "a", 4*144, 2, 2*day)
 	must.Between(t, 0.35, r.Chance("a", now, 0, 0, 30*day), 0.65)
 }
 
-func TestReturnsForgets(t *testing.T) {
+func TestReturnsDecaysOldObservations(t *testing.T) {
 	r := NewReturns()
 	now := turns(r, "a", 500, 1, time.Hour)
 	before := r.Chance("a", now, 0, 0, 30*day)
@@ -71,12 +72,12 @@
 
 func TestExportPolicies(t *testing.T) {
 	const price = 1e-6
-	dear := Offer{ReturnChance: 0.1, SavedSeconds: 1, Bytes: 1 << 20, Uses: 1}
+	expensive := Offer{ReturnChance: 0.1, SavedSeconds: 1, Bytes: 1 << 20, Uses: 1}
 	cheap := Offer{ReturnChance: 0.9, SavedSeconds: 10, Bytes: 1 << 20, Uses: 2}
 	empty := Offer{ReturnChance: 1, SavedSeconds: 10}
 	cases := []struct {
-		policy              ExportPolicy
-		dear, cheap, nought bool
+		policy                 ExportPolicy
+		expensive, cheap, none bool
 	}{
 		{ExportNever{}, false, false, false},
 		{ExportAlways{}, true, true, false},
@@ -85,15 +86,15 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%T", c.policy), func(t *testing.T) {
-			must.Eq(t, c.dear, c.policy.Worth(dear, price))
+			must.Eq(t, c.expensive, c.policy.Worth(expensive, price))
 			must.Eq(t, c.cheap, c.policy.Worth(cheap, price))
-			must.Eq(t, c.nought, c.policy.Worth(empty, price))
+			must.Eq(t, c.none, c.policy.Worth(empty, price))
 		})
 	}
 	must.False(t, ExportByValue{}.Worth(cheap, 1e-4))
 }
 
-func TestPlanEvictionTakesTailsByValueAndSparesSmallAccounts(t *testing.T) {
+func TestPlanEvictionByValueWithAccountFloor(t *testing.T) {
 	blocks := []Stored{
 		{Key: "a0", Account: "large", Bytes: 10, Value: 1},
 		{Key: "a1", Parent: "a0", Account: "large", Bytes: 10, Value: 2},
@@ -102,15 +103,15 @@
 		{Key: "s0", Account: "small", Bytes: 10, Value: 0},
 	}
 	must.Eq(t, []string{"a2"}, PlanEviction(blocks, 1, 10))
-	// a1 stays until both of its children are gone.
+	// a1 is kept until both of its children are evicted.
 	must.Eq(t, []string{"a2", "b2", "a1"}, PlanEviction(blocks, 30, 10))
-	// At last the floors give way, least value first.
+	// If nothing else is left, accounts fall below the floor, lowest value first.
 	must.Eq(t, []string{"a2", "b2", "a1", "s0", "a0"}, PlanEviction(blocks, 1000, 10))
 }
 
-// A long context that seldom returns goes down to its head, and no further than
-// needed, before a likelier one loses its tail.
-func TestPlanEvictionEatsASeldomLongContext(t *testing.T) {
+// A long context with a low value per byte is evicted from its end, as far as needed,
+// before a context with a higher value loses any block.
+func TestPlanEvictionShrinksLowValueContextFirst(t *testing.T) {
 	var blocks []Stored
 	add := func(name string, length int, value float64) {
 		for i := range length {
@@ -133,7 +134,7 @@
 	must.Eq(t, "short0-2", PlanEviction(blocks, 310, 0)[30])
 }
 
-func TestPlanEvictionNeverLeavesHoles(t *testing.T) {
+func TestPlanEvictionEvictsChildrenFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var blocks []Stored
 		held := map[string]int64{}
@@ -151,7 +152,7 @@
 		for _, key := range PlanEviction(blocks, rapid.Int64Range(1, 2000).Draw(t, "need"), floor) {
 			var self Stored
 			for _, b := range blocks {
-				must.False(t, b.Parent == key && !dropped[b.Key]) // children first
+				must.False(t, b.Parent == key && !dropped[b.Key]) // children are evicted first
 				if b.Key == key {
 					self = b
 				}
@@ -159,13 +160,14 @@
 			must.False(t, dropped[key])
 			dropped[key] = true
 			held[self.Account] -= self.Bytes
-			must.True(t, held[self.Account] >= floor || !endToSpare(blocks, dropped, held, floor))
+			must.True(t, held[self.Account] >= floor || !canEvictAboveFloor(blocks, dropped, held, floor))
 		}
 	})
 }
 
-// endToSpare tells whether an account has an end that it can lose and keep floor.
-func endToSpare(blocks []Stored, dropped map[string]bool, held map[string]int64, floor int64) bool {
+// canEvictAboveFloor reports whether any account has a block without children whose
+// eviction leaves at least floor bytes.
+func canEvictAboveFloor(blocks []Stored, dropped map[string]bool, held map[string]int64, floor int64) bool {
 	parents := map[string]bool{}
 	for _, b := range blocks {
 		parents[b.Parent] = parents[b.Parent] || !dropped[b.Key]
--- a/internal/kvcache/policy/returns.go
+++ b/internal/kvcache/policy/returns.go
@@ -1,8 +1,9 @@
-// Package policy weighs kept context: how likely a prompt returns, whether a
-// block is worth its bytes on the link, and what a full store drops first.
+// Package policy estimates the value of KV cache blocks: how likely a conversation
+// returns, whether exporting a block is worth its cost on the link, and which blocks
+// a full store evicts first.
 //
-// The package is pure: time is passed in and nothing does I/O. Its choices
-// affect cost only, never which bytes are correct.
+// Callers pass in the time and the package does no I/O. Its decisions affect cost
+// only, not correctness.
 package policy
 
 import (
@@ -13,34 +14,34 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Gaps between the turns of a conversation fall into buckets that double in
-// width, from a second to half a year.
+// Gaps between the turns of a conversation are counted in buckets of doubling width,
+// from one second to half a year.
 const (
 	firstGap       = time.Second
 	gapBuckets     = 24
 	returnHalfLife = 14 * 24 * time.Hour
-	returnAccounts = 4096 // client accounts remembered
+	returnAccounts = 4096 // client accounts kept in memory
 
-	priorTurns   = 4.0 // weight of the prior among all accounts' turns
-	priorReturn  = 0.5 // chance of any return before the first observation
-	priorFirst   = 4   // bucket of the shortest gap of the prior: 16 s
-	priorLast    = 18  // bucket of the longest gap of the prior: 3 days
-	accountPrior = 8.0 // weight of all accounts' turns in one account's estimate
+	priorTurns   = 4.0 // weight of the prior, in turns, in the estimate for all accounts
+	priorReturn  = 0.5 // return probability assumed without observations
+	priorFirst   = 4   // first bucket of the prior, gaps up to 16 s
+	priorLast    = 18  // last bucket of the prior, gaps up to 3 days
+	accountPrior = 8.0 // weight, in turns, of the estimate for all accounts in one account's estimate
 	minSurvival  = 1e-3
 )
 
-// Returns learns, for each client account, how long after a turn a conversation
-// comes back, and how often it does not. Observations lose half their weight in
-// two weeks. Turns too young to have returned count only for the gaps that they
-// had time for, so that a node that was just started doesn't take long gaps for
-// rare ones. Safe for concurrent use.
+// Returns estimates, for each client account, the distribution of the time from the
+// end of a turn to the conversation's next turn, and the share of conversations that
+// do not return. The weight of observations halves every two weeks. A turn counts
+// only for gaps shorter than its age, so that a newly started node does not
+// underestimate the share of long gaps. Safe for concurrent use.
 type Returns struct {
 	mu       sync.Mutex
 	all      *gapHistogram
 	accounts *simplelru.LRU[string, *gapHistogram]
 }
 
-// NewReturns returns an estimator that knows its prior only.
+// NewReturns returns an estimator that has only its prior.
 func NewReturns() *Returns {
 	accounts, err := simplelru.NewLRU[string, *gapHistogram](returnAccounts, nil)
 	if err != nil {
@@ -49,7 +50,8 @@
 	return &Returns{all: &gapHistogram{}, accounts: accounts}
 }
 
-// ObserveTurn notes that a turn of the account's conversation ended at now.
+// ObserveTurn records that a turn of one of the account's conversations ended at
+// now.
 func (r *Returns) ObserveTurn(account string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +61,7 @@
 	}
 }
 
-// ObserveReturn notes that a conversation came back at now, gap after the end of
+// ObserveReturn records that a conversation continued at now, gap after the end of
 // its last turn.
 func (r *Returns) ObserveReturn(account string, gap time.Duration, now time.Time) {
 	r.mu.Lock()
@@ -70,8 +72,9 @@
 	}
 }
 
-// Chance is the probability, 0 to 1, that a conversation idle for so long comes
-// back with a gap of at least from and less than to, counted from its last turn.
+// Chance returns the probability, 0 to 1, that a conversation that has been idle for
+// the given time returns with a gap in [from, to), measured from the end of its last
+// turn.
 func (r *Returns) Chance(account string, now time.Time, idle, from, to time.Duration) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +83,7 @@
 	h.advance(now)
 	density := h.density(r.all.density(prior(), priorTurns), accountPrior)
 	survival := 1 - mass(density, 0, idle)
-	return clamp(mass(density, max(from, idle), to) / max(survival, minSurvival))
+	return clampProbability(mass(density, max(from, idle), to) / max(survival, minSurvival))
 }
 
 func (r *Returns) account(account string) *gapHistogram {
@@ -92,15 +95,16 @@
 	return h
 }
 
-// gapHistogram counts turns by their present age and returns by their gap.
+// gapHistogram counts turns by their current age and returns by their gap.
 type gapHistogram struct {
 	at      time.Time
 	ages    [gapBuckets]float64
 	returns [gapBuckets]float64
 }
 
-// advance ages the turns: in a bucket they are taken as spread evenly, so that
-// the share moving on is the time passed over the bucket's width.
+// advance ages the turns to now and decays all counts. Turns are assumed to be
+// spread evenly over a bucket, so the share that moves to the next bucket is the
+// elapsed time divided by the bucket's width.
 func (h *gapHistogram) advance(now time.Time) {
 	if h.at.IsZero() {
 		h.at = now
@@ -122,8 +126,9 @@
 	}
 }
 
-// density is the share of turns that return in each bucket of gaps, among the
-// turns old enough to have done so, pulled towards prior by its weight in turns.
+// density returns for each bucket the share of turns that returned with a gap in it,
+// among the turns old enough to have done so. The result is smoothed with the prior,
+// weighted as the given number of turns.
 func (h *gapHistogram) density(prior [gapBuckets]float64, weight float64) [gapBuckets]float64 {
 	var out [gapBuckets]float64
 	older := 0.0
@@ -143,7 +148,7 @@
 	return out
 }
 
-// mass sums the density of gaps from one duration to another.
+// mass returns the probability of a gap between from and to.
 func mass(density [gapBuckets]float64, from, to time.Duration) float64 {
 	sum := 0.0
 	for b, p := range density {
@@ -153,7 +158,7 @@
 			sum += p * overlap / (end - start)
 		}
 	}
-	return clamp(sum)
+	return clampProbability(sum)
 }
 
 func bucketOf(gap time.Duration) int {
@@ -172,4 +177,4 @@
 
 func bucketEnd(b int) float64 { return firstGap.Seconds() * math.Exp2(float64(b)) }
 
-func clamp(p float64) float64 { return min(1, max(0, p)) }
+func clampProbability(p float64) float64 { return min(1, max(0, p)) }
--- a/internal/kvcache/property_test.go
+++ b/internal/kvcache/property_test.go
@@ -12,35 +12,36 @@
 	"pgregory.net/rapid"
 )
 
-// parked is an owner's operation that waits before one of its calls.
-type parked struct {
+// pausedOp is an owner's operation that is paused before one of its calls.
+type pausedOp struct {
 	owner  int
 	resume chan stepOutcome
 }
 
-// stepOutcome is how the call that an operation waits at shall end.
+// stepOutcome holds the errors to inject before and after the call at which an
+// operation is paused.
 type stepOutcome struct{ before, after error }
 
-// bench interleaves the operations of two owners call by call. One goroutine
-// runs at a time, so that a seed decides the whole run.
-type bench struct {
+// scheduler interleaves the operations of two owners call by call. Only one goroutine
+// runs at a time, so that the seed determines the whole run.
+type scheduler struct {
 	store   *fakeStore
 	engine  *fakeEngine
 	owners  [2]*StoreHost
-	waiting []*parked
-	current *parked
-	parks   chan struct{} // the running operation parked or ended
-	partial bool          // the next write breaks off unseen
+	paused  []*pausedOp
+	current *pausedOp
+	yielded chan struct{} // receives when the running operation pauses or ends
+	partial bool          // the next write breaks off without an error
 }
 
-// variant changes an owner into a broken one.
-type variant func(*bench, *StoreHost)
+// variant introduces a defect into an owner.
+type variant func(*scheduler, *StoreHost)
 
-func newBench(t *rapid.T, broken variant) *bench {
+func newScheduler(t *rapid.T, broken variant) *scheduler {
 	s := newFakeStore()
 	s.capacity = 12
-	b := &bench{store: s, parks: make(chan struct{})}
-	b.engine = &fakeEngine{store: s, breaks: func() bool {
+	b := &scheduler{store: s, yielded: make(chan struct{})}
+	b.engine = &fakeEngine{store: s, breakWrite: func() bool {
 		breaks := b.partial
 		b.partial = false
 		return breaks
@@ -55,47 +56,47 @@
 	return b
 }
 
-// step runs in the operation's goroutine and parks it.
-func (b *bench) step(string) (before, after error) {
+// step pauses the operation that calls it until advance.
+func (b *scheduler) step(string) (before, after error) {
 	self := b.current
-	b.waiting = append(b.waiting, self)
-	b.parks <- struct{}{}
+	b.paused = append(b.paused, self)
+	b.yielded <- struct{}{}
 	outcome := <-self.resume
 	return outcome.before, outcome.after
 }
 
-// start runs an operation up to its first call.
-func (b *bench) start(owner int, op func(*StoreHost)) {
-	self := &parked{owner: owner, resume: make(chan stepOutcome)}
+// start runs an operation until its first call.
+func (b *scheduler) start(owner int, op func(*StoreHost)) {
+	self := &pausedOp{owner: owner, resume: make(chan stepOutcome)}
 	b.current = self
 	go func() {
 		op(b.owners[owner])
-		b.parks <- struct{}{}
+		b.yielded <- struct{}{}
 	}()
-	<-b.parks
+	<-b.yielded
 }
 
-// advance lets a waiting operation make its call and run up to the next.
-func (b *bench) advance(i int, outcome stepOutcome) {
-	self := b.waiting[i]
-	b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+// advance resumes a paused operation until its next call or its end.
+func (b *scheduler) advance(i int, outcome stepOutcome) {
+	self := b.paused[i]
+	b.paused = append(b.paused[:i], b.paused[i+1:]...)
 	b.current = self
 	self.resume <- outcome
-	<-b.parks
+	<-b.yielded
 }
 
-// finish ends all operations.
-func (b *bench) finish() {
-	for len(b.waiting) > 0 {
+// finish runs all operations to their end.
+func (b *scheduler) finish() {
+	for len(b.paused) > 0 {
 		b.advance(0, stepOutcome{})
 	}
 }
 
-// kill replaces an owner by a new node that knows nothing; what the old one was
-// doing ends where it is.
-func (b *bench) kill(t *rapid.T, owner int, broken variant) {
-	for i := 0; i < len(b.waiting); {
-		if b.waiting[i].owner == owner {
+// kill replaces an owner by a new one with an empty state. The operations of the old
+// owner fail at the call at which they are paused.
+func (b *scheduler) kill(t *rapid.T, owner int, broken variant) {
+	for i := 0; i < len(b.paused); {
+		if b.paused[i].owner == owner {
 			b.advance(i, stepOutcome{before: errLost})
 			i = 0
 			continue
@@ -110,7 +111,7 @@
 
 var operations = map[string]func(*StoreHost, *fakeEngine, Request){
 	"export":  func(h *StoreHost, e *fakeEngine, req Request) { _, _ = export(h, e, req) },
-	"import":  func(h *StoreHost, e *fakeEngine, req Request) { imported(h, e, req) },
+	"import":  func(h *StoreHost, e *fakeEngine, req Request) { importedBlocks(h, e, req) },
 	"flush":   func(h *StoreHost, _ *fakeEngine, _ Request) { _ = h.Flush(ctx) },
 	"sweep":   func(h *StoreHost, _ *fakeEngine, _ Request) { _ = h.Sweep(ctx) },
 	"refresh": func(h *StoreHost, _ *fakeEngine, _ Request) { _, _ = h.Refresh(ctx) },
@@ -121,10 +122,10 @@
 
 var operationNames = []string{"export", "import", "flush", "sweep", "refresh", "evict"}
 
-// interleave runs random operations of two owners with faults, and returns the
-// first violation of the invariants.
+// interleave runs random operations of two owners with faults and returns the first
+// violation of the invariants.
 func interleave(t *rapid.T, broken variant) (*fakeStore, error) {
-	b := newBench(t, broken)
+	b := newScheduler(t, broken)
 	requests := []Request{request("one", 2), request("one", 4), request("two", 3)}
 	restore := b.store.snapshot()
 	for range rapid.IntRange(10, 120).Draw(t, "steps") {
@@ -134,22 +135,22 @@
 		owner := rapid.IntRange(0, 1).Draw(t, "owner")
 		choice := rapid.IntRange(0, 99).Draw(t, "choice")
 		switch {
-		case choice < 25 && len(b.waiting) < 4:
+		case choice < 25 && len(b.paused) < 4:
 			name := rapid.SampledFrom(operationNames).Draw(t, "operation")
 			req := rapid.SampledFrom(requests).Draw(t, "request")
 			b.start(owner, func(h *StoreHost) { operations[name](h, b.engine, req) })
-		case choice < 80 && len(b.waiting) > 0:
-			b.advance(rapid.IntRange(0, len(b.waiting)-1).Draw(t, "waiting"), stepOutcome{})
-		case choice < 83 && len(b.waiting) > 0:
+		case choice < 80 && len(b.paused) > 0:
+			b.advance(rapid.IntRange(0, len(b.paused)-1).Draw(t, "waiting"), stepOutcome{})
+		case choice < 83 && len(b.paused) > 0:
 			b.advance(0, stepOutcome{after: errLost})
-		case choice < 86 && len(b.waiting) > 0:
+		case choice < 86 && len(b.paused) > 0:
 			b.advance(0, stepOutcome{before: errDown})
 		case choice < 88:
 			b.kill(t, owner, broken)
 		case choice < 90:
 			b.partial = true
 		case choice < 92:
-			b.store.restoredMidway = b.store.restoredMidway || len(b.waiting) > 0
+			b.store.restoredDuringCall = b.store.restoredDuringCall || len(b.paused) > 0
 			restore()
 			restore = b.store.snapshot()
 		case choice < 93:
@@ -169,23 +170,24 @@
 		must.NoError(t, err)
 		accepted += s.accepted
 	})
-	must.Greater(t, 50, accepted) // the runs do read blocks
+	must.Greater(t, 50, accepted) // the runs must include successful reads
 }
 
-// lyingStore answers that a block is as the engine said, without looking.
-type lyingStore struct {
+// unverifiedStore reports every block as complete with the engine's checksum, without
+// checking its contents.
+type unverifiedStore struct {
 	Store
 	engine *fakeEngine
 }
 
-func (s lyingStore) BlockInfo(_ context.Context, name string) (BlockInfo, error) {
-	return BlockInfo{Name: name, Bytes: fakeBlockBytes, Checksum: s.engine.claimed[name], Complete: true}, nil
+func (s unverifiedStore) BlockInfo(_ context.Context, name string) (BlockInfo, error) {
+	return BlockInfo{Name: name, Bytes: fakeBlockBytes, Checksum: s.engine.reported[name], Complete: true}, nil
 }
 
-// hastyStore deletes a block before its manifest.
-type hastyStore struct{ Store }
+// blockFirstStore deletes a block before its manifest.
+type blockFirstStore struct{ Store }
 
-func (s hastyStore) DeleteManifest(ctx context.Context, key, name string) error {
+func (s blockFirstStore) DeleteManifest(ctx context.Context, key, name string) error {
 	return errors.Join(s.DeleteBlock(ctx, name), s.Store.DeleteManifest(ctx, key, name))
 }
 
@@ -195,11 +197,11 @@
 		broken variant
 		want   string
 	}{
-		"manifest before verify":      {func(b *bench, h *StoreHost) { h.store = lyingStore{h.store, b.engine} }, "before its block was whole"},
-		"block freed before manifest": {func(_ *bench, h *StoreHost) { h.store = hastyStore{h.store} }, "deleted under its manifest"},
-		"no grace":                    {func(_ *bench, h *StoreHost) { h.timing.Grace = 0 }, "after its manifest"},
-		"published late":              {func(_ *bench, h *StoreHost) { h.timing.LongestExport = time.Hour }, "when a sweep may delete"},
-		"names used again":            {func(_ *bench, h *StoreHost) { h.newName = func() string { return "name" } }, "used again"},
+		"manifest before verify":      {func(b *scheduler, h *StoreHost) { h.store = unverifiedStore{h.store, b.engine} }, "before its block was complete"},
+		"block freed before manifest": {func(_ *scheduler, h *StoreHost) { h.store = blockFirstStore{h.store} }, "deleted under its manifest"},
+		"no grace":                    {func(_ *scheduler, h *StoreHost) { h.timing.Grace = 0 }, "after its manifest"},
+		"published late":              {func(_ *scheduler, h *StoreHost) { h.timing.MaxExport = time.Hour }, "when a sweep may delete"},
+		"names used again":            {func(_ *scheduler, h *StoreHost) { h.newName = func() string { return "name" } }, "used again"},
 	}
 	for name, v := range variants {
 		t.Run(name, func(t *testing.T) {
--- a/internal/kvcache/storehost.go
+++ b/internal/kvcache/storehost.go
@@ -9,52 +9,54 @@
 )
 
 const (
-	listPage     = 500
+	listPageSize = 500
 	maxListPages = 20_000
-	exportPause  = 10 * time.Second // after the store host refused or broke off writes
+	exportPause  = 10 * time.Second // after the store host refused or aborted a write
 )
 
-// ErrBadTiming reports a Timing whose grace does not cover the longest import.
-var ErrBadTiming = errors.New("kvcache: grace must exceed the longest import and two calls")
+// ErrBadTiming is returned for a Timing whose durations are not positive or whose
+// grace period does not cover the longest import.
+var ErrBadTiming = errors.New("kvcache: grace period must exceed the import timeout plus two calls")
 
-// ErrRestarted reports that a store host was restarted during a listing. The
-// listing may be repeated.
+// ErrRestarted is returned if a store host restarts during a listing. The listing
+// may be repeated.
 var ErrRestarted = errors.New("kvcache: store host was restarted while it was listed")
 
-// Timing bounds the steps of exports, imports and frees.
+// Timing sets the time limits of exports, imports and frees.
 type Timing struct {
-	Call          time.Duration // one call to the store host
-	LongestImport time.Duration // timeout of import orders
-	LongestExport time.Duration // timeout of export orders
-	Grace         time.Duration // between the end of a manifest and its block's
+	Call      time.Duration // timeout of one call to the store host
+	MaxImport time.Duration // timeout of an import
+	MaxExport time.Duration // timeout of an export
+	Grace     time.Duration // between deleting a manifest and its block
 }
 
-// DefaultTiming suits links that move a long context within half a minute.
+// DefaultTiming returns limits for links that transfer a long context within half
+// a minute.
 func DefaultTiming() Timing {
 	return Timing{
-		Call:          2 * time.Second,
-		LongestImport: 30 * time.Second,
-		LongestExport: time.Minute,
-		Grace:         45 * time.Second,
+		Call:      2 * time.Second,
+		MaxImport: 30 * time.Second,
+		MaxExport: time.Minute,
+		Grace:     45 * time.Second,
 	}
 }
 
-// Validate returns ErrBadTiming unless a read that began under a manifest has
-// ended before the block's grace has: the check of the manifest and the order
-// may each take as long as a call.
+// Validate returns ErrBadTiming unless the grace period is longer than any import
+// that was planned before the manifest was deleted. Checking the manifest and
+// requesting the import may each take as long as a call.
 func (t Timing) Validate() error {
-	if t.Call <= 0 || t.LongestImport <= 0 || t.LongestExport <= 0 {
+	if t.Call <= 0 || t.MaxImport <= 0 || t.MaxExport <= 0 {
 		return fmt.Errorf("%w: durations must be positive", ErrBadTiming)
 	}
-	if t.Grace <= t.LongestImport+2*t.Call {
+	if t.Grace <= t.MaxImport+2*t.Call {
 		return ErrBadTiming
 	}
 	return nil
 }
 
-// StoreHost is an owner's view of one store host and the only writer of its
-// manifests on this node. Other nodes may do the same at once; see the package's
-// guarantee. Safe for concurrent use.
+// StoreHost is an owner's state for one store host and the only writer of its
+// manifests on this node. Other nodes may write to the same store host at the same
+// time; see the guarantee in the package comment. Safe for concurrent use.
 type StoreHost struct {
 	Index   *StoreIndex
 	breaker *breaker
@@ -65,72 +67,74 @@
 	timing  Timing
 	newName func() string
 
-	mu         sync.Mutex
-	generation string
-	ready      bool
-	pausedTill time.Time            // no exports until then
-	frees      map[string]pending   // by block name
-	orphans    map[string]time.Time // when this owner first saw them, by block name
+	mu                 sync.Mutex
+	generation         string
+	loaded             bool
+	exportsPausedUntil time.Time              // no exports before this time
+	pendingFrees       map[string]pendingFree // by block name
+	orphans            map[string]time.Time   // time when this owner first saw them, by block name
 }
 
-// NewStoreHost returns a view of the store host at the URL. It holds nothing
-// until Load. The clock is the node's; newName makes names that are never made
-// twice, as RandomName does.
+// NewStoreHost returns the state of the store host at the URL, with an empty index
+// until Load. clock returns the node's time; newName must return a unique name on
+// each call, as RandomName does. It fails if the timing is invalid.
 func NewStoreHost(url string, store Store, clock func() time.Time, newName func() string, timing Timing) (*StoreHost, error) {
 	if err := timing.Validate(); err != nil {
 		return nil, err
 	}
 	breaker := newBreaker()
 	return &StoreHost{
-		Index:   NewStoreIndex(),
-		breaker: breaker,
-		url:     url,
-		store:   &guard{store: store, breaker: breaker, clock: clock, timeout: timing.Call},
-		clock:   clock,
-		timing:  timing,
-		newName: newName,
-		frees:   make(map[string]pending),
-		orphans: make(map[string]time.Time),
+		Index:        NewStoreIndex(),
+		breaker:      breaker,
+		url:          url,
+		store:        &guardedStore{store: store, breaker: breaker, clock: clock, timeout: timing.Call},
+		clock:        clock,
+		timing:       timing,
+		newName:      newName,
+		pendingFrees: make(map[string]pendingFree),
+		orphans:      make(map[string]time.Time),
 	}, nil
 }
 
-// LeftOut tells whether the store host fails so often that it is not asked.
-func (h *StoreHost) LeftOut() bool { return h.breaker.Open() }
+// Unavailable reports whether calls to the store host are suspended because of
+// repeated failures.
+func (h *StoreHost) Unavailable() bool { return h.breaker.Open() }
 
-// Lookup is Index.Lookup, or nothing while the store host is left out.
-func (h *StoreHost) Lookup(chain Chain, layout string, engineTokens int) StoreHeld {
+// Lookup returns Index.Lookup, or an empty result while the store host's breaker is
+// open.
+func (h *StoreHost) Lookup(chain Chain, layout string, engineTokens int) StoredPrefix {
 	if h.breaker.Open() {
-		return StoreHeld{}
+		return StoredPrefix{}
 	}
 	return h.Index.Lookup(chain, layout, engineTokens)
 }
 
-// Load reads all manifests page by page and replaces the index by them. The
-// index serves on meanwhile. It may be repeated.
+// Load reads all manifests page by page and replaces the index's contents by them.
+// The index remains usable during the load. Load may be repeated.
 func (h *StoreHost) Load(ctx context.Context) error {
-	listing := h.Index.beginListing()
-	defer h.Index.stopListing(listing)
+	listing := h.Index.startListing()
+	defer h.Index.closeListing(listing)
 	generation, manifests, err := h.listManifests(ctx)
 	if err != nil {
 		return err
 	}
-	h.Index.endListing(listing, manifests, h.clock())
+	h.Index.applyListing(listing, manifests, h.clock())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.generation = generation
-	h.ready = true
+	h.loaded = true
 	return nil
 }
 
-// Refresh reads the store host's usage and loads the index again when the store
-// host was restarted or was never loaded.
+// Refresh returns the store host's usage. It also reloads the index if the store
+// host was restarted or the index is not loaded.
 func (h *StoreHost) Refresh(ctx context.Context) (Usage, error) {
 	usage, err := h.store.Usage(ctx)
 	if err != nil {
 		return Usage{}, err
 	}
 	h.mu.Lock()
-	current := h.ready && h.generation == usage.Generation
+	current := h.loaded && h.generation == usage.Generation
 	h.mu.Unlock()
 	if current {
 		return usage, nil
@@ -143,7 +147,7 @@
 	var all []Manifest
 	generation, after := "", ""
 	for range maxListPages {
-		page, err := h.store.ListManifests(ctx, after, listPage)
+		page, err := h.store.ListManifests(ctx, after, listPageSize)
 		if err != nil {
 			return "", nil, err
 		}
@@ -164,7 +168,7 @@
 	var all []BlockInfo
 	generation, after := "", ""
 	for range maxListPages {
-		page, err := h.store.ListBlocks(ctx, after, listPage)
+		page, err := h.store.ListBlocks(ctx, after, listPageSize)
 		if err != nil {
 			return "", nil, err
 		}
@@ -184,14 +188,14 @@
 func (h *StoreHost) pauseExports() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.pausedTill = h.clock().Add(exportPause)
+	h.exportsPausedUntil = h.clock().Add(exportPause)
 }
 
 func (h *StoreHost) exportsPaused() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.clock().Before(h.pausedTill)
+	return h.clock().Before(h.exportsPausedUntil)
 }
 
-// URL is the store host's base URL, as transfers name it.
+// URL returns the store host's base URL, as used in transfers.
 func (h *StoreHost) URL() string { return h.url }
--- a/internal/kvcache/storehost_test.go
+++ b/internal/kvcache/storehost_test.go
@@ -21,8 +21,9 @@
 
 const testLayout = "bf16/2000"
 
-// names makes names in order, so that a failing run can be repeated.
-func names(owner string) func() string {
+// sequentialNames returns a generator of consecutive names, which makes failures
+// reproducible.
+func sequentialNames(owner string) func() string {
 	n := 0
 	return func() string {
 		n++
@@ -31,12 +32,13 @@
 }
 
 func newOwner(t must.T, s *fakeStore, name string) *StoreHost {
-	h, err := NewStoreHost("http://store", s, s.clock, names(name), testTiming)
+	h, err := NewStoreHost("http://store", s, s.clock, sequentialNames(name), testTiming)
 	must.NoError(t, err)
 	return h
 }
 
-// request is for a prompt of so many blocks of one chunk each.
+// request returns a request for a prompt with the given number of blocks, each one
+// chunk long.
 func request(tag string, blocks int) Request {
 	prompt := conversation(tag, blocks*TextChunkBytes)
 	return Request{Identity: testIdentity, Layout: testLayout, Salt: "salt", Chain: testIdentity.TextChain(prompt)}
@@ -59,8 +61,9 @@
 	return h.Export(ctx, e, plan)
 }
 
-// imported is the number of blocks that an import brings into an empty engine.
-func imported(h *StoreHost, e Engine, req Request) int {
+// importedBlocks returns the number of blocks that an import transfers into an empty
+// engine.
+func importedBlocks(h *StoreHost, e Engine, req Request) int {
 	plan, err := h.PlanImport(ctx, req, 0, 0, 0)
 	if err != nil {
 		return 0
@@ -71,7 +74,7 @@
 
 func TestTimingMustCoverTheLongestImport(t *testing.T) {
 	must.NoError(t, DefaultTiming().Validate())
-	for _, bad := range []Timing{{}, {Call: time.Second, LongestImport: 10 * time.Second, LongestExport: time.Second, Grace: 12 * time.Second}} {
+	for _, bad := range []Timing{{}, {Call: time.Second, MaxImport: 10 * time.Second, MaxExport: time.Second, Grace: 12 * time.Second}} {
 		_, err := NewStoreHost("u", newFakeStore(), time.Now, RandomName, bad)
 		must.ErrorIs(t, err, ErrBadTiming)
 	}
@@ -84,21 +87,21 @@
 	must.NoError(t, err)
 	must.Eq(t, 5, n)
 	longer := request("c", 8)
-	must.Eq(t, StoreHeld{Tokens: 2500, Blocks: 3, Bytes: 3 * fakeBlockBytes}, a.Lookup(longer.Chain, testLayout, 1000))
-	must.Eq(t, StoreHeld{}, a.Lookup(longer.Chain, "fp8", 0))
+	must.Eq(t, StoredPrefix{Tokens: 2500, Blocks: 3, Bytes: 3 * fakeBlockBytes}, a.Lookup(longer.Chain, testLayout, 1000))
+	must.Eq(t, StoredPrefix{}, a.Lookup(longer.Chain, "fp8", 0))
 	path := link.Path{link.NewBudget(1 << 20), link.NewBudget(1 << 10)}
 	must.Eq(t, StoreEstimate{Store: "http://store", Tokens: 2500, Bytes: 3 * fakeBlockBytes, BytesPerSecond: 1 << 10}, a.Estimate(longer.Chain, testLayout, 1000, path))
-	must.Eq(t, StoreEstimate{}, a.Estimate(longer.Chain, testLayout, 2500, path)) // the engine holds as much
-	n, err = export(a, e, longer)                                                 // only what is not stored yet moves
+	must.Eq(t, StoreEstimate{}, a.Estimate(longer.Chain, testLayout, 2500, path)) // the engine has cached as many tokens
+	n, err = export(a, e, longer)                                                 // transfers only the blocks not stored yet
 	must.NoError(t, err)
 	must.Eq(t, 3, n)
 	b := newOwner(t, s, "b")
 	_, err = b.Refresh(ctx)
 	must.NoError(t, err)
-	must.Eq(t, 8, imported(b, e, longer))
+	must.Eq(t, 8, importedBlocks(b, e, longer))
 	plan, err := b.PlanImport(ctx, longer, 1000, 3000, 7)
 	must.NoError(t, err)
-	must.Eq(t, 4*fakeBlockBytes, plan.Bytes()) // past 1,000 tokens, up to 3,000
+	must.Eq(t, 4*fakeBlockBytes, plan.Bytes()) // blocks after token 1,000 up to token 3,000
 	must.Eq(t, 7, plan.Transfer.BytesPerSecond)
 	s.now = s.now.Add(testTiming.Call + 1)
 	_, err = b.Import(ctx, e, plan)
@@ -108,14 +111,14 @@
 	must.NoError(t, s.violation)
 }
 
-func TestListingKeepsWhatTheOwnerDoesMeanwhile(t *testing.T) {
+func TestListingKeepsConcurrentOwnerChanges(t *testing.T) {
 	s := newFakeStore()
 	h, e, one, two := newOwner(t, s, "a"), &fakeEngine{store: s}, request("one", 6), request("two", 6)
 	_, err := export(h, e, one)
 	must.NoError(t, err)
 	pages := 0
 	s.step = func(call string) (error, error) {
-		if pages++; pages == 2 { // one page is read, one is not
+		if pages++; pages == 2 { // one page is read, the next is not
 			s.step = nil
 			for _, m := range h.Index.Manifests(one.Chain, testLayout) {
 				must.NoError(t, h.free(ctx, m))
@@ -135,7 +138,7 @@
 func TestBreakerPausesDouble(t *testing.T) {
 	b, now := newBreaker(), time.Unix(0, 0)
 	b.Record(now, errDown)
-	b.Record(now, ErrExists) // a refusal is an answer
+	b.Record(now, ErrExists) // a refusal shows that the store host responds
 	b.Record(now, errors.Join(context.Canceled))
 	for range breakerFailures {
 		must.True(t, b.Allow(now))
@@ -163,7 +166,7 @@
 			h := &StoreHost{newName: RandomName}
 			parent := ""
 			for _, p := range placements(req) {
-				m := h.draft(req, p, parent)
+				m := h.newManifest(req, p, parent)
 				m.Checksum, m.Block = checksumOf(nil), strings.Clone(checksumOf([]byte(p.Block.ID)))
 				parent = m.Key
 				x.Add(m, time.Now())
--- a/internal/kvcache/storehttp/storehttp.go
+++ b/internal/kvcache/storehttp/storehttp.go
@@ -1,8 +1,8 @@
-// Package storehttp speaks the store hosts' HTTP protocol for package kvcache. It
-// moves no block bytes: engines do that themselves.
+// Package storehttp implements kvcache.Store over the store hosts' HTTP protocol. It
+// does not transfer block contents; engines do that themselves.
 //
-// Guarantee: ErrExists and ErrNotFound are the store host's own words. After any
-// other error the call may have taken effect; it may be repeated.
+// Guarantee: ErrExists and ErrNotFound are returned only if the store host reported
+// them. After any other error the call may have taken effect; it may be repeated.
 package storehttp
 
 import (
@@ -22,12 +22,12 @@
 )
 
 const (
-	maxAnswerBytes = 16 << 20
-	// lastChar sorts after all characters of block names.
+	maxResponseBytes = 16 << 20
+	// lastChar sorts after all characters allowed in block names.
 	lastChar = "~"
 )
 
-// Client is one store host behind its base URL. Calls end with their context.
+// Client calls the HTTP API of one store host. Calls end when their context does.
 type Client struct {
 	base string
 	http *http.Client
@@ -40,7 +40,7 @@
 	return &Client{base: strings.TrimSuffix(base, "/"), http: client}
 }
 
-// ListManifests lists manifests in order of key.
+// ListManifests returns a page of manifests ordered by key.
 func (c *Client) ListManifests(ctx context.Context, after string, limit int) (kvcache.ManifestPage, error) {
 	var list storewire.ManifestList
 	if err := c.get(ctx, listPath(storewire.PathManifests, after, limit), &list); err != nil {
@@ -53,7 +53,7 @@
 	return page, nil
 }
 
-// ListBlocks lists blocks in order of name.
+// ListBlocks returns a page of blocks ordered by name.
 func (c *Client) ListBlocks(ctx context.Context, after string, limit int) (kvcache.BlockPage, error) {
 	var list storewire.BlockList
 	if err := c.get(ctx, listPath(storewire.PathBlocks, after, limit), &list); err != nil {
@@ -66,7 +66,7 @@
 	return page, nil
 }
 
-// Manifest reads one manifest.
+// Manifest returns one manifest.
 func (c *Client) Manifest(ctx context.Context, key string) (kvcache.Manifest, error) {
 	var m storewire.Manifest
 	if err := c.get(ctx, itemPath(storewire.PathManifests, key), &m); err != nil {
@@ -75,7 +75,8 @@
 	return fromWire(m), nil
 }
 
-// PutManifest publishes a manifest if its key has none.
+// PutManifest publishes a manifest if its key has none; otherwise it returns
+// ErrExists.
 func (c *Client) PutManifest(ctx context.Context, m kvcache.Manifest) error {
 	body, err := json.Marshal(toWire(m))
 	if err != nil {
@@ -84,19 +85,19 @@
 	return c.call(ctx, http.MethodPut, itemPath(storewire.PathManifests, m.Key), body, nil)
 }
 
-// DeleteManifest deletes the key's manifest if it names the block.
+// DeleteManifest deletes the key's manifest if it refers to the named block.
 func (c *Client) DeleteManifest(ctx context.Context, key, name string) error {
 	query := url.Values{"block": {name}}
 	return c.call(ctx, http.MethodDelete, itemPath(storewire.PathManifests, key)+"?"+query.Encode(), nil, nil)
 }
 
-// BlockInfo reads what the store host knows of a block. The protocol tells it in
-// lists only, so it asks for the one block after the greatest lesser name.
+// BlockInfo returns the store host's description of a block. The protocol has no
+// call for a single block, so BlockInfo lists one block, starting just before name.
 func (c *Client) BlockInfo(ctx context.Context, name string) (kvcache.BlockInfo, error) {
 	if name == "" {
 		return kvcache.BlockInfo{}, kvcache.ErrNotFound
 	}
-	page, err := c.ListBlocks(ctx, before(name), 1)
+	page, err := c.ListBlocks(ctx, nameBefore(name), 1)
 	if err != nil {
 		return kvcache.BlockInfo{}, err
 	}
@@ -106,18 +107,19 @@
 	return page.Blocks[0], nil
 }
 
-// before sorts just before the name among names of letters, digits and dashes.
-func before(name string) string {
+// nameBefore returns a string that sorts before name and after all smaller names of
+// letters, digits and dashes.
+func nameBefore(name string) string {
 	last := len(name) - 1
 	return name[:last] + string(name[last]-1) + lastChar
 }
 
-// DeleteBlock deletes a block; its name stays used.
+// DeleteBlock deletes a block. Its name cannot be used again.
 func (c *Client) DeleteBlock(ctx context.Context, name string) error {
 	return c.call(ctx, http.MethodDelete, itemPath(storewire.PathBlocks, name), nil, nil)
 }
 
-// Usage reads the store host's space.
+// Usage returns the store host's used and total space.
 func (c *Client) Usage(ctx context.Context) (kvcache.Usage, error) {
 	var u storewire.Usage
 	if err := c.get(ctx, storewire.PathUsage, &u); err != nil {
@@ -134,7 +136,7 @@
 	return c.call(ctx, http.MethodGet, path, nil, out)
 }
 
-// call makes one HTTP call and decodes its answer into out unless that is nil.
+// call makes one HTTP request and decodes the response into out unless out is nil.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -145,19 +147,19 @@
 		return err
 	}
 	defer resp.Body.Close()
-	answer := io.LimitReader(resp.Body, maxAnswerBytes)
+	respBody := io.LimitReader(resp.Body, maxResponseBytes)
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return refusal(resp.StatusCode, answer)
+		return responseError(resp.StatusCode, respBody)
 	}
 	if out == nil {
-		_, err = io.Copy(io.Discard, answer)
+		_, err = io.Copy(io.Discard, respBody)
 		return err
 	}
-	return json.NewDecoder(answer).Decode(out)
+	return json.NewDecoder(respBody).Decode(out)
 }
 
-// refusal is the error of an answer that is not a success.
-func refusal(status int, body io.Reader) error {
+// responseError returns the error for an unsuccessful response.
+func responseError(status int, body io.Reader) error {
 	var e storewire.Error
 	if err := json.NewDecoder(body).Decode(&e); err != nil {
 		return fmt.Errorf("store host: status %d", status)
--- a/internal/kvcache/storehttp/storehttp_test.go
+++ b/internal/kvcache/storehttp/storehttp_test.go
@@ -26,7 +26,7 @@
 
 var ctx = context.Background()
 
-// enginePeer is a stand-in engine behind HTTP.
+// enginePeer is a simulated engine accessed over HTTP.
 type enginePeer struct {
 	t      *testing.T
 	engine *engine.Engine
@@ -56,8 +56,8 @@
 	return resp.Body
 }
 
-// run runs the prompt to its end, lets the index learn, and returns the number of
-// prompt tokens that were not recomputed.
+// run runs the prompt to completion, updates the index, and returns the number of
+// prompt tokens that were cached.
 func (p *enginePeer) run(req kvcache.Request, prompt string) (cached int) {
 	p.runs++
 	body := p.post(enginewire.PathRuns, enginewire.RunRequest{
@@ -113,8 +113,8 @@
 	return p.transfer(enginewire.PathImport, t)
 }
 
-// newHost returns a stand-in store host behind HTTP and its owner.
-func newHost(t *testing.T) (*store.Store, *Client, *kvcache.StoreHost) {
+// newStoreHost returns a simulated store host served over HTTP, a client and its owner.
+func newStoreHost(t *testing.T) (*store.Store, *Client, *kvcache.StoreHost) {
 	s := store.New(store.Config{MemoryBytes: 20 << 10, DiskBytes: 1 << 30})
 	server := httptest.NewServer(s.Handler())
 	t.Cleanup(func() { s.Close(); server.Close() })
@@ -133,10 +133,11 @@
 	return kvcache.Request{Identity: id, Layout: engine.DefaultKVLayout, Salt: salter.CacheSalt(account), Chain: id.TextChain(prompt)}
 }
 
-// moved exports the prompt's blocks from one engine, with a fault between, and
-// returns how many tokens another engine then need not recompute.
-func moved(t *testing.T, fault func(*store.Store, *Client), from, to kvcache.Request, prompt string) int {
-	s, client, h := newHost(t)
+// cachedAfterMove exports the prompt's blocks from one engine, injects the fault,
+// imports them into another engine and returns the number of prompt tokens that the
+// second engine has cached.
+func cachedAfterMove(t *testing.T, fault func(*store.Store, *Client), from, to kvcache.Request, prompt string) int {
+	s, client, h := newStoreHost(t)
 	a, b := newEnginePeer(t), newEnginePeer(t)
 	must.Eq(t, 0, a.run(from, prompt))
 	s.Snapshot()
@@ -151,9 +152,9 @@
 	if err == nil {
 		got, _ := h.Import(ctx, b, imports)
 		b.index.ObserveImport(b.engine.Incarnation(), got)
-		believed := b.index.Lookup(to.Chain, 0).Tokens
+		indexed := b.index.Lookup(to.Chain, 0).Tokens
 		cached := b.run(to, prompt)
-		must.Eq(t, believed, cached)
+		must.Eq(t, indexed, cached)
 		must.Eq(t, 0, b.engine.WrongBlocks())
 		return cached
 	}
@@ -191,15 +192,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			must.Eq(t, c.cached, moved(t, c.fault, req, c.to, prompt))
+			must.Eq(t, c.cached, cachedAfterMove(t, c.fault, req, c.to, prompt))
 		})
 	}
 }
 
-func TestWritesThatBreakOffOverHTTP(t *testing.T) {
+func TestAbortedWritesOverHTTP(t *testing.T) {
 	prompt := strings.Repeat("heat 4711 pour 12 ladle 3 hold;\n", 600)
 	req := newRequest(t, "a", "v1", prompt)
-	s, client, h := newHost(t)
+	s, client, h := newStoreHost(t)
 	a := newEnginePeer(t)
 	a.run(req, prompt)
 	for _, fault := range []store.Faults{{BreakAfter: 100}, {Full: true}} {
@@ -217,8 +218,8 @@
 	}
 }
 
-func TestClientRefusals(t *testing.T) {
-	s, c, _ := newHost(t)
+func TestClientErrors(t *testing.T) {
+	s, c, _ := newStoreHost(t)
 	m := kvcache.Manifest{Key: "k.1", Name: "n", Identity: kvcache.Identity{Account: "a"}}
 	must.NoError(t, c.PutManifest(ctx, m))
 	must.ErrorIs(t, c.PutManifest(ctx, m), kvcache.ErrExists)
--- a/internal/kvcache/storeindex.go
+++ b/internal/kvcache/storeindex.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// StoreHeld is what a store host is believed to hold of a prompt.
-type StoreHeld struct {
+// StoredPrefix is the estimated part of a prompt that a store host has stored.
+type StoredPrefix struct {
 	Tokens    int   // covered by consecutive blocks from the first
-	Blocks    int   // to import, past the tokens that the engine holds
-	Bytes     int64 // of these
-	DiskBytes int64 // of these, on the disk tier
+	Blocks    int   // blocks to import, without those that the engine has cached
+	Bytes     int64 // size of these blocks
+	DiskBytes int64 // part of Bytes that is on the disk tier
 }
 
 // storedBlock is one manifest in the index.
@@ -20,56 +20,56 @@
 	parent   storeKey
 	tier     Tier
 	lastUsed time.Time
-	refusals int    // by engines that read the block
-	change   uint64 // the index's change counter when it was last added
+	refusals int    // times that an engine read the block and refused it
+	change   uint64 // value of StoreIndex.changes when the block was last added
 }
 
-// source is what many manifests have in common.
-type source struct {
+// groupKey holds the fields that many manifests have in common.
+type groupKey struct {
 	Identity
 	layout string
 }
 
-// sharedSource is the one copy of a source's strings, and the number of blocks
-// that use it.
-type sharedSource struct {
-	source
+// manifestGroup holds the only copy of the strings of a groupKey and the number of
+// blocks that use it.
+type manifestGroup struct {
+	groupKey
 	refs int
 }
 
-// StoreIndex is what the owner of a store host believes to be published there.
+// StoreIndex is the owner's estimate of the manifests published on a store host.
 // Safe for concurrent use.
 type StoreIndex struct {
 	mu      sync.Mutex
 	blocks  map[storeKey]*storedBlock
-	sources map[source]*sharedSource
+	groups  map[groupKey]*manifestGroup
 	bytes   int64
 	changes uint64
 
 	listings map[*listing]struct{}
 }
 
-// listing is a listing of the store host that is under way.
+// listing is a listing of the store host that is in progress.
 type listing struct {
-	began   uint64                // the index's change counter then
-	removed map[storeKey]struct{} // by the owner itself, since then
+	startChanges uint64                // value of StoreIndex.changes at the start
+	removed      map[storeKey]struct{} // keys that the owner has removed since the start
 }
 
 // NewStoreIndex returns an empty index.
 func NewStoreIndex() *StoreIndex {
 	return &StoreIndex{
 		blocks:   make(map[storeKey]*storedBlock),
-		sources:  make(map[source]*sharedSource),
+		groups:   make(map[groupKey]*manifestGroup),
 		listings: make(map[*listing]struct{}),
 	}
 }
 
-// Lookup finds the longest prefix of consecutive manifests of the layout.
-// Blocks that end at or before the engine's own tokens need no import.
-func (x *StoreIndex) Lookup(chain Chain, layout string, engineTokens int) StoreHeld {
+// Lookup returns the longest prefix of the chain with consecutive manifests of the
+// layout. Blocks that end at or before engineTokens are not counted for import.
+func (x *StoreIndex) Lookup(chain Chain, layout string, engineTokens int) StoredPrefix {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var held StoreHeld
+	var held StoredPrefix
 	x.walk(chain, layout, func(b *storedBlock) {
 		held.Tokens = b.manifest.EndToken
 		if b.manifest.EndToken <= engineTokens {
@@ -84,24 +84,25 @@
 	return held
 }
 
-// Manifests lists the consecutive manifests of the layout from the first.
+// Manifests returns the chain's consecutive manifests of the layout, starting with
+// the first.
 func (x *StoreIndex) Manifests(chain Chain, layout string) []Manifest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []Manifest
-	x.walk(chain, layout, func(b *storedBlock) { out = append(out, b.full()) })
+	x.walk(chain, layout, func(b *storedBlock) { out = append(out, b.fullManifest()) })
 	return out
 }
 
-// Use notes that the chain's blocks served a run, for eviction.
+// Use sets the last-used time of the chain's blocks, which eviction considers.
 func (x *StoreIndex) Use(chain Chain, layout string, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.walk(chain, layout, func(b *storedBlock) { b.lastUsed = now })
 }
 
-// full is the manifest with its keys.
-func (b *storedBlock) full() Manifest {
+// fullManifest returns the manifest including its keys.
+func (b *storedBlock) fullManifest() Manifest {
 	m := b.manifest
 	m.Key = b.key.String()
 	if b.parent != (storeKey{}) {
@@ -125,8 +126,8 @@
 	}
 }
 
-// Add records a published manifest. Keys that this package did not make are
-// ignored.
+// Add records a published manifest. Manifests whose key does not have the format of
+// this package are ignored.
 func (x *StoreIndex) Add(m Manifest, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -146,7 +147,7 @@
 	b := &storedBlock{key: key, parent: parent, lastUsed: now, change: x.changes}
 	b.manifest = x.shareStrings(m)
 	if old, ok := x.blocks[key]; ok {
-		x.drop(old)
+		x.removeBlock(old)
 		if old.manifest.Name == m.Name {
 			b.tier, b.lastUsed, b.refusals = old.tier, old.lastUsed, old.refusals
 		}
@@ -155,14 +156,14 @@
 	x.bytes += m.Bytes
 }
 
-// shareStrings keeps one copy of what many manifests have in common, and drops
-// the keys, which the entry holds in binary form.
+// shareStrings replaces the strings that many manifests have in common by shared
+// copies. It clears the keys, which the entry stores in binary form.
 func (x *StoreIndex) shareStrings(m Manifest) Manifest {
-	from := source{m.Identity, m.Layout}
-	shared, ok := x.sources[from]
+	from := groupKey{m.Identity, m.Layout}
+	shared, ok := x.groups[from]
 	if !ok {
-		shared = &sharedSource{source: from}
-		x.sources[from] = shared
+		shared = &manifestGroup{groupKey: from}
+		x.groups[from] = shared
 	}
 	shared.refs++
 	m.Identity, m.Layout = shared.Identity, shared.layout
@@ -170,7 +171,7 @@
 	return m
 }
 
-// Remove forgets the manifest of a key if it names the block.
+// Remove deletes the manifest of a key if it refers to the named block.
 func (x *StoreIndex) Remove(key, name string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -183,39 +184,39 @@
 		l.removed[k] = struct{}{}
 	}
 	if b, ok := x.blocks[k]; ok && b.manifest.Name == name {
-		x.drop(b)
+		x.removeBlock(b)
 	}
 }
 
-func (x *StoreIndex) drop(b *storedBlock) {
+func (x *StoreIndex) removeBlock(b *storedBlock) {
 	delete(x.blocks, b.key)
 	x.bytes -= b.manifest.Bytes
-	from := source{b.manifest.Identity, b.manifest.Layout}
-	shared := x.sources[from]
+	from := groupKey{b.manifest.Identity, b.manifest.Layout}
+	shared := x.groups[from]
 	shared.refs--
 	if shared.refs == 0 {
-		delete(x.sources, from)
+		delete(x.groups, from)
 	}
 }
 
-// Clear forgets everything.
+// Clear deletes all entries.
 func (x *StoreIndex) Clear() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	clear(x.blocks)
-	clear(x.sources)
+	clear(x.groups)
 	x.bytes = 0
 }
 
-// Len is the number of manifests, and Bytes the size of their blocks.
+// Len returns the number of manifests and the total size of their blocks in bytes.
 func (x *StoreIndex) Len() (manifests int, bytes int64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.blocks), x.bytes
 }
 
-// refuse counts an engine's refusal of a block and returns the count.
-func (x *StoreIndex) refuse(key string) int {
+// countRefusal counts an engine's refusal of a block and returns the new count.
+func (x *StoreIndex) countRefusal(key string) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	k, _ := parseStoreKey(key)
@@ -227,7 +228,7 @@
 	return b.refusals
 }
 
-// setTiers records where blocks are kept, by name.
+// setTiers records the storage tiers of blocks, by block name.
 func (x *StoreIndex) setTiers(tiers map[string]Tier) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -238,25 +239,25 @@
 	}
 }
 
-// beginListing starts a listing, during which the owner's own changes go on.
-// Each one ends with stopListing.
-func (x *StoreIndex) beginListing() *listing {
+// startListing registers a listing of the store host. The owner may change the
+// index until applyListing. Each listing must be ended with closeListing.
+func (x *StoreIndex) startListing() *listing {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	l := &listing{began: x.changes, removed: make(map[storeKey]struct{})}
+	l := &listing{startChanges: x.changes, removed: make(map[storeKey]struct{})}
 	x.listings[l] = struct{}{}
 	return l
 }
 
-func (x *StoreIndex) stopListing(l *listing) {
+func (x *StoreIndex) closeListing(l *listing) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.listings, l)
 }
 
-// endListing replaces the contents by what was listed, except for what the owner
-// itself has added or removed since the listing began.
-func (x *StoreIndex) endListing(l *listing, listed []Manifest, now time.Time) {
+// applyListing replaces the contents by the listed manifests. Manifests that the
+// owner has added or removed since the listing started are not changed.
+func (x *StoreIndex) applyListing(l *listing, listed []Manifest, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	seen := make(map[storeKey]bool, len(listed))
@@ -266,13 +267,13 @@
 			continue
 		}
 		seen[key] = true
-		if old, ok := x.blocks[key]; !ok || old.change <= l.began {
+		if old, ok := x.blocks[key]; !ok || old.change <= l.startChanges {
 			x.add(m, now)
 		}
 	}
 	for key, b := range x.blocks {
-		if !seen[key] && b.change <= l.began {
-			x.drop(b)
+		if !seen[key] && b.change <= l.startChanges {
+			x.removeBlock(b)
 		}
 	}
 }
--- a/internal/kvcache/storeindex_test.go
+++ b/internal/kvcache/storeindex_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// The index keeps the strings of an account's version no longer than a block of
-// it: accounts and versions come and go for as long as the owner runs.
-func TestIndexForgetsSourcesWithoutBlocks(t *testing.T) {
+// The index must release the shared strings of an account and version with the last
+// block that uses them. Otherwise memory would grow as accounts and versions change.
+func TestIndexReleasesUnusedGroups(t *testing.T) {
 	x := NewStoreIndex()
 	manifest := func(i int, key string) Manifest {
 		identity := testIdentity.withVersion(fmt.Sprint("v", i))
@@ -22,12 +22,12 @@
 	for i := range 50 {
 		x.Add(manifest(i, replaced), time.Time{})
 	}
-	must.MapLen(t, 2, x.sources)
+	must.MapLen(t, 2, x.groups)
 	x.Remove(replaced, "n49")
-	must.MapLen(t, 1, x.sources)
-	must.Eq(t, 1, x.sources[source{testIdentity.withVersion("v0"), testLayout}].refs)
-	x.endListing(x.beginListing(), nil, time.Time{})
-	must.MapEmpty(t, x.sources)
+	must.MapLen(t, 1, x.groups)
+	must.Eq(t, 1, x.groups[groupKey{testIdentity.withVersion("v0"), testLayout}].refs)
+	x.applyListing(x.startListing(), nil, time.Time{})
+	must.MapEmpty(t, x.groups)
 }
 
 func (id Identity) withVersion(version string) Identity {
--- a/internal/kvcache/storekey.go
+++ b/internal/kvcache/storekey.go
@@ -13,8 +13,8 @@
 	keyParts       = 3
 )
 
-// storeKey identifies a stored block: the prefix that it ends, its position
-// among the blocks of the chain, and the layout of its bytes.
+// storeKey identifies a stored block by the prefix that it ends, its position among
+// the blocks of the chain and its KV layout.
 type storeKey struct {
 	at     Fingerprint
 	layout [layoutTagBytes]byte
@@ -30,12 +30,12 @@
 	return [layoutTagBytes]byte(sum[:layoutTagBytes])
 }
 
-// String is the manifest's key.
+// String returns the manifest's key.
 func (k storeKey) String() string {
 	return k.at.String() + keySeparator + hex.EncodeToString(k.layout[:]) + keySeparator + strconv.Itoa(int(k.index))
 }
 
-// parseStoreKey reads what String wrote, and nothing else.
+// parseStoreKey parses a key in exactly the format of String.
 func parseStoreKey(text string) (storeKey, bool) {
 	var k storeKey
 	parts := strings.Split(text, keySeparator)
--- a/internal/kvcache/sweep.go
+++ b/internal/kvcache/sweep.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Sweep deletes blocks that no manifest names, as a writer that died leaves them,
-// and manifests whose block is missing or incomplete. It reads both lists, so
-// call it every few minutes; it makes a bounded number of deletions in each call.
+// Sweep deletes orphaned blocks, which no manifest refers to, for example because
+// their writer crashed. It also deletes manifests whose block is missing or
+// incomplete. It lists all blocks and manifests, so call it only every few minutes.
+// Each call makes a bounded number of deletions.
 //
-// A block goes only when it is older, by the store host's clock, than the longest
-// export and the grace, and when this owner has seen it without a manifest for a
-// whole grace: another owner may have freed it just before.
+// A block is deleted only if it is older, by the store host's clock, than the export
+// timeout plus the grace period, and if this owner has seen it without a manifest
+// for a full grace period, because another owner may just have freed it.
 func (h *StoreHost) Sweep(ctx context.Context) error {
 	blocksGeneration, blocks, err := h.listBlocks(ctx)
 	if err != nil {
 		return err
 	}
-	// Blocks first: a manifest that is put meanwhile is then still seen.
+	// Blocks are listed first, so that a manifest published in between is listed too.
 	generation, manifests, err := h.listManifests(ctx)
 	if err != nil {
 		return err
@@ -51,7 +52,7 @@
 		if complete[m.Name] || freed == flushBatch {
 			continue
 		}
-		// The list of blocks may be older than the manifest: ask again.
+		// The manifest may be newer than the list of blocks: check the block again.
 		err := h.verify(ctx, m)
 		if err == nil {
 			continue
@@ -72,7 +73,7 @@
 	for _, m := range manifests {
 		named[m.Name] = true
 	}
-	for _, name := range h.dueOrphans(blocks, named) {
+	for _, name := range h.expiredOrphans(blocks, named) {
 		if err := h.deleteBlock(ctx, name); err != nil {
 			return err
 		}
@@ -80,15 +81,16 @@
 	return nil
 }
 
-// dueOrphans notes the blocks without a manifest and returns those to delete.
-func (h *StoreHost) dueOrphans(blocks []BlockInfo, named map[string]bool) []string {
+// expiredOrphans updates the set of blocks without a manifest and returns those to
+// delete.
+func (h *StoreHost) expiredOrphans(blocks []BlockInfo, named map[string]bool) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	seen := make(map[string]time.Time)
-	var due []string
+	var expired []string
 	for _, b := range blocks {
-		if named[b.Name] || b.Age <= h.timing.LongestExport+h.timing.Grace {
+		if named[b.Name] || b.Age <= h.timing.MaxExport+h.timing.Grace {
 			continue
 		}
 		first, ok := h.orphans[b.Name]
@@ -96,10 +98,10 @@
 			first = now
 		}
 		seen[b.Name] = first
-		if now.Sub(first) > h.timing.Grace && len(due) < flushBatch {
-			due = append(due, b.Name)
+		if now.Sub(first) > h.timing.Grace && len(expired) < flushBatch {
+			expired = append(expired, b.Name)
 		}
 	}
 	h.orphans = seen
-	return due
+	return expired
 }
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -57,7 +57,7 @@
 
 func (s *storeHost) status(now time.Time, owner string) *pb.EndpointStatus {
 	state := "serving"
-	if s.host.LeftOut() {
+	if s.host.Unavailable() {
 		state = "left out"
 	}
 	return &pb.EndpointStatus{
--- a/internal/owner/watch.go
+++ b/internal/owner/watch.go
@@ -79,7 +79,7 @@
 			}
 			e.setState(state)
 		}
-		events, err := reader.Events(ctx, url(), e.index.Since(), eventWait)
+		events, err := reader.Events(ctx, url(), e.index.LastSeq(), eventWait)
 		if err != nil {
 			retry.Sleep(ctx, jitter(retryWait))
 			continue
@@ -105,7 +105,7 @@
 		in = append(in, kvcache.Event{Seq: ev.Seq, Block: ev.Block, Removed: ev.Removed})
 	}
 	e.index.Apply(events.Incarnation, in)
-	e.index.Reached(events.Incarnation, events.Next)
+	e.index.AdvanceTo(events.Incarnation, events.Next)
 }
 
 func readWithin[T any](ctx context.Context, base string, read func(context.Context, string) (*T, error)) (*T, error) {
