--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -16,44 +16,45 @@
 const (
 	maxQueue           = 2048
 	defaultMaxRunning  = 64
-	defaultPrefillRate = 5000 // tokens per second, until learned
+	defaultPrefillRate = 5000 // tokens per second, used until a rate is measured
 	indexBlocks        = 1 << 16
-	defaultLinkRate    = 100 << 20 // bytes per second, until measured
-	// pollLimit is how long a request outlives its entry node's last poll.
+	defaultLinkRate    = 100 << 20 // bytes per second, if the configuration sets none
+	// pollLimit is the time after its entry node's last poll at which a request is
+	// canceled.
 	pollLimit = 3 * GrantPoll
 )
 
-// classWeights share a contended engine between the priority classes:
+// classWeights divide a contended engine among the priority classes, in the order
 // interactive, standard, batch.
 var classWeights = []fairqueue.Class{{Weight: 16}, {Weight: 4}, {Weight: 1}}
 
-// engine is the state of one engine that this node owns.
+// engine is the state of an engine that this node owns.
 type engine struct {
 	name  string
 	index *kvcache.EngineIndex
-	wake  chan struct{} // tells the ticker that the state has changed
-
-	mu      sync.Mutex
-	state   *enginestate.Engine
-	waiting map[string]*waiter
-	known   *enginewire.State // nil until the engine was read
-	load    enginewire.Load
-	used    time.Time
-	// lastModel is the model of the last run that ended.
+	wake  chan struct{} // signals watchTicks that the state has changed
+
+	mu       sync.Mutex
+	state    *enginestate.Engine
+	pending  map[string]*pendingGrant
+	reported *enginewire.State // nil until the engine's state has been read
+	load     enginewire.Load
+	lastUsed time.Time
+	// lastModel is the model of the run that ended last.
 	lastModel string
-	// tallies count runs on the versions that the engine holds.
-	tallies  map[weightsKey]*Tally
-	withheld string // model that gets no grants; empty for none
+	// tallies count the runs on each weight version that the engine has loaded.
+	tallies       map[weightsKey]*Tally
+	withheldModel string // model whose grants are suspended; empty for none
 }
 
-// waiter is a request that waits for its grant, or a grant that its entry node
+// pendingGrant is a queued request for a grant, or a decided one that its entry node
 // has not yet fetched.
-type waiter struct {
+type pendingGrant struct {
 	model          string
-	done           chan struct{} // closed once decided
+	done           chan struct{} // closed when the request is decided
 	decided        bool
-	err            error // of a decided request that was not granted
-	polled         time.Time
+	err            error // reason why a decided request was not granted, else nil
+	lastPoll       time.Time
 	cancelImport   context.CancelFunc
 	importedTokens int
 	importedBytes  int64
@@ -62,29 +63,30 @@
 func newEngine(name string, now time.Time) *engine {
 	cfg := enginestate.Config{Classes: classWeights, MaxQueue: maxQueue, MaxRunning: defaultMaxRunning, PrefillRate: defaultPrefillRate}
 	return &engine{
-		name:    name,
-		index:   kvcache.NewEngineIndex(indexBlocks),
-		wake:    make(chan struct{}, 1),
-		state:   enginestate.New(now, cfg),
-		waiting: make(map[string]*waiter),
-		used:    now,
+		name:     name,
+		index:    kvcache.NewEngineIndex(indexBlocks),
+		wake:     make(chan struct{}, 1),
+		state:    enginestate.New(now, cfg),
+		pending:  make(map[string]*pendingGrant),
+		lastUsed: now,
 	}
 }
 
-// estimate answers for one prompt of about tokens.
+// estimate returns the engine's load and cached tokens for a prompt of about the
+// given number of tokens.
 func (e *engine) estimate(now time.Time, p *Prompt, tokens int) placement.Engine {
-	held := e.index.Lookup(p.Chain, tokens)
+	cached := e.index.Lookup(p.Chain, tokens)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.used = now
-	est := e.state.Estimate(now, e.request(now, "", p, tokens, held.Tokens))
+	e.lastUsed = now
+	est := e.state.Estimate(now, e.request(now, "", p, tokens, cached.Tokens))
 	out := placement.Engine{
 		Endpoint:     e.name,
 		Status:       placement.Known,
 		Wait:         est.Wait,
 		PrefillRate:  est.PrefillRate,
 		StepTime:     est.StepTime,
-		CachedTokens: held.Tokens,
+		CachedTokens: cached.Tokens,
 		Running:      est.Running,
 		Waiting:      est.Waiting,
 		ImportRate:   defaultLinkRate,
@@ -96,10 +98,10 @@
 	if !est.InRotation || !e.serves(p) {
 		out.Status = placement.Paused
 	}
-	if e.known != nil {
-		out.Layout = e.known.KVLayout
-		out.BlockTokens = e.known.BlockTokens
-		out.BlockBytes = e.known.BlockBytes
+	if e.reported != nil {
+		out.Layout = e.reported.KVLayout
+		out.BlockTokens = e.reported.BlockTokens
+		out.BlockBytes = e.reported.BlockBytes
 	}
 	return out
 }
@@ -113,21 +115,23 @@
 	return r
 }
 
-// layout returns the engine's KV layout and incarnation, once it was read.
+// layout returns the engine's KV layout and incarnation. ok is false until the
+// engine's state has been read.
 func (e *engine) layout() (layout, incarnation string, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.known == nil {
+	if e.reported == nil {
 		return "", "", false
 	}
-	return e.known.KVLayout, e.known.Incarnation, true
+	return e.reported.KVLayout, e.reported.Incarnation, true
 }
 
-// prefillRate returns the learned speed for a model, or 0.
+// prefillRate returns the measured prefill rate of a model in tokens per second, or
+// 0 if there is no measurement.
 func (e *engine) prefillRate(now time.Time, model string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := anyRequest
+	r := minimalRequest
 	r.Model = model
 	est := e.state.Estimate(now, r)
 	if !est.Learned {
@@ -136,27 +140,27 @@
 	return est.PrefillRate
 }
 
-// anyRequest asks for an estimate that depends on the engine alone.
-var anyRequest = enginestate.Request{PromptTokens: 1, Account: fairqueue.Account{Weight: 1}}
+// minimalRequest is used for estimates that depend only on the engine.
+var minimalRequest = enginestate.Request{PromptTokens: 1, Account: fairqueue.Account{Weight: 1}}
 
-// setState takes the engine's full state.
+// setState updates engine and index from the engine's full state.
 func (e *engine) setState(s *enginewire.State) {
 	e.index.Resync(s.Incarnation, s.EventSeq, s.Blocks)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.known = s
-	e.known.Blocks = nil // the index holds them
+	e.reported = s
+	e.reported.Blocks = nil // they are in the index
 	if s.MaxRunning > 0 {
 		e.state.SetMaxRunning(s.MaxRunning)
 	}
 }
 
-// setLeaving takes the engine out of service by the configuration, the
-// platform's list or its own word.
+// setLeaving takes the engine out of service if leaving is set by the configuration
+// or the platform's host list, or if the engine reports the role "leaving".
 func (e *engine) setLeaving(now time.Time, leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.SetLeaving(leaving || (e.known != nil && e.known.Role == roleLeaving))
+	e.state.SetLeaving(leaving || (e.reported != nil && e.reported.Role == roleLeaving))
 	e.tickLocked(now)
 }
 
@@ -164,8 +168,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.load = *l
-	if e.known != nil && l.Role != "" {
-		e.known.Role = l.Role
+	if e.reported != nil && l.Role != "" {
+		e.reported.Role = l.Role
 	}
 	e.state.Report(now, enginestate.Load{
 		Running:       l.Running,
@@ -179,7 +183,7 @@
 func (e *engine) status(now time.Time, owner string) *pb.EndpointStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := anyRequest
+	r := minimalRequest
 	r.Model = e.lastModel
 	est := e.state.Estimate(now, r)
 	state := "serving"
--- a/internal/owner/export.go
+++ b/internal/owner/export.go
@@ -14,7 +14,7 @@
 	"github.com/cherryward/cherryward/internal/placement"
 )
 
-// exporter is what the exports of one store host need from the service.
+// exporter holds the functions of the service that the exports of a store host use.
 type exporter struct {
 	engine   func(name string) kvcache.Engine
 	salt     func(account string) string
@@ -23,12 +23,12 @@
 	exported func(bytes int64)
 }
 
-// watch works off the offers and keeps the store host in order until ctx is done.
+// watch processes offers and maintains the store host until ctx is done.
 func (s *storeHost) watch(ctx context.Context, x *exporter) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for range exportsAtOnce {
-		wg.Go(func() { s.workOffers(ctx, x) })
+	for range exportWorkers {
+		wg.Go(func() { s.processOffers(ctx, x) })
 	}
 	for {
 		s.maintain(ctx, x)
@@ -38,92 +38,93 @@
 	}
 }
 
-// offer takes a finished turn, to decide on its export later.
+// offer queues a finished turn; its export is decided after the given time.
 func (s *storeHost) offer(now time.Time, req *offerRequest, after time.Duration) {
-	s.touch(now)
+	s.markUsed(now)
 	if len(req.Prompt.Chain) == 0 {
 		return
 	}
-	uses := s.noteTurn(now, &req.Prompt)
-	s.offers.add(&pendingOffer{req: req, uses: uses, ended: now, due: now.Add(after)})
+	uses := s.recordTurn(now, &req.Prompt)
+	s.offers.add(&pendingOffer{req: req, uses: uses, ended: now, decideAt: now.Add(after)})
 }
 
-func (s *storeHost) workOffers(ctx context.Context, x *exporter) {
+func (s *storeHost) processOffers(ctx context.Context, x *exporter) {
 	for retry.Sleep(ctx, jitter(offerInterval)) {
-		for p := s.offers.takeDue(time.Now()); p != nil && ctx.Err() == nil; p = s.offers.takeDue(time.Now()) {
-			s.consider(ctx, x, p)
+		for p := s.offers.popReady(time.Now()); p != nil && ctx.Err() == nil; p = s.offers.popReady(time.Now()) {
+			s.processOffer(ctx, x, p)
 		}
 	}
 }
 
-// consider exports the offered blocks that are worth their bytes. What a busy or
-// dear link holds back is tried again; anything else is settled: exported,
-// nothing to move, or a failing store host.
-func (s *storeHost) consider(ctx context.Context, x *exporter, p *pendingOffer) {
+// processOffer decides on one offer. An offer that is rejected because the link is
+// busy or too expensive is retried later; any other outcome is final: exported,
+// nothing to export, or a failing store host.
+func (s *storeHost) processOffer(ctx context.Context, x *exporter, p *pendingOffer) {
 	err := s.export(ctx, x, p)
-	if errors.Is(err, link.ErrBusy) || errors.Is(err, errNotWorth) {
-		s.offers.again(time.Now(), p)
+	if errors.Is(err, link.ErrBusy) || errors.Is(err, errNotProfitable) {
+		s.offers.requeue(time.Now(), p)
 		return
 	}
-	s.offers.done(p)
+	s.offers.finish(p)
 }
 
-// errNotWorth means that an export costs more than it is expected to save.
-var errNotWorth = errors.New("export is not worth its bytes now")
+// errNotProfitable is returned for an export that costs more than it is expected to
+// save.
+var errNotProfitable = errors.New("export costs more than it is expected to save")
 
 func (s *storeHost) export(ctx context.Context, x *exporter, p *pendingOffer) error {
 	now := time.Now()
 	req := p.req
-	plan, err := s.host.Reserve(s.request(&req.Prompt, req.Layout, x.salt(req.Prompt.Account)), req.Placements, 0, 0)
+	plan, err := s.host.Reserve(s.newRequest(&req.Prompt, req.Layout, x.salt(req.Prompt.Account)), req.Placements, 0, 0)
 	if err != nil || plan.Bytes() == 0 {
 		return err
 	}
 	weights := ObjectiveOf(x.model(req.Prompt.Model))
 	if !(policy.ExportByValue{}).Worth(s.value(now, p, weights, plan.Bytes()), s.price(now, weights)) {
-		return errNotWorth
+		return errNotProfitable
 	}
-	hold, err := link.Path{s.budget}.Reserve(now, link.Export, plan.Bytes(), time.Time{})
+	reservation, err := link.Path{s.budget}.Reserve(now, link.Export, plan.Bytes(), time.Time{})
 	if err != nil {
 		return err
 	}
-	plan.Transfer.BytesPerSecond = hold.BytesPerSecond
+	plan.Transfer.BytesPerSecond = reservation.BytesPerSecond
 	published, err := s.host.Export(ctx, x.engine(req.Engine), plan)
 	if err != nil {
-		hold.Cancel(time.Now())
+		reservation.Cancel(time.Now())
 		return err
 	}
-	hold.Done(time.Now(), plan.Bytes())
+	reservation.Done(time.Now(), plan.Bytes())
 	if published > 0 {
 		x.exported(plan.Bytes())
 	}
 	return nil
 }
 
-// value weighs an export by the model's objective.
+// value rates an export by the model's placement objective.
 func (s *storeHost) value(now time.Time, p *pendingOffer, weights placement.Objective, bytes int64) policy.Offer {
-	share := float64(bytes) / float64(max(bytesOf(p.req.Placements), 1))
-	kept := placement.ExportPart{
-		Tokens:      int(float64(tokensOf(p.req.Placements)) * share),
+	share := float64(bytes) / float64(max(totalBytes(p.req.Placements), 1))
+	part := placement.ExportPart{
+		Tokens:      int(float64(coveredTokens(p.req.Placements)) * share),
 		Bytes:       bytes,
 		PrefillRate: p.req.PrefillRate,
 		LinkRate:    s.budget.BytesPerSecond(now, link.Import),
 	}
 	return policy.Offer{
-		ReturnChance: s.returns.Chance(p.req.Prompt.Account, now, now.Sub(p.ended), placement.ExportUntil, keepAhead),
-		SavedSeconds: weights.ExportSaving(kept),
+		ReturnChance: s.returns.Chance(p.req.Prompt.Account, now, now.Sub(p.ended), placement.ExportUntil, returnHorizon),
+		SavedSeconds: weights.ExportSaving(part),
 		Bytes:        bytes,
 		Uses:         p.uses,
 	}
 }
 
-func tokensOf(placements []kvcache.Placement) int {
+func coveredTokens(placements []kvcache.Placement) int {
 	if len(placements) == 0 {
 		return 0
 	}
 	return placements[len(placements)-1].Block.EndToken
 }
 
-// ObjectiveOf returns the weights of a model's placement.
+// ObjectiveOf returns the weights of a model's placement objective.
 func ObjectiveOf(model *pb.Model) placement.Objective {
 	w := model.GetObjective()
 	return placement.Objective{
@@ -133,30 +134,31 @@
 	}
 }
 
-// price is what a byte on the link costs now.
+// price returns the current cost of a byte on the link.
 func (s *storeHost) price(now time.Time, weights placement.Objective) float64 {
 	return weights.LinkPrice(s.budget.Price(now), s.budget.BytesPerSecond(now, link.Import))
 }
 
-// maintain reads the store host's usage, deletes what was freed, and makes room.
-// A store host that does not answer is left out by its breaker.
+// maintain reads the store host's usage, deletes freed blocks, sweeps orphans and
+// evicts blocks when the store host is almost full. It does nothing more if the
+// store host does not respond; the store host's breaker then opens.
 func (s *storeHost) maintain(ctx context.Context, x *exporter) {
 	usage, err := s.host.Refresh(ctx)
 	if err != nil {
 		return
 	}
-	_ = s.host.Flush(ctx) // repeated at the next call
+	_ = s.host.Flush(ctx) // errors are retried at the next call
 	now := time.Now()
-	if now.Sub(s.swept) > sweepEvery {
-		s.swept = now
-		_ = s.host.Sweep(ctx) // repeated after sweepEvery
+	if now.Sub(s.lastSweep) > sweepEvery {
+		s.lastSweep = now
+		_ = s.host.Sweep(ctx) // errors are retried after sweepEvery
 	}
-	if float64(usage.Used) < fullShare*float64(usage.Capacity) {
+	if float64(usage.Used) < evictFromShare*float64(usage.Capacity) {
 		return
 	}
 	need := int64(evictShare * float64(usage.Capacity))
 	floor := int64(floorShare * float64(usage.Capacity) / float64(max(x.accounts(), 1)))
 	_ = s.host.Evict(ctx, need, floor, func(c kvcache.Candidate) float64 {
-		return s.returns.Chance(c.Account, now, c.Idle, c.Idle, c.Idle+keepAhead)
-	}) // what was not freed is freed at the next call
+		return s.returns.Chance(c.Account, now, c.Idle, c.Idle, c.Idle+returnHorizon)
+	}) // errors are retried at the next call
 }
--- a/internal/owner/grants.go
+++ b/internal/owner/grants.go
@@ -10,11 +10,12 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// enqueue asks for a grant, or finds the same request again. It tells whether
-// the request is new.
-func (e *engine) enqueue(now time.Time, req *GrantRequest) (w *waiter, isNew bool, err error) {
-	held := e.index.Lookup(req.Prompt.Chain, req.Tokens)
-	r := e.request(now, req.Grant, &req.Prompt, req.Tokens, held.Tokens)
+// enqueue queues a request for a grant. If the grant is already pending, it returns
+// the existing request and isNew is false. It fails if the engine does not serve the
+// prompt's weights or the queue rejects the request.
+func (e *engine) enqueue(now time.Time, req *GrantRequest) (w *pendingGrant, isNew bool, err error) {
+	cached := e.index.Lookup(req.Prompt.Chain, req.Tokens)
+	r := e.request(now, req.Grant, &req.Prompt, req.Tokens, cached.Tokens)
 	r.Account.Class = clampClass(req.Class)
 	if req.Weight > 0 {
 		r.Account.Weight = req.Weight
@@ -22,32 +23,32 @@
 	r.ImportTokens, r.ImportPatience = req.Import.Tokens, req.Import.Patience
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.used = now
-	if w := e.waiting[req.Grant]; w != nil {
-		w.polled = now
+	e.lastUsed = now
+	if w := e.pending[req.Grant]; w != nil {
+		w.lastPoll = now
 		return w, false, nil
 	}
 	if !e.serves(&req.Prompt) {
-		return nil, false, errNotHeld()
+		return nil, false, errNotLoaded()
 	}
 	if err := e.state.Request(now, r); err != nil {
-		return nil, false, refusal(err)
+		return nil, false, refusalResult(err)
 	}
-	w = &waiter{model: req.Prompt.Model, done: make(chan struct{}), polled: now, cancelImport: func() {}}
-	e.waiting[req.Grant] = w
+	w = &pendingGrant{model: req.Prompt.Model, done: make(chan struct{}), lastPoll: now, cancelImport: func() {}}
+	e.pending[req.Grant] = w
 	return w, true, nil
 }
 
 func clampClass(class int) int { return min(max(class, 0), len(classWeights)-1) }
 
-// claim takes a decided request out of the list.
-func (e *engine) claim(grant string) {
+// removePending removes a decided request from the pending ones.
+func (e *engine) removePending(grant string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.waiting, grant)
+	delete(e.pending, grant)
 }
 
-// withdraw ends a request whatever became of it.
+// withdraw cancels a request, or releases its grant if it was granted.
 func (e *engine) withdraw(now time.Time, grant string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -56,28 +57,28 @@
 }
 
 func (e *engine) withdrawLocked(now time.Time, grant string) {
-	if w := e.waiting[grant]; w != nil {
+	if w := e.pending[grant]; w != nil {
 		w.cancelImport()
-		delete(e.waiting, grant)
+		delete(e.pending, grant)
 	}
 	if !e.state.Cancel(grant) {
 		e.state.Release(now, grant, enginestate.Observed{Outcome: enginestate.Abandoned})
 	}
 }
 
-// withdrawUnpolled ends the requests whose entry nodes have gone silent.
+// withdrawUnpolled withdraws the requests whose entry nodes have stopped polling.
 func (e *engine) withdrawUnpolled(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for grant, w := range e.waiting {
-		if now.Sub(w.polled) > pollLimit {
+	for grant, w := range e.pending {
+		if now.Sub(w.lastPoll) > pollLimit {
 			e.withdrawLocked(now, grant)
 		}
 	}
 }
 
-// importDone lets a request go on after its import.
-func (e *engine) importDone(now time.Time, grant string, w *waiter, tokens int, bytes int64) {
+// importDone records the result of an import, so that its request can be granted.
+func (e *engine) importDone(now time.Time, grant string, w *pendingGrant, tokens int, bytes int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	w.importedTokens, w.importedBytes = tokens, bytes
@@ -88,12 +89,12 @@
 func (e *engine) setCancelImport(grant string, cancel context.CancelFunc) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if w := e.waiting[grant]; w != nil {
+	if w := e.pending[grant]; w != nil {
 		w.cancelImport = cancel
 	}
 }
 
-// firstToken notes that a run's prefill is over.
+// firstToken records that a run's prefill has ended.
 func (e *engine) firstToken(now time.Time, req *FirstTokenRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,9 +102,10 @@
 	e.tickLocked(now)
 }
 
-// release ends a grant and learns from its run.
+// release ends a grant, updates the estimates from its run and returns the engine's
+// current expected wait.
 func (e *engine) release(now time.Time, req *ReleaseRequest) time.Duration {
-	seen := enginestate.Observed{
+	observed := enginestate.Observed{
 		Outcome:    enginestate.Outcome(req.Outcome),
 		FirstToken: req.FirstToken,
 		Total:      req.Total,
@@ -115,19 +117,19 @@
 		e.index.ObserveStart(req.Incarnation, req.Prompt.Chain, req.CachedTokens)
 	}
 	if len(req.Blocks) > 0 {
-		e.index.Observe(runOf(req))
+		e.index.Observe(runFrom(req))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.used = now
+	e.lastUsed = now
 	e.lastModel = req.Prompt.Model
-	e.state.Release(now, req.Grant, seen)
-	e.count(&req.Prompt, seen.Outcome)
+	e.state.Release(now, req.Grant, observed)
+	e.countRun(&req.Prompt, observed.Outcome)
 	e.tickLocked(now)
-	return e.state.Estimate(now, anyRequest).Wait
+	return e.state.Estimate(now, minimalRequest).Wait
 }
 
-func runOf(req *ReleaseRequest) kvcache.Run {
+func runFrom(req *ReleaseRequest) kvcache.Run {
 	run := kvcache.Run{
 		Incarnation:  req.Incarnation,
 		Chain:        req.Prompt.Chain,
@@ -144,7 +146,7 @@
 func (e *engine) adopt(now time.Time, grants []AdoptedGrant) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.used = now
+	e.lastUsed = now
 	for _, g := range grants {
 		e.state.Adopt(enginestate.Grant{
 			Run:       g.Grant,
@@ -164,20 +166,21 @@
 	e.tickLocked(now)
 }
 
-// tickLocked hands out what the state decided.
+// tickLocked passes the decisions of the engine's state to the pending requests and
+// wakes watchTicks. e.mu must be held.
 func (e *engine) tickLocked(now time.Time) {
 	changes := e.state.Tick(now)
 	for _, g := range changes.Granted {
-		e.answer(g.Run, nil)
+		e.decide(g.Run, nil)
 	}
 	for _, r := range changes.Expired {
-		e.answer(r.Run, result.New(result.DeadlineUnmeetable))
+		e.decide(r.Run, result.New(result.DeadlineUnmeetable))
 	}
 	for _, r := range changes.Displaced {
-		e.answer(r.Run, result.New(result.EndpointRefused, result.WithRunState(result.NotRun)))
+		e.decide(r.Run, result.New(result.EndpointRefused, result.WithRunState(result.NotRun)))
 	}
 	for _, run := range changes.Recompute {
-		if w := e.waiting[run]; w != nil {
+		if w := e.pending[run]; w != nil {
 			w.cancelImport()
 		}
 	}
@@ -187,8 +190,8 @@
 	}
 }
 
-func (e *engine) answer(grant string, err error) {
-	w := e.waiting[grant]
+func (e *engine) decide(grant string, err error) {
+	w := e.pending[grant]
 	if w == nil {
 		return
 	}
@@ -199,7 +202,7 @@
 	close(w.done)
 }
 
-// nextTick returns how long the state stays as it is without a call.
+// nextTick returns the time until the next tick is due.
 func (e *engine) nextTick(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/owner/messages.go
+++ b/internal/owner/messages.go
@@ -8,22 +8,22 @@
 	"github.com/cherryward/cherryward/internal/placement"
 )
 
-// Methods of the owners on the peers' connections.
+// Peer methods of endpoint owners.
 const (
 	MethodEstimate = "owner.estimate" // safe to repeat
-	MethodGrant    = "owner.grant"    // answers when granted; safe to repeat for one run
+	MethodGrant    = "owner.grant"    // returns when granted; safe to repeat for the same grant
 	MethodCancel   = "owner.cancel"   // safe to repeat
 	MethodFirst    = "owner.first"    // safe to repeat
 	MethodRelease  = "owner.release"  // safe to repeat
 	MethodAdopt    = "owner.adopt"    // safe to repeat
 )
 
-// GrantPoll is the longest that one call for a grant is held open. The caller
-// repeats it; an owner that does not answer within twice this time is paused or
-// gone.
+// GrantPoll is the maximum duration of one call for a grant. The caller repeats the
+// call until it gets a result. An owner that does not respond within twice this time
+// is treated as unavailable.
 const GrantPoll = time.Second
 
-// Prompt is what owners need to know of a prompt. It holds no text.
+// Prompt describes a prompt to owners. It does not contain the text.
 type Prompt struct {
 	Account string        `json:"a"`
 	Model   string        `json:"m"`
@@ -32,57 +32,58 @@
 	Unit    kvcache.Unit  `json:"u,omitempty"`
 	Size    int           `json:"s"` // in Unit
 	Chain   kvcache.Chain `json:"c,omitempty"`
-	// TimeLeft is the time to the caller's deadline.
+	// TimeLeft is the time until the caller's deadline.
 	TimeLeft time.Duration `json:"t"`
 }
 
-// Identity returns the root of the prompt's chain.
+// Identity returns the identity on which the prompt's chain is based.
 func (p *Prompt) Identity() kvcache.Identity {
 	return kvcache.Identity{Account: p.Account, Model: p.Model, Version: p.Version, Adapter: p.Adapter}
 }
 
-// EstimateRequest asks one node about endpoints that it owns.
+// EstimateRequest requests estimates for endpoints that a node owns.
 type EstimateRequest struct {
 	Prompt  Prompt   `json:"p"`
 	Engines []string `json:"e,omitempty"`
 	Stores  []string `json:"st,omitempty"`
-	// Layouts are the KV layouts of the candidates, as far as they are known.
+	// Layouts are the known KV layouts of the candidate engines.
 	Layouts []string `json:"l,omitempty"`
 }
 
-// EstimateResponse answers for each endpoint that was asked for.
+// EstimateResponse holds estimates for the requested endpoints. Endpoints without an
+// estimate are omitted.
 type EstimateResponse struct {
-	PromptTokens int                `json:"pt"` // by what was learned of the account's prompts
+	PromptTokens int                `json:"pt"` // estimated from the account's earlier prompts
 	Engines      []placement.Engine `json:"e,omitempty"`
 	Stores       []placement.Store  `json:"st,omitempty"`
 }
 
-// GrantRequest asks for the right to start a run on an engine.
+// GrantRequest requests permission to start a run on an engine.
 type GrantRequest struct {
 	Endpoint string           `json:"e"`
-	Grant    string           `json:"g"` // unique
+	Grant    string           `json:"g"` // unique id
 	Class    int              `json:"cl"`
 	Weight   float64          `json:"w"`
 	Prompt   Prompt           `json:"p"`
-	Tokens   int              `json:"n"` // expected length of the prompt
+	Tokens   int              `json:"n"` // expected number of prompt tokens
 	Import   placement.Import `json:"i,omitzero"`
 }
 
-// GrantResponse is a grant, with what was imported for it.
+// GrantResponse reports a grant and the size of the import made for it.
 type GrantResponse struct {
-	Queued         bool  `json:"q,omitempty"` // no grant yet: ask again
+	Queued         bool  `json:"q,omitempty"` // not granted yet: repeat the request
 	ImportedTokens int   `json:"it,omitempty"`
 	ImportedBytes  int64 `json:"ib,omitempty"`
 }
 
-// CancelRequest withdraws a request for a grant.
+// CancelRequest cancels a request for a grant.
 type CancelRequest struct {
 	Endpoint string `json:"e"`
 	Grant    string `json:"g"`
 }
 
-// FirstTokenRequest tells that a granted run has begun to answer, so that the
-// engine can be given its next prefill.
+// FirstTokenRequest reports the first output token of a granted run. The engine is
+// then ready for its next prefill.
 type FirstTokenRequest struct {
 	Endpoint     string `json:"e"`
 	Grant        string `json:"g"`
@@ -90,7 +91,7 @@
 	CachedTokens int    `json:"ct"`
 }
 
-// ReleaseRequest gives a grant back with what was seen of the run.
+// ReleaseRequest releases a grant and reports measurements of its run.
 type ReleaseRequest struct {
 	Endpoint     string             `json:"e"`
 	Grant        string             `json:"g"`
@@ -105,19 +106,19 @@
 	Blocks       []enginewire.Block `json:"b,omitempty"`
 }
 
-// ReleaseResponse carries the owner's present load, for requests that ask for no
-// estimate.
+// ReleaseResponse reports the engine's current expected wait, for use by requests
+// that are placed without an estimate.
 type ReleaseResponse struct {
 	Wait time.Duration `json:"w"`
 }
 
-// AdoptRequest tells a new owner of grants in force.
+// AdoptRequest reports active grants to a new owner.
 type AdoptRequest struct {
 	Endpoint string         `json:"e"`
 	Grants   []AdoptedGrant `json:"g"`
 }
 
-// AdoptedGrant is one grant that an entry node holds.
+// AdoptedGrant is an active grant held by an entry node.
 type AdoptedGrant struct {
 	Grant    string        `json:"g"`
 	Account  string        `json:"a"`
@@ -129,5 +130,5 @@
 	TimeLeft time.Duration `json:"t"`
 }
 
-// None is the empty answer.
+// None is an empty request or response.
 type None struct{}
--- a/internal/owner/offers.go
+++ b/internal/owner/offers.go
@@ -9,12 +9,12 @@
 	"github.com/cherryward/cherryward/internal/placement"
 )
 
-// maxOffers bounds the offers that wait; the oldest gives way. At about 5 KB
-// each they take 20 MB.
+// maxOffers is the maximum number of queued offers; the one due first is discarded
+// when it is exceeded. At about 5 KB each, the queue takes up to 20 MB.
 const maxOffers = 4096
 
-// offers holds finished turns until their export is decided. A conversation has
-// one offer at most: when it comes back, the turn before is no longer offered.
+// offers holds finished turns until their export is decided. A conversation has at
+// most one offer: when it continues, the offer of its previous turn is discarded.
 type offers struct {
 	mu     sync.Mutex
 	byTurn map[kvcache.Fingerprint]*pendingOffer
@@ -23,15 +23,16 @@
 
 // pendingOffer is the offer of one finished turn.
 type pendingOffer struct {
-	req   *offerRequest
-	uses  int // turns of the conversation so far
-	ended time.Time
-	due   time.Time
-	index int // in the queue, -1 when out of it
+	req      *offerRequest
+	uses     int // number of the conversation's turns so far
+	ended    time.Time
+	decideAt time.Time
+	index    int // position in the queue, -1 if not queued
 }
 
-// end is the fingerprint that names the turn.
-func (p *pendingOffer) end() kvcache.Fingerprint {
+// turnKey returns the fingerprint of the turn's last complete chunk, which
+// identifies the turn.
+func (p *pendingOffer) turnKey() kvcache.Fingerprint {
 	return p.req.Prompt.Chain[len(p.req.Prompt.Chain)-1]
 }
 
@@ -39,72 +40,73 @@
 	return &offers{byTurn: make(map[kvcache.Fingerprint]*pendingOffer)}
 }
 
-// add takes an offer, to be decided at due.
+// add queues an offer. It replaces an earlier offer of the same turn.
 func (o *offers) add(p *pendingOffer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.queue) >= maxOffers {
-		o.drop(o.queue[0])
+		o.remove(o.queue[0])
 	}
-	if old := o.byTurn[p.end()]; old != nil {
-		o.drop(old)
+	if old := o.byTurn[p.turnKey()]; old != nil {
+		o.remove(old)
 	}
-	o.byTurn[p.end()] = p
+	o.byTurn[p.turnKey()] = p
 	heap.Push(&o.queue, p)
 }
 
-// returned drops the offer of a turn whose conversation has come back.
-func (o *offers) returned(turn kvcache.Fingerprint) {
+// discardTurn discards the offer of a turn whose conversation has continued.
+func (o *offers) discardTurn(turn kvcache.Fingerprint) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if p := o.byTurn[turn]; p != nil {
-		o.drop(p)
+		o.remove(p)
 	}
 }
 
-func (o *offers) drop(p *pendingOffer) {
-	delete(o.byTurn, p.end())
+func (o *offers) remove(p *pendingOffer) {
+	delete(o.byTurn, p.turnKey())
 	if p.index >= 0 {
 		heap.Remove(&o.queue, p.index)
 	}
 }
 
-// takeDue takes the next offer to decide, or nil.
-func (o *offers) takeDue(now time.Time) *pendingOffer {
+// popReady removes and returns the next offer that is ready to be decided, or nil.
+func (o *offers) popReady(now time.Time) *pendingOffer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.queue) == 0 || now.Before(o.queue[0].due) {
+	if len(o.queue) == 0 || now.Before(o.queue[0].decideAt) {
 		return nil
 	}
 	return heap.Pop(&o.queue).(*pendingOffer)
 }
 
-// again puts an offer back whose link was busy or too dear, unless the turn is
-// too long ago or its conversation has come back meanwhile.
-func (o *offers) again(now time.Time, p *pendingOffer) {
+// requeue queues an offer again whose link was busy or too expensive. It discards the
+// offer if its turn ended more than placement.ExportUntil ago or its conversation has
+// continued since.
+func (o *offers) requeue(now time.Time, p *pendingOffer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.byTurn[p.end()] != p {
+	if o.byTurn[p.turnKey()] != p {
 		return
 	}
 	if now.Sub(p.ended) > placement.ExportUntil {
-		o.drop(p)
+		o.remove(p)
 		return
 	}
-	p.due = now.Add(placement.ExportRetry)
+	p.decideAt = now.Add(placement.ExportRetry)
 	heap.Push(&o.queue, p)
 }
 
-// done forgets an offer that was decided.
-func (o *offers) done(p *pendingOffer) {
+// finish removes an offer that was decided.
+func (o *offers) finish(p *pendingOffer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.byTurn[p.end()] == p {
-		o.drop(p)
+	if o.byTurn[p.turnKey()] == p {
+		o.remove(p)
 	}
 }
 
-// offerQueue orders offers by the time to decide them.
+// offerQueue is a heap of offers ordered by the time at which they are decided.
 type offerQueue []*pendingOffer
 
 var _ heap.Interface = (*offerQueue)(nil)
@@ -113,7 +115,7 @@
 func (q offerQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q offerQueue) Less(i, j int) bool { return q[i].due.Before(q[j].due) }
+func (q offerQueue) Less(i, j int) bool { return q[i].decideAt.Before(q[j].decideAt) }
 
 // Swap implements heap.Interface.
 func (q offerQueue) Swap(i, j int) {
--- a/internal/owner/offers_test.go
+++ b/internal/owner/offers_test.go
@@ -12,36 +12,36 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func offerOf(turn byte, due time.Duration) *pendingOffer {
+func offerOf(turn byte, decideAt time.Duration) *pendingOffer {
 	req := &offerRequest{Prompt: Prompt{Chain: kvcache.Chain{{1}, {turn}}}}
-	return &pendingOffer{req: req, ended: start, due: start.Add(due)}
+	return &pendingOffer{req: req, ended: start, decideAt: start.Add(decideAt)}
 }
 
-func TestOffersComeWhenDueAndNotAfterAReturn(t *testing.T) {
+func TestOffersAreReadyWhenDueUnlessReturned(t *testing.T) {
 	o := newOffers()
-	for turn, due := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second} {
-		o.add(offerOf(byte(turn), due))
+	for turn, decideAt := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second} {
+		o.add(offerOf(byte(turn), decideAt))
 	}
-	must.Nil(t, o.takeDue(start))
-	o.returned(kvcache.Fingerprint{2})
+	must.Nil(t, o.popReady(start))
+	o.discardTurn(kvcache.Fingerprint{2})
 	now := start.Add(time.Minute)
-	first := o.takeDue(now)
-	must.Eq(t, kvcache.Fingerprint{1}, first.end())
-	o.again(now, first)
-	must.Eq(t, kvcache.Fingerprint{0}, o.takeDue(now).end())
-	must.Nil(t, o.takeDue(now))
-	must.Eq(t, first, o.takeDue(now.Add(placement.ExportRetry)))
+	first := o.popReady(now)
+	must.Eq(t, kvcache.Fingerprint{1}, first.turnKey())
+	o.requeue(now, first)
+	must.Eq(t, kvcache.Fingerprint{0}, o.popReady(now).turnKey())
+	must.Nil(t, o.popReady(now))
+	must.Eq(t, first, o.popReady(now.Add(placement.ExportRetry)))
 
-	o.returned(first.end()) // while it is being decided
-	o.again(now, first)
-	must.Nil(t, o.takeDue(now.Add(time.Hour)))
+	o.discardTurn(first.turnKey()) // while the offer is being decided
+	o.requeue(now, first)
+	must.Nil(t, o.popReady(now.Add(time.Hour)))
 
 	late := offerOf(9, 0)
 	o.add(late)
-	must.Eq(t, late, o.takeDue(now))
-	o.again(start.Add(placement.ExportUntil+time.Second), late)
-	must.Nil(t, o.takeDue(now.Add(time.Hour)))
-	must.MapLen(t, 1, o.byTurn) // the one taken and not settled
+	must.Eq(t, late, o.popReady(now))
+	o.requeue(start.Add(placement.ExportUntil+time.Second), late)
+	must.Nil(t, o.popReady(now.Add(time.Hour)))
+	must.MapLen(t, 1, o.byTurn) // the offer that was popped but not finished
 }
 
 func TestOffersAreBounded(t *testing.T) {
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -1,9 +1,10 @@
-// Package owner serves the endpoints that this node owns: it estimates, queues
-// and grants runs on engines, and looks after kept context on store hosts.
+// Package owner manages the endpoints that this node owns: it estimates, queues and
+// grants runs on engines, and manages the KV cache blocks on store hosts.
 //
-// Everything it holds is soft state, learned from the endpoints and the entry
-// nodes, and lost with the node. A node answers for any endpoint that it is asked
-// about: if two nodes think that they own one, both grant, and the engine queues.
+// All of its state is soft: it is built from reports of endpoints and entry nodes and
+// lost when the node stops. A node serves requests for any endpoint, whether or not it
+// is the owner. If two nodes act as owners of the same engine, both grant runs and
+// the engine queues them.
 package owner
 
 import (
@@ -31,15 +32,16 @@
 const Name = "owner"
 
 const (
-	// idleOwner is how long state is kept for an endpoint that another node owns.
+	// idleOwner is the time after which unused state of an endpoint that another node
+	// owns is discarded.
 	idleOwner     = 30 * time.Second
 	sweepInterval = time.Second
 )
 
-// Directory gives the newest configuration.
+// Directory provides the latest configuration.
 type Directory interface {
 	View() *config.View
-	// Typed is the store that the views come from.
+	// Typed returns the store that the views come from.
 	Typed() *config.Store
 }
 
@@ -50,21 +52,21 @@
 	reader    EngineReader
 	density   *kvcache.Density
 	salter    *kvcache.Salter
-	// exportAfter is how long after a turn its export is decided.
-	exportAfter time.Duration
-	exported    func(bytes int64) // counts exports
-	log         zerolog.Logger
-	storesOf    atomic.Pointer[storeSet] // of the newest view that was asked for
+	// exportAfter is the time from the end of a turn to the decision on its export.
+	exportAfter  time.Duration
+	exported     func(bytes int64) // called with the bytes of each export
+	log          zerolog.Logger
+	lastStoreSet atomic.Pointer[storeSet] // for the configuration view used last
 
 	mu      sync.Mutex
-	ctx     context.Context // of Run; state is made only while it runs
+	ctx     context.Context // context of Run, done before Run starts; endpoint state is created only while Run runs
 	wg      sync.WaitGroup
-	engines map[string]*watched
+	engines map[string]*watchedEngine
 	stores  map[string]*watchedStore
 }
 
-// watched is an engine with the means to end its watch.
-type watched struct {
+// watchedEngine is an engine with the function that stops its watch.
+type watchedEngine struct {
 	*engine
 	cancel context.CancelFunc
 }
@@ -74,7 +76,8 @@
 	_ kernel.Runner  = (*Service)(nil)
 )
 
-// New returns the service. An export is decided exportAfter a turn. exported is called with the bytes of each export.
+// New returns the service. An export is decided exportAfter the end of its turn.
+// exported is called with the bytes of each export.
 func New(reader EngineReader, salter *kvcache.Salter, exportAfter time.Duration, exported func(bytes int64), log zerolog.Logger) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -86,7 +89,7 @@
 		exported:    exported,
 		log:         log.With().Str("service", Name).Logger(),
 		ctx:         ctx,
-		engines:     make(map[string]*watched),
+		engines:     make(map[string]*watchedEngine),
 		stores:      make(map[string]*watchedStore),
 	}
 }
@@ -107,41 +110,42 @@
 		return err
 	}
 	server := s.cluster.Server
-	peers.Handle(server, MethodEstimate, serve(s.Estimate))
-	peers.Handle(server, MethodGrant, serve(s.Grant))
-	peers.Handle(server, MethodCancel, serve(s.Cancel))
-	peers.Handle(server, MethodFirst, serve(s.FirstToken))
-	peers.Handle(server, MethodRelease, serve(s.Release))
-	peers.Handle(server, MethodAdopt, serve(s.Adopt))
-	peers.Handle(server, methodStatus, serve(s.serveStatus))
-	peers.Handle(server, methodImport, serve(s.serveImport))
-	peers.Handle(server, methodCancelImport, serve(s.serveCancelImport))
-	peers.Handle(server, methodOffer, serve(s.serveOffer))
+	peers.Handle(server, MethodEstimate, withoutIdentity(s.Estimate))
+	peers.Handle(server, MethodGrant, withoutIdentity(s.Grant))
+	peers.Handle(server, MethodCancel, withoutIdentity(s.Cancel))
+	peers.Handle(server, MethodFirst, withoutIdentity(s.FirstToken))
+	peers.Handle(server, MethodRelease, withoutIdentity(s.Release))
+	peers.Handle(server, MethodAdopt, withoutIdentity(s.Adopt))
+	peers.Handle(server, methodStatus, withoutIdentity(s.serveStatus))
+	peers.Handle(server, methodImport, withoutIdentity(s.serveImport))
+	peers.Handle(server, methodCancelImport, withoutIdentity(s.serveCancelImport))
+	peers.Handle(server, methodOffer, withoutIdentity(s.serveOffer))
 	return nil
 }
 
-// serve drops the peer's identity, which the methods do not need.
-func serve[Req, Resp any](f func(context.Context, *Req) (*Resp, error)) func(context.Context, peers.Identity, *Req) (*Resp, error) {
+// withoutIdentity adapts f to a peer handler that ignores the peer's identity.
+func withoutIdentity[Req, Resp any](f func(context.Context, *Req) (*Resp, error)) func(context.Context, peers.Identity, *Req) (*Resp, error) {
 	return func(ctx context.Context, _ peers.Identity, req *Req) (*Resp, error) { return f(ctx, req) }
 }
 
-// runContext is the context of Run, or one that is done.
+// runContext returns the context of Run, or a canceled context before Run starts.
 func (s *Service) runContext() context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ctx
 }
 
-func (e *engine) idleSince(now time.Time) time.Duration {
+func (e *engine) idleTime(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.waiting) > 0 {
+	if len(e.pending) > 0 {
 		return 0
 	}
-	return now.Sub(e.used)
+	return now.Sub(e.lastUsed)
 }
 
-// engine returns the state of an engine, made on first use.
+// engine returns the state of an engine and creates it on first use. It fails if the
+// endpoint is not a configured engine or the service is stopping.
 func (s *Service) engine(name string) (*engine, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +160,7 @@
 		return nil, result.New(result.Draining)
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	w := &watched{engine: newEngine(name, time.Now()), cancel: cancel}
+	w := &watchedEngine{engine: newEngine(name, time.Now()), cancel: cancel}
 	s.engines[name] = w
 	s.wg.Go(func() {
 		w.watch(ctx, s.reader, func() string { return s.url(name) }, func() bool { return s.leaving(name) })
@@ -169,21 +173,21 @@
 	return e.GetUrl()
 }
 
-// leaving tells whether the configuration or the platform takes the endpoint out
-// of service.
+// leaving reports whether the configuration or the platform has taken the endpoint
+// out of service.
 func (s *Service) leaving(name string) bool {
 	e, ok := s.directory.View().Endpoint(name)
 	return !ok || e.GetLeaving() || s.cluster.HostLeaving(e)
 }
 
-// Estimate answers for the endpoints that it is asked about.
+// Estimate returns estimates for the requested endpoints.
 func (s *Service) Estimate(_ context.Context, req *EstimateRequest) (*EstimateResponse, error) {
 	now := time.Now()
 	resp := &EstimateResponse{PromptTokens: s.promptTokens(&req.Prompt)}
 	for _, name := range req.Engines {
 		e, err := s.engine(name)
 		if err != nil {
-			continue // left out, like an owner that is late
+			continue // omitted, as if its owner had not responded in time
 		}
 		resp.Engines = append(resp.Engines, e.estimate(now, &req.Prompt, resp.PromptTokens))
 	}
@@ -198,8 +202,8 @@
 	return s.density.Estimate(p.Model, p.Account, p.Size)
 }
 
-// Grant waits until the run may start, for at most GrantPoll. Its errors are
-// not_run. Repeating the call for one grant finds the same request.
+// Grant waits up to GrantPoll until the run may start. An error means that the run
+// was not started. Repeated calls for the same grant refer to the same request.
 func (s *Service) Grant(ctx context.Context, req *GrantRequest) (*GrantResponse, error) {
 	e, err := s.engine(req.Endpoint)
 	if err != nil {
@@ -217,7 +221,7 @@
 	defer timer.Stop()
 	select {
 	case <-w.done:
-		e.claim(req.Grant)
+		e.removePending(req.Grant)
 		if w.err != nil {
 			return nil, w.err
 		}
@@ -229,7 +233,7 @@
 	}
 }
 
-// Cancel withdraws a request for a grant.
+// Cancel cancels a request for a grant.
 func (s *Service) Cancel(_ context.Context, req *CancelRequest) (*None, error) {
 	if e, err := s.engine(req.Endpoint); err == nil {
 		e.withdraw(time.Now(), req.Grant)
@@ -237,7 +241,7 @@
 	return &None{}, nil
 }
 
-// FirstToken notes that a granted run has begun to answer.
+// FirstToken records the first output token of a granted run.
 func (s *Service) FirstToken(_ context.Context, req *FirstTokenRequest) (*None, error) {
 	e, err := s.engine(req.Endpoint)
 	if err != nil {
@@ -263,7 +267,7 @@
 	return &ReleaseResponse{Wait: wait}, nil
 }
 
-// Adopt takes over grants in force.
+// Adopt registers active grants that another owner has made.
 func (s *Service) Adopt(_ context.Context, req *AdoptRequest) (*None, error) {
 	e, err := s.engine(req.Endpoint)
 	if err != nil {
@@ -273,9 +277,9 @@
 	return &None{}, nil
 }
 
-// refusal gives the state's refusals their codes. Shedding must stay cheap, so it
-// records no stack.
-func refusal(err error) error {
+// refusalResult converts errors of the engine's queue to result errors. Rejecting a
+// request under overload must be cheap, so no stack is recorded for it.
+func refusalResult(err error) error {
 	var refused *enginestate.RefusedError
 	if errors.As(err, &refused) {
 		return result.New(result.Shed, result.WithMessage("%s", refused.Reason), result.WithRetryAfter(refused.RetryAfter))
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -19,8 +19,8 @@
 	Endpoints []*pb.EndpointStatus `json:"e"`
 }
 
-// StatusOf describes the endpoints that a node owns; none where it does not
-// answer.
+// StatusOf returns the status of the endpoints that a node owns. It returns nil if
+// the node does not respond.
 func (s *Service) StatusOf(ctx context.Context, m member.Member) []*pb.EndpointStatus {
 	if m.ID == s.cluster.Self().ID {
 		return s.status(time.Now())
--- a/internal/owner/store.go
+++ b/internal/owner/store.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	turnNotes     = 1 << 16                // conversations whose last turn is remembered
-	keepAhead     = 48 * time.Hour         // how far ahead a return counts
-	fullShare     = 0.95                   // of a store host's space, from which it is cleared
-	evictShare    = 0.02                   // of a store host's space, freed at once
-	floorShare    = 0.5                    // of an even split: what an account keeps for sure
-	exportsAtOnce = 4                      // of one store host
-	offerInterval = 250 * time.Millisecond // between two looks at the offers
-	maintainEvery = 2 * time.Second
-	sweepEvery    = time.Hour // orphans are rare, and a sweep reads all of the store host
-	maxStoreIdle  = 64
-	storeIdleConn = time.Minute
+	maxTurnRecords       = 1 << 16                // maximum number of conversations whose last turn is stored
+	returnHorizon        = 48 * time.Hour         // future period in which a return of the conversation counts
+	evictFromShare       = 0.95                   // share of a store host's space in use from which blocks are evicted
+	evictShare           = 0.02                   // share of a store host's space that one eviction frees
+	floorShare           = 0.5                    // share of an equal split of the space that eviction leaves to each account if possible
+	exportWorkers        = 4                      // concurrent exports per store host
+	offerInterval        = 250 * time.Millisecond // time between two checks for ready offers
+	maintainEvery        = 2 * time.Second
+	sweepEvery           = time.Hour // orphans are rare, and a sweep lists the whole store host
+	maxIdleStoreConns    = 64
+	idleStoreConnTimeout = time.Minute
 )
 
-// storeHost is the state of one store host that this node owns.
+// storeHost is the state of a store host that this node owns.
 type storeHost struct {
 	name    string
 	host    *kvcache.StoreHost
 	budget  *link.Budget
 	returns *policy.Returns
-	turns   *lru.Cache[kvcache.Fingerprint, turnNote]
+	turns   *lru.Cache[kvcache.Fingerprint, turnRecord]
 	offers  *offers
 
-	mu      sync.Mutex
-	used    time.Time
-	imports map[string]context.CancelFunc
-	swept   time.Time
+	mu        sync.Mutex
+	lastUsed  time.Time
+	imports   map[string]context.CancelFunc
+	lastSweep time.Time
 }
 
-// turnNote is the end of a conversation's last turn.
-type turnNote struct {
-	at   time.Time
-	uses int
+// turnRecord describes a conversation's last turn.
+type turnRecord struct {
+	at   time.Time // end of the turn
+	uses int       // number of turns so far
 }
 
-// storeClient is shared by all store hosts. It carries control calls only: the
-// engines move the blocks.
-var storeClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxStoreIdle, IdleConnTimeout: storeIdleConn}}
+// storeClient is shared by all store hosts. It is used for control calls only;
+// engines transfer the blocks.
+var storeClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleStoreConns, IdleConnTimeout: idleStoreConnTimeout}}
 
 func newStoreHost(e *pb.Endpoint, now time.Time) (*storeHost, error) {
 	host, err := kvcache.NewStoreHost(e.GetUrl(), storehttp.NewClient(e.GetUrl(), storeClient), time.Now, kvcache.RandomName, kvcache.DefaultTiming())
 	if err != nil {
 		return nil, err
 	}
-	turns, err := lru.New[kvcache.Fingerprint, turnNote](turnNotes)
+	turns, err := lru.New[kvcache.Fingerprint, turnRecord](maxTurnRecords)
 	if err != nil {
 		return nil, err
 	}
@@ -69,76 +69,77 @@
 		rate = defaultLinkRate
 	}
 	return &storeHost{
-		name:    e.GetName(),
-		host:    host,
-		budget:  link.NewBudget(rate),
-		returns: policy.NewReturns(),
-		turns:   turns,
-		offers:  newOffers(),
-		used:    now,
-		imports: make(map[string]context.CancelFunc),
+		name:     e.GetName(),
+		host:     host,
+		budget:   link.NewBudget(rate),
+		returns:  policy.NewReturns(),
+		turns:    turns,
+		offers:   newOffers(),
+		lastUsed: now,
+		imports:  make(map[string]context.CancelFunc),
 	}, nil
 }
 
-// estimate tells what the store host holds of a prompt in one KV layout.
+// estimate returns the part of a prompt that the store host holds in one KV layout,
+// and the expected speed of an import.
 func (s *storeHost) estimate(now time.Time, p *Prompt, layout string) placement.Store {
-	s.touch(now)
-	held := s.host.Lookup(p.Chain, layout, 0)
+	s.markUsed(now)
+	stored := s.host.Lookup(p.Chain, layout, 0)
 	return placement.Store{
 		Store:      s.name,
 		Status:     placement.Known,
-		HeldTokens: held.Tokens,
+		HeldTokens: stored.Tokens,
 		Rate:       s.budget.BytesPerSecond(now, link.Import),
 		QueueDelay: s.budget.QueueDelay(now, link.Import),
 		Layout:     layout,
 	}
 }
 
-func (s *storeHost) touch(now time.Time) {
+func (s *storeHost) markUsed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used = now
+	s.lastUsed = now
 }
 
-func (s *storeHost) idleSince(now time.Time) time.Duration {
+func (s *storeHost) idleTime(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.imports) > 0 {
 		return 0
 	}
-	return now.Sub(s.used)
+	return now.Sub(s.lastUsed)
 }
 
-// importTo has blocks moved to an engine while a caller waits. Every failure is
-// a miss: the engine recomputes.
+// importTo has the engine import blocks for a run whose caller is waiting. Callers
+// treat an error as a miss; the engine then recomputes the prompt.
 func (s *storeHost) importTo(ctx context.Context, engine kvcache.Engine, req *importRequest, salt string) (*importResponse, error) {
 	now := time.Now()
-	s.touch(now)
+	s.markUsed(now)
 	ctx, cancel := context.WithTimeout(ctx, req.TimeLeft)
 	defer cancel()
-	s.track(req.ID, cancel)
-	defer s.untrack(req.ID)
-	plan, err := s.host.PlanImport(ctx, s.request(&req.Prompt, req.Layout, salt), req.FromToken, req.ToToken, 0)
+	s.trackImport(req.ID, cancel)
+	defer s.untrackImport(req.ID)
+	plan, err := s.host.PlanImport(ctx, s.newRequest(&req.Prompt, req.Layout, salt), req.FromToken, req.ToToken, 0)
 	if err != nil || plan.Bytes() == 0 {
 		return &importResponse{}, err
 	}
-	hold, err := link.Path{s.budget}.Reserve(now, link.Import, plan.Bytes(), now.Add(req.TimeLeft))
+	reservation, err := link.Path{s.budget}.Reserve(now, link.Import, plan.Bytes(), now.Add(req.TimeLeft))
 	if err != nil {
 		return &importResponse{}, err
 	}
-	plan.Transfer.BytesPerSecond = hold.BytesPerSecond
+	plan.Transfer.BytesPerSecond = reservation.BytesPerSecond
 	placements, err := s.host.Import(ctx, engine, plan)
 	if ctx.Err() != nil {
-		hold.Abort(time.Now())
+		reservation.Abort(time.Now())
 		return &importResponse{}, ctx.Err()
 	}
-	resp := &importResponse{Placements: placements, Bytes: bytesOf(placements)}
-	hold.Done(time.Now(), resp.Bytes)
+	resp := &importResponse{Placements: placements, Bytes: totalBytes(placements)}
+	reservation.Done(time.Now(), resp.Bytes)
 	s.host.Index.Use(req.Prompt.Chain, req.Layout, time.Now())
 	return resp, err
 }
 
-func bytesOf(placements []kvcache.Placement) int64 {
+func totalBytes(placements []kvcache.Placement) int64 {
 	var sum int64
 	for _, p := range placements {
 		sum += p.Block.Bytes
@@ -146,23 +147,23 @@
 	return sum
 }
 
-func (s *storeHost) request(p *Prompt, layout, salt string) kvcache.Request {
+func (s *storeHost) newRequest(p *Prompt, layout, salt string) kvcache.Request {
 	return kvcache.Request{Identity: p.Identity(), Layout: layout, Salt: salt, Chain: p.Chain}
 }
 
-func (s *storeHost) track(id string, cancel context.CancelFunc) {
+func (s *storeHost) trackImport(id string, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.imports[id] = cancel
 }
 
-func (s *storeHost) untrack(id string) {
+func (s *storeHost) untrackImport(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.imports, id)
 }
 
-// cancelImport ends an import that was overtaken.
+// cancelImport cancels an import that is no longer needed. It ignores unknown ids.
 func (s *storeHost) cancelImport(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,9 +172,9 @@
 	}
 }
 
-// noteTurn learns from a turn's end how conversations return, and tells how
-// often this one has been used.
-func (s *storeHost) noteTurn(now time.Time, p *Prompt) int {
+// recordTurn records the end of a turn and, if it continues a known conversation, the
+// conversation's return. It returns the number of turns of the conversation.
+func (s *storeHost) recordTurn(now time.Time, p *Prompt) int {
 	uses := 1
 	for i := len(p.Chain) - 1; i >= 0; i-- {
 		note, ok := s.turns.Peek(p.Chain[i])
@@ -181,14 +182,14 @@
 			continue
 		}
 		s.turns.Remove(p.Chain[i])
-		s.offers.returned(p.Chain[i])
+		s.offers.discardTurn(p.Chain[i])
 		s.returns.ObserveReturn(p.Account, now.Sub(note.at), now)
 		uses = note.uses + 1
 		break
 	}
 	s.returns.ObserveTurn(p.Account, now)
 	if n := len(p.Chain); n > 0 {
-		s.turns.Add(p.Chain[n-1], turnNote{at: now, uses: uses})
+		s.turns.Add(p.Chain[n-1], turnRecord{at: now, uses: uses})
 	}
 	return uses
 }
--- a/internal/owner/storemessages.go
+++ b/internal/owner/storemessages.go
@@ -6,27 +6,27 @@
 	"github.com/cherryward/cherryward/internal/kvcache"
 )
 
-// Methods of the owners of store hosts on the peers' connections.
+// Peer methods of store host owners.
 const (
 	methodImport       = "owner.import"        // safe to repeat
 	methodCancelImport = "owner.cancel_import" // safe to repeat
 	methodOffer        = "owner.offer"         // safe to repeat
 )
 
-// importRequest asks a store host's owner to have blocks moved to an engine that
-// a caller waits for.
+// importRequest asks a store host's owner to have an engine import blocks for a run
+// whose caller is waiting.
 type importRequest struct {
-	ID        string        `json:"id"` // unique, to cancel by
+	ID        string        `json:"id"` // unique, used to cancel the import
 	Store     string        `json:"s"`
 	Engine    string        `json:"e"`
 	Prompt    Prompt        `json:"p"`
 	Layout    string        `json:"l"`
-	FromToken int           `json:"f"` // what the engine holds already
+	FromToken int           `json:"f"` // tokens that the engine has cached
 	ToToken   int           `json:"t"`
 	TimeLeft  time.Duration `json:"tl"`
 }
 
-// importResponse lists the blocks that the engine now holds.
+// importResponse lists the imported blocks.
 type importResponse struct {
 	Placements []kvcache.Placement `json:"p,omitempty"`
 	Bytes      int64               `json:"b,omitempty"`
@@ -37,13 +37,13 @@
 	ID    string `json:"id"`
 }
 
-// offerRequest tells a store host's owner of a finished turn, whose blocks the
-// engine holds. The owner decides whether they are worth an export.
+// offerRequest offers the blocks of a finished turn, which the engine has cached, to
+// a store host's owner. The owner decides whether to export them.
 type offerRequest struct {
 	Store       string              `json:"s"`
 	Engine      string              `json:"e"`
 	Prompt      Prompt              `json:"p"`
 	Layout      string              `json:"l"`
 	Placements  []kvcache.Placement `json:"pl"`
-	PrefillRate float64             `json:"r"` // of the engine, tokens per second
+	PrefillRate float64             `json:"r"` // of the engine, in tokens per second
 }
--- a/internal/owner/stores.go
+++ b/internal/owner/stores.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	// storesPerPrompt is the number of store hosts that may hold a prompt's
-	// blocks, in order of preference.
+	// storesPerPrompt is the number of store hosts that may hold the blocks of a
+	// prompt.
 	storesPerPrompt = 2
-	// rootChunks is the depth of the prefix that picks them.
+	// rootChunks is the length in chunks of the prefix that selects the store hosts.
 	rootChunks = 4
-	// minOfferChunks is the length of a prompt that can fill a block.
+	// minOfferChunks is the minimum length in chunks of a prompt whose blocks are
+	// stored; shorter ones may not fill a block.
 	minOfferChunks = rootChunks
 	offerTimeout   = 2 * time.Second
 )
 
-// watchedStore is a store host with the means to end its watch.
+// watchedStore is a store host with the function that stops its watch.
 type watchedStore struct {
 	*storeHost
 	cancel context.CancelFunc
 }
 
-// storeSet is the store hosts that one view has in service.
+// storeSet is the set of store hosts that are in service in a configuration view.
 type storeSet struct {
 	view *config.View
 	set  *rendezvous.Set
 }
 
-// StoresFor returns the store hosts that may hold a prompt's kept context, the
-// preferred one first. Every node names the same.
+// StoresFor returns the store hosts that may hold KV cache blocks of a prompt, in
+// order of preference. All nodes with the same configuration return the same ones.
 func (s *Service) StoresFor(chain kvcache.Chain) []string {
 	if len(chain) < minOfferChunks {
 		return nil
@@ -46,10 +47,11 @@
 	return s.storeSet().AppendTop(nil, storesPerPrompt, chain[rootChunks-1].String())
 }
 
-// storeSet goes through the endpoints once for each view.
+// storeSet returns the store hosts in service. It iterates over the endpoints only
+// once per configuration view.
 func (s *Service) storeSet() *rendezvous.Set {
 	view := s.directory.View()
-	if last := s.storesOf.Load(); last != nil && last.view == view {
+	if last := s.lastStoreSet.Load(); last != nil && last.view == view {
 		return last.set
 	}
 	var nodes []rendezvous.Node
@@ -60,11 +62,12 @@
 		}
 	}
 	set := rendezvous.NewSet(nodes)
-	s.storesOf.Store(&storeSet{view: view, set: set})
+	s.lastStoreSet.Store(&storeSet{view: view, set: set})
 	return set
 }
 
-// store returns the state of a store host, made on first use.
+// store returns the state of a store host and creates it on first use. It fails if
+// the endpoint is not a configured store host or the service is stopping.
 func (s *Service) store(name string) (*storeHost, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +93,7 @@
 
 func (s *Service) exporter() *exporter {
 	return &exporter{
-		engine: s.mover,
+		engine: s.engineTransfers,
 		salt:   s.salter.CacheSalt,
 		model: func(name string) *pb.Model {
 			m, _ := s.directory.View().Model(name)
@@ -101,17 +104,17 @@
 	}
 }
 
-func (s *Service) mover(engine string) kvcache.Engine {
-	return mover{reader: s.reader, url: s.url(engine)}
+func (s *Service) engineTransfers(engine string) kvcache.Engine {
+	return engineTransfers{reader: s.reader, url: s.url(engine)}
 }
 
-// estimateStores answers for the store hosts of a request, once for each layout.
+// estimateStores returns estimates for the requested store hosts, one per layout.
 func (s *Service) estimateStores(now time.Time, req *EstimateRequest) []placement.Store {
 	var out []placement.Store
 	for _, name := range req.Stores {
 		host, err := s.store(name)
 		if err != nil {
-			continue // left out: the prompt is recomputed
+			continue // omitted: the prompt is recomputed
 		}
 		for _, layout := range req.Layouts {
 			out = append(out, host.estimate(now, &req.Prompt, layout))
@@ -125,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return host.importTo(ctx, s.mover(req.Engine), req, s.salter.CacheSalt(req.Prompt.Account))
+	return host.importTo(ctx, s.engineTransfers(req.Engine), req, s.salter.CacheSalt(req.Prompt.Account))
 }
 
 func (s *Service) serveCancelImport(_ context.Context, req *cancelImportRequest) (*None, error) {
@@ -144,25 +147,26 @@
 	return &None{}, nil
 }
 
-// startImport has the chosen blocks moved for a request that waits. The request
-// goes on when that has ended, however it did.
-func (s *Service) startImport(e *engine, w *waiter, req *GrantRequest) {
+// startImport starts the import of the selected blocks for a queued request. The
+// request can be granted when the import has ended, even if it failed.
+func (s *Service) startImport(e *engine, w *pendingGrant, req *GrantRequest) {
 	ctx, cancel := context.WithTimeout(s.runContext(), max(req.Prompt.TimeLeft, 0))
 	e.setCancelImport(req.Grant, cancel)
 	s.wg.Go(func() {
 		defer cancel()
-		tokens, bytes := s.fetch(ctx, e, req)
+		tokens, bytes := s.importBlocks(ctx, e, req)
 		e.importDone(time.Now(), req.Grant, w, tokens, bytes)
 	})
 }
 
-// fetch returns what was moved; after an error that is nothing.
-func (s *Service) fetch(ctx context.Context, e *engine, req *GrantRequest) (tokens int, bytes int64) {
+// importBlocks runs the import of a request and returns the imported tokens and bytes,
+// both 0 after an error.
+func (s *Service) importBlocks(ctx context.Context, e *engine, req *GrantRequest) (tokens int, bytes int64) {
 	layout, incarnation, ok := e.layout()
 	if !ok {
 		return 0, 0
 	}
-	order := &importRequest{
+	importReq := &importRequest{
 		ID:        runid.Nonce(),
 		Store:     req.Import.Store,
 		Engine:    req.Endpoint,
@@ -172,23 +176,23 @@
 		ToToken:   req.Import.FromToken + req.Import.Tokens,
 		TimeLeft:  req.Prompt.TimeLeft,
 	}
-	resp, err := cluster.CallOwner(ctx, s.cluster, req.Import.Store, methodImport, order, s.serveImport)
+	resp, err := cluster.CallOwner(ctx, s.cluster, req.Import.Store, methodImport, importReq, s.serveImport)
 	if ctx.Err() != nil {
-		s.cancelRemote(order)
+		s.cancelImport(importReq)
 		return 0, 0
 	}
 	if err != nil || len(resp.Placements) == 0 {
 		return 0, 0
 	}
 	e.index.ObserveImport(incarnation, resp.Placements)
-	return tokensOf(resp.Placements) - req.Import.FromToken, resp.Bytes
+	return coveredTokens(resp.Placements) - req.Import.FromToken, resp.Bytes
 }
 
-func (s *Service) cancelRemote(order *importRequest) {
+func (s *Service) cancelImport(importReq *importRequest) {
 	ctx, cancel := context.WithTimeout(s.runContext(), offerTimeout)
 	defer cancel()
-	req := &cancelImportRequest{Store: order.Store, ID: order.ID}
-	_, _ = cluster.CallOwner(ctx, s.cluster, order.Store, methodCancelImport, req, s.serveCancelImport) // it ends by its own timeout
+	req := &cancelImportRequest{Store: importReq.Store, ID: importReq.ID}
+	_, _ = cluster.CallOwner(ctx, s.cluster, importReq.Store, methodCancelImport, req, s.serveCancelImport) // if this fails, the import ends by its own timeout
 }
 
 // offerTurn offers a finished turn's blocks to its store host, in the background.
--- a/internal/owner/stores_test.go
+++ b/internal/owner/stores_test.go
@@ -12,7 +12,8 @@
 	"github.com/cherryward/cherryward/internal/kvcache"
 )
 
-// withStores returns a service over a configuration of engines and store hosts.
+// withStores returns a service whose configuration has the given numbers of engines
+// and store hosts.
 func withStores(engines, stores int) (*Service, *config.Store) {
 	store := config.NewStore()
 	add := func(name string, kind pb.EndpointKind) {
@@ -34,8 +35,8 @@
 
 var chain = kvcache.Identity{Account: "a", Model: "m"}.TextChain(string(make([]byte, 1<<16)))
 
-// TestStoresForFollowsTheConfiguration takes a store host out of service: the
-// next one takes its place at once.
+// TestStoresForFollowsTheConfiguration takes a store host out of service. The next one
+// in order of preference must replace it immediately.
 func TestStoresForFollowsTheConfiguration(t *testing.T) {
 	s, store := withStores(3, 5)
 	var nodes []rendezvous.Node
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -8,8 +8,8 @@
 	"github.com/cherryward/cherryward/internal/config"
 )
 
-// Run implements kernel.Runner: it takes up what this node owns and drops what
-// others have owned for a while.
+// Run implements kernel.Runner. It creates the state of endpoints that this node owns
+// and discards unused state of endpoints that other nodes own.
 func (s *Service) Run(ctx context.Context) error {
 	s.mu.Lock()
 	s.ctx = ctx
@@ -28,8 +28,8 @@
 	}
 }
 
-// followEndpoints has the cluster track the owners of all endpoints until ctx
-// is done. After the first list, it reads the changes alone.
+// followEndpoints has the cluster track the owners of all endpoints until ctx is
+// done. After the first full list it reads only changes.
 func (s *Service) followEndpoints(ctx context.Context) {
 	tracked := make(map[string]struct{})
 	for ctx.Err() == nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-// trackAll makes the tracked names those of the view's endpoints.
+// trackAll makes tracked equal to the names of the view's endpoints.
 func (s *Service) trackAll(view *config.View, tracked map[string]struct{}) {
 	for name := range tracked {
 		if _, ok := view.Endpoint(name); !ok {
@@ -53,7 +53,8 @@
 	}
 }
 
-// trackChanges returns when ctx is done or changes are missing.
+// trackChanges applies configuration changes until ctx is done or changes are
+// missing.
 func (s *Service) trackChanges(ctx context.Context, after int64, tracked map[string]struct{}) {
 	for e, err := range s.directory.Typed().Watch(ctx, after) {
 		if err != nil {
@@ -71,43 +72,44 @@
 	}
 }
 
-// sweep costs a look-up for each endpoint that is owned or held, whatever the
-// number of endpoints.
+// sweep creates the state of owned endpoints and discards state that is no longer
+// needed. Its cost depends on the number of endpoints owned or with state, not on the
+// total number of endpoints.
 func (s *Service) sweep(now time.Time) {
 	view := s.directory.View()
 	for _, name := range s.cluster.Owned() {
 		if e, ok := view.Endpoint(name); ok {
-			s.takeUp(e)
+			s.ensureState(e)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, w := range s.engines {
 		w.withdrawUnpolled(now)
-		if s.abandoned(view, name, now, w.idleSince) {
+		if s.canDiscard(view, name, now, w.idleTime) {
 			w.cancel()
 			delete(s.engines, name)
 		}
 	}
 	for name, w := range s.stores {
-		if s.abandoned(view, name, now, w.idleSince) {
+		if s.canDiscard(view, name, now, w.idleTime) {
 			w.cancel()
 			delete(s.stores, name)
 		}
 	}
 }
 
-// abandoned tells whether the state of an endpoint may be dropped.
-func (s *Service) abandoned(view *config.View, name string, now time.Time, idle func(time.Time) time.Duration) bool {
+// canDiscard reports whether the state of an endpoint can be discarded.
+func (s *Service) canDiscard(view *config.View, name string, now time.Time, idle func(time.Time) time.Duration) bool {
 	if _, configured := view.Endpoint(name); !configured {
 		return true
 	}
 	return !s.cluster.Owns(name) && idle(now) > idleOwner
 }
 
-// takeUp makes the state of an endpoint that this node owns. A failure shows when
-// the endpoint is asked for.
-func (s *Service) takeUp(e *pb.Endpoint) {
+// ensureState creates the state of an endpoint that this node owns. Errors are ignored
+// here because requests for the endpoint return them.
+func (s *Service) ensureState(e *pb.Endpoint) {
 	switch e.GetKind() {
 	case pb.EndpointKind_ENDPOINT_KIND_ENGINE:
 		_, _ = s.engine(e.GetName())
--- a/internal/owner/mover.go
+++ b/internal/owner/transfers.go
@@ -7,25 +7,25 @@
 	"github.com/cherryward/cherryward/internal/kvcache"
 )
 
-// mover orders one engine to move blocks.
-type mover struct {
+// engineTransfers implements block transfers of one engine.
+type engineTransfers struct {
 	reader EngineReader
 	url    string
 }
 
-var _ kvcache.Engine = mover{}
+var _ kvcache.Engine = engineTransfers{}
 
 // Export implements kvcache.Engine.
-func (m mover) Export(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
-	return results(m.reader.Export(ctx, m.url, request(t)))
+func (m engineTransfers) Export(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
+	return transferResults(m.reader.Export(ctx, m.url, transferRequest(t)))
 }
 
 // Import implements kvcache.Engine.
-func (m mover) Import(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
-	return results(m.reader.Import(ctx, m.url, request(t)))
+func (m engineTransfers) Import(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
+	return transferResults(m.reader.Import(ctx, m.url, transferRequest(t)))
 }
 
-func request(t kvcache.Transfer) *enginewire.TransferRequest {
+func transferRequest(t kvcache.Transfer) *enginewire.TransferRequest {
 	req := &enginewire.TransferRequest{Store: t.Store, BytesPerSecond: t.BytesPerSecond, TimeoutMS: t.Timeout.Milliseconds()}
 	for _, b := range t.Blocks {
 		req.Blocks = append(req.Blocks, enginewire.BlockTransfer{
@@ -40,7 +40,7 @@
 	return req
 }
 
-func results(resp *enginewire.TransferResponse, err error) ([]kvcache.TransferResult, error) {
+func transferResults(resp *enginewire.TransferResponse, err error) ([]kvcache.TransferResult, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/owner/watch.go
+++ b/internal/owner/watch.go
@@ -20,7 +20,7 @@
 	readTimeout  = 3 * time.Second
 )
 
-// EngineReader reads what an engine publishes.
+// EngineReader calls the HTTP API of an engine at the given base URL.
 type EngineReader interface {
 	State(ctx context.Context, base string) (*enginewire.State, error)
 	Load(ctx context.Context, base string) (*enginewire.Load, error)
@@ -29,8 +29,8 @@
 	Export(ctx context.Context, base string, req *enginewire.TransferRequest) (*enginewire.TransferResponse, error)
 }
 
-// watch follows one engine until ctx is done. url looks up the engine's present
-// address and leaving says whether it is to get no new work.
+// watch follows the state of an engine until ctx is done. url returns the engine's
+// current base URL; leaving reports whether the engine must get no new work.
 func (e *engine) watch(ctx context.Context, reader EngineReader, url func() string, leaving func() bool) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -54,13 +54,13 @@
 	}
 }
 
-// watchLoad reads the engine's load reports, and its leaving.
+// watchLoad reads the engine's load reports and updates whether it is leaving.
 func (e *engine) watchLoad(ctx context.Context, reader EngineReader, url func() string, leaving func() bool) {
 	for {
 		e.setLeaving(time.Now(), leaving())
 		if load, err := readWithin(ctx, url(), reader.Load); err == nil {
 			e.report(time.Now(), load)
-			e.setLeaving(time.Now(), leaving()) // the report has the engine's own word
+			e.setLeaving(time.Now(), leaving()) // the report contains the engine's role
 		}
 		if !retry.Sleep(ctx, jitter(loadInterval)) {
 			return
@@ -68,10 +68,11 @@
 	}
 }
 
-// watchEvents keeps the index in step with the engine's cache events.
+// watchEvents applies the engine's cache events to the index and reads the engine's
+// full state when necessary.
 func (e *engine) watchEvents(ctx context.Context, reader EngineReader, url func() string) {
 	for ctx.Err() == nil {
-		if e.index.NeedsResync() || e.unread() {
+		if e.index.NeedsResync() || e.needsState() {
 			state, err := readWithin(ctx, url(), reader.State)
 			if err != nil {
 				retry.Sleep(ctx, jitter(retryWait))
@@ -88,16 +89,16 @@
 	}
 }
 
-func (e *engine) unread() bool {
+func (e *engine) needsState() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.known == nil
+	return e.reported == nil
 }
 
 func (e *engine) applyEvents(events *enginewire.Events) {
 	e.mu.Lock()
-	if e.known != nil && e.known.Incarnation != events.Incarnation {
-		e.known = nil // restarted: its weights and layout must be read again
+	if e.reported != nil && e.reported.Incarnation != events.Incarnation {
+		e.reported = nil // the engine was restarted: its weights and layout must be read again
 	}
 	e.mu.Unlock()
 	in := make([]kvcache.Event, 0, len(events.Events))
@@ -114,7 +115,8 @@
 	return read(ctx, base)
 }
 
-// jitter keeps the owners of many engines from reading in step.
+// jitter returns a random duration from d/2 to 3d/2, so that the owners of many
+// engines do not read at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
--- a/internal/owner/weights.go
+++ b/internal/owner/weights.go
@@ -13,16 +13,16 @@
 type Tally struct {
 	Completed int
 	Failed    int
-	Since     time.Time // when the engine was first seen to hold the version
+	Since     time.Time // when the engine first reported the version as loaded
 }
 
-// weightsKey names a weight version of a model.
+// weightsKey identifies a weight version of a model.
 type weightsKey struct {
 	model, version string
 }
 
-// Runs returns what the owner counted since the engine was seen to hold a
-// version.
+// Runs returns the counts of runs on a version since the engine first reported it as
+// loaded.
 func (s *Service) Runs(endpoint, model, version string) Tally {
 	e, err := s.engine(endpoint)
 	if err != nil {
@@ -36,45 +36,47 @@
 	return Tally{}
 }
 
-// Observe takes what an engine holds, as read by whoever gives it orders.
+// Observe updates the loaded weights and the role from a state of the engine that the
+// caller has read.
 func (s *Service) Observe(endpoint string, state *enginewire.State) {
 	if e, err := s.engine(endpoint); err == nil {
-		e.observe(time.Now(), state)
+		e.updateWeights(time.Now(), state)
 	}
 }
 
-// Withhold stops grants for one model on an engine, and refuses the requests
-// that wait for one as not run. With an empty model it ends that.
+// Withhold suspends grants for a model on an engine and rejects the model's queued
+// requests as not run. An empty model ends the suspension.
 func (s *Service) Withhold(endpoint, model string) {
 	if e, err := s.engine(endpoint); err == nil {
 		e.withhold(time.Now(), model)
 	}
 }
 
-// observe takes over the weights of a state whose blocks may be out of date.
-func (e *engine) observe(now time.Time, state *enginewire.State) {
+// updateWeights updates the loaded weights and the role from a state whose list of
+// blocks may be out of date, and starts a new tally for each newly loaded version.
+func (e *engine) updateWeights(now time.Time, state *enginewire.State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.known != nil {
-		e.known.Loaded = state.Loaded
-		e.known.Role = state.Role
+	if e.reported != nil {
+		e.reported.Loaded = state.Loaded
+		e.reported.Role = state.Role
 	}
-	held := make(map[weightsKey]*Tally, len(state.Loaded))
+	tallies := make(map[weightsKey]*Tally, len(state.Loaded))
 	for _, l := range state.Loaded {
 		if l.Loading || l.Adapter != "" {
 			continue
 		}
 		key := weightsKey{l.Model, l.Version}
-		held[key] = e.tallies[key]
-		if held[key] == nil {
-			held[key] = &Tally{Since: now}
+		tallies[key] = e.tallies[key]
+		if tallies[key] == nil {
+			tallies[key] = &Tally{Since: now}
 		}
 	}
-	e.tallies = held
+	e.tallies = tallies
 }
 
-// count adds a run that ended to its version's tally.
-func (e *engine) count(p *Prompt, outcome enginestate.Outcome) {
+// countRun adds a finished run to the tally of its version.
+func (e *engine) countRun(p *Prompt, outcome enginestate.Outcome) {
 	t := e.tallies[weightsKey{p.Model, p.Version}]
 	if t == nil {
 		return
@@ -90,36 +92,36 @@
 func (e *engine) withhold(now time.Time, model string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.withheld = model
+	e.withheldModel = model
 	if model == "" {
 		return
 	}
-	for grant, w := range e.waiting {
+	for grant, w := range e.pending {
 		if w.model == model && !w.decided {
 			e.state.Cancel(grant)
-			e.answer(grant, errNotHeld())
+			e.decide(grant, errNotLoaded())
 		}
 	}
 	e.tickLocked(now)
 }
 
-// errNotHeld refuses a run whose weights are not in the engine's memory; another
-// engine may have them.
-func errNotHeld() error {
+// errNotLoaded returns the error for a run whose weights the engine has not loaded.
+// Another engine may have them.
+func errNotLoaded() error {
 	return result.New(result.EndpointRefused, result.WithRunState(result.NotRun))
 }
 
-// serves tells whether the engine serves runs of the prompt's weights. An
-// engine that was not read yet is given the benefit of the doubt: it refuses by
-// itself.
+// serves reports whether the engine serves runs with the prompt's weights. It returns
+// true for an engine whose state has not been read yet, because the engine itself
+// rejects runs that it cannot serve.
 func (e *engine) serves(p *Prompt) bool {
-	if e.withheld == p.Model && p.Model != "" {
+	if e.withheldModel == p.Model && p.Model != "" {
 		return false
 	}
-	if e.known == nil {
+	if e.reported == nil {
 		return true
 	}
-	return slices.ContainsFunc(e.known.Loaded, func(l enginewire.Loaded) bool {
+	return slices.ContainsFunc(e.reported.Loaded, func(l enginewire.Loaded) bool {
 		return !l.Loading && l.Model == p.Model && l.Version == p.Version && (p.Adapter == "" || l.Adapter == p.Adapter)
 	})
 }
--- a/internal/owner/weights_test.go
+++ b/internal/owner/weights_test.go
@@ -11,7 +11,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-func loaded(versions ...string) *enginewire.State {
+func loadedState(versions ...string) *enginewire.State {
 	s := &enginewire.State{}
 	for _, v := range versions {
 		s.Loaded = append(s.Loaded, enginewire.Loaded{Model: "m", Version: v})
@@ -19,52 +19,53 @@
 	return s
 }
 
-func TestTallyBeginsWithTheVersion(t *testing.T) {
+func TestTallyStartsWhenVersionIsLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine("e", now)
 	count := func(version string, outcomes ...enginestate.Outcome) {
 		for _, o := range outcomes {
-			e.count(&Prompt{Model: "m", Version: version}, o)
+			e.countRun(&Prompt{Model: "m", Version: version}, o)
 		}
 	}
-	count("v2", enginestate.Failed) // not held yet: counts nowhere
-	e.observe(now, loaded("v2"))
+	count("v2", enginestate.Failed) // not loaded yet: not counted
+	e.updateWeights(now, loadedState("v2"))
 	count("v2", enginestate.Completed, enginestate.Failed, enginestate.Refused, enginestate.Abandoned)
-	e.observe(now.Add(time.Second), loaded("v2"))
+	e.updateWeights(now.Add(time.Second), loadedState("v2"))
 	must.Eq(t, &Tally{Completed: 1, Failed: 1, Since: now}, e.tallies[weightsKey{"m", "v2"}])
-	e.observe(now.Add(2*time.Second), loaded("v1"))
-	e.observe(now.Add(3*time.Second), loaded("v2"))
+	e.updateWeights(now.Add(2*time.Second), loadedState("v1"))
+	e.updateWeights(now.Add(3*time.Second), loadedState("v2"))
 	must.Eq(t, &Tally{Since: now.Add(3 * time.Second)}, e.tallies[weightsKey{"m", "v2"}])
 }
 
 func TestWithheldModelGetsNoGrants(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine("e", now)
-	e.setState(loaded("v1"))
-	ask := func(grant, version string) (*waiter, error) {
+	e.setState(loadedState("v1"))
+	enqueue := func(grant, version string) (*pendingGrant, error) {
 		w, _, err := e.enqueue(now, &GrantRequest{Grant: grant, Prompt: Prompt{Account: "a", Model: "m", Version: version}, Tokens: 10})
 		return w, err
 	}
-	_, err := ask("g1", "v2")
+	_, err := enqueue("g1", "v2")
 	must.True(t, result.Is(err, result.EndpointRefused))
-	queued, err := ask("g2", "v1")
+	queued, err := enqueue("g2", "v1")
 	must.NoError(t, err)
 	e.withhold(now, "m")
 	<-queued.done
 	must.True(t, result.Is(queued.err, result.EndpointRefused))
 	must.Eq(t, result.NotRun, result.From(queued.err).RunState)
-	_, err = ask("g3", "v1")
+	_, err = enqueue("g3", "v1")
 	must.True(t, result.Is(err, result.EndpointRefused))
 	e.withhold(now, "")
-	w, err := ask("g4", "v1")
+	w, err := enqueue("g4", "v1")
 	must.NoError(t, err)
 	e.tick(now)
 	<-w.done
 	must.NoError(t, w.err)
 }
 
-// Status shows a speed only once it was learned, for the model last served.
-func TestStatusShowsTheLearnedSpeed(t *testing.T) {
+// The status contains a prefill rate only after one was measured, and it is that of
+// the model served last.
+func TestStatusShowsMeasuredPrefillRate(t *testing.T) {
 	e := newEngine("engine-1", start)
 	must.Zero(t, e.status(start, "n").GetPrefillTokensPerSecond())
 	req := &GrantRequest{Endpoint: "engine-1", Grant: "g", Tokens: 4000, Prompt: Prompt{Account: "a", Model: "m", TimeLeft: time.Minute}}
