--- a/internal/weights/claim_test.go
+++ b/internal/weights/claim_test.go
@@ -11,41 +11,41 @@
 	"github.com/cherryward/cherryward/coord/claim"
 )
 
-// slowLog is a log whose calls take a while.
+// slowLog is a log whose calls are delayed.
 type slowLog struct {
 	*memLog
-	takes time.Duration
+	delay time.Duration
 }
 
 func (l slowLog) Append(ctx context.Context, data []byte) (int64, error) {
-	time.Sleep(l.takes)
+	time.Sleep(l.delay)
 	return l.memLog.Append(ctx, data)
 }
 
-func (l slowLog) Read(ctx context.Context, from int64, most int) ([]claim.Record, int64, error) {
-	time.Sleep(l.takes)
-	return l.memLog.Read(ctx, from, most)
+func (l slowLog) Read(ctx context.Context, from int64, limit int) ([]claim.Record, int64, error) {
+	time.Sleep(l.delay)
+	return l.memLog.Read(ctx, from, limit)
 }
 
-// TestMuteEngineLosesNoClaim has a holder keep its claim where one engine never reports and the
-// log takes 100 ms a call: orders go by the renewed claim, not by the one before the reports.
-func TestMuteEngineLosesNoClaim(t *testing.T) {
+// TestSilentEngineDoesNotLoseClaim checks that a holder keeps its claim if one engine never reports and
+// the log takes 100 ms per call. Orders must use the renewed claim, not the one read before the reports.
+func TestSilentEngineDoesNotLoseClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(nine()...)
-		w.reporter = mute{w.engines, firstBehind(w.ids, 2, 1)}
+		w := newSimulation(nineEngines()...)
+		w.reporter = silentReports{w.engines, firstUpdated(w.ids, 2, 1)}
 		w.claims = slowLog{w.log, 100 * time.Millisecond}
-		stop := w.node(t, "n1")
+		stop := w.startNode(t, "n1")
 		time.Sleep(time.Second)
-		w.name(2)
+		w.requestVersion(2)
 		time.Sleep(2 * time.Second)
-		lapses := 0
+		missing := 0
 		for range 150 {
 			time.Sleep(100 * time.Millisecond)
 			if !w.services["n1"].Leads() {
-				lapses++
+				missing++
 			}
 		}
-		test.Eq(t, 0, lapses, test.Sprint("looks that find no holder"))
+		test.Eq(t, 0, missing, test.Sprint("checks without a claim holder"))
 		stop()
 	})
 }
--- a/internal/weights/clock.go
+++ b/internal/weights/clock.go
@@ -7,10 +7,10 @@
 	"github.com/cherryward/cherryward/internal/clock"
 )
 
-// claimClock is the clock of claims: a host that was suspended holds its claim no longer than
-// others wait for it.
+// claimClock is the clock of claims. It includes the time during which the host was suspended, so that
+// a claim does not last longer on this node than on others.
 type claimClock struct {
-	*claim.SystemClock // sleeps
+	*claim.SystemClock // used for sleeping
 	clock              *clock.Clock
 	start              time.Time
 }
--- a/internal/weights/help_test.go
+++ b/internal/weights/help_test.go
@@ -23,7 +23,7 @@
 	lease    = 3 * time.Second
 )
 
-// memLog is a log that can be away.
+// memLog is a log in memory that can be made unavailable.
 type memLog struct {
 	mu      sync.Mutex
 	records [][]byte
@@ -64,30 +64,30 @@
 	return l.reads
 }
 
-// given is an order as an engine saw it.
-type given struct {
+// receivedOrder is an order that an engine received.
+type receivedOrder struct {
 	Order
 	endpoint string
 	at       time.Time
 }
 
-// engines load what they are ordered to, in loadTime.
+// engines simulates engines that execute load orders in loadTime.
 type engines struct {
-	mu        sync.Mutex
-	version   map[string]int64
-	done      map[string]time.Time // end of the load under way
-	next      map[string]int64
-	orders    map[string]int64
-	given     []given
-	loading   int // the most at once
-	lose      int // answers still to be lost, with the order done
-	startedMs map[string]int64
-	hold      int            // orders still to be held on their way
-	held      []given        // orders on their way
-	silent    map[string]int // orders to an engine that are still to be neither answered nor done
+	mu            sync.Mutex
+	version       map[string]int64
+	done          map[string]time.Time // end of the current load
+	next          map[string]int64
+	orders        map[string]int64
+	accepted      []receivedOrder
+	maxLoading    int // maximum number of concurrent loads so far
+	loseResponses int // number of next orders that are executed but whose response is lost
+	startedMs     map[string]int64
+	delayOrders   int             // number of next orders to delay
+	delayed       []receivedOrder // delayed orders
+	silent        map[string]int  // number of next orders to the engine that are neither answered nor executed
 }
 
-func (e *engines) settle(id string) {
+func (e *engines) finishLoad(id string) {
 	if next := e.next[id]; next > 0 && !time.Now().Before(e.done[id]) {
 		e.version[id] = next
 		delete(e.next, id)
@@ -97,7 +97,7 @@
 func (e *engines) Report(_ context.Context, at *fleet.Endpoint) (Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle(at.ID)
+	e.finishLoad(at.ID)
 	return Report{Weights: []fleet.Weights{{Model: model, Version: e.version[at.ID]}}, StartedMs: e.startedMs[at.ID], Busy: e.next[at.ID] > 0, Orders: e.orders[at.ID], Running: 1}, nil
 }
 
@@ -108,36 +108,36 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle(at.ID)
-	if e.hold > 0 {
-		e.hold--
-		e.held = append(e.held, given{o, at.ID, time.Now()})
+	e.finishLoad(at.ID)
+	if e.delayOrders > 0 {
+		e.delayOrders--
+		e.delayed = append(e.delayed, receivedOrder{o, at.ID, time.Now()})
 		return 0, errDown
 	}
-	return e.take(at, o)
+	return e.accept(at, o)
 }
 
-// take has an engine carry out an order, if it holds. e.mu is held.
-func (e *engines) take(at *fleet.Endpoint, o Order) (Reply, error) {
+// accept executes an order if it is valid. e.mu must be held.
+func (e *engines) accept(at *fleet.Endpoint, o Order) (Reply, error) {
 	if e.next[at.ID] > 0 || o.Expected != e.orders[at.ID] {
 		return Busy, nil
 	}
-	e.given = append(e.given, given{o, at.ID, time.Now()})
+	e.accepted = append(e.accepted, receivedOrder{o, at.ID, time.Now()})
 	e.orders[at.ID]++
 	e.next[at.ID] = o.Version
 	e.done[at.ID] = time.Now().Add(loadTime)
 	for id := range e.next {
-		e.settle(id)
+		e.finishLoad(id)
 	}
-	e.loading = max(e.loading, len(e.next))
-	if e.lose > 0 {
-		e.lose--
+	e.maxLoading = max(e.maxLoading, len(e.next))
+	if e.loseResponses > 0 {
+		e.loseResponses--
 		return 0, errDown
 	}
 	return Taken, nil
 }
 
-// isSilent reports whether an order is not to be answered, and counts it.
+// isSilent reports whether an order must be ignored, and counts the order.
 func (e *engines) isSilent(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,11 +148,11 @@
 	return true
 }
 
-// orders returns the orders that were given.
-func (w *world) orders() []given {
+// orders returns the orders that engines have accepted.
+func (w *simulation) orders() []receivedOrder {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
-	return slices.Clone(w.engines.given)
+	return slices.Clone(w.engines.accepted)
 }
 
 type wanted struct {
@@ -168,25 +168,25 @@
 	return w.version, time.Now()
 }
 
-type world struct {
+type simulation struct {
 	log     *memLog
 	engines *engines
 	wanted  *wanted
 	ids     []string
-	// standby are the nodes that stand by; nil means all.
+	// standby lists the standby nodes; nil means all.
 	standby []string
-	// reporter and claims stand in for engines and log; nil means these themselves.
+	// reporter and claims replace engines and log if not nil.
 	reporter Engines
 	claims   claim.Log
-	clock    *clock.Clock // of all nodes
+	clock    *clock.Clock // clock of all nodes
 
 	mu       sync.Mutex
 	services map[string]*Service // running
 }
 
-// view is what a node knows of the others.
+// view implements Peers for one node.
 type view struct {
-	*world
+	*simulation
 	name string
 }
 
@@ -203,8 +203,8 @@
 	return false
 }
 
-func newWorld(ids ...string) *world {
-	w := &world{
+func newSimulation(ids ...string) *simulation {
+	w := &simulation{
 		log: &memLog{}, wanted: &wanted{version: 1}, ids: ids, services: map[string]*Service{},
 		engines: &engines{version: map[string]int64{}, done: map[string]time.Time{}, next: map[string]int64{}, orders: map[string]int64{}, startedMs: map[string]int64{}, silent: map[string]int{}},
 	}
@@ -215,12 +215,12 @@
 	return w
 }
 
-// node starts a service with a fleet of its own, whose entries follow the engines
-// after a heartbeat, and returns what stops it.
-func (w *world) node(t *testing.T, name string) (stop func()) {
+// startNode starts a service with its own fleet, which is updated by heartbeats every second, and
+// returns a function that stops it.
+func (w *simulation) startNode(t *testing.T, name string) (stop func()) {
 	t.Helper()
 	f := fleet.New(zerolog.Nop())
-	w.beat(f)
+	w.heartbeat(f)
 	var reporter Engines = w.engines
 	if w.reporter != nil {
 		reporter = w.reporter
@@ -243,7 +243,7 @@
 	wg.Go(func() {
 		for ctx.Err() == nil {
 			retry.Sleep(ctx, time.Second)
-			w.beat(f)
+			w.heartbeat(f)
 		}
 	})
 	return func() {
@@ -252,36 +252,36 @@
 		w.mu.Unlock()
 		cancel()
 		wg.Wait()
-		time.Sleep(2 * maxClaimTTL) // the claims' own watches end
+		time.Sleep(2 * maxClaimTTL) // until the claims' goroutines have ended
 	}
 }
 
-func (w *world) beat(f *fleet.Fleet) {
+func (w *simulation) heartbeat(f *fleet.Fleet) {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	now := time.Now()
 	for _, id := range w.ids {
-		w.engines.settle(id)
+		w.engines.finishLoad(id)
 		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: "127.0.0.1:1", StartedMs: w.engines.startedMs[id], Weights: []fleet.Weights{{Model: model, Version: w.engines.version[id]}}}, now)
 	}
 	f.Expire(now)
 }
 
-func (w *world) name(version int64) {
+func (w *simulation) requestVersion(version int64) {
 	w.wanted.mu.Lock()
 	defer w.wanted.mu.Unlock()
 	w.wanted.version = version
 }
 
-func (w *world) versions() []int64 {
+func (w *simulation) versions() []int64 {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	var list []int64
 	for _, id := range w.ids {
-		w.engines.settle(id)
+		w.engines.finishLoad(id)
 		list = append(list, w.engines.version[id])
 	}
 	return list
 }
 
-func nine() []string { return []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} }
+func nineEngines() []string { return []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} }
--- a/internal/weights/job.go
+++ b/internal/weights/job.go
@@ -13,86 +13,87 @@
 )
 
 const (
-	// reportPause is the time between two reports of an engine that loads. Reports
-	// are priced, and some hundred ms old.
-	reportPause = 120 * time.Millisecond
-	// fewestLoads is the number of engines of a small fleet that load at the same time;
-	// more slow each other down.
-	fewestLoads = 2
-	// loadShare is the part of a large fleet that loads at the same time: a fifth, as
-	// the operators state it for 9, 90 and 112 engines. With an eighth 112 engines take
-	// 13 s, of the bound's 15.
-	loadShare = 5
-	// emptyTime is how long an engine gets no new long runs before it is ordered to
-	// load. Runs last 1.5 s on average and up to 6 s; those that are left then go on
-	// with the new weights and lose a part of their worth, where waiting for them
-	// would cost the engine's whole service.
-	emptyTime = 800 * time.Millisecond
-	// closedEarly is how long before the order an engine gets no requests at all,
-	// so that all nodes have heard of it.
-	closedEarly = 200 * time.Millisecond
-	// lostOrder is how long an order without an answer may still be taken before
-	// it is given again; what comes later is refused by its expected number. By then the
-	// order's own timeout of 500 ms has passed, and a report, some 200 ms old, tells of it.
-	lostOrder = 700 * time.Millisecond
-	// reportAge is how old a report may be that names older weights than are believed.
-	reportAge = 500 * time.Millisecond
-	// jobTimeout is when an engine that doesn't come to the wanted version makes
-	// room for another.
+	// reportInterval is the minimum time between two reports of an engine with a job. Reports cost
+	// resources and may be a few hundred ms old.
+	reportInterval = 120 * time.Millisecond
+	// minConcurrentLoads is the number of engines that load concurrently in a small fleet. More
+	// would slow each other down.
+	minConcurrentLoads = 2
+	// loadDivisor is the divisor for the part of a large fleet that loads concurrently: a fifth, as
+	// specified by the operators for 9, 90 and 112 engines. With an eighth, 112 engines would take
+	// 13 s, close to the limit of 15 s.
+	loadDivisor = 5
+	// drainTime is the time during which an engine gets no new long runs before it is ordered to
+	// load. Runs last 1.5 s on average and up to 6 s. Those still active then continue with the new
+	// weights, which reduces their value; waiting for them would leave the engine idle.
+	drainTime = 800 * time.Millisecond
+	// closeBeforeOrder is the time before the order from which an engine gets no requests at all, so
+	// that all nodes have received the announcement.
+	closeBeforeOrder = 200 * time.Millisecond
+	// orderRetryTime is the time after which an order without effect is repeated. By then the order's
+	// timeout of 500 ms has passed and reports, which are about 200 ms old, show whether it was
+	// accepted. An engine that receives the first order later rejects it by its expected number.
+	orderRetryTime = 700 * time.Millisecond
+	// maxReportAge is the assumed age of a report that contains older weights than are recorded for the
+	// engine.
+	maxReportAge = 500 * time.Millisecond
+	// jobTimeout is the time after which an engine that has not reached the requested version is
+	// postponed in favor of another.
 	jobTimeout = 6 * time.Second
-	// reportTimeout bounds a report, which takes some ms: all looks wait for the slowest one.
+	// reportTimeout is the timeout of a report, which normally takes a few ms. A check of all engines
+	// waits for the slowest report.
 	reportTimeout = 250 * time.Millisecond
-	// muteTime is how long an engine that was not ordered yet may fail to report before it makes
-	// room for another: with jobTimeout alone one silent engine of nine holds the others up beyond
-	// the operators' bound.
-	muteTime = time.Second
+	// silentTime is the time after which an engine that does not report, and was not ordered yet, is
+	// postponed in favor of another. With jobTimeout alone, one silent engine of nine would delay the
+	// others beyond the operators' time limit.
+	silentTime = time.Second
 )
 
 func randomInt(n int64) int64 { return rand.Int64N(n) }
 
-// job is one start of an engine that is being brought to a version.
+// job is the update of an engine to a version. It applies to one start of the engine.
 type job struct {
-	model     string
-	startedMs int64 // start of the engine, 0 if not said
-	version   int64
-	loads     int // engines of the fleet that may load at the same time
-	begun     time.Time
-	ordered   time.Time // zero before an order was given
-	nextAt    time.Time // of the next look
-	heard     time.Time // of the newest report
+	model        string
+	startedMs    int64 // start time of the engine, 0 if unknown
+	version      int64
+	loads        int // maximum number of engines of the fleet that load concurrently
+	startedAt    time.Time
+	orderedAt    time.Time // time of the order in effect; zero if there is none
+	nextCheckAt  time.Time // earliest time of the next check
+	lastReportAt time.Time // time of the latest report
 }
 
-// atOnce returns the number of engines that load at the same time, and the number of
-// jobs: half as many are emptied meanwhile.
-func atOnce(engines int) (loads, jobs int) {
-	loads = max(fewestLoads, engines/loadShare)
+// concurrency returns the number of engines that load concurrently and the number of jobs. In
+// addition to the loading engines, half as many are drained.
+func concurrency(engines int) (loads, jobs int) {
+	loads = max(minConcurrentLoads, engines/loadDivisor)
 	return loads, loads + (loads+1)/2
 }
 
-// look is an engine with its job, and what the engine reports.
-type look struct {
-	member *fleet.Member
-	job    *job
-	asked  time.Time
-	report Report
-	err    error
+// engineCheck is an engine with its job and its report.
+type engineCheck struct {
+	member      *fleet.Member
+	job         *job
+	requestedAt time.Time
+	report      Report
+	err         error
 }
 
-// step looks at the engines once. It reports false where the claim is lost. Orders go by the claim
-// as it is after the reports: the one before may be over, as an engine that doesn't report takes as
-// long as the call's timeout.
+// step checks the engines once and sends the orders that are ready. It returns false if the claim is
+// lost. It reads the claim after the reports have arrived, because an engine that does not report
+// delays the step by the report timeout and an earlier claim may have expired by then.
 func (s *Service) step(ctx context.Context, held *atomic.Pointer[claim.Claim]) bool {
 	members := s.Fleet.All()
 	for _, model := range s.Wanted.Models() {
 		version, _ := s.Wanted.Wanted(model)
 		serving := countServing(members, model)
-		s.begin(Behind(members, model, version), model, version, serving)
+		s.startJobs(Outdated(members, model, version), model, version, serving)
 	}
 	s.announce()
-	looks := s.due(members)
-	s.ask(ctx, looks)
-	s.give(ctx, held.Load(), slices.DeleteFunc(looks, func(l look) bool { return !s.advance(&l) }))
-	return !s.lost.Load()
+	checks := s.nextChecks(members)
+	s.fetchReports(ctx, checks)
+	s.sendOrders(ctx, held.Load(), slices.DeleteFunc(checks, func(l engineCheck) bool { return !s.updateJob(&l) }))
+	return !s.claimLost.Load()
 }
 
 func countServing(members []*fleet.Member, model string) int {
@@ -105,38 +106,38 @@
 	return n
 }
 
-// due returns the engines that are to be looked at now, and drops jobs of engines that
-// are gone or take too long.
-func (s *Service) due(members []*fleet.Member) []look {
-	var looks []look
+// nextChecks returns the engines to check now. It deletes the jobs of engines that are gone or
+// restarted, and postpones engines whose jobs take too long.
+func (s *Service) nextChecks(members []*fleet.Member) []engineCheck {
+	var checks []engineCheck
 	now := s.Clock.Now()
 	for id, j := range s.jobs {
-		m := find(members, id)
+		m := findMember(members, id)
 		if m == nil || j.startedMs < m.StartedMs {
 			delete(s.jobs, id)
 			continue
 		}
-		if now.Sub(j.begun) > jobTimeout || j.ordered.IsZero() && now.Sub(j.heard) > muteTime {
+		if now.Sub(j.startedAt) > jobTimeout || j.orderedAt.IsZero() && now.Sub(j.lastReportAt) > silentTime {
 			delete(s.jobs, id)
-			s.passed[id] = now
+			s.postponed[id] = now
 			continue
 		}
-		if now.Before(j.nextAt) {
+		if now.Before(j.nextCheckAt) {
 			continue
 		}
-		j.nextAt = now.Add(reportPause)
-		looks = append(looks, look{member: m, job: j})
+		j.nextCheckAt = now.Add(reportInterval)
+		checks = append(checks, engineCheck{member: m, job: j})
 	}
-	return looks
+	return checks
 }
 
-// ask has all engines report at the same time, so that one that is silent holds up no
-// other.
-func (s *Service) ask(ctx context.Context, looks []look) {
+// fetchReports requests the reports of all engines concurrently, so that a silent engine does not
+// delay the others.
+func (s *Service) fetchReports(ctx context.Context, checks []engineCheck) {
 	var wg sync.WaitGroup
-	for i := range looks {
-		l := &looks[i]
-		l.asked = s.Clock.Now()
+	for i := range checks {
+		l := &checks[i]
+		l.requestedAt = s.Clock.Now()
 		wg.Go(func() {
 			bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
@@ -146,17 +147,17 @@
 	wg.Wait()
 }
 
-// announce lets other nodes know which engines are being emptied and loaded.
+// announce updates the list of engines that are being drained or loaded, which other nodes receive.
 func (s *Service) announce() {
 	closed := make([]Closed, 0, len(s.jobs))
 	for id, j := range s.jobs {
-		loads := !j.ordered.IsZero() || s.Clock.Since(j.begun) > emptyTime-closedEarly
+		loads := !j.orderedAt.IsZero() || s.Clock.Since(j.startedAt) > drainTime-closeBeforeOrder
 		closed = append(closed, Closed{Endpoint: id, Loads: loads})
 	}
 	s.closed.Store(&closed)
 }
 
-func find(members []*fleet.Member, id string) *fleet.Member {
+func findMember(members []*fleet.Member, id string) *fleet.Member {
 	i := slices.IndexFunc(members, func(m *fleet.Member) bool { return m.ID == id })
 	if i < 0 {
 		return nil
@@ -164,127 +165,127 @@
 	return members[i]
 }
 
-// begin adds jobs up to the number that may run at once. Engines whose jobs came to nothing come
-// behind the others.
-func (s *Service) begin(list []*fleet.Member, model string, version int64, engines int) {
-	loads, jobs := atOnce(engines)
+// startJobs adds jobs up to the maximum number of concurrent jobs. Postponed engines come after the
+// others.
+func (s *Service) startJobs(list []*fleet.Member, model string, version int64, engines int) {
+	loads, jobs := concurrency(engines)
 	for _, m := range list {
-		if j, under := s.jobs[m.ID]; under && j.model == model {
+		if j, exists := s.jobs[m.ID]; exists && j.model == model {
 			j.version, j.loads = version, loads
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *fleet.Member) int { return s.passed[a.ID].Compare(s.passed[b.ID]) })
+	slices.SortStableFunc(list, func(a, b *fleet.Member) int { return s.postponed[a.ID].Compare(s.postponed[b.ID]) })
 	for _, m := range list {
 		if len(s.jobs) >= jobs {
 			return
 		}
-		if _, under := s.jobs[m.ID]; !under {
+		if _, exists := s.jobs[m.ID]; !exists {
 			now := s.Clock.Now()
-			s.jobs[m.ID] = &job{model: model, startedMs: m.StartedMs, version: version, loads: loads, begun: now, heard: now}
+			s.jobs[m.ID] = &job{model: model, startedMs: m.StartedMs, version: version, loads: loads, startedAt: now, lastReportAt: now}
 		}
 	}
 }
 
-// advance takes one engine a step on. It reports whether the engine is to be ordered to load
-// now, and counts it among those that load.
-func (s *Service) advance(l *look) bool {
+// updateJob evaluates an engine's report. It returns true if the engine must be ordered to load now,
+// and then counts it among the loading engines.
+func (s *Service) updateJob(l *engineCheck) bool {
 	m, j, report := l.member, l.job, &l.report
 	if l.err != nil {
 		s.Log.Warn().Str("event", "report_failed").Str("endpoint", m.ID).AnErr("error", l.err).Send()
 		return false
 	}
-	if !j.concerns(report) {
+	if !j.matchesStart(report) {
 		return false
 	}
-	j.heard = l.asked
-	has := report.VersionOf(j.model)
-	s.believe(l, has)
-	if has >= j.version {
+	j.lastReportAt = l.requestedAt
+	reported := report.VersionOf(j.model)
+	s.recordVersion(l, reported)
+	if reported >= j.version {
 		delete(s.jobs, m.ID)
-		s.Log.Info().Str("event", "weights_loaded").Str("endpoint", m.ID).Int64("born", j.startedMs).Int64("version", has).
-			Dur("took_ms", s.Clock.Since(j.begun)).Send()
+		s.Log.Info().Str("event", "weights_loaded").Str("endpoint", m.ID).Int64("born", j.startedMs).Int64("version", reported).
+			Dur("took_ms", s.Clock.Since(j.startedAt)).Send()
 		return false
 	}
-	if report.Busy || s.Clock.Since(j.ordered) < lostOrder {
+	if report.Busy || s.Clock.Since(j.orderedAt) < orderRetryTime {
 		return false
 	}
-	j.ordered = time.Time{} // an order without effect is given again
+	j.orderedAt = time.Time{} // an order without effect is repeated
 	if s.loads() >= j.loads {
 		return false
 	}
-	empty := report.Running+report.Waiting == 0 && s.Clock.Since(j.begun) > closedEarly
-	if !empty && s.Clock.Since(j.begun) < emptyTime {
+	empty := report.Running+report.Waiting == 0 && s.Clock.Since(j.startedAt) > closeBeforeOrder
+	if !empty && s.Clock.Since(j.startedAt) < drainTime {
 		return false
 	}
-	j.ordered = s.Clock.Now()
+	j.orderedAt = s.Clock.Now()
 	return true
 }
 
-// concerns reports whether the report is of the start that the job is for. One that came since is
-// in the registry soon, and gets a job of its own.
-func (j *job) concerns(report *Report) bool {
+// matchesStart reports whether the report may come from the engine start that the job applies to. A
+// later start will appear in the registry and get its own job.
+func (j *job) matchesStart(report *Report) bool {
 	return report.StartedMs == j.startedMs || report.StartedMs == 0 || j.startedMs == 0
 }
 
-// believe notes the version that the engine reported, which may be older than it was believed
-// to have.
-func (s *Service) believe(l *look, version int64) {
+// recordVersion records the version that the engine reported, which may be older than the recorded
+// one.
+func (s *Service) recordVersion(l *engineCheck, version int64) {
 	if version == 0 {
-		return // it doesn't say
+		return // not reported
 	}
-	said := fleet.WeightsReport{Weights: fleet.Weights{Model: l.job.model, Version: version}, StartedMs: l.report.StartedMs, At: l.asked}
-	if version < l.member.VersionOf(said.Model) {
-		said.At = said.At.Add(-reportAge)
+	update := fleet.WeightsReport{Weights: fleet.Weights{Model: l.job.model, Version: version}, StartedMs: l.report.StartedMs, At: l.requestedAt}
+	if version < l.member.VersionOf(update.Model) {
+		update.At = update.At.Add(-maxReportAge)
 	}
-	l.member.RecordWeights(said)
+	l.member.RecordWeights(update)
 }
 
-// loads returns the number of engines that were ordered to load and have not done so.
+// loads returns the number of engines that were ordered to load and have not finished.
 func (s *Service) loads() int {
 	n := 0
 	for _, j := range s.jobs {
-		if !j.ordered.IsZero() {
+		if !j.orderedAt.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-// give gives orders, and waits for no answer: the next look at an engine tells what became of
-// its own.
+// sendOrders sends orders without waiting for the responses; the next check of an engine shows
+// whether its order was accepted.
 //
-// One after the other, an order that nobody answers held up the next by its timeout of 500 ms;
-// side by side but waited for, it held up the next look at all engines.
-func (s *Service) give(ctx context.Context, held *claim.Claim, looks []look) {
-	for i := range looks {
-		l := &looks[i]
-		s.ordered = s.Clock.Now()
+// Sending orders one after the other would let an unanswered order delay the next one by its timeout
+// of 500 ms. Waiting for concurrent orders would delay the next check of all engines.
+func (s *Service) sendOrders(ctx context.Context, held *claim.Claim, checks []engineCheck) {
+	for i := range checks {
+		l := &checks[i]
+		s.lastOrderAt = s.Clock.Now()
 		order := s.orderFor(held, l)
 		at := target{endpoint: l.member.Endpoint(), startedMs: l.job.startedMs}
-		s.underWay.Go(func() { s.order(ctx, held, at, order) })
+		s.inFlight.Go(func() { s.sendOrder(ctx, held, at, order) })
 	}
 }
 
-// target is the start of an engine that an order goes to.
+// target is the engine, and the start of it, that an order is sent to.
 type target struct {
 	endpoint  *fleet.Endpoint
 	startedMs int64
 }
 
-// orderFor returns the order that brings an engine to the version of its job.
-func (s *Service) orderFor(held *claim.Claim, l *look) Order {
+// orderFor returns the order to load the version of an engine's job.
+func (s *Service) orderFor(held *claim.Claim, l *engineCheck) Order {
 	return Order{
 		Model: l.job.model, Version: l.job.version, Holder: s.Node,
-		// Tokens begin at 0 in the log, which engines read as none.
+		// The log's tokens start at 0, which engines interpret as no token.
 		Token: held.Token() + 1, Expected: l.report.Orders, Continue: l.report.Running > 0,
 	}
 }
 
-// order gives one order. It notes where the claim is lost.
-func (s *Service) order(ctx context.Context, held *claim.Claim, at target, o Order) {
+// sendOrder sends one order and records if the claim is lost.
+func (s *Service) sendOrder(ctx context.Context, held *claim.Claim, at target, o Order) {
 	bounded, cancel, err := held.Order(ctx)
 	if err != nil {
-		s.lost.Store(true)
+		s.claimLost.Store(true)
 		return
 	}
 	defer cancel()
@@ -292,6 +293,6 @@
 	s.Log.Info().Str("event", "order").Str("endpoint", at.endpoint.ID).Int64("born", at.startedMs).Str("model", o.Model).Int64("version", o.Version).
 		Int64("token", o.Token).Int64("expected", o.Expected).Str("reply", reply.String()).AnErr("error", err).Send()
 	if reply == Fenced {
-		s.lost.Store(true)
+		s.claimLost.Store(true)
 	}
 }
--- a/internal/weights/models_test.go
+++ b/internal/weights/models_test.go
@@ -11,23 +11,23 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// TestModelsOfOneEngine leaves an engine's job for one model alone while another model of the
-// engine is behind, too.
+// TestModelsOfOneEngine checks that an engine's job for one model is not changed if another model of
+// the engine is outdated too.
 func TestModelsOfOneEngine(t *testing.T) {
-	m := only(t, &fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", Weights: []fleet.Weights{
+	m := singleMember(t, &fleet.Endpoint{ID: "e", Service: "s", Addr: "127.0.0.1:1", Weights: []fleet.Weights{
 		{Model: "a", Version: 8}, {Model: "b", Version: 2},
 	}})
 	s := &Service{jobs: make(map[string]*job)}
-	s.begin([]*fleet.Member{m}, "a", 9, 1)
-	s.begin([]*fleet.Member{m}, "b", 3, 1)
+	s.startJobs([]*fleet.Member{m}, "a", 9, 1)
+	s.startJobs([]*fleet.Member{m}, "b", 3, 1)
 	must.MapContainsKey(t, s.jobs, "e")
 	test.Eq(t, "a", s.jobs["e"].model)
 	test.Eq(t, 9, s.jobs["e"].version)
-	s.begin([]*fleet.Member{m}, "a", 10, 1)
+	s.startJobs([]*fleet.Member{m}, "a", 10, 1)
 	test.Eq(t, 10, s.jobs["e"].version)
 }
 
-func only(t *testing.T, e *fleet.Endpoint) *fleet.Member {
+func singleMember(t *testing.T, e *fleet.Endpoint) *fleet.Member {
 	t.Helper()
 	f := fleet.New(zerolog.Nop())
 	f.Update(e, time.Now())
--- a/internal/weights/restart_test.go
+++ b/internal/weights/restart_test.go
@@ -13,48 +13,47 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// restart starts an engine anew under its id: an order under way is lost, and orders are counted
-// from 0.
+// restart restarts an engine under the same id. Its current load is lost and it counts orders from 0.
 func (e *engines) restart(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle(id)
+	e.finishLoad(id)
 	e.startedMs[id]++
 	delete(e.next, id)
 	e.orders[id] = 0
 }
 
-// release carries out the orders that are on their way, and returns what came of them.
-func (e *engines) release() []Reply {
+// deliverDelayed delivers the delayed orders and returns the replies.
+func (e *engines) deliverDelayed() []Reply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var replies []Reply
-	for _, g := range e.held {
-		reply, err := e.take(&fleet.Endpoint{ID: g.endpoint}, g.Order)
+	for _, g := range e.delayed {
+		reply, err := e.accept(&fleet.Endpoint{ID: g.endpoint}, g.Order)
 		if err == nil {
 			replies = append(replies, reply)
 		}
 	}
-	e.held = nil
+	e.delayed = nil
 	return replies
 }
 
-func fleetOf(w *world) *fleet.Fleet {
+func fleetOf(w *simulation) *fleet.Fleet {
 	f := fleet.New(zerolog.Nop())
-	w.beat(f)
+	w.heartbeat(f)
 	return f
 }
 
-// TestRestartWhileLoading orders an engine again that started anew while it loaded, as soon as
-// the registry tells: the order before was to another start, and is waited for no longer.
+// TestRestartWhileLoading checks that an engine that restarts while loading is ordered again as soon as
+// the registry shows the restart, without waiting for the order sent to the previous start.
 func TestRestartWhileLoading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld("a")
-		w.name(2)
-		stop := w.node(t, "n1")
+		w := newSimulation("a")
+		w.requestVersion(2)
+		stop := w.startNode(t, "n1")
 		time.Sleep(8 * time.Second)
 		must.Eq(t, []int64{2}, w.versions())
-		w.name(3)
+		w.requestVersion(3)
 		for len(w.orders()) < 2 {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -65,30 +64,31 @@
 		orders := w.orders()
 		must.Len(t, 3, orders)
 		test.Eq(t, 0, orders[2].Expected)
-		test.Less(t, time.Second+emptyTime+3*tick, orders[2].at.Sub(restarted))
+		test.Less(t, time.Second+drainTime+3*stepInterval, orders[2].at.Sub(restarted))
 		stop()
 	})
 }
 
-// TestOrderCarriedOutLate has an order reach the next start of an engine, which counts orders
-// from 0 again and goes back to older weights: it is ordered to the newest ones once more.
+// TestOrderCarriedOutLate delivers a delayed order after a restart of the engine. The engine counts
+// orders from 0 again, so it accepts the order and returns to older weights. It must then be ordered to
+// load the latest version again.
 func TestOrderCarriedOutLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld("a", "b")
-		w.engines.hold = 1
-		w.name(2)
-		stop := w.node(t, "n1")
+		w := newSimulation("a", "b")
+		w.engines.delayOrders = 1
+		w.requestVersion(2)
+		stop := w.startNode(t, "n1")
 		for len(w.orders()) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.name(3)
+		w.requestVersion(3)
 		time.Sleep(12 * time.Second)
 		must.Eq(t, []int64{3, 3}, w.versions())
 
-		id := w.engines.held[0].endpoint
+		id := w.engines.delayed[0].endpoint
 		w.engines.restart(id)
 		time.Sleep(2 * time.Second)
-		must.Eq(t, []Reply{Taken}, w.engines.release())
+		must.Eq(t, []Reply{Taken}, w.engines.deliverDelayed())
 		time.Sleep(loadTime + time.Millisecond)
 		must.SliceContains(t, w.versions(), 2)
 		time.Sleep(12 * time.Second)
@@ -97,29 +97,30 @@
 	})
 }
 
-// TestJobOfAStart drops the job of an engine that started anew.
-func TestJobOfAStart(t *testing.T) {
+// TestJobOfRestartedEngine checks that the job of a restarted engine is deleted.
+func TestJobOfRestartedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &Service{jobs: map[string]*job{"a": {model: model, version: 2, startedMs: 1, begun: time.Now(), ordered: time.Now()}}}
-		w := newWorld("a")
+		s := &Service{jobs: map[string]*job{"a": {model: model, version: 2, startedMs: 1, startedAt: time.Now(), orderedAt: time.Now()}}}
+		w := newSimulation("a")
 		w.engines.restart("a")
 		f := fleetOf(w)
-		test.SliceEmpty(t, s.due(f.All()))
+		test.SliceEmpty(t, s.nextChecks(f.All()))
 		test.MapEmpty(t, s.jobs)
-		s.begin(Behind(f.All(), model, 2), model, 2, 1)
+		s.startJobs(Outdated(f.All(), model, 2), model, 2, 1)
 		test.Eq(t, 2, s.jobs["a"].startedMs)
-		test.Len(t, 1, s.due(f.All()))
+		test.Len(t, 1, s.nextChecks(f.All()))
 	})
 }
 
-// TestReportOfAnotherStart counts for no job: the start that it is of isn't known yet, or gone.
+// TestReportOfAnotherStart checks that a report from another start of the engine, newer or older, does
+// not affect a job.
 func TestReportOfAnotherStart(t *testing.T) {
 	j := &job{startedMs: 2}
-	var told []int64
+	var matching []int64
 	for _, startedMs := range []int64{0, 1, 2, 3} {
-		if j.concerns(&Report{StartedMs: startedMs}) {
-			told = append(told, startedMs)
+		if j.matchesStart(&Report{StartedMs: startedMs}) {
+			matching = append(matching, startedMs)
 		}
 	}
-	test.True(t, slices.Equal([]int64{0, 2}, told))
+	test.True(t, slices.Equal([]int64{0, 2}, matching))
 }
--- a/internal/weights/service.go
+++ b/internal/weights/service.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	// resource is the one matter that is claimed: all orders about weights.
+	// resource is the name of the claim, which covers all orders about weights.
 	resource = "weights"
-	// claimTTL is how long a claim lasts. A holder that dies delays the orders of
-	// the next one by this time and the lease bound.
+	// claimTTL is the duration of a claim. If a holder crashes, the next one can send orders after
+	// this time plus the lease.
 	claimTTL = 2 * time.Second
-	// renewAt is how much of a claim is left when it is renewed.
+	// renewAt is the remaining time of a claim at which it is renewed.
 	renewAt = 1300 * time.Millisecond
-	// orderTimeout bounds one order.
+	// orderTimeout is the timeout of an order.
 	orderTimeout = 500 * time.Millisecond
-	// claimPoll is the time between reads of the log while a claim is waited for.
+	// claimPoll is the time between reads of the log while waiting for a claim.
 	claimPoll = 300 * time.Millisecond
-	// maxClaimTTL bounds the claims that are believed.
+	// maxClaimTTL is the maximum accepted duration of other nodes' claims.
 	maxClaimTTL = 10 * time.Second
-	// tick is the time between two looks at the engines by the holder.
-	tick = 100 * time.Millisecond
-	// idleTick is the time between two looks by nodes that hold no claim.
-	idleTick = 500 * time.Millisecond
-	// rankDelay spreads the nodes' first tries, so that one claims and the others
-	// see it.
+	// stepInterval is the time between two checks of the engines by the claim holder.
+	stepInterval = 100 * time.Millisecond
+	// idleInterval is the time between two checks for pending updates by nodes without the claim.
+	idleInterval = 500 * time.Millisecond
+	// rankDelay spreads the nodes' first attempts to claim, so that the others observe the first
+	// node's claim.
 	rankDelay = 150 * time.Millisecond
 	ranks     = 6
-	// standbyTime is how much longer nodes wait that do not stand by, so that those
-	// that do come first.
-	standbyTime = 2500 * time.Millisecond
+	// nonStandbyDelay is the additional delay of nodes that are not standbys, so that standbys claim
+	// first.
+	nonStandbyDelay = 2500 * time.Millisecond
 )
 
-// Peers is what a node knows of the others.
+// Peers provides information about the other nodes.
 type Peers interface {
-	// Standby reports whether this node follows the claim while another holds it, so
-	// that it can take over at once. In a large system few nodes do.
+	// Standby reports whether this node follows the claim while another node holds it, so that it
+	// can take over immediately. In a large system only a few nodes do.
 	Standby() bool
-	// Led reports whether another node was heard lately that holds the claim.
+	// Led reports whether another node recently reported that it holds the claim.
 	Led() bool
 }
 
-// Config is what a Service needs. All fields must be set.
+// Config configures a Service. All fields except Clock must be set.
 type Config struct {
 	Node    string // name of this node
 	Fleet   *fleet.Fleet
@@ -60,31 +60,31 @@
 	Engines Engines
 	Claims  claim.Log
 	Peers   Peers
-	// Lease is the time after another holder's last order in which none may be given.
+	// Lease is the time after another holder's last order during which no order may be sent.
 	Lease time.Duration
-	// Changed is signalled when a version was named.
+	// Changed is signaled when a version is requested.
 	Changed <-chan struct{}
-	// Clock dates claims, orders and reports. Nil is the steady clock.
+	// Clock provides the times of claims, orders and reports. If nil, the steady clock is used.
 	Clock *clock.Clock
 	Log   zerolog.Logger
 }
 
-// Service gives the orders of one node.
+// Service sends the orders of one node.
 type Service struct {
 	Config
 	claimer *claim.Claimer
 	jobs    map[string]*job // by endpoint
-	// passed are the endpoints whose jobs came to nothing since the claim was taken, and when.
-	passed map[string]time.Time
-	closed atomic.Pointer[[]Closed]
-	leads  atomic.Bool
+	// postponed holds, by endpoint, the time at which a job was abandoned since the claim was acquired.
+	postponed map[string]time.Time
+	closed    atomic.Pointer[[]Closed]
+	leads     atomic.Bool
 
-	underWay sync.WaitGroup // orders, and the renewals of the claim
-	ordered  time.Time      // when the newest order was given
-	lost     atomic.Bool    // an order told that the claim is
+	inFlight    sync.WaitGroup // orders in flight and the renewal of the claim
+	lastOrderAt time.Time      // time of the latest order
+	claimLost   atomic.Bool    // set by an order that found the claim lost
 }
 
-// New returns the service of a node.
+// New returns the service of a node. It fails if the claim configuration is invalid.
 func New(c Config) (*Service, error) {
 	claimer, err := claim.New(claim.Config{
 		Log:          c.Claims,
@@ -99,25 +99,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Service{Config: c, claimer: claimer, jobs: make(map[string]*job), passed: make(map[string]time.Time)}, nil
+	return &Service{Config: c, claimer: claimer, jobs: make(map[string]*job), postponed: make(map[string]time.Time)}, nil
 }
 
-// Run gives orders until ctx is done.
+// Run claims the right to send orders whenever engines are outdated, and sends them, until ctx is
+// done.
 func (s *Service) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !s.pending() {
-			s.wait(ctx, idleTick)
+			s.wait(ctx, idleInterval)
 			continue
 		}
-		s.wait(ctx, s.turn())
-		if s.pending() && s.contends() {
+		s.wait(ctx, s.claimDelay())
+		if s.pending() && s.mayClaim() {
 			s.lead(ctx)
 		}
 	}
 	return nil
 }
 
-// wait returns after d, or when a version is named.
+// wait returns after d, when a version is requested, or when ctx is done.
 func (s *Service) wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -128,32 +129,32 @@
 	}
 }
 
-// turn delays this node's claim by its place among the nodes.
-func (s *Service) turn() time.Duration {
+// claimDelay returns the delay before this node's claim, which depends on a hash of its name and on
+// whether it is a standby.
+func (s *Service) claimDelay() time.Duration {
 	delay := time.Duration(xxhash.Sum64String(s.Node)%ranks) * rankDelay
 	if !s.Peers.Standby() {
-		delay += standbyTime
+		delay += nonStandbyDelay
 	}
 	return delay
 }
 
-// contends reports whether this node should try to get the claim.
-func (s *Service) contends() bool { return s.Peers.Standby() || !s.Peers.Led() }
+// mayClaim reports whether this node should try to acquire the claim.
+func (s *Service) mayClaim() bool { return s.Peers.Standby() || !s.Peers.Led() }
 
-// pending reports whether an engine lacks a wanted version.
+// pending reports whether any engine is outdated.
 func (s *Service) pending() bool {
 	members := s.Fleet.All()
 	for _, model := range s.Wanted.Models() {
 		version, _ := s.Wanted.Wanted(model)
-		if slices.ContainsFunc(members, func(m *fleet.Member) bool { return lacks(m, model, version) }) {
+		if slices.ContainsFunc(members, func(m *fleet.Member) bool { return isOutdated(m, model, version) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// lead claims the right to give orders, and gives them until all is done or the
-// claim is lost.
+// lead acquires the claim and sends orders until no engine is outdated or the claim is lost.
 func (s *Service) lead(ctx context.Context) {
 	waiting, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -165,32 +166,32 @@
 	s.Log.Info().Str("event", "claim_taken").Str("matter", resource).Int64("token", first.Token()).Send()
 	holding, stop := context.WithCancel(ctx)
 	defer stop()
-	held := s.keep(holding, first)
+	held := s.keepRenewed(holding, first)
 	s.leads.Store(true)
-	s.lost.Store(false)
+	s.claimLost.Store(false)
 	clear(s.jobs)
-	clear(s.passed)
+	clear(s.postponed)
 	for ctx.Err() == nil && s.pending() && held.Load().Valid(orderTimeout) && s.step(ctx, held) {
-		s.wait(ctx, tick)
+		s.wait(ctx, stepInterval)
 	}
 	clear(s.jobs)
 	s.leads.Store(false)
 	s.closed.Store(nil)
 	stop()
-	s.underWay.Wait()
+	s.inFlight.Wait()
 	if ctx.Err() != nil {
-		s.giveBack(held.Load())
+		s.releaseClaim(held.Load())
 	}
 	s.Log.Info().Str("event", "claim_ended").Str("matter", resource).Int64("token", held.Load().Token()).
 		Dur("left_ms", held.Load().Remaining()).Send()
 }
 
-// keep renews a claim until ctx is done or the claim is lost, beside the orders,
-// which must not wait for the store.
-func (s *Service) keep(ctx context.Context, first *claim.Claim) *atomic.Pointer[claim.Claim] {
+// keepRenewed renews a claim in the background until ctx is done or the claim is lost. Orders must not
+// wait for the store.
+func (s *Service) keepRenewed(ctx context.Context, first *claim.Claim) *atomic.Pointer[claim.Claim] {
 	var held atomic.Pointer[claim.Claim]
 	held.Store(first)
-	s.underWay.Go(func() {
+	s.inFlight.Go(func() {
 		for ctx.Err() == nil && held.Load().Valid(0) {
 			retry.Sleep(ctx, held.Load().Remaining()-renewAt)
 			if ctx.Err() != nil {
@@ -208,22 +209,21 @@
 	return &held
 }
 
-// renew renews a claim, also where ctx ends meanwhile: a renewal that is in the log and not known of
-// could not be given back, as 110 of 150 stops in virtual time found.
+// renew renews a claim, even if ctx is canceled during the renewal: a renewal that was written to the
+// log but not noticed could not be released when the node stops.
 func (s *Service) renew(ctx context.Context, held *claim.Claim) (*claim.Claim, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), renewAt)
 	defer cancel()
 	return s.claimer.Renew(ctx, held, claimTTL)
 }
 
-// giveBack ends the claim of a node that stops, once the lease bound has passed since its last order,
-// as it would have before the claim ran out by itself.
+// releaseClaim releases the claim of a node that stops, after the lease has passed since its last order.
 //
-// Without it a node that starts meanwhile waits for the whole claim and the lease bound from when it
-// first read of the claim: where nodes stop and start in turn, engines keep replaced weights past the
-// operators' bound.
-func (s *Service) giveBack(held *claim.Claim) {
-	time.Sleep(s.Clock.Until(s.ordered.Add(orderTimeout + s.Lease)))
+// Without it, a node that starts in the meantime would wait for the full claim and the lease, counted
+// from when it first read the claim. In a rolling restart engines would then keep replaced weights
+// beyond the operators' time limit.
+func (s *Service) releaseClaim(held *claim.Claim) {
+	time.Sleep(s.Clock.Until(s.lastOrderAt.Add(orderTimeout + s.Lease)))
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	if err := held.Release(ctx); err != nil {
@@ -231,10 +231,10 @@
 	}
 }
 
-// Leads reports whether this node holds the claim on orders.
+// Leads reports whether this node holds the claim.
 func (s *Service) Leads() bool { return s.leads.Load() }
 
-// Closed returns the engines that this node has loaded now.
+// Closed returns the engines that this node is currently draining or loading.
 func (s *Service) Closed() []Closed {
 	closed := s.closed.Load()
 	if closed == nil {
@@ -243,16 +243,17 @@
 	return *closed
 }
 
-// cancelWhenDone ends the wait for a claim when another node has done the work.
+// cancelWhenDone cancels the wait for a claim when no engine is outdated any more or this node should
+// no longer claim.
 func (s *Service) cancelWhenDone(ctx context.Context, cancel context.CancelFunc) {
-	ticker := time.NewTicker(idleTick)
+	ticker := time.NewTicker(idleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if !s.pending() || !s.contends() {
+			if !s.pending() || !s.mayClaim() {
 				cancel()
 				return
 			}
--- a/internal/weights/service_test.go
+++ b/internal/weights/service_test.go
@@ -10,17 +10,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestRollout brings nine engines to a version within the operators' bound, two
-// loads at a time, by one holder.
+// TestRollout checks that one claim holder updates nine engines within the operators' time limit, two
+// at a time.
 func TestRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(nine()...)
-		stops := []func(){w.node(t, "n1"), w.node(t, "n2"), w.node(t, "n3")}
+		w := newSimulation(nineEngines()...)
+		stops := []func(){w.startNode(t, "n1"), w.startNode(t, "n2"), w.startNode(t, "n3")}
 		time.Sleep(time.Second)
-		w.name(2)
+		w.requestVersion(2)
 		time.Sleep(11 * time.Second)
 		test.Eq(t, slices.Repeat([]int64{2}, 9), w.versions())
-		test.Eq(t, fewestLoads, w.engines.loading)
+		test.Eq(t, minConcurrentLoads, w.engines.maxLoading)
 		holders := map[string]bool{}
 		for _, g := range w.orders() {
 			holders[g.Holder] = true
@@ -33,14 +33,15 @@
 	})
 }
 
-// TestNewerVersion goes straight to the newest version.
+// TestNewerVersion requests another version during an update. Engines not yet updated must load the
+// latest version directly.
 func TestNewerVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(nine()...)
-		stop := w.node(t, "n1")
-		w.name(2)
+		w := newSimulation(nineEngines()...)
+		stop := w.startNode(t, "n1")
+		w.requestVersion(2)
 		time.Sleep(4 * time.Second)
-		w.name(3)
+		w.requestVersion(3)
 		time.Sleep(14 * time.Second)
 		test.Eq(t, slices.Repeat([]int64{3}, 9), w.versions())
 		for _, g := range w.orders() {
@@ -52,19 +53,19 @@
 	})
 }
 
-// TestHolderStops has a second node take over, no sooner than the lease bound after
-// the last order, with a higher token.
+// TestHolderStops checks that a second node takes over with a higher token, not earlier than the lease
+// after the last order.
 func TestHolderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(nine()...)
-		w.name(2)
-		stopFirst := w.node(t, "n1")
+		w := newSimulation(nineEngines()...)
+		w.requestVersion(2)
+		stopFirst := w.startNode(t, "n1")
 		time.Sleep(3 * time.Second)
 		go stopFirst()
-		stopSecond := w.node(t, "n2")
+		stopSecond := w.startNode(t, "n2")
 		time.Sleep(25 * time.Second)
 		test.Eq(t, slices.Repeat([]int64{2}, 9), w.versions())
-		var last, first given
+		var last, first receivedOrder
 		for _, g := range w.orders() {
 			if g.Holder == "n1" {
 				last = g
@@ -79,12 +80,12 @@
 	})
 }
 
-// TestStoreAway gives no orders once the claim can't be renewed.
-func TestStoreAway(t *testing.T) {
+// TestStoreUnavailable checks that no orders are sent after the claim can no longer be renewed.
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(nine()...)
-		w.name(2)
-		stop := w.node(t, "n1")
+		w := newSimulation(nineEngines()...)
+		w.requestVersion(2)
+		stop := w.startNode(t, "n1")
 		time.Sleep(2 * time.Second)
 		w.log.mu.Lock()
 		w.log.down = true
@@ -98,13 +99,13 @@
 	})
 }
 
-// TestLostAnswer does not give an order twice that was carried out.
-func TestLostAnswer(t *testing.T) {
+// TestLostResponse checks that an executed order is not repeated when its response is lost.
+func TestLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld("a")
-		w.engines.lose = 1
-		w.name(2)
-		stop := w.node(t, "n1")
+		w := newSimulation("a")
+		w.engines.loseResponses = 1
+		w.requestVersion(2)
+		stop := w.startNode(t, "n1")
 		time.Sleep(8 * time.Second)
 		test.Eq(t, []int64{2}, w.versions())
 		test.Len(t, 1, w.orders())
--- a/internal/weights/stop_test.go
+++ b/internal/weights/stop_test.go
@@ -9,16 +9,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestStoppingHolderGivesTheClaimBack stops a holder in the midst of its orders and starts another node
-// 4 s later, which has read nothing of the log before. It goes on at once, and no order of it comes
-// within the lease bound after one of the node before. Before, it waited for 5.3 s.
-func TestStoppingHolderGivesTheClaimBack(t *testing.T) {
+// TestStoppingHolderReleasesClaim stops a claim holder during an update and starts a new node 4 s later.
+// The new node must continue immediately, but not send an order within the lease after the last order
+// of the first node. Without the release it would wait for 5.3 s.
+func TestStoppingHolderReleasesClaim(t *testing.T) {
 	for _, lost := range []int{0, 40} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(nine()...)
-			w.engines.lose = lost
-			stop := w.node(t, "n1")
-			w.name(2)
+			w := newSimulation(nineEngines()...)
+			w.engines.loseResponses = lost
+			stop := w.startNode(t, "n1")
+			w.requestVersion(2)
 			for len(w.orders()) < 3 {
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -28,10 +28,10 @@
 				close(stopped)
 			}()
 			time.Sleep(4 * time.Second)
-			begun := time.Now()
+			started := time.Now()
 			before := w.orders()
-			stopNext := w.node(t, "n2")
-			for len(w.orders()) == len(before) && time.Since(begun) < time.Minute {
+			stopNext := w.startNode(t, "n2")
+			for len(w.orders()) == len(before) && time.Since(started) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			after := w.orders()
@@ -39,7 +39,7 @@
 			first, last := after[len(before)], before[len(before)-1]
 			test.Eq(t, "n1", last.Holder)
 			test.Eq(t, "n2", first.Holder)
-			test.Less(t, 2*time.Second, first.at.Sub(begun), test.Sprint(lost, " answers lost"))
+			test.Less(t, 2*time.Second, first.at.Sub(started), test.Sprint(lost, " responses lost"))
 			test.GreaterEq(t, lease, first.at.Sub(last.at))
 			test.Greater(t, last.Token, first.Token)
 			time.Sleep(20 * time.Second)
@@ -52,17 +52,17 @@
 	}
 }
 
-// TestIdleHolderStopsAtOnce has a holder that gave its last order long ago stop without a wait, and
-// one without any.
-func TestIdleHolderStopsAtOnce(t *testing.T) {
+// TestIdleHolderStopsImmediately checks that a node whose last order is older than the lease stops
+// without waiting.
+func TestIdleHolderStopsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld("a")
-		stop := w.node(t, "n1")
-		w.name(2)
+		w := newSimulation("a")
+		stop := w.startNode(t, "n1")
+		w.requestVersion(2)
 		time.Sleep(10 * time.Second)
 		must.Eq(t, []int64{2}, w.versions())
-		begun := time.Now()
+		started := time.Now()
 		stop()
-		test.Eq(t, 2*maxClaimTTL, time.Since(begun), test.Sprint("what stop itself waits"))
+		test.Eq(t, 2*maxClaimTTL, time.Since(started), test.Sprint("the wait of the test's stop function"))
 	})
 }
--- a/internal/weights/suspended_test.go
+++ b/internal/weights/suspended_test.go
@@ -12,17 +12,17 @@
 	"github.com/cherryward/cherryward/internal/clock/clocktest"
 )
 
-// TestSuspendedHolder: the host of the holder of orders is suspended in the midst of them. Where that
-// takes longer than its claim, another node may hold one by then: the holder gives no further order
-// under the claim of before. A shorter suspension costs nothing.
+// TestSuspendedHolder suspends the host of the claim holder during an update. If the suspension is longer
+// than the claim, another node may have acquired it, so the holder must not send orders under the old
+// claim. A shorter suspension must not cause a delay.
 func TestSuspendedHolder(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(nine()...)
+			w := newSimulation(nineEngines()...)
 			host := clocktest.New()
 			w.clock = host.Clock
-			stop := w.node(t, "n1")
-			w.name(2)
+			stop := w.startNode(t, "n1")
+			w.requestVersion(2)
 			for len(w.orders()) < 3 {
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -35,7 +35,7 @@
 			if d >= claimTTL {
 				test.Greater(t, last.Token, next.Token, test.Sprint(d))
 			} else {
-				// A renewal in between raises the token as well; no claim was waited for.
+				// A renewal also increases the token; there was no wait for a claim.
 				test.Less(t, lease, next.at.Sub(last.at), test.Sprint(d))
 			}
 			for _, version := range w.versions() {
@@ -46,10 +46,11 @@
 	}
 }
 
-// TestSuspendedBetweenTwoOrders: a claim that ended during the suspension is good for no order at all.
+// TestSuspendedBetweenTwoOrders checks that no order is possible under a claim that expired during a
+// suspension of the host.
 func TestSuspendedBetweenTwoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld("a")
+		w := newSimulation("a")
 		host := clocktest.New()
 		s, err := New(Config{Node: "n1", Claims: w.log, Lease: lease, Clock: host.Clock})
 		must.NoError(t, err)
@@ -61,6 +62,6 @@
 		host.Suspend(claimTTL)
 		_, _, err = held.Order(context.Background())
 		test.Error(t, err)
-		time.Sleep(2 * maxClaimTTL) // the claim's own watch ends
+		time.Sleep(2 * maxClaimTTL) // until the claim's goroutine has ended
 	})
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,13 +1,14 @@
-// Package weights brings the engines to the version of weights that the operators
-// want, by orders from one node at a time.
+// Package weights updates engines to the weight version that the operators have
+// requested. One node at a time orders the engines to load it.
 //
-// Guarantees: orders are given only under a claim, whose token the engines check;
-// a node whose claim runs out, by its own monotonic clock, gives no more. Each
-// order names the number of orders that the engine had taken, so that one which is
-// carried out late, after another, is refused. That number begins anew with each start
-// of an engine, so one may be taken after a restart: an engine that goes back to older
-// weights is ordered again. An order whose answer is lost is looked into by a report
-// before it is given again.
+// Guarantees: orders are sent only under a claim, whose fencing token the engines
+// check. A node whose claim has expired by its own monotonic clock sends no more
+// orders. Each order contains the number of orders that the engine is expected to
+// have accepted before, so an engine rejects an order that is delayed and arrives
+// after another one. Engines count from 0 again after a restart and may then accept a
+// delayed order; an engine that returns to older weights this way is ordered again.
+// If the response to an order is lost, the engine's report is checked before the
+// order is repeated.
 package weights
 
 import (
@@ -22,28 +23,28 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// Closed is an engine that is about to load.
+// Closed is an engine that will load new weights or is loading them.
 type Closed struct {
 	Endpoint string
-	// Loads is true where the engine refuses requests now or very soon. Until then
-	// it takes short ones.
+	// Loads is true if the engine rejects requests now or very soon. Until then it
+	// accepts requests for short runs.
 	Loads bool
 }
 
-// Reply is an engine's answer to an order.
+// Reply is an engine's response to an order.
 type Reply int
 
 const (
-	// Taken: the order is being carried out.
+	// Taken means that the engine accepted the order and is executing it.
 	Taken Reply = iota + 1
-	// Holds: the engine already has what was ordered.
+	// Holds means that the engine already has the ordered version.
 	Holds
-	// Busy: another order is under way, or the number of orders was not the
-	// expected one.
+	// Busy means that another order is in progress, or that Order.Expected does not
+	// match the number of orders accepted.
 	Busy
-	// Fenced: the engine saw a higher token. The claim is lost.
+	// Fenced means that the engine has received a higher token, so the claim is lost.
 	Fenced
-	// Gone: another endpoint has the address.
+	// Gone means that another endpoint now has the address.
 	Gone
 )
 
@@ -60,71 +61,73 @@
 type Order struct {
 	Model    string
 	Version  int64
-	Holder   string // the node that gives it
+	Holder   string // node that sends the order
 	Token    int64  // fencing token of the holder's claim
-	Expected int64  // number of orders that the engine must have taken before
-	// Continue lets the runs that have begun go on with the new weights. Without
-	// it they are finished first.
+	Expected int64  // number of orders that the engine must have accepted before this one
+	// Continue lets active runs continue with the new weights. Otherwise the engine
+	// finishes them before it loads.
 	Continue bool
 }
 
 // Report is an engine's state.
 type Report struct {
 	Weights   []fleet.Weights
-	StartedMs int64 // start of the engine, Unix milliseconds; 0 if not said
-	Busy      bool  // an order is being carried out
-	Orders    int64 // number of orders taken since the engine's start
+	StartedMs int64 // start time of the engine, Unix milliseconds; 0 if not reported
+	Busy      bool  // an order is in progress
+	Orders    int64 // number of orders accepted since the engine's start
 	Running   int
 	Waiting   int
 }
 
-// VersionOf returns the version of the model that the engine has, or 0.
+// VersionOf returns the version of the model that the engine has, or 0 if it has
+// none.
 func (r *Report) VersionOf(model string) int64 {
 	e := fleet.Endpoint{Weights: r.Weights}
 	return e.VersionOf(model)
 }
 
-// Engines makes calls to engines.
+// Engines calls engines.
 type Engines interface {
-	// Report returns an engine's state, as of some hundred ms ago.
+	// Report returns an engine's state. It may be a few hundred ms old.
 	Report(ctx context.Context, at *fleet.Endpoint) (Report, error)
-	// Order gives an order. After an error the engine may have taken it, or may
-	// take it later.
+	// Order sends an order. After an error the engine may have accepted the order or
+	// may still accept it later.
 	Order(ctx context.Context, at *fleet.Endpoint, o Order) (Reply, error)
 }
 
-// Wanted tells what the operators want.
+// Wanted provides the versions that the operators have requested.
 type Wanted interface {
-	// Models returns the models of which a version was named.
+	// Models returns the models for which a version was requested.
 	Models() []string
-	// Wanted returns the wanted version of a model and a time at which it was not
-	// named yet.
+	// Wanted returns the requested version of a model and a time before the request
+	// was made.
 	Wanted(model string) (version int64, since time.Time)
 }
 
-// Behind returns the engines that lack the wanted version of the model, in the order in which
-// they are brought to it: those with the oldest weights first, whose time for requests runs out
-// soonest, and among equals in an order that all holders share.
-func Behind(members []*fleet.Member, model string, version int64) []*fleet.Member {
+// Outdated returns the engines that have an older version of the model, in the order in which they
+// are updated. Engines with the oldest weights come first, because the time during which they can
+// serve requests ends first. Engines with equal versions are sorted by a hash, so that all claim
+// holders use the same order.
+func Outdated(members []*fleet.Member, model string, version int64) []*fleet.Member {
 	var list []*fleet.Member
 	for _, m := range members {
-		if lacks(m, model, version) {
+		if isOutdated(m, model, version) {
 			list = append(list, m)
 		}
 	}
 	slices.SortFunc(list, func(a, b *fleet.Member) int {
-		return cmp.Or(cmp.Compare(a.VersionOf(model), b.VersionOf(model)), cmp.Compare(place(version, a.ID), place(version, b.ID)))
+		return cmp.Or(cmp.Compare(a.VersionOf(model), b.VersionOf(model)), cmp.Compare(updateRank(version, a.ID), updateRank(version, b.ID)))
 	})
 	return list
 }
 
-// lacks reports whether an engine serves the model on older weights.
-func lacks(m *fleet.Member, model string, version int64) bool {
+// isOutdated reports whether an engine has the model in a version older than version.
+func isOutdated(m *fleet.Member, model string, version int64) bool {
 	has := m.VersionOf(model)
 	return has > 0 && has < version
 }
 
-// place is an engine's place in the order for a version.
-func place(version int64, id string) uint64 {
+// updateRank returns the sort key of an engine among those with the same version.
+func updateRank(version int64, id string) uint64 {
 	return xxhash.Sum64String(strconv.FormatInt(version, 10) + "/" + id)
 }
