--- a/internal/relay/copy.go
+++ b/internal/relay/copy.go
@@ -1,10 +1,10 @@
-// Package relay lets a few nodes of a large system read the store's topics, and the
-// others ask those.
+// Package relay reduces reads of the store in a large system: a few nodes read the store's topics, and
+// the other nodes read from those nodes' copies.
 //
-// Guarantee: what is read from a node's copy proves no more than the copy did. Its age is
-// measured by the copy's own clock when it answers, and counts back from before
-// the question was sent, so that neither a slow answer nor a frozen process on either side
-// makes a copy seem fresher than it is.
+// Guarantee: relayed state never appears more recent than the copy it comes from. The node with the copy
+// measures the copy's age with its own clock when it responds. The reader subtracts the age from a time
+// before it sent the request. Neither a slow response nor a suspended process on either side can
+// therefore make a copy appear more recent than it is.
 package relay
 
 import (
@@ -17,26 +17,26 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// ErrUnknown is returned for what a copy can't tell: it has not read the topic yet, or
-// the records that were asked for are older than it is.
-var ErrUnknown = errors.New("relay: the copy doesn't reach back so far")
+// ErrUnknown is returned if a copy does not have the requested records: it has not read the topic yet,
+// or it does not contain all changes since the requested offset.
+var ErrUnknown = errors.New("relay: copy does not contain the requested records")
 
-// Copy keeps a topic's newest records, so that other nodes can ask what changed. It
-// passes all it takes on to Sink. It is safe for concurrent use.
+// Copy keeps the latest record of each key of a topic, so that other nodes can request changes. It
+// passes all batches on to Sink. It is safe for concurrent use.
 type Copy struct {
 	Sink follow.Sink
-	// Same reports whether a record says nothing new, as heartbeats do; nil means that
-	// all records count. Others are not told of such records.
+	// Same reports whether a record does not change the value, like a heartbeat. Such records are not
+	// relayed. If nil, all records are relayed.
 	Same func(before, after []byte) bool
-	// Brief returns what is kept and told of a value, which may be long; nil means the value.
+	// Brief returns the short form of a value that is kept and relayed. If nil, the full value is used.
 	Brief func(value []byte) []byte
-	// Clock is the one that batches are dated by. Nil is the steady clock.
+	// Clock is the clock of the batches' ConfirmedAt. If nil, the steady clock is used.
 	Clock *clock.Clock
 
 	mu          sync.Mutex
-	known       map[string]follow.Record // with removed keys, by key
-	long        map[string]toldRecord    // those that were told compressed, by key
-	first       int64                    // all changes from this offset on are known
+	latest      map[string]follow.Record // latest record of each key, including removed keys
+	compressed  map[string]relayedRecord // records relayed in compressed form, by key
+	firstOffset int64                    // the copy has all changes from this offset on
 	next        int64
 	confirmedAt time.Time // zero before the first batch
 }
@@ -45,80 +45,82 @@
 
 // Apply implements follow.Sink.
 func (c *Copy) Apply(b follow.Batch) {
-	c.take(&b)
+	c.update(&b)
 	c.Sink.Apply(b)
 }
 
-func (c *Copy) take(b *follow.Batch) {
+func (c *Copy) update(b *follow.Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if b.Snapshot {
-		// What was removed before the snapshot is not known.
-		c.known = make(map[string]follow.Record, len(b.Records))
-		c.long = make(map[string]toldRecord)
-		c.first = b.Next
+		// Keys removed before the snapshot are unknown.
+		c.latest = make(map[string]follow.Record, len(b.Records))
+		c.compressed = make(map[string]relayedRecord)
+		c.firstOffset = b.Next
 	}
 	for _, r := range b.Records {
 		if c.Brief != nil && r.Value != nil {
 			r.Value = c.Brief(r.Value)
 		}
-		before, known := c.known[r.Key]
-		if known && c.Same != nil && before.Value != nil && r.Value != nil && c.Same(before.Value, r.Value) {
+		before, exists := c.latest[r.Key]
+		if exists && c.Same != nil && before.Value != nil && r.Value != nil && c.Same(before.Value, r.Value) {
 			continue
 		}
-		c.known[r.Key] = r
+		c.latest[r.Key] = r
 	}
 	c.next = b.Next
 	c.confirmedAt = b.ConfirmedAt
 }
 
-// page is what a copy tells.
-type page struct {
-	records []toldRecord
+// changes is the result of a request to a copy.
+type changes struct {
+	records []relayedRecord
 	next    int64
 	age     time.Duration
-	more    bool // there are more records, from next on
+	more    bool // more records follow, starting at next
 }
 
-// Since returns what changed from an offset on, in the order of the offsets. Where that is more than
-// so many bytes it returns the first records, at least one, and that there are more.
-func (c *Copy) Since(from int64, most int) (page, error) {
+// Since returns the records that changed at or after an offset, ordered by offset. If they exceed
+// maxBytes, it returns the first ones, at least one, and sets more. It returns ErrUnknown if the copy may
+// lack changes since the offset.
+func (c *Copy) Since(from int64, maxBytes int) (changes, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.confirmedAt.IsZero() || from < c.first {
-		return page{}, ErrUnknown
+	if c.confirmedAt.IsZero() || from < c.firstOffset {
+		return changes{}, ErrUnknown
 	}
-	p := page{next: c.next, age: c.Clock.Since(c.confirmedAt)}
-	for _, r := range c.known {
+	p := changes{next: c.next, age: c.Clock.Since(c.confirmedAt)}
+	for _, r := range c.latest {
 		if r.Offset >= from {
-			p.records = append(p.records, c.told(r))
+			p.records = append(p.records, c.newRelayedRecord(r))
 		}
 	}
-	slices.SortFunc(p.records, func(a, b toldRecord) int { return int(a.Offset - b.Offset) })
-	if n := fitting(p.records, most); n < len(p.records) {
+	slices.SortFunc(p.records, func(a, b relayedRecord) int { return int(a.Offset - b.Offset) })
+	if n := countFitting(p.records, maxBytes); n < len(p.records) {
 		p.next, p.records, p.more = p.records[n].Offset, p.records[:n], true
 	}
 	return p, nil
 }
 
-// told returns a record as it is told. Long ones are compressed once.
-func (c *Copy) told(r follow.Record) toldRecord {
-	if known, ok := c.long[r.Key]; ok && known.Offset == r.Offset {
-		return known
+// newRelayedRecord returns a record in the form in which it is relayed. The compressed form of a long value
+// is cached.
+func (c *Copy) newRelayedRecord(r follow.Record) relayedRecord {
+	if cached, ok := c.compressed[r.Key]; ok && cached.Offset == r.Offset {
+		return cached
 	}
-	t := told(r)
+	t := newRelayedRecord(r)
 	if t.Deflated != nil {
-		c.long[r.Key] = t
+		c.compressed[r.Key] = t
 	}
 	return t
 }
 
-// fitting returns how many of the first records an answer of so many bytes holds, at least one.
-func fitting(records []toldRecord, most int) int {
+// countFitting returns the number of leading records that fit into maxBytes, at least one.
+func countFitting(records []relayedRecord, maxBytes int) int {
 	bytes := 0
 	for i := range records {
-		bytes += records[i].bytes()
-		if i > 0 && bytes > most {
+		bytes += records[i].encodedSize()
+		if i > 0 && bytes > maxBytes {
 			return i
 		}
 	}
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -12,15 +12,16 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// TestCopyTellsBriefly keeps and tells the short form of a value, and passes the value on.
-func TestCopyTellsBriefly(t *testing.T) {
-	c := filled(time.Now())
+// TestCopyShortensValues checks that a copy relays the short form of a value and passes the full value to
+// its sink.
+func TestCopyShortensValues(t *testing.T) {
+	c := filledCopy(time.Now())
 	c.Brief = func(value []byte) []byte { return value[:min(len(value), 3)] }
 	long := record("c", "w"+strings.Repeat("x", datagram.MaxBytes), 10)
 	batch := follow.Batch{Records: []follow.Record{long}, Next: 11, ConfirmedAt: time.Now()}
 	c.Apply(batch)
-	p, err := c.Since(10, answerBytes)
+	p, err := c.Since(10, maxRecordBytes)
 	must.NoError(t, err)
-	test.Eq(t, tell(record("c", "wxx", 10)), p.records)
+	test.Eq(t, relayedRecords(record("c", "wxx", 10)), p.records)
 	test.Eq(t, long, batch.Records[0])
 }
--- a/internal/relay/help_test.go
+++ b/internal/relay/helpers_test.go
@@ -10,10 +10,10 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// drop takes batches and keeps nothing.
-type drop struct{}
+// discardSink discards all batches.
+type discardSink struct{}
 
-func (drop) Apply(follow.Batch) {}
+func (discardSink) Apply(follow.Batch) {}
 
 func record(key, value string, offset int64) follow.Record {
 	r := follow.Record{Key: key, Offset: offset}
@@ -23,40 +23,40 @@
 	return r
 }
 
-// tell returns records as they are told.
-func tell(records ...follow.Record) []toldRecord {
-	var list []toldRecord
+// relayedRecords converts records to the form in which they are relayed.
+func relayedRecords(records ...follow.Record) []relayedRecord {
+	var list []relayedRecord
 	for _, r := range records {
-		list = append(list, told(r))
+		list = append(list, newRelayedRecord(r))
 	}
 	return list
 }
 
-// noise is text of a length that doesn't get shorter when it is compressed.
-func noise(n int) string {
+// randomText returns n random bytes, which cannot be compressed.
+func randomText(n int) string {
 	random := rand.NewChaCha8([32]byte{1})
 	data := make([]byte, n)
 	_, _ = random.Read(data)
 	return string(data)
 }
 
-// sameFirst takes values with the same first letter for the same.
+// sameFirst treats values with the same first letter as equal.
 func sameFirst(before, after []byte) bool { return before[0] == after[0] }
 
-func filled(confirmedAt time.Time) *Copy {
-	c := &Copy{Sink: drop{}, Same: sameFirst}
+func filledCopy(confirmedAt time.Time) *Copy {
+	c := &Copy{Sink: discardSink{}, Same: sameFirst}
 	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("a", "x1", 3), record("b", "y1", 7)}, Next: 10, ConfirmedAt: confirmedAt})
 	return c
 }
 
-// storeTopic counts reads, and can be away.
+// storeTopic simulates a store that can be made unavailable, and counts its reads.
 type storeTopic struct {
-	mu    sync.Mutex
-	reads int
-	away  bool
+	mu          sync.Mutex
+	reads       int
+	unavailable bool
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
 func (s *storeTopic) Newest(context.Context) (follow.Page, error) { return follow.Page{Next: 10}, nil }
 
@@ -64,8 +64,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	if s.away {
-		return follow.Page{}, errAway
+	if s.unavailable {
+		return follow.Page{}, errUnavailable
 	}
 	return follow.Page{Next: from}, nil
 }
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -12,61 +12,61 @@
 )
 
 const (
-	// recordBytes is what an answer takes for a record beyond its key and its value.
-	recordBytes = 64
-	// longValue is the length from which values are told compressed. A configuration of 50 routes
-	// is 23 KB, which no message holds, and 4 KB compressed: without it each node read each change
-	// of it from the store.
-	longValue = 4 << 10
-	// mostValue bounds a value when it is decompressed: more than the store takes in a record.
-	mostValue = 4 << 20
+	// recordOverhead is the size of a record in a response, in bytes, without its key and value.
+	recordOverhead = 64
+	// compressFrom is the length in bytes from which values are compressed. A configuration of 50 routes
+	// has 23 KB, which does not fit into a message, and 4 KB compressed. Without compression each node
+	// would read each change of it from the store.
+	compressFrom = 4 << 10
+	// maxValueBytes is the maximum size of a decompressed value, larger than any record of the store.
+	maxValueBytes = 4 << 20
 )
 
-// toldRecord is a record as it is told.
-type toldRecord struct {
+// relayedRecord is a record in the form in which it is relayed.
+type relayedRecord struct {
 	follow.Record
-	// Deflated is the value compressed by DEFLATE, in place of it.
+	// Deflated is the value compressed with DEFLATE. If set, Value is nil.
 	Deflated []byte `json:"deflated,omitempty"`
 }
 
-// told returns a record as it is told: with its value compressed where that is long.
-func told(r follow.Record) toldRecord {
-	if len(r.Value) < longValue {
-		return toldRecord{Record: r}
+// newRelayedRecord returns a record in the form in which it is relayed: a long value is compressed.
+func newRelayedRecord(r follow.Record) relayedRecord {
+	if len(r.Value) < compressFrom {
+		return relayedRecord{Record: r}
 	}
 	var buffer bytes.Buffer
 	w, err := flate.NewWriter(&buffer, flate.DefaultCompression)
 	if err != nil {
-		return toldRecord{Record: r} // only for a level that there isn't
+		return relayedRecord{Record: r} // cannot happen: the compression level is valid
 	}
 	if _, err = w.Write(r.Value); err != nil || w.Close() != nil {
-		return toldRecord{Record: r} // never: a buffer takes all
+		return relayedRecord{Record: r} // cannot happen: writes to a buffer do not fail
 	}
 	r.Value = nil
-	return toldRecord{Record: r, Deflated: buffer.Bytes()}
+	return relayedRecord{Record: r, Deflated: buffer.Bytes()}
 }
 
-// bytes returns what the record takes in an answer.
-func (r *toldRecord) bytes() int {
-	return len(r.Key) + base64.StdEncoding.EncodedLen(len(r.Value)+len(r.Deflated)) + recordBytes
+// encodedSize returns the record's approximate size in a response, in bytes.
+func (r *relayedRecord) encodedSize() int {
+	return len(r.Key) + base64.StdEncoding.EncodedLen(len(r.Value)+len(r.Deflated)) + recordOverhead
 }
 
-// whole returns the record with its value.
-func (r *toldRecord) whole() (follow.Record, error) {
+// decompress returns the record with its decompressed value. It fails for invalid or oversized values.
+func (r *relayedRecord) decompress() (follow.Record, error) {
 	if len(r.Deflated) == 0 {
 		return r.Record, nil
 	}
 	if r.Value != nil {
-		return follow.Record{}, eris.Errorf("the record %q has two values", r.Key)
+		return follow.Record{}, eris.Errorf("record %q has both a value and a compressed value", r.Key)
 	}
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Deflated)), mostValue+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Deflated)), maxValueBytes+1))
 	if err != nil {
-		return follow.Record{}, eris.Wrapf(err, "decompress the record %q", r.Key)
+		return follow.Record{}, eris.Wrapf(err, "decompress record %q", r.Key)
 	}
-	if len(value) > mostValue {
-		return follow.Record{}, eris.Errorf("the record %q is longer than %d bytes", r.Key, mostValue)
+	if len(value) > maxValueBytes {
+		return follow.Record{}, eris.Errorf("value of record %q exceeds %d bytes", r.Key, maxValueBytes)
 	}
-	whole := r.Record
-	whole.Value = value
-	return whole, nil
+	record := r.Record
+	record.Value = value
+	return record, nil
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,8 +16,8 @@
 	"github.com/cherryward/cherryward/internal/follow"
 )
 
-// relayOf returns a relay that runs, with a copy of the topic t if there is one.
-func relayOf(t *testing.T, c *Copy) (*Relay, netip.AddrPort) {
+// startRelay starts a relay and returns it with its address. If c is not nil, it serves topic "t" from c.
+func startRelay(t *testing.T, c *Copy) (*Relay, netip.AddrPort) {
 	t.Helper()
 	conn, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
@@ -30,24 +30,24 @@
 	return r, netip.MustParseAddrPort(conn.Addr())
 }
 
-// TestAsksAnotherNode reads from a copy, and from the store where the copy is too old,
-// too long or not there.
-func TestAsksAnotherNode(t *testing.T) {
-	long := filled(time.Now())
-	long.Apply(follow.Batch{Records: []follow.Record{record("long", noise(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
-	old := filled(time.Now().Add(-MaxAge))
-	young := filled(time.Now().Add(-time.Second))
-	young.Apply(follow.Batch{Records: []follow.Record{record("b", "z", 10)}, Next: 11, ConfirmedAt: time.Now().Add(-time.Second)})
+// TestReadsFromAnotherNode checks that a topic is read from a copy, and from the store if the copy is too
+// old, its records are too long or there is no copy.
+func TestReadsFromAnotherNode(t *testing.T) {
+	long := filledCopy(time.Now())
+	long.Apply(follow.Batch{Records: []follow.Record{record("long", randomText(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
+	old := filledCopy(time.Now().Add(-MaxAge))
+	recent := filledCopy(time.Now().Add(-time.Second))
+	recent.Apply(follow.Batch{Records: []follow.Record{record("b", "z", 10)}, Next: 11, ConfirmedAt: time.Now().Add(-time.Second)})
 	for _, tc := range []struct {
 		name    string
 		copy    *Copy
 		relayed bool
-	}{{"young", young, true}, {"old", old, false}, {"too long", long, false}, {"not there", nil, false}} {
+	}{{"young", recent, true}, {"old", old, false}, {"too long", long, false}, {"not there", nil, false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			own, _ := relayOf(t, nil)
-			_, reader := relayOf(t, tc.copy)
+			own, _ := startRelay(t, nil)
+			_, reader := startRelay(t, tc.copy)
 			store := &storeTopic{}
-			topic := &Topic{Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Readers: func() []netip.AddrPort { return []netip.AddrPort{reader} }, Backups: none}
+			topic := &Topic{Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Readers: func() []netip.AddrPort { return []netip.AddrPort{reader} }, Backups: noNodes}
 			page, err := topic.Read(t.Context(), 10, 0)
 			must.NoError(t, err)
 			test.Eq(t, tc.relayed, topic.Relayed())
@@ -62,43 +62,43 @@
 	}
 }
 
-// none are no nodes to ask.
-func none() []netip.AddrPort { return nil }
+// noNodes returns no nodes.
+func noNodes() []netip.AddrPort { return nil }
 
-// TestAsksABackup reads from a node that the store serves where it serves this one not,
-// and reports the store's own error where that one can't tell either.
-func TestAsksABackup(t *testing.T) {
-	own, _ := relayOf(t, nil)
-	_, cutOff := relayOf(t, filled(time.Now().Add(-MaxAge)))
-	_, served := relayOf(t, filled(time.Now()))
+// TestReadsFromBackup checks that a topic is read from a backup if this node cannot reach the store, and
+// that the store's error is returned if the backup fails too.
+func TestReadsFromBackup(t *testing.T) {
+	own, _ := startRelay(t, nil)
+	_, stale := startRelay(t, filledCopy(time.Now().Add(-MaxAge)))
+	_, served := startRelay(t, filledCopy(time.Now()))
 	store := &storeTopic{}
-	topic := &Topic{Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Readers: none, Backups: func() []netip.AddrPort { return []netip.AddrPort{cutOff, served} }}
+	topic := &Topic{Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Readers: noNodes, Backups: func() []netip.AddrPort { return []netip.AddrPort{stale, served} }}
 	_, err := topic.Read(t.Context(), 10, 0)
 	must.NoError(t, err)
-	test.False(t, topic.Relayed(), test.Sprint("the store answers"))
+	test.False(t, topic.Relayed(), test.Sprint("the store responds"))
 
-	store.away = true
+	store.unavailable = true
 	_, err = topic.Read(t.Context(), 10, 0)
-	test.ErrorIs(t, err, errAway)
+	test.ErrorIs(t, err, errUnavailable)
 	_, err = topic.Read(t.Context(), 10, 0)
 	test.NoError(t, err)
 	test.True(t, topic.Relayed())
 
-	store.away = false
+	store.unavailable = false
 	_, err = topic.Read(t.Context(), 10, 0)
 	must.NoError(t, err)
-	test.False(t, topic.Relayed(), test.Sprint("the store is back"))
+	test.False(t, topic.Relayed(), test.Sprint("the store is available again"))
 }
 
-// TestStoreThatFailsIsAskedSeldom has a node whose readers can't tell leave a store that
-// failed alone for a while.
-func TestStoreThatFailsIsAskedSeldom(t *testing.T) {
-	own, _ := relayOf(t, nil)
-	_, bad := relayOf(t, filled(time.Now().Add(-MaxAge)))
-	store := &storeTopic{away: true}
+// TestFallbackInterval checks that a node whose reader's copy is too old does not read a failed store again
+// before the fallback interval has passed.
+func TestFallbackInterval(t *testing.T) {
+	own, _ := startRelay(t, nil)
+	_, bad := startRelay(t, filledCopy(time.Now().Add(-MaxAge)))
+	store := &storeTopic{unavailable: true}
 	pause := time.Hour
 	topic := &Topic{
-		Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Backups: none,
+		Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Backups: noNodes,
 		Readers: func() []netip.AddrPort { return []netip.AddrPort{bad} }, Fallback: func() time.Duration { return pause },
 	}
 	for range 5 {
@@ -106,90 +106,90 @@
 		test.Error(t, err)
 	}
 	test.Eq(t, 1, store.reads)
-	_, served := relayOf(t, filled(time.Now()))
+	_, served := startRelay(t, filledCopy(time.Now()))
 	topic.Backups = func() []netip.AddrPort { return []netip.AddrPort{served} }
 	_, err := topic.Read(t.Context(), 10, 0)
-	test.NoError(t, err, test.Sprint("a node that reads the store is asked meanwhile"))
+	test.NoError(t, err, test.Sprint("backups are read in the meantime"))
 	test.Eq(t, 1, store.reads)
-	topic.Backups = none
-	pause, store.away = 0, false
+	topic.Backups = noNodes
+	pause, store.unavailable = 0, false
 	_, err = topic.Read(t.Context(), 10, 0)
 	test.NoError(t, err)
 }
 
-// patientTopic reads from one reader, and leaves a store that failed alone for an hour where it may.
-func patientTopic(own *Relay, store *storeTopic, reader netip.AddrPort) *Topic {
+// topicWithFallback returns a topic with one reader and a fallback interval of an hour.
+func topicWithFallback(own *Relay, store *storeTopic, reader netip.AddrPort) *Topic {
 	return &Topic{
-		Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Backups: none,
+		Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Backups: noNodes,
 		Readers: func() []netip.AddrPort { return []netip.AddrPort{reader} }, Fallback: func() time.Duration { return time.Hour },
 	}
 }
 
-// TestStoreIsAskedWhereReadersCantTell has a node that was cut off ask the store at once when
-// its readers answer again, but hold nothing so old, as the topic was compacted meanwhile.
-func TestStoreIsAskedWhereReadersCantTell(t *testing.T) {
-	own, _ := relayOf(t, nil)
-	_, reader := relayOf(t, filled(time.Now()))
-	store := &storeTopic{away: true}
-	topic := patientTopic(own, store, reader)
+// TestStoreIsReadIfReadersLackRecords checks that the store is read immediately if the readers respond but
+// no longer have the requested records, because the topic was compacted while this node was cut off.
+func TestStoreIsReadIfReadersLackRecords(t *testing.T) {
+	own, _ := startRelay(t, nil)
+	_, reader := startRelay(t, filledCopy(time.Now()))
+	store := &storeTopic{unavailable: true}
+	topic := topicWithFallback(own, store, reader)
 	_, err := topic.Read(t.Context(), 5, 0)
-	test.ErrorIs(t, err, errAway)
-	store.away = false
+	test.ErrorIs(t, err, errUnavailable)
+	store.unavailable = false
 	_, err = topic.Read(t.Context(), 5, 0)
 	test.NoError(t, err)
 }
 
-// TestStoreIsAskedForLongRecords plays an outage in which a record came that is too long for a
-// message between nodes, as a configuration of a hundred routes is: after it the store is
-// asked at once, however long it is left alone else.
-func TestStoreIsAskedForLongRecords(t *testing.T) {
-	own, _ := relayOf(t, nil)
-	held := filled(time.Now())
-	held.Apply(follow.Batch{Records: []follow.Record{record("config", noise(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
-	_, reader := relayOf(t, held)
-	store := &storeTopic{away: true}
-	topic := patientTopic(own, store, reader)
+// TestStoreIsReadForLongRecords simulates a record that arrives during an outage and is too long for a
+// message between nodes, such as a configuration of a hundred routes. After the outage the store must be
+// read immediately, regardless of the fallback interval.
+func TestStoreIsReadForLongRecords(t *testing.T) {
+	own, _ := startRelay(t, nil)
+	source := filledCopy(time.Now())
+	source.Apply(follow.Batch{Records: []follow.Record{record("config", randomText(datagram.MaxBytes), 10)}, Next: 11, ConfirmedAt: time.Now()})
+	_, reader := startRelay(t, source)
+	store := &storeTopic{unavailable: true}
+	topic := topicWithFallback(own, store, reader)
 	_, err := topic.Read(t.Context(), 10, 0)
-	test.ErrorIs(t, err, errAway)
-	store.away = false
+	test.ErrorIs(t, err, errUnavailable)
+	store.unavailable = false
 	_, err = topic.Read(t.Context(), 10, 0)
 	test.NoError(t, err)
 }
 
-// TestStoreIsAskedWhereReadersAreSilent has a node that was cut off from its readers and the
-// store ask the store as soon as it may answer.
-func TestStoreIsAskedWhereReadersAreSilent(t *testing.T) {
-	own, _ := relayOf(t, nil)
+// TestStoreIsReadIfReadersAreSilent checks that a node that was cut off from its readers and the store reads
+// the store again at the next read.
+func TestStoreIsReadIfReadersAreSilent(t *testing.T) {
+	own, _ := startRelay(t, nil)
 	silent := netip.MustParseAddrPort("127.0.0.1:9")
-	store := &storeTopic{away: true}
-	topic := patientTopic(own, store, silent)
+	store := &storeTopic{unavailable: true}
+	topic := topicWithFallback(own, store, silent)
 	_, err := topic.Read(t.Context(), 10, 0)
-	test.ErrorIs(t, err, errAway)
-	store.away = false
+	test.ErrorIs(t, err, errUnavailable)
+	store.unavailable = false
 	_, err = topic.Read(t.Context(), 10, 0)
 	test.NoError(t, err)
 }
 
-// TestTurnsToAnotherReader asks the next reader after one that failed, and the store
-// meanwhile.
-func TestTurnsToAnotherReader(t *testing.T) {
-	own, _ := relayOf(t, nil)
-	_, bad := relayOf(t, nil)
-	_, good := relayOf(t, filled(time.Now()))
-	store := &storeTopic{away: true}
-	topic := &Topic{Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Readers: func() []netip.AddrPort { return []netip.AddrPort{bad, good} }, Backups: none}
+// TestSwitchesToAnotherReader checks that after a reader fails, the current read goes to the store and the
+// next one to another reader.
+func TestSwitchesToAnotherReader(t *testing.T) {
+	own, _ := startRelay(t, nil)
+	_, bad := startRelay(t, nil)
+	_, good := startRelay(t, filledCopy(time.Now()))
+	store := &storeTopic{unavailable: true}
+	topic := &Topic{Name: "t", Store: store, Relay: own, Log: zerolog.Nop(), Readers: func() []netip.AddrPort { return []netip.AddrPort{bad, good} }, Backups: noNodes}
 	_, err := topic.Read(t.Context(), 10, 0)
-	test.ErrorIs(t, err, errAway)
+	test.ErrorIs(t, err, errUnavailable)
 	_, err = topic.Read(t.Context(), 10, 0)
 	test.NoError(t, err)
 	test.Eq(t, 1, store.reads)
 }
 
-// TestProofOfACopy plays a follower that asks a copy: at each moment the time of its
-// confirmation is not later than the copy's.
-func TestProofOfACopy(t *testing.T) {
+// TestConfirmedAtOfRelayedCopy checks that a follower that reads from a copy never has a later ConfirmedAt
+// than the copy.
+func TestConfirmedAtOfRelayedCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reader := &Copy{Sink: drop{}}
+		reader := &Copy{Sink: discardSink{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		seen := &lastConfirmed{}
@@ -203,7 +203,7 @@
 		go func() { done <- f.Run(ctx) }()
 		for i := range 200 {
 			time.Sleep(70 * time.Millisecond)
-			if i%13 == 0 && (i < 60 || i > 120) { // the reader loses the store for 4 s
+			if i%13 == 0 && (i < 60 || i > 120) { // the reader cannot reach the store for 4 s
 				confirmedAt = time.Now().Add(-30 * time.Millisecond)
 				reader.Apply(follow.Batch{Next: 10, ConfirmedAt: confirmedAt})
 			}
@@ -215,7 +215,7 @@
 	})
 }
 
-// slowCopy is a copy whose answers take long in both directions.
+// slowCopy is a copy with long delays of requests and responses.
 type slowCopy struct{ *Copy }
 
 func (c slowCopy) Newest(context.Context) (follow.Page, error) {
@@ -224,13 +224,13 @@
 
 func (c slowCopy) Read(_ context.Context, from int64, _ time.Duration) (follow.Page, error) {
 	time.Sleep(300 * time.Millisecond)
-	p, err := c.Since(from, answerBytes)
+	p, err := c.Since(from, maxRecordBytes)
 	page := follow.Page{Next: p.next, Age: p.age}
 	time.Sleep(700 * time.Millisecond)
 	return page, err
 }
 
-// lastConfirmed keeps the latest time at which the state was confirmed.
+// lastConfirmed stores the latest ConfirmedAt.
 type lastConfirmed struct {
 	mu          sync.Mutex
 	confirmedAt time.Time
--- a/internal/relay/topic.go
+++ b/internal/relay/topic.go
@@ -17,158 +17,159 @@
 )
 
 const (
-	// method is the name of the call. It may be repeated. A node of a build that doesn't know of cut
-	// answers must not be answered, as it would take one for whole.
-	method = "node.records"
-	// askTimeout bounds a question to a node, which is a ms away. A small host that is
-	// busy answers within some ten ms.
-	askTimeout = 150 * time.Millisecond
-	// MaxAge is the oldest copy that is believed, unless Topic says otherwise: twice the wait of a
-	// read of the store, which its age is on a calm day, with a margin. An older one has lost the
-	// store.
+	// methodRecords is the name of the method. Calls may be repeated. The name must differ from that of
+	// builds without partial responses, which would treat a partial response as complete.
+	methodRecords = "node.records"
+	// requestTimeout is the timeout of a request to a node. The network delay is about 1 ms, and a small
+	// host under load responds within a few tens of ms.
+	requestTimeout = 150 * time.Millisecond
+	// MaxAge is the default maximum age of a copy that is used. It is twice the wait time of a read of
+	// the store, which is the normal age of a copy, plus a margin. An older copy indicates that its node
+	// has lost the connection to the store.
 	MaxAge = 2500 * time.Millisecond
 )
 
 const (
-	// answerBytes bounds the records of one answer, with room for what is around them.
-	answerBytes = datagram.MaxBytes - 1<<10
-	// mostAnswers bounds the answers to one read, far beyond what changes between two.
-	mostAnswers = 32
+	// maxRecordBytes is the maximum size of the records of one response. It leaves room for the rest of
+	// the message.
+	maxRecordBytes = datagram.MaxBytes - 1<<10
+	// maxResponses is the maximum number of responses for one read, far more than the changes between
+	// two reads need.
+	maxResponses = 32
 )
 
-// errOld is returned for a copy that is older than MaxAge.
-var errOld = errors.New("relay: the copy is too old")
+// errStale is returned for a copy that is older than the topic's maximum age.
+var errStale = errors.New("relay: copy is too old")
 
-// question asks for what changed in a topic from an offset on.
-type question struct {
+// recordsRequest requests the changes of a topic at or after an offset.
+type recordsRequest struct {
 	Topic string `json:"topic"`
 	From  int64  `json:"from"`
 }
 
-// answer is what changed.
-type answer struct {
-	Records []toldRecord `json:"records,omitempty"`
-	Next    int64        `json:"next"`
-	AgeUS   int64        `json:"age_us"` // microseconds
-	// More is true where there are more records, from Next on. Such an answer proves nothing: the
-	// last one does, for all.
+// recordsResponse contains changes of a topic.
+type recordsResponse struct {
+	Records []relayedRecord `json:"records,omitempty"`
+	Next    int64           `json:"next"`
+	AgeUS   int64           `json:"age_us"` // microseconds
+	// More is set if more records follow, starting at Next. Only the last response, without More, confirms
+	// the state.
 	More bool `json:"more,omitempty"`
 }
 
-// Relay answers other nodes' questions for this node's copies.
+// Relay serves other nodes' requests from this node's copies.
 type Relay struct {
 	conn   *datagram.Conn
 	copies map[string]*Copy
 }
 
-// New returns a relay that answers at a connection that doesn't run yet.
+// New returns a relay that serves requests on conn, which must not be running yet.
 func New(conn *datagram.Conn) *Relay {
 	r := &Relay{conn: conn, copies: make(map[string]*Copy)}
-	conn.Handle(method, r.serve)
+	conn.Handle(methodRecords, r.serve)
 	return r
 }
 
-// Serve answers questions for a topic from a copy. It must be called before the
-// connection runs.
+// Serve serves requests for a topic from a copy. It must be called before the connection runs.
 func (r *Relay) Serve(topic string, c *Copy) { r.copies[topic] = c }
 
 func (r *Relay) serve(params json.RawMessage) (any, error) {
-	var q question
+	var q recordsRequest
 	if err := json.Unmarshal(params, &q); err != nil {
-		return nil, eris.Wrap(err, "decode a question")
+		return nil, eris.Wrap(err, "decode records request")
 	}
 	c := r.copies[q.Topic]
 	if c == nil {
 		return nil, eris.Errorf("unknown topic %q", q.Topic)
 	}
-	p, err := c.Since(q.From, answerBytes)
+	p, err := c.Since(q.From, maxRecordBytes)
 	if err != nil {
 		return nil, err
 	}
-	return answer{Records: p.records, Next: p.next, AgeUS: p.age.Microseconds(), More: p.more}, nil
+	return recordsResponse{Records: p.records, Next: p.next, AgeUS: p.age.Microseconds(), More: p.more}, nil
 }
 
-// Topic is a topic that is read from other nodes' copies where there are any, from the
-// store else or if they fail, and from backups' copies if the store fails, too.
+// Topic is a topic that is read from other nodes' copies if there are any. If there are none or they
+// fail, it is read from the store, and if the store fails too, from backups' copies.
 type Topic struct {
 	Name  string
 	Store follow.Topic
 	Relay *Relay
-	// Readers are the nodes that read the store. None means that this node does.
+	// Readers returns the nodes that read the store. If it returns none, this node reads the store.
 	Readers func() []netip.AddrPort
-	// Backups are nodes that read the store themselves. One is asked where the store does
-	// not answer this node: it may serve others.
+	// Backups returns nodes that read the store themselves. They may still reach the store when this node
+	// does not.
 	Backups func() []netip.AddrPort
-	// Fallback returns the time between two reads of the store that fail, at a node whose
-	// reader tells that its own copy is old: it will tell when the store is back. Nil means
-	// none.
+	// Fallback returns the minimum time between failed reads of the store while the reader responds that
+	// its own copy is too old. The reader's copy becomes current again when the store is available. If
+	// nil, the store is read each time.
 	Fallback func() time.Duration
-	// MaxAge is the oldest copy that is believed where reads wait longer; 0 for the package's.
+	// MaxAge is the maximum age of a copy that is used, for topics whose reads wait longer. 0 means the
+	// package's MaxAge.
 	MaxAge time.Duration
 	Log    zerolog.Logger
 
-	turn    int       // the reader or backup that is asked
-	failed  time.Time // when the store failed last
-	relayed atomic.Bool
+	nodeIndex     int       // index of the reader or backup to use
+	storeFailedAt time.Time // time of the last failed read of the store
+	relayed       atomic.Bool
 }
 
 var _ follow.Topic = (*Topic)(nil)
 
-// Newest implements follow.Topic. A first read is the store's: it is long.
+// Newest implements follow.Topic. It always reads the store, because the first page is long.
 func (t *Topic) Newest(ctx context.Context) (follow.Page, error) { return t.Store.Newest(ctx) }
 
 // Read implements follow.Topic.
 func (t *Topic) Read(ctx context.Context, from int64, wait time.Duration) (follow.Page, error) {
 	readers := t.Readers()
 	if len(readers) > 0 {
-		page, err := t.askNext(ctx, readers, from)
-		t.note(err == nil, err)
+		page, err := t.readFromNext(ctx, readers, from)
+		t.setRelayed(err == nil, err)
 		if err == nil {
 			return page, nil
 		}
-		if errors.Is(err, errOld) && t.Fallback != nil && time.Since(t.failed) < t.Fallback() {
+		if errors.Is(err, errStale) && t.Fallback != nil && time.Since(t.storeFailedAt) < t.Fallback() {
 			return t.readBackup(ctx, from, err)
 		}
 	}
 	page, err := t.Store.Read(ctx, from, wait)
 	if err == nil || errors.Is(err, follow.ErrCompacted) {
-		t.note(false, nil)
+		t.setRelayed(false, nil)
 		return page, err
 	}
-	t.failed = time.Now()
+	t.storeFailedAt = time.Now()
 	return t.readBackup(ctx, from, err)
 }
 
-// readBackup reads from a node that may reach the store, after this one failed with cause.
-// Without one the cause stands.
+// readBackup reads from a backup after this node's read failed with cause. It returns cause if there is no
+// backup or the backup fails.
 func (t *Topic) readBackup(ctx context.Context, from int64, cause error) (follow.Page, error) {
 	backups := t.Backups()
 	if len(backups) == 0 {
-		t.note(false, cause)
+		t.setRelayed(false, cause)
 		return follow.Page{}, cause
 	}
-	page, err := t.askNext(ctx, backups, from)
-	t.note(err == nil, cause)
+	page, err := t.readFromNext(ctx, backups, from)
+	t.setRelayed(err == nil, cause)
 	if err != nil {
 		return follow.Page{}, cause
 	}
 	return page, nil
 }
 
-// askNext asks the node whose turn it is, and leaves the next question to another one where
-// it fails.
-func (t *Topic) askNext(ctx context.Context, nodes []netip.AddrPort, from int64) (follow.Page, error) {
-	page, err := t.ask(ctx, nodes[t.turn%len(nodes)], from)
+// readFromNext reads from the current node and switches to the next one if that fails.
+func (t *Topic) readFromNext(ctx context.Context, nodes []netip.AddrPort, from int64) (follow.Page, error) {
+	page, err := t.readFrom(ctx, nodes[t.nodeIndex%len(nodes)], from)
 	if err != nil {
-		t.turn++
+		t.nodeIndex++
 	}
 	return page, err
 }
 
-// Relayed reports whether the newest read was answered by another node.
+// Relayed reports whether the latest read was served by another node.
 func (t *Topic) Relayed() bool { return t.relayed.Load() }
 
-// maxAge returns the oldest copy that is believed.
+// maxAge returns the maximum age of a copy that is used.
 func (t *Topic) maxAge() time.Duration {
 	if t.MaxAge > 0 {
 		return t.MaxAge
@@ -176,43 +177,43 @@
 	return MaxAge
 }
 
-// note logs where the topic is read from, when that changes.
-func (t *Topic) note(relayed bool, cause error) {
+// setRelayed records whether the topic is read from another node and logs changes.
+func (t *Topic) setRelayed(relayed bool, cause error) {
 	if t.relayed.Swap(relayed) != relayed {
 		t.Log.Info().Str("event", "topic_source").Str("topic", t.Name).Bool("relayed", relayed).AnErr("cause", cause).Send()
 	}
 }
 
-// ask asks one node, as often as its answers are cut.
+// readFrom reads from one node until a response is complete.
 //
-// A long answer comes in several, as at a common start of a large system each node would ask the store for
-// it else.
-func (t *Topic) ask(ctx context.Context, reader netip.AddrPort, from int64) (follow.Page, error) {
-	var whole follow.Page
-	for range mostAnswers {
-		page, more, err := t.askOnce(ctx, reader, from)
+// Long results are split over several responses. Otherwise, when all nodes of a large system start at the
+// same time, each of them would read such results from the store.
+func (t *Topic) readFrom(ctx context.Context, reader netip.AddrPort, from int64) (follow.Page, error) {
+	var result follow.Page
+	for range maxResponses {
+		page, more, err := t.readOnce(ctx, reader, from)
 		if err != nil {
 			return follow.Page{}, err
 		}
-		whole = follow.Page{Records: append(whole.Records, page.Records...), Next: page.Next, Age: page.Age}
+		result = follow.Page{Records: append(result.Records, page.Records...), Next: page.Next, Age: page.Age}
 		if !more {
-			return whole, nil
+			return result, nil
 		}
 		from = page.Next
 	}
-	return follow.Page{}, eris.Wrapf(ErrUnknown, "more than %d answers", mostAnswers)
+	return follow.Page{}, eris.Wrapf(ErrUnknown, "result exceeds %d responses", maxResponses)
 }
 
-func (t *Topic) askOnce(ctx context.Context, reader netip.AddrPort, from int64) (page follow.Page, more bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (t *Topic) readOnce(ctx context.Context, reader netip.AddrPort, from int64) (page follow.Page, more bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	var a answer
-	err = t.Relay.conn.Call(ctx, reader, method, question{Topic: t.Name, From: from}, &a)
-	var refused *jsonrpc2.Error
-	if errors.As(err, &refused) {
-		// It is there, but can't tell, as after the topic was compacted, or where a record is
-		// too long for a message: only the store can.
-		return follow.Page{}, false, eris.Wrap(ErrUnknown, refused.Message)
+	var a recordsResponse
+	err = t.Relay.conn.Call(ctx, reader, methodRecords, recordsRequest{Topic: t.Name, From: from}, &a)
+	var rpcErr *jsonrpc2.Error
+	if errors.As(err, &rpcErr) {
+		// The node is available but does not have the records, for example because the topic was
+		// compacted, or a record is too long for a message. Only the store can return them.
+		return follow.Page{}, false, eris.Wrap(ErrUnknown, rpcErr.Message)
 	}
 	if err != nil {
 		return follow.Page{}, false, err
@@ -221,26 +222,26 @@
 	return page, a.More, err
 }
 
-// page returns what an answer to a question from an offset on tells. What can't be an answer is
-// refused: an age before the question or beyond the range of durations would make the copy
-// fresher than it is, and offsets out of range would have records passed over.
-func (a *answer) page(from int64, most time.Duration) (follow.Page, error) {
+// page validates a response to a request from an offset and converts it to a page. Ages that are negative
+// or exceed the range of durations would make the copy appear more recent than it is. Offsets out of range
+// would cause records to be skipped.
+func (a *recordsResponse) page(from int64, maxAge time.Duration) (follow.Page, error) {
 	if a.AgeUS < 0 || a.Next < 0 || a.More && a.Next <= from {
-		return follow.Page{}, eris.Errorf("an answer of age %d µs up to offset %d", a.AgeUS, a.Next)
+		return follow.Page{}, eris.Errorf("invalid response: age %d µs, next offset %d", a.AgeUS, a.Next)
 	}
-	if a.AgeUS >= most.Microseconds() {
-		return follow.Page{}, eris.Wrapf(errOld, "%d µs", a.AgeUS)
+	if a.AgeUS >= maxAge.Microseconds() {
+		return follow.Page{}, eris.Wrapf(errStale, "age %d µs", a.AgeUS)
 	}
 	page := follow.Page{Next: a.Next, Age: time.Duration(a.AgeUS+1) * time.Microsecond}
 	for i := range a.Records {
 		if offset := a.Records[i].Offset; offset < from || offset >= a.Next {
-			return follow.Page{}, eris.Errorf("a record at offset %d from %d to %d", offset, from, a.Next)
+			return follow.Page{}, eris.Errorf("record offset %d is not in [%d, %d)", offset, from, a.Next)
 		}
-		whole, err := a.Records[i].whole()
+		record, err := a.Records[i].decompress()
 		if err != nil {
 			return follow.Page{}, err
 		}
-		page.Records = append(page.Records, whole)
+		page.Records = append(page.Records, record)
 	}
 	return page, nil
 }
