--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,8 +1,9 @@
-// Package cluster knows the other nodes of the system: who is a member, who
-// owns what, and how to call it.
+// Package cluster maintains the node's view of the system: its members, the owner of
+// each key, and connections to the other nodes.
 //
-// Ownership follows from the member view alone, so nodes whose views differ may
-// name different owners for a while. No promise to callers rests on it.
+// Ownership is computed from the member view alone, so nodes with different views may
+// temporarily determine different owners. No guarantee to callers depends on a unique
+// owner.
 package cluster
 
 import (
@@ -32,23 +33,23 @@
 
 const methodExchange = "member.exchange"
 
-// Cluster is the node's view of the system. Other services add their peers'
-// methods to Server before it runs.
+// Cluster is the node's view of the system. Other services add their peer methods to
+// Server before Run.
 type Cluster struct {
 	Server  *peers.Server
 	Pool    *peers.Pool
 	Traffic *peers.Traffic
 
-	self    peers.Identity
-	domain  string
-	members *member.List
-	hosts   *logservice.Hosts
-	poll    time.Duration
-	log     zerolog.Logger
-	leaving atomic.Pointer[map[string]bool] // hosts by address; nil before the first list
-	version int64                           // of the list read last; of pollHosts alone
-	owners  *owners
-	listed  atomic.Pointer[rendezvous.Set]
+	self              peers.Identity
+	domain            string
+	members           *member.List
+	hosts             *logservice.Hosts
+	hostsPollInterval time.Duration
+	log               zerolog.Logger
+	leavingHosts      atomic.Pointer[map[string]bool] // leaving hosts by address; nil before the first host list
+	hostsVersion      int64                           // version of the last host list; used only by pollHosts
+	owners            *owners
+	listed            atomic.Pointer[rendezvous.Set]
 
 	mu       sync.Mutex
 	onChange []func()
@@ -59,15 +60,16 @@
 	_ kernel.Runner  = (*Cluster)(nil)
 )
 
-// New opens the peers' listener, so that the node knows its own address, and
-// returns the service. Nothing is served before Run.
+// New opens the listener for peers, which determines the node's own address, and
+// returns the service. No requests are served before Run. It fails if the address
+// cannot be used or the member configuration is invalid.
 func New(s *settings.Settings, config, dial *tls.Config, log zerolog.Logger) (*Cluster, error) {
 	c := &Cluster{
-		Traffic: &peers.Traffic{},
-		domain:  s.Node.FailureDomain,
-		hosts:   logservice.NewHosts(s.Hosts.URL),
-		poll:    time.Duration(s.Hosts.PollInterval),
-		log:     log.With().Str("service", Name).Logger(),
+		Traffic:           &peers.Traffic{},
+		domain:            s.Node.FailureDomain,
+		hosts:             logservice.NewHosts(s.Hosts.URL),
+		hostsPollInterval: time.Duration(s.Hosts.PollInterval),
+		log:               log.With().Str("service", Name).Logger(),
 	}
 	key := []byte(s.Peers.Key)
 	c.Server = peers.NewServer(key, c.Traffic)
@@ -104,8 +106,8 @@
 // Start implements kernel.Service.
 func (c *Cluster) Start(context.Context, *kernel.Kernel) error { return nil }
 
-// Run implements kernel.Runner: it serves peers, gossips, and reads the list of
-// hosts until ctx is done.
+// Run implements kernel.Runner. It serves peers, exchanges membership with them and
+// polls the host list until ctx is done or serving fails.
 func (c *Cluster) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -113,10 +115,10 @@
 	defer cancel()
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- c.Server.Serve() }()
-	wg.Go(func() { _ = c.members.Run(ctx) }) // returns the context's error only
+	wg.Go(func() { _ = c.members.Run(ctx) }) // returns only the context's error
 	wg.Go(func() { c.Pool.Run(ctx) })
 	wg.Go(func() { c.pollHosts(ctx) })
-	wg.Go(func() { c.follow(ctx) })
+	wg.Go(func() { c.followMembers(ctx) })
 	select {
 	case err := <-serveErr:
 		return err
@@ -125,21 +127,22 @@
 	}
 }
 
-// Self returns who this node is to its peers.
+// Self returns this node's identity.
 func (c *Cluster) Self() peers.Identity { return c.self }
 
 // Domain returns this node's failure domain.
 func (c *Cluster) Domain() string { return c.domain }
 
-// Members returns the present view.
+// Members returns the current member view.
 func (c *Cluster) Members() member.View { return c.members.View() }
 
-// Leave tells the peers that this node takes no new work.
+// Leave announces to the peers that this node accepts no new work.
 func (c *Cluster) Leave() { c.members.Leave() }
 
-// HostLeaving tells whether the platform's list has an endpoint's host as leaving.
+// HostLeaving reports whether the platform's host list marks an endpoint's host as
+// leaving.
 func (c *Cluster) HostLeaving(endpoint *pb.Endpoint) bool {
-	leaving := c.leaving.Load()
+	leaving := c.leavingHosts.Load()
 	if leaving == nil || len(*leaving) == 0 {
 		return false
 	}
@@ -147,10 +150,10 @@
 	return err == nil && (*leaving)[base.Host]
 }
 
-// Listed returns the nodes that the platform lists, whether or not they live.
+// Listed returns the nodes on the platform's host list, whether or not they are alive.
 func (c *Cluster) Listed() *rendezvous.Set { return c.listed.Load() }
 
-// OnChange adds a function that is called after the owners may have changed. It
+// OnChange registers a function that is called whenever owners may have changed. f
 // must not block.
 func (c *Cluster) OnChange(f func()) {
 	c.mu.Lock()
@@ -158,9 +161,9 @@
 	c.onChange = append(c.onChange, f)
 }
 
-// follow keeps the owners up to date with the member view. A node that leaves
-// hands over at once, itself included.
-func (c *Cluster) follow(ctx context.Context) {
+// followMembers updates the owners when the member view changes. A leaving node loses
+// its keys immediately, including this node.
+func (c *Cluster) followMembers(ctx context.Context) {
 	views, cancel := c.members.Subscribe()
 	defer cancel()
 	for {
@@ -169,12 +172,12 @@
 			return
 		case view := <-views:
 			c.owners.update(view)
-			c.changed()
+			c.notifyChange()
 		}
 	}
 }
 
-func (c *Cluster) changed() {
+func (c *Cluster) notifyChange() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range c.onChange {
@@ -183,7 +186,7 @@
 }
 
 func (c *Cluster) pollHosts(ctx context.Context) {
-	ticker := time.NewTicker(c.poll)
+	ticker := time.NewTicker(c.hostsPollInterval)
 	defer ticker.Stop()
 	for {
 		c.readHosts(ctx)
@@ -204,10 +207,10 @@
 		c.log.Warn().Str("event", "hosts_unreadable").Err(err).Send()
 		return
 	}
-	if c.leaving.Load() != nil && c.version == list.Version {
+	if c.leavingHosts.Load() != nil && c.hostsVersion == list.Version {
 		return
 	}
-	c.version = list.Version
+	c.hostsVersion = list.Version
 	leaving := make(map[string]bool)
 	roster := make([]member.RosterEntry, 0, len(list.Hosts))
 	var nodes []rendezvous.Node
@@ -220,17 +223,17 @@
 			nodes = append(nodes, rendezvous.Node{ID: h.ID, Weight: 1})
 		}
 	}
-	c.leaving.Store(&leaving)
+	c.leavingHosts.Store(&leaving)
 	c.listed.Store(rendezvous.NewSet(nodes))
 	c.members.SetRoster(roster)
-	c.changed()
+	c.notifyChange()
 }
 
 func (c *Cluster) serveExchange(_ context.Context, _ peers.Identity, req *member.Message) (*member.Message, error) {
 	return c.members.HandleExchange(req), nil
 }
 
-// transport carries the members' exchanges over the peers' connections.
+// transport sends membership exchanges over the connections to peers.
 type transport struct{ c *Cluster }
 
 var _ member.Transport = transport{}
--- a/internal/cluster/owners_test.go
+++ b/internal/cluster/owners_test.go
@@ -16,7 +16,8 @@
 
 const self = "node-0000"
 
-// viewOf has members 0 to n; those for which out returns true take no new work.
+// viewOf returns a view of n members and the nodes among them that accept new work.
+// Members for which out returns true do not.
 func viewOf(n int, out func(i int) bool) (member.View, []rendezvous.Node) {
 	var view member.View
 	var nodes []rendezvous.Node
@@ -32,8 +33,9 @@
 	return view, nodes
 }
 
-// TestOwners changes members and tracked keys at random: every key has the owner
-// that the members' set gives it, and Owned and the changes agree with that.
+// TestOwners changes members and tracked keys at random. Every key must have the owner
+// that rendezvous hashing of the members determines, and Owned and OwnerChanges must be
+// consistent with it.
 func TestOwners(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	o := newOwners(self)
@@ -84,15 +86,15 @@
 	c := &Cluster{}
 	e := &pb.Endpoint{Url: "http://10.0.0.1:80/base"}
 	must.False(t, c.HostLeaving(e))
-	c.leaving.Store(&map[string]bool{"10.0.0.1:80": true})
+	c.leavingHosts.Store(&map[string]bool{"10.0.0.1:80": true})
 	must.True(t, c.HostLeaving(e))
 	must.False(t, c.HostLeaving(&pb.Endpoint{Url: "http://10.0.0.2:80"}))
 	must.False(t, c.HostLeaving(&pb.Endpoint{Url: ":"}))
 }
 
-// BenchmarkOwners gives the cost of ownership at the planned size: a second
-// without changes by looking all endpoints up, the same by their tracked owners,
-// and a member's leaving and return.
+// BenchmarkOwners measures the cost of ownership at the planned size: one check of all
+// endpoints without changes, by lookup and by tracked owners, and the leaving and
+// rejoining of a member.
 func BenchmarkOwners(b *testing.B) {
 	const endpoints = 12_000
 	for _, nodes := range []int{9, 100, 1000} {
@@ -122,7 +124,7 @@
 					_, _, _ = o.owner(name)
 				}
 			}
-			b.ReportMetric(float64(len(o.own)), "owned")
+			b.ReportMetric(float64(len(o.ownedKeys)), "owned")
 		})
 		b.Run(fmt.Sprintf("leave+join/nodes=%d", nodes), func(b *testing.B) {
 			b.ReportAllocs()
