--- a/internal/peers/conn.go
+++ b/internal/peers/conn.go
@@ -13,17 +13,18 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// Traffic counts the bytes of all peers' connections of a node.
+// Traffic counts the bytes on all peer connections of a node and the calls it has made.
 type Traffic struct {
 	Sent, Received, Calls atomic.Uint64
 }
 
-// quiet keeps the library from writing to the process's standard logger.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// silentLogger prevents the library from writing to the standard logger.
+var silentLogger = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
-var errTooMuchBeforeProof = errors.New("peer sent too much before its proof")
+var errPreAuthLimit = errors.New("peer sent too much data before completing the handshake")
 
-// countedConn counts bytes and bounds what may be read before the proof.
+// countedConn counts bytes and limits the number of bytes read before the handshake is
+// complete.
 type countedConn struct {
 	net.Conn
 	traffic   *Traffic
@@ -44,7 +45,7 @@
 	}
 	c.read += n
 	if c.read > preAuthBytes {
-		return 0, errTooMuchBeforeProof
+		return 0, errPreAuthLimit
 	}
 	return n, err
 }
@@ -56,7 +57,7 @@
 	return n, err
 }
 
-// wireError is a result error as it crosses between nodes.
+// wireError is the data of a result error in a JSON-RPC error.
 type wireError struct {
 	RunState     result.RunState `json:"run_state"`
 	Field        string          `json:"field,omitempty"`
@@ -76,7 +77,8 @@
 	return out
 }
 
-// fromWire turns the library's error back into the one that the other node had.
+// fromWire converts a JSON-RPC error to the other node's result error. It returns other
+// errors unchanged.
 func fromWire(err error) error {
 	var rpc *jsonrpc2.Error
 	if !errors.As(err, &rpc) {
@@ -84,7 +86,7 @@
 	}
 	var data wireError
 	if rpc.Data != nil {
-		_ = json.Unmarshal(*rpc.Data, &data) // without data the code's defaults hold
+		_ = json.Unmarshal(*rpc.Data, &data) // invalid data is ignored: the defaults of the code apply
 	}
-	return resultOf(rpc, data)
+	return resultError(rpc, data)
 }
--- a/internal/peers/fuzz_test.go
+++ b/internal/peers/fuzz_test.go
@@ -12,19 +12,19 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// fuzzed is a session with a method that counts its calls.
-func fuzzed() (*session, *int) {
+// newCountingSession returns a session with a method that counts its calls.
+func newCountingSession() (*session, *int) {
 	calls := 0
 	s := newServer()
 	Handle(s, "echo", func(_ context.Context, from Identity, req *echoRequest) (*echoResponse, error) {
 		calls++
 		return &echoResponse{Text: req.Text, From: from.ID}, nil
 	})
-	conn, _ := net.Pipe() // nobody reads it
+	conn, _ := net.Pipe() // the other end is not read
 	return &session{server: s, conn: newCountedConn(conn, &Traffic{})}, &calls
 }
 
-// prove takes a session through the handshake.
+// prove completes the handshake of a session.
 func prove(t *testing.T, s *session) {
 	hello := helloRequest{From: client, Nonce: newNonce()}
 	_, err := s.serve(t.Context(), request(t, methodHello, hello))
@@ -39,10 +39,10 @@
 	return req
 }
 
-// FuzzSession sends a peer's two messages with any method and parameters to a
-// session. Before the proof nothing but the handshake is served, after it the
-// method is called exactly with parameters that decode, and no message makes
-// another hello or proof of it.
+// FuzzSession sends two messages with arbitrary methods and parameters to a session.
+// Before the proof only the handshake may be served. After it the method must be called
+// exactly if the parameters decode, and no message may change the session's identity or
+// repeat the handshake.
 func FuzzSession(f *testing.F) {
 	hello, _ := json.Marshal(helloRequest{From: client, Nonce: newNonce()})
 	f.Add(methodHello, hello, methodProve, []byte(`{"proof":"AAAA"}`))
@@ -52,24 +52,24 @@
 	f.Add("", []byte(`{"Text":"\ud800"}`), "\xff", []byte("\x00"))
 	f.Fuzz(func(t *testing.T, first string, firstParams []byte, second string, secondParams []byte) {
 		messages := []*jsonrpc2.Request{message(first, firstParams), message(second, secondParams)}
-		stranger, calls := fuzzed()
+		unproved, calls := newCountingSession()
 		for _, m := range messages {
-			_, err := stranger.serve(t.Context(), m)
+			_, err := unproved.serve(t.Context(), m)
 			must.True(t, err == nil || result.Is(err, result.PeerKey), must.Sprint(err))
 		}
-		must.False(t, stranger.proved.Load())
-		must.False(t, stranger.conn.unlimited.Load())
+		must.False(t, unproved.proved.Load())
+		must.False(t, unproved.conn.unlimited.Load())
 		must.Eq(t, 0, *calls)
 
-		peer, calls := fuzzed()
+		peer, calls := newCountingSession()
 		prove(t, peer)
 		for _, m := range messages {
 			before := *calls
 			reply, err := peer.serve(t.Context(), m)
 			var want echoRequest
-			good := m.Method == "echo" && m.Params != nil && json.Unmarshal(*m.Params, &want) == nil
-			must.Eq(t, good, *calls > before)
-			if good {
+			valid := m.Method == "echo" && m.Params != nil && json.Unmarshal(*m.Params, &want) == nil
+			must.Eq(t, valid, *calls > before)
+			if valid {
 				must.NoError(t, err)
 				must.Eq(t, any(&echoResponse{Text: want.Text, From: client.ID}), reply)
 			} else {
@@ -80,7 +80,7 @@
 	})
 }
 
-// message has no parameters where there are no bytes.
+// message returns a request, without parameters if params is empty.
 func message(method string, params []byte) *jsonrpc2.Request {
 	req := &jsonrpc2.Request{Method: method}
 	if len(params) > 0 {
--- a/internal/peers/handshake.go
+++ b/internal/peers/handshake.go
@@ -34,7 +34,8 @@
 
 type proveResponse struct{}
 
-// transcript is what both ends know after the hello.
+// transcript contains the identities and nonces that both ends have exchanged with the
+// hello.
 type transcript struct {
 	client, server           Identity
 	clientNonce, serverNonce []byte
@@ -42,12 +43,13 @@
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	rand.Read(nonce) // never fails, by its documentation
+	rand.Read(nonce) // documented to never return an error
 	return nonce
 }
 
-// proof is the HMAC-SHA256 of the transcript under the shared key. The role
-// keeps one end's proof from being sent back as the other's.
+// proof returns the HMAC-SHA256 of the role and the transcript under the shared key.
+// Including the role prevents one end from sending back the other end's proof as its
+// own.
 func (t *transcript) proof(key []byte, role string) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-func serve(t *testing.T) string {
+func startServer(t *testing.T) string {
 	t.Helper()
 	s := newServer()
 	Handle(s, "echo", func(_ context.Context, from Identity, req *echoRequest) (*echoResponse, error) {
@@ -45,7 +45,7 @@
 }
 
 func TestCall(t *testing.T) {
-	addr := serve(t)
+	addr := startServer(t)
 	pool := NewPool(client, key, nil, &Traffic{})
 	resp, err := Call[echoRequest, echoResponse](t.Context(), pool, addr, "echo", &echoRequest{Text: "hi"})
 	must.NoError(t, err)
@@ -56,7 +56,7 @@
 }
 
 func TestCallCarriesResultCodes(t *testing.T) {
-	addr := serve(t)
+	addr := startServer(t)
 	pool := NewPool(client, key, nil, &Traffic{})
 	_, err := Call[echoRequest, echoResponse](t.Context(), pool, addr, "echo", &echoRequest{})
 	e := result.From(err)
@@ -69,20 +69,21 @@
 }
 
 func TestHandshakeRefusesAnotherKey(t *testing.T) {
-	addr := serve(t)
+	addr := startServer(t)
 	pool := NewPool(client, []byte("another key here"), nil, &Traffic{})
 	_, err := Call[echoRequest, echoResponse](t.Context(), pool, addr, "echo", &echoRequest{Text: "hi"})
 	must.True(t, IsNotSent(err))
 	must.Eq(t, result.PeerKey, result.From(err).Code)
 }
 
-// A client that skips the proof, or replays the server's own proof, gets nothing.
-func TestServerRefusesWithoutProof(t *testing.T) {
-	addr := serve(t)
+// A client that skips the proof, or sends back the server's own proof, must be
+// rejected.
+func TestServerRejectsMissingProof(t *testing.T) {
+	addr := startServer(t)
 	dial := func() *jsonrpc2.Conn {
 		raw, err := net.Dial("tcp", addr)
 		must.NoError(t, err)
-		return jsonrpc2.NewConn(t.Context(), jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{}), refuseCalls{}, quiet)
+		return jsonrpc2.NewConn(t.Context(), jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{}), refuseCalls{}, silentLogger)
 	}
 	conn := dial()
 	must.Error(t, conn.Call(t.Context(), "echo", echoRequest{Text: "hi"}, &echoResponse{}))
@@ -93,11 +94,11 @@
 	must.Error(t, conn.Call(t.Context(), methodProve, proveRequest{Proof: hello.Proof}, &proveResponse{}))
 }
 
-func TestConnectionIsCutBeforeProofWhenItSendsTooMuch(t *testing.T) {
-	raw, err := net.Dial("tcp", serve(t))
+func TestConnectionIsClosedAtPreAuthLimit(t *testing.T) {
+	raw, err := net.Dial("tcp", startServer(t))
 	must.NoError(t, err)
-	junk := make([]byte, 2*preAuthBytes)
-	_, _ = raw.Write(append([]byte{0xff, 0xff, 0xff, 0x7f}, junk...))
+	data := make([]byte, 2*preAuthBytes)
+	_, _ = raw.Write(append([]byte{0xff, 0xff, 0xff, 0x7f}, data...))
 	must.NoError(t, raw.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = raw.Read(make([]byte, 1))
 	var timeout net.Error
@@ -128,28 +129,28 @@
 	}
 	must.NoError(t, call())
 	must.NoError(t, s.Close())
-	<-pool.slots[addr.String()].link.conn.DisconnectNotify()
+	<-pool.slots[addr.String()].peer.conn.DisconnectNotify()
 	must.True(t, IsNotSent(call()))
 
-	again := newServer()
-	Handle(again, "echo", func(_ context.Context, _ Identity, req *echoRequest) (*echoResponse, error) {
+	restarted := newServer()
+	Handle(restarted, "echo", func(_ context.Context, _ Identity, req *echoRequest) (*echoResponse, error) {
 		return &echoResponse{Text: req.Text}, nil
 	})
-	_, err = again.Listen(addr.String(), nil)
+	_, err = restarted.Listen(addr.String(), nil)
 	must.NoError(t, err)
-	go func() { _ = again.Serve() }()
-	t.Cleanup(func() { _ = again.Close() })
+	go func() { _ = restarted.Serve() }()
+	t.Cleanup(func() { _ = restarted.Close() })
 	must.NoError(t, call())
 }
 
 func FuzzHello(f *testing.F) {
-	good, _ := json.Marshal(helloRequest{From: client, Nonce: newNonce()})
-	f.Add(good)
+	valid, _ := json.Marshal(helloRequest{From: client, Nonce: newNonce()})
+	f.Add(valid)
 	f.Add([]byte(`{"nonce":"AAAA"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := &session{server: newServer()}
 		if _, err := s.serveHello(data); err == nil && s.proved.Load() {
-			t.Fatal("a hello alone proved the key")
+			t.Fatal("session is proved after a hello without a proof")
 		}
 	})
 }
--- a/internal/peers/pool.go
+++ b/internal/peers/pool.go
@@ -16,8 +16,8 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// NotSentError wraps the cause of a call that certainly did not reach the other
-// node: the connection could not be made. Repeating the call is safe.
+// NotSentError is returned for a call that did not reach the other node because no
+// connection could be made. The call may be repeated.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
@@ -26,7 +26,7 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// Pool makes and keeps connections to other nodes, one for each address.
+// Pool opens and caches connections to other nodes, one per address.
 type Pool struct {
 	self    Identity
 	key     []byte
@@ -37,16 +37,16 @@
 	slots map[string]*slot
 }
 
-// NewPool returns a pool without connections. A nil config dials without TLS.
+// NewPool returns a pool without connections. If config is nil, it dials without TLS.
 func NewPool(self Identity, key []byte, config *tls.Config, traffic *Traffic) *Pool {
 	return &Pool{self: self, key: key, tls: config, traffic: traffic, slots: make(map[string]*slot)}
 }
 
-// Call calls a method of the node at addr. Errors that the node answered with
-// carry its result code; *NotSentError means the call did not reach it; any
-// other error leaves that open.
+// Call calls a method of the node at addr. If the node responds with an error, Call
+// returns an error with the same result code. *NotSentError means that the call did not
+// reach the node. After any other error it may have reached the node.
 func Call[Req, Resp any](ctx context.Context, p *Pool, addr, method string, req *Req) (*Resp, error) {
-	l, err := p.connect(ctx, addr)
+	l, err := p.acquire(ctx, addr)
 	if err != nil {
 		return nil, &NotSentError{Cause: err}
 	}
@@ -59,8 +59,8 @@
 	return resp, nil
 }
 
-// CallOrServe calls a method of a node as Call does. Where that node is this one,
-// it calls serve, the function that Handle was given for the method.
+// CallOrServe calls a method of a node like Call. If the node is this one, it calls
+// serve directly, which must be the method's function passed to Handle.
 func CallOrServe[Req, Resp any](ctx context.Context, p *Pool, node, addr, method string, req *Req, serve func(context.Context, Identity, *Req) (*Resp, error)) (*Resp, error) {
 	if node == p.self.ID {
 		return serve(ctx, p.self, req)
@@ -68,9 +68,10 @@
 	return Call[Req, Resp](ctx, p, addr, method, req)
 }
 
-// Identity connects to addr where needed and returns who answers there.
+// Identity returns the identity of the node at addr. It connects to the node if
+// necessary.
 func (p *Pool) Identity(ctx context.Context, addr string) (Identity, error) {
-	l, err := p.connect(ctx, addr)
+	l, err := p.acquire(ctx, addr)
 	if err != nil {
 		return Identity{}, err
 	}
@@ -78,8 +79,8 @@
 	return l.peer, nil
 }
 
-// Run closes connections that have not been used for a while and carry no call,
-// until ctx is done; then it closes all.
+// Run periodically closes idle connections. When ctx is done, it closes all connections
+// and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -105,17 +106,17 @@
 	return s
 }
 
-// connect returns a link to the node at addr, which its user releases.
-func (p *Pool) connect(ctx context.Context, addr string) (*link, error) {
+// acquire returns a connection to the node at addr. The caller must release it.
+func (p *Pool) acquire(ctx context.Context, addr string) (*peerConn, error) {
 	for {
-		l, err := p.slot(addr).use(ctx, func() (*link, error) { return p.dial(ctx, addr) })
+		l, err := p.slot(addr).use(ctx, func() (*peerConn, error) { return p.dial(ctx, addr) })
 		if !errors.Is(err, errDropped) {
 			return l, err
 		}
 	}
 }
 
-func (p *Pool) dial(ctx context.Context, addr string) (*link, error) {
+func (p *Pool) dial(ctx context.Context, addr string) (*peerConn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -127,19 +128,19 @@
 	counted := newCountedConn(raw, p.traffic)
 	counted.unlimited.Store(true)
 	stream := jsonrpc2.NewBufferedStream(counted, jsonrpc2.VarintObjectCodec{})
-	conn := jsonrpc2.NewConn(context.Background(), stream, refuseCalls{}, quiet)
+	conn := jsonrpc2.NewConn(context.Background(), stream, refuseCalls{}, silentLogger)
 	peer, err := p.handshake(ctx, conn)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return &link{conn: conn, peer: peer}, nil
+	return &peerConn{conn: conn, peer: peer}, nil
 }
 
-// tlsFor names the node's IP, which its certificate must hold.
+// tlsFor returns a TLS configuration that requires a certificate for the host of addr.
 func (p *Pool) tlsFor(addr string) *tls.Config {
 	config := p.tls.Clone()
-	config.ServerName, _, _ = net.SplitHostPort(addr) // addr was just dialled
+	config.ServerName, _, _ = net.SplitHostPort(addr) // addr is valid: it has just been dialed
 	return config
 }
 
@@ -171,8 +172,8 @@
 	}
 }
 
-// closeAll closes every connection, whatever it carries. A dial under way ends
-// by its timeout.
+// closeAll closes all connections, including those with calls in flight. It waits for
+// dials in progress, which end at the latest by their timeout.
 func (p *Pool) closeAll() {
 	p.mu.Lock()
 	slots := slices.Collect(maps.Values(p.slots))
@@ -185,7 +186,8 @@
 	}
 }
 
-// refuseCalls is the handler of dialled connections: calls go one way only.
+// refuseCalls is the handler of dialed connections. It rejects all calls, because only
+// the dialing end makes calls.
 type refuseCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
@@ -195,7 +197,7 @@
 	}
 }
 
-func resultOf(rpc *jsonrpc2.Error, data wireError) error {
+func resultError(rpc *jsonrpc2.Error, data wireError) error {
 	opts := []result.Option{
 		result.WithMessage("%s", rpc.Message),
 		result.WithField(data.Field),
@@ -208,7 +210,8 @@
 	return result.New(result.Code(rpc.Code), opts...)
 }
 
-// IsNotSent tells whether a failed call certainly did not reach the other node.
+// IsNotSent reports whether the error guarantees that a call did not reach the other
+// node.
 func IsNotSent(err error) bool {
 	var notSent *NotSentError
 	return errors.As(err, &notSent)
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -17,10 +17,10 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// handlerFunc serves one method with its raw parameters.
+// handlerFunc serves calls of a method with undecoded parameters.
 type handlerFunc func(ctx context.Context, from Identity, params json.RawMessage) (any, error)
 
-// Server answers the other nodes' calls. Methods are added before Serve.
+// Server serves calls of other nodes. All methods must be added before Serve.
 type Server struct {
 	self    Identity
 	key     []byte
@@ -33,7 +33,7 @@
 	closed   bool
 }
 
-// NewServer returns a server without methods. All nodes share key.
+// NewServer returns a server without methods. All nodes must have the same key.
 func NewServer(key []byte, traffic *Traffic) *Server {
 	return &Server{
 		key:     key,
@@ -43,11 +43,11 @@
 	}
 }
 
-// SetIdentity says who this node is. It must be called before Serve.
+// SetIdentity sets this node's identity. It must be called before Serve.
 func (s *Server) SetIdentity(self Identity) { s.self = self }
 
-// Handle adds a method. An error that carries a result code reaches the calling
-// node as such; any other becomes result.Internal.
+// Handle adds a method. An error with a result code is returned to the calling node
+// with that code; any other error becomes result.Internal.
 func Handle[Req, Resp any](s *Server, method string, serve func(ctx context.Context, from Identity, req *Req) (*Resp, error)) {
 	s.methods[method] = func(ctx context.Context, from Identity, params json.RawMessage) (any, error) {
 		req := new(Req)
@@ -58,7 +58,8 @@
 	}
 }
 
-// Listen opens the listener. A nil config listens without TLS.
+// Listen opens the listener and returns its address. If config is nil, it listens
+// without TLS.
 func (s *Server) Listen(address string, config *tls.Config) (net.Addr, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -71,12 +72,13 @@
 	return l.Addr(), nil
 }
 
-// Serve accepts connections until Close. Where none can be accepted for now, as
-// when the process is out of file descriptors, it tries again for about 15 s.
+// Serve accepts connections until Close. If accepting fails, for example because the
+// process is out of file descriptors, Serve retries for about 15 s before it returns the
+// error.
 func (s *Server) Serve() error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = acceptFirst
-	pause.MaxInterval = acceptLongest
+	pause.InitialInterval = acceptMinPause
+	pause.MaxInterval = acceptMaxPause
 	failures := 0
 	for {
 		conn, err := s.listener.Accept()
@@ -96,7 +98,7 @@
 	}
 }
 
-// Close stops listening and cuts all connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +110,8 @@
 	return err
 }
 
-// serveConn serves a connection, which has to prove itself within a while.
+// serveConn serves a connection. It closes the connection if the handshake is not
+// complete within handshakeTimeout.
 func (s *Server) serveConn(conn net.Conn) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		_ = conn.Close()
@@ -123,19 +126,19 @@
 		_ = conn.Close()
 		return
 	}
-	c := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.AsyncHandler(session), quiet)
+	c := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.AsyncHandler(session), silentLogger)
 	s.conns[c] = struct{}{}
-	go s.forget(c)
+	go s.removeOnDisconnect(c)
 }
 
-func (s *Server) forget(c *jsonrpc2.Conn) {
+func (s *Server) removeOnDisconnect(c *jsonrpc2.Conn) {
 	<-c.DisconnectNotify()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// session is the server's end of one connection.
+// session is the server side of one connection.
 type session struct {
 	server *Server
 	conn   *countedConn
@@ -163,7 +166,7 @@
 	_ = conn.Reply(ctx, req.ID, reply)
 }
 
-// cancelOnDisconnect ends a call whose caller is gone.
+// cancelOnDisconnect cancels a call if its caller disconnects.
 func cancelOnDisconnect(ctx context.Context, conn *jsonrpc2.Conn, cancel context.CancelFunc) {
 	select {
 	case <-conn.DisconnectNotify():
--- a/internal/peers/server_test.go
+++ b/internal/peers/server_test.go
@@ -12,42 +12,42 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// A connection that proves nothing is cut after the handshake's timeout; one
-// that does is kept.
-func TestConnectionIsCutWithoutProof(t *testing.T) {
+// A connection without a proof must be closed after the handshake timeout; one with a
+// proof must be kept.
+func TestConnectionWithoutProofIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer()
-		mute, far := net.Pipe()
-		begun := time.Now()
-		s.serveConn(far)
-		_, err := mute.Read(make([]byte, 1))
+		silent, serverEnd := net.Pipe()
+		started := time.Now()
+		s.serveConn(serverEnd)
+		_, err := silent.Read(make([]byte, 1))
 		must.ErrorIs(t, err, io.EOF)
-		must.Eq(t, handshakeTimeout, time.Since(begun))
+		must.Eq(t, handshakeTimeout, time.Since(started))
 
-		near, far := net.Pipe()
-		s.serveConn(far)
-		stream := jsonrpc2.NewBufferedStream(near, jsonrpc2.VarintObjectCodec{})
-		conn := jsonrpc2.NewConn(t.Context(), stream, refuseCalls{}, quiet)
+		clientEnd, serverEnd := net.Pipe()
+		s.serveConn(serverEnd)
+		stream := jsonrpc2.NewBufferedStream(clientEnd, jsonrpc2.VarintObjectCodec{})
+		conn := jsonrpc2.NewConn(t.Context(), stream, refuseCalls{}, silentLogger)
 		_, err = NewPool(client, key, nil, &Traffic{}).handshake(t.Context(), conn)
 		must.NoError(t, err)
 		time.Sleep(2 * handshakeTimeout)
 		select {
 		case <-conn.DisconnectNotify():
-			t.Fatal("cut in spite of its proof")
+			t.Fatal("connection closed after a successful handshake")
 		default:
 		}
 		must.NoError(t, conn.Close())
 	})
 }
 
-// shortListener runs out of file descriptors for some accepts.
-type shortListener struct {
+// failingListener fails a number of accepts for lack of file descriptors.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
 // Accept implements net.Listener.
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures == 0 {
 		return nil, net.ErrClosed
 	}
@@ -55,13 +55,13 @@
 	return nil, syscall.EMFILE
 }
 
-// A node outlives a short lack of file descriptors, but not a lasting one.
+// A temporary lack of file descriptors must not stop the server, a permanent one must.
 func TestServeRetriesFailedAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer()
-		s.listener = &shortListener{failures: maxAcceptFailures}
+		s.listener = &failingListener{failures: maxAcceptFailures}
 		must.NoError(t, s.Serve())
-		s.listener = &shortListener{failures: maxAcceptFailures + 1}
+		s.listener = &failingListener{failures: maxAcceptFailures + 1}
 		must.ErrorIs(t, s.Serve(), syscall.EMFILE)
 	})
 }
--- a/internal/peers/slot.go
+++ b/internal/peers/slot.go
@@ -10,17 +10,17 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// link is a connection to another node.
-type link struct {
+// peerConn is a connection to another node.
+type peerConn struct {
 	conn  *jsonrpc2.Conn
 	peer  Identity
-	calls atomic.Int64 // under way
+	calls atomic.Int64 // in flight
 }
 
-// release ends one use of the link.
-func (l *link) release() { l.calls.Add(-1) }
+// release ends one use of the connection.
+func (l *peerConn) release() { l.calls.Add(-1) }
 
-func (l *link) closed() bool {
+func (l *peerConn) closed() bool {
 	select {
 	case <-l.conn.DisconnectNotify():
 		return true
@@ -29,48 +29,50 @@
 	}
 }
 
-// slot is the place of one address's link. Its lock makes concurrent callers
-// share one dial; it is a channel so that each waits no longer than its own
-// context.
+// slot holds the connection to one address. Its lock makes concurrent callers share one
+// dial. The lock is a channel, so that each caller waits no longer than its own context
+// allows.
 type slot struct {
 	lock     chan struct{} // holds a value while locked
-	link     *link
+	peer     *peerConn
 	lastUsed time.Time
-	dropped  bool // no longer in the pool
+	dropped  bool // the slot was removed from the pool
 }
 
-// errDropped reports a slot that left the pool before it was used.
-var errDropped = errors.New("peer connection was idle and is dropped")
+// errDropped is returned for a slot that was removed from the pool before it was used.
+var errDropped = errors.New("peer connection slot was removed from the pool")
 
 func newSlot() *slot { return &slot{lock: make(chan struct{}, 1)} }
 
-// use returns the slot's link, dialled where needed. Its user releases it.
-func (s *slot) use(ctx context.Context, dial func() (*link, error)) (*link, error) {
+// use returns the slot's connection and dials it if necessary. The caller must release
+// it. It fails if the dial fails, ctx is done or the slot was dropped.
+func (s *slot) use(ctx context.Context, dial func() (*peerConn, error)) (*peerConn, error) {
 	select {
 	case s.lock <- struct{}{}:
 	case <-ctx.Done():
-		return nil, eris.Wrap(ctx.Err(), "wait for another dial of the peer")
+		return nil, eris.Wrap(ctx.Err(), "wait for a concurrent dial of the peer")
 	}
 	defer s.unlock()
 	if s.dropped {
 		return nil, errDropped
 	}
-	if s.link == nil || s.link.closed() {
+	if s.peer == nil || s.peer.closed() {
 		l, err := dial()
 		if err != nil {
 			return nil, err
 		}
-		s.link = l
+		s.peer = l
 	}
 	s.lastUsed = time.Now()
-	s.link.calls.Add(1)
-	return s.link, nil
+	s.peer.calls.Add(1)
+	return s.peer, nil
 }
 
 func (s *slot) unlock() { <-s.lock }
 
-// dropIfIdle closes and drops a link that nobody has used since before. It
-// leaves one alone that is being dialled or has calls under way.
+// dropIfIdle closes the connection and marks the slot as dropped if it was last used
+// before the given time. Otherwise, or if the connection has calls in flight or is being
+// dialed, it returns false.
 func (s *slot) dropIfIdle(before time.Time) bool {
 	select {
 	case s.lock <- struct{}{}:
@@ -78,7 +80,7 @@
 		return false
 	}
 	defer s.unlock()
-	if s.lastUsed.After(before) || (s.link != nil && s.link.calls.Load() > 0) {
+	if s.lastUsed.After(before) || (s.peer != nil && s.peer.calls.Load() > 0) {
 		return false
 	}
 	s.close()
@@ -87,7 +89,7 @@
 
 func (s *slot) close() {
 	s.dropped = true
-	if s.link != nil {
-		_ = s.link.conn.Close() // fails only if it is closed already
+	if s.peer != nil {
+		_ = s.peer.conn.Close() // fails only if already closed
 	}
 }
--- a/internal/peers/slot_test.go
+++ b/internal/peers/slot_test.go
@@ -10,9 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A caller behind another one's dial of a silent node waits for its own context
-// only.
-func TestCallerDoesNotWaitForAnothersDial(t *testing.T) {
+// A caller that waits for another caller's dial of a silent node must return when its
+// own context is done.
+func TestCallerDoesNotWaitForConcurrentDial(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = silent.Close() })
@@ -32,15 +32,15 @@
 	must.ErrorIs(t, err, context.Canceled)
 	select {
 	case <-first:
-		t.Fatal("the second caller waited for the first one's dial")
+		t.Fatal("the second caller waited until the first one's dial ended")
 	default:
 	}
 	must.NoError(t, conn.Close())
 	must.Error(t, <-first)
 }
 
-// A connection is not idle while a call is under way on it.
-func TestIdleSweepSparesCallsUnderWay(t *testing.T) {
+// A connection with a call in flight must not be closed as idle.
+func TestIdleSweepKeepsConnectionsInUse(t *testing.T) {
 	s := newServer()
 	called, answer := make(chan struct{}), make(chan struct{})
 	Handle(s, "wait", func(context.Context, Identity, *echoRequest) (*echoResponse, error) {
@@ -67,12 +67,12 @@
 	must.MapEmpty(t, pool.slots)
 }
 
-// A slot that is dropped before its first use is not dialled: nothing would ever
-// close that connection.
+// A slot that is dropped before its first use must not be dialed, because nothing would
+// close the connection.
 func TestDroppedSlotIsNotUsed(t *testing.T) {
 	pool := NewPool(client, key, nil, &Traffic{})
 	s := pool.slot("127.0.0.1:1")
 	pool.closeIdle(time.Now())
-	_, err := s.use(t.Context(), func() (*link, error) { return nil, io.EOF })
+	_, err := s.use(t.Context(), func() (*peerConn, error) { return nil, io.EOF })
 	must.ErrorIs(t, err, errDropped)
 }
