--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is the command line of the cherryward binary.
+// Package daemon implements the command line of the cherryward binary.
 package daemon
 
 import (
@@ -24,22 +24,22 @@
 	exitUsage  = 2 // bad arguments or settings
 )
 
-// Streams are where the command writes.
+// Streams holds the writers for the command's output.
 type Streams struct {
 	Out, Err io.Writer
 }
 
-// command holds what the subcommands share.
+// command holds the state and flags that the subcommands share.
 type command struct {
 	streams  Streams
 	settings string
 	boot     string
 	serve    bool
-	platform bool // the demo shows the users' platform
-	acted    bool // the arguments were right
+	platform bool // run the demo on a simulated platform
+	argsOK   bool // the arguments were valid
 }
 
-// usageError is a fault of the arguments or settings.
+// usageError is an error in the arguments or settings; the command exits with exitUsage.
 type usageError struct{ cause error }
 
 // Error implements error.
@@ -48,7 +48,7 @@
 // Unwrap returns the cause.
 func (e *usageError) Unwrap() error { return e.cause }
 
-// Run runs the command line and returns the process's exit code.
+// Run parses and executes the command line and returns the exit code of the process.
 func Run(ctx context.Context, args []string, streams Streams) int {
 	c := &command{streams: streams}
 	err := c.root().Run(ctx, args)
@@ -57,7 +57,7 @@
 	}
 	fmt.Fprintln(streams.Err, "cherryward:", err)
 	var usage *usageError
-	if errors.As(err, &usage) || !c.acted {
+	if errors.As(err, &usage) || !c.argsOK {
 		return exitUsage
 	}
 	return exitFailed
@@ -65,13 +65,13 @@
 
 func (c *command) root() *cli.Command {
 	file := &cli.StringFlag{Name: "settings", Usage: "settings `FILE` of the node", Destination: &c.settings}
-	boot := &cli.StringFlag{Name: "boot", Usage: "boot `FILE` of a node on the users' platform, in place of settings",
+	boot := &cli.StringFlag{Name: "boot", Usage: "boot `FILE` of a node on the users' platform, used instead of --settings",
 		Sources: cli.EnvVars(platform.BootEnv), Destination: &c.boot}
-	serve := &cli.BoolFlag{Name: "serve", Usage: "stay up after the conversations", Destination: &c.serve}
-	onPlatform := &cli.BoolFlag{Name: "platform", Usage: "show nodes on a stand-in of the users' platform", Destination: &c.platform}
+	serve := &cli.BoolFlag{Name: "serve", Usage: "keep running after the demo conversations", Destination: &c.serve}
+	onPlatform := &cli.BoolFlag{Name: "platform", Usage: "run the nodes on a simulation of the users' platform", Destination: &c.platform}
 	return &cli.Command{
 		Name:           "cherryward",
-		Usage:          "serves language model prompts that return after minutes to days",
+		Usage:          "serves language model prompts whose answers take minutes to days",
 		Writer:         c.streams.Out,
 		ErrWriter:      c.streams.Err,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
@@ -79,23 +79,22 @@
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "run a node", Flags: []cli.Flag{file, boot}, Action: c.run},
 			{Name: "check", Usage: "check a settings file", Flags: []cli.Flag{file, boot}, Action: c.check},
-			{Name: "demo", Usage: "run a small system on loopback and play conversations", Flags: []cli.Flag{serve, onPlatform}, Action: c.demo},
+			{Name: "demo", Usage: "run a small system on loopback and send it example conversations", Flags: []cli.Flag{serve, onPlatform}, Action: c.demo},
 		},
 	}
 }
 
-// errNoFile asks for the one file that says how a node is set up.
-var errNoFile = errors.New("want one of --settings and --boot")
+var errNoConfigFile = errors.New("one of --settings and --boot is required")
 
-// onPlatform reports whether the node is set up by a boot file of the users'
-// platform.
+// onPlatform reports whether the node is configured by a boot file of the users'
+// platform. --settings takes precedence.
 func (c *command) onPlatform() bool { return c.settings == "" && c.boot != "" }
 
 func (c *command) load() (*settings.Settings, error) {
 	if c.settings == "" {
-		return nil, &usageError{errNoFile}
+		return nil, &usageError{errNoConfigFile}
 	}
-	c.acted = true
+	c.argsOK = true
 	s, err := settings.Load(c.settings)
 	if err != nil {
 		return nil, &usageError{err}
@@ -142,15 +141,15 @@
 }
 
 func (c *command) demo(ctx context.Context, _ *cli.Command) error {
-	c.acted = true
+	c.argsOK = true
 	if c.platform {
 		return gatewaydemo.Run(ctx, c.streams.Out, c.logger("error"), c.serve)
 	}
 	return demo.Run(ctx, c.streams.Out, c.logger("error"), c.serve)
 }
 
-// logger writes one line of key=value pairs for each event. Levels that the
-// settings allow always parse.
+// logger returns a logger that writes each event as a line of key=value pairs. An
+// unknown level falls back to info; the settings accept only known levels.
 func (c *command) logger(level string) zerolog.Logger {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -159,7 +158,7 @@
 	return zerolog.New(keyValues(c.streams.Err)).Level(l).With().Timestamp().Logger()
 }
 
-// keyValues writes events as lines of key=value pairs.
+// keyValues returns a writer that formats events as lines of key=value pairs.
 func keyValues(out io.Writer) zerolog.ConsoleWriter {
 	return zerolog.ConsoleWriter{
 		Out:          out,
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -11,12 +11,12 @@
 	"github.com/cherryward/cherryward/platform"
 )
 
-// logBuffer is the number of lines that wait for a slow reader of standard output
-// before new ones replace them. A node writes some hundred lines a second.
-const logBuffer = 2000
+// maxBufferedLines is the number of log lines buffered for a slow reader of standard
+// output; further lines overwrite the oldest. A node writes some hundred lines a second.
+const maxBufferedLines = 2000
 
 func (c *command) loadBoot() (*bootstrap.Node, error) {
-	c.acted = true
+	c.argsOK = true
 	boot, err := platform.LoadBoot(c.boot)
 	if err != nil {
 		return nil, &usageError{err}
@@ -43,15 +43,16 @@
 	return err
 }
 
-// gatewayLogger writes to standard output without ever waiting for its reader.
-// Lines that it had no room for are counted in a line of their own.
+// gatewayLogger returns a logger that writes to standard output and never blocks on its
+// reader. The number of dropped lines is logged as the event log_lines_dropped. flush
+// writes the buffered lines and stops the logger.
 func (c *command) gatewayLogger(node string) (log zerolog.Logger, flush func()) {
 	out := keyValues(c.streams.Out)
 	direct := zerolog.New(out)
-	w := diode.NewWriter(out, logBuffer, 0, func(missed int) {
-		direct.Warn().Str("event", "log_lines_dropped").Int("lines", missed).Send()
+	w := diode.NewWriter(out, maxBufferedLines, 0, func(dropped int) {
+		direct.Warn().Str("event", "log_lines_dropped").Int("lines", dropped).Send()
 	})
 	log = zerolog.New(w).Level(zerolog.InfoLevel).With().Timestamp().Str("node", node).Logger()
-	// Close fails only where the underlying writer does, which has no close here.
+	// Close only returns the error of the underlying writer's Close, and this one has none.
 	return log, func() { _ = w.Close() }
 }
