--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts the services of one cherryward node together.
+// Package node assembles the services of one cherryward node.
 package node
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/cherryward/cherryward/internal/telemetry"
 )
 
-// Node is one node, listening but not yet running.
+// Node is one node. Its listeners are open once New returns; Run serves requests.
 type Node struct {
 	kernel    *kernel.Kernel
 	cluster   *cluster.Cluster
@@ -35,10 +35,10 @@
 	operators *operators
 }
 
-// New opens the node's listeners and puts its services together. Nothing is
+// New opens the node's listeners and registers its services. Connections are not
 // served before Run.
 func New(s *settings.Settings, log zerolog.Logger) (*Node, error) {
-	p, err := newParts(s, log.With().Str("node", s.Node.ID).Logger())
+	p, err := newShared(s, log.With().Str("node", s.Node.ID).Logger())
 	if err != nil {
 		return nil, err
 	}
@@ -52,13 +52,13 @@
 	if n.entry, err = p.newEntry(); err != nil {
 		return nil, err
 	}
-	inner, err := p.innerServices()
+	internal, err := p.internalServices()
 	if err != nil {
 		return nil, err
 	}
 	p.metrics.WatchPeers(n.cluster.Traffic)
 	p.metrics.WatchMembers(n.cluster.Members)
-	return n, n.register(append(inner, n.cluster, n.entry, n.operators)...)
+	return n, n.register(append(internal, n.cluster, n.entry, n.operators)...)
 }
 
 func (n *Node) register(services ...kernel.Service) error {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// parts are what several services of a node share.
-type parts struct {
+// shared holds the dependencies that several services of a node use.
+type shared struct {
 	settings  *settings.Settings
 	tls       *tlsConfigs
 	log       zerolog.Logger
@@ -82,7 +82,7 @@
 	admission *limits.Service
 }
 
-func newParts(s *settings.Settings, log zerolog.Logger) (*parts, error) {
+func newShared(s *settings.Settings, log zerolog.Logger) (*shared, error) {
 	tls, err := loadTLS(s)
 	if err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &parts{
+	return &shared{
 		settings:  s,
 		tls:       tls,
 		log:       log,
@@ -103,8 +103,8 @@
 	}, nil
 }
 
-// innerServices returns the services that listen to nobody themselves.
-func (p *parts) innerServices() ([]kernel.Service, error) {
+// internalServices returns the services that have no listener of their own.
+func (p *shared) internalServices() ([]kernel.Service, error) {
 	s := p.settings
 	config := configsync.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream), time.Duration(s.Requests.MaxConfigAge), p.log)
 	rollouts, err := rollout.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream+rollout.ClaimsSuffix), engine.WeightsClient{Client: p.engines}, p.log)
@@ -128,7 +128,7 @@
 	return []kernel.Service{config, owners, rollouts, placer, ticketed, p.admission}, nil
 }
 
-func (p *parts) newEntry() (*entry.Service, error) {
+func (p *shared) newEntry() (*entry.Service, error) {
 	server := &entry.Server{
 		Limits:    p.settings.Requests,
 		Recorder:  p.metrics,
@@ -141,7 +141,8 @@
 	return entry.Listen(p.settings, p.tls.callers, server, p.engines, p.retries)
 }
 
-// Run serves until ctx is done, then stops gracefully.
+// Run serves until ctx is done or a service fails, then stops the services in reverse
+// order within the stop timeout.
 func (n *Node) Run(ctx context.Context) error { return n.kernel.Run(ctx) }
 
 // CallersAddr returns the address that callers connect to.
@@ -153,7 +154,7 @@
 // PeersAddr returns the address that other nodes connect to.
 func (n *Node) PeersAddr() string { return n.cluster.Self().Addr }
 
-// budget is the node's retry budget.
+// budget limits the retries of all requests of the node.
 type budget struct {
 	tokens *retry.Budget
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -27,11 +27,11 @@
 
 const (
 	operatorsName = "operators"
-	// askAtOnce bounds the nodes that are asked at the same time.
-	askAtOnce = 32
+	// maxConcurrentQueries is the number of nodes queried at the same time.
+	maxConcurrentQueries = 32
 )
 
-// operators is the operators' listener and what it reports.
+// operators serves the operators' API and collects the state it reports from all nodes.
 type operators struct {
 	hash     [sha256.Size]byte
 	listener net.Listener
@@ -54,7 +54,7 @@
 func newOperators(s *settings.Settings, config *tls.Config, log zerolog.Logger) (*operators, error) {
 	hash, err := hex.DecodeString(s.Operators.KeyHash)
 	if err != nil || len(hash) != sha256.Size {
-		return nil, eris.New("operators' key hash is not a SHA-256 hash")
+		return nil, eris.New("operators' key hash is not a hex-encoded SHA-256 hash")
 	}
 	l, err := net.Listen("tcp", s.Operators.Address)
 	if err != nil {
@@ -107,7 +107,7 @@
 func (o *operators) Applied(ctx context.Context) ([]operator.NodeApplied, error) {
 	members := o.cluster.Members().Members
 	out := make([]operator.NodeApplied, len(members))
-	o.each(members, func(i int, m member.Member) {
+	o.forEach(members, func(i int, m member.Member) {
 		out[i] = operator.NodeApplied{ID: m.ID, Live: live(m)}
 		if !out[i].Live {
 			return
@@ -120,15 +120,16 @@
 	return out, nil
 }
 
-// live tells members that are not known to be gone. One that the platform lists
-// and nobody has met yet counts: it may be serving.
+// live reports whether a member is not known to be dead. A member that the platform
+// lists but no node has contacted yet counts as live, since it may be serving.
 func live(m member.Member) bool { return m.State != member.Dead }
 
-// each calls f for all members, a bounded number at once.
-func (o *operators) each(members []member.Member, f func(i int, m member.Member)) {
+// forEach calls f for all members concurrently, at most maxConcurrentQueries at a time,
+// and returns when all calls have returned.
+func (o *operators) forEach(members []member.Member, f func(i int, m member.Member)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	slots := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	for i, m := range members {
 		slots <- struct{}{}
 		wg.Go(func() {
@@ -143,7 +144,7 @@
 	members := o.cluster.Members().Members
 	nodes := make([]*pb.NodeStatus, len(members))
 	owned := make([][]*pb.EndpointStatus, len(members))
-	o.each(members, func(i int, m member.Member) {
+	o.forEach(members, func(i int, m member.Member) {
 		nodes[i] = o.nodeStatus(ctx, m)
 		if live(m) {
 			owned[i] = o.owner.StatusOf(ctx, m)
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -10,10 +10,10 @@
 	"github.com/cherryward/cherryward/internal/settings"
 )
 
-// tlsConfigs are the listeners' configurations; nil ones speak plainly.
+// tlsConfigs holds the TLS configuration of each listener; nil disables TLS.
 type tlsConfigs struct {
 	callers, operators, peers *tls.Config
-	dial                      *tls.Config // towards other nodes' peers listeners
+	dial                      *tls.Config // for connections to the peer listeners of other nodes
 }
 
 func loadTLS(s *settings.Settings) (*tlsConfigs, error) {
@@ -42,16 +42,16 @@
 	return &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS13}, nil
 }
 
-// setPeers makes both ends of peers' connections show a certificate of the
-// authority. Nodes are called by IP number, so certificates name those.
+// setPeers requires mutual TLS between nodes, with certificates issued by the
+// authority. Nodes dial each other by IP address, so certificates must name it.
 func (c *tlsConfigs) setPeers(t *settings.TLS) error {
 	pem, err := os.ReadFile(t.AuthorityFile)
 	if err != nil {
-		return eris.Wrap(err, "read peers' authorities")
+		return eris.Wrap(err, "read the authority file for peers")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return eris.Errorf("no certificate in %s", t.AuthorityFile)
+		return eris.Errorf("no PEM certificate in %s", t.AuthorityFile)
 	}
 	c.peers.ClientCAs = pool
 	c.peers.ClientAuth = tls.RequireAndVerifyClientCert
