--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,8 +1,8 @@
-// Package kernel holds a node's services together: they are registered and
-// looked up by name, started in the order of their needs and stopped in reverse.
+// Package kernel manages the life cycle of a node's services: they are registered and
+// looked up by name, started in the order of their dependencies and stopped in reverse.
 //
-// The kernel knows nothing of what a service does. A need that nothing provides,
-// a circular need and a name used twice are refused before anything starts.
+// The kernel does not depend on what a service does. A missing dependency, a dependency
+// cycle and a duplicate name are errors before any service starts.
 package kernel
 
 import (
@@ -16,23 +16,23 @@
 
 // Service is a named part of a node.
 type Service interface {
-	// Name is the service's unique name.
+	// Name returns the service's unique name.
 	Name() string
-	// Needs lists the names of the services that must have started before.
+	// Needs returns the names of the services that must start before this one.
 	Needs() []string
-	// Start looks up what the service needs and makes it ready. It does not
-	// block for longer than set-up takes.
+	// Start looks up the dependencies and initializes the service. It returns as soon as
+	// the initialization is complete.
 	Start(ctx context.Context, k *Kernel) error
 }
 
-// Runner is a service with work of its own. Run returns when ctx is done; an
-// earlier return stops the node.
+// Runner is a service with a main loop. Run returns when ctx is done; returning earlier
+// stops the node, with or without an error.
 type Runner interface {
 	Run(ctx context.Context) error
 }
 
-// Stopper is a service that has something to finish. Stop is called before the
-// context of its Run is cancelled, after all services that need it have stopped,
+// Stopper is a service with work to complete on shutdown. Stop is called before the
+// context of its Run is cancelled, after all services that depend on it have stopped,
 // and must return once ctx is done.
 type Stopper interface {
 	Stop(ctx context.Context) error
@@ -41,17 +41,17 @@
 // Kernel is a set of services. The zero value is not usable; see New.
 type Kernel struct {
 	services    map[string]Service
-	names       []string // in order of registration, so that starts are repeatable
+	names       []string // in order of registration, which makes the start order deterministic
 	started     []Service
 	stopTimeout time.Duration
 }
 
-// New returns an empty kernel. All services together get stopTimeout to stop.
+// New returns an empty kernel. All services together have stopTimeout to stop.
 func New(stopTimeout time.Duration) *Kernel {
 	return &Kernel{services: make(map[string]Service), stopTimeout: stopTimeout}
 }
 
-// Register adds a service. A second service of the same name is refused.
+// Register adds a service. It fails with a NameTakenError if the name is in use.
 func (k *Kernel) Register(s Service) error {
 	name := s.Name()
 	if _, taken := k.services[name]; taken {
@@ -62,22 +62,24 @@
 	return nil
 }
 
-// Lookup finds the service of that name as a T.
+// Lookup returns the service with the given name as a T. It fails with a MissingError
+// if there is zero, and with a TypeError if it is not a T.
 func Lookup[T any](k *Kernel, name string) (T, error) {
-	var none T
+	var zero T
 	s, ok := k.services[name]
 	if !ok {
-		return none, &MissingError{Name: name}
+		return zero, &MissingError{Name: name}
 	}
 	t, ok := s.(T)
 	if !ok {
-		return none, &TypeError{Name: name}
+		return zero, &TypeError{Name: name}
 	}
 	return t, nil
 }
 
-// Run starts all services, runs them until ctx is done or one fails, and stops
-// them in reverse. It returns nil after an orderly stop.
+// Run starts all services, runs them until ctx is done or one of them returns, and stops
+// them in reverse order. It returns nil if ctx ended the run and all services stopped
+// without an error.
 func (k *Kernel) Run(ctx context.Context) error {
 	order, err := k.order()
 	if err != nil {
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// stopStarted undoes a start that failed half way.
+// stopStarted stops the services that had started before another failed to start.
 func (k *Kernel) stopStarted() error {
 	ctx, cancel := context.WithTimeout(context.Background(), k.stopTimeout)
 	defer cancel()
@@ -110,9 +112,9 @@
 	return errors.Join(errs...)
 }
 
-// runAll hands the services to a run group. The group interrupts its actors in
-// the order in which they were added, one after the other, so adding the last
-// started first gives the reverse order on the way down.
+// runAll runs the services in a run group. The group interrupts its actors one after the
+// other in the order in which they were added, so the services are added in reverse start
+// order.
 func (k *Kernel) runAll(ctx context.Context) error {
 	var group run.Group
 	stopCtx, cancelStop := context.WithCancel(context.Background())
@@ -130,11 +132,12 @@
 }
 
 var (
-	errStopped = errors.New("stopped")
-	errEnded   = errors.New("ended before it was stopped")
+	errStopped  = errors.New("stopped")
+	errReturned = errors.New("returned before it was stopped")
 )
 
-// addSignal adds the actor that ends when ctx does, and starts the stop timeout.
+// addSignal adds an actor that returns when ctx is done. Its interrupt function starts
+// the stop timeout.
 func (k *Kernel) addSignal(ctx context.Context, group *run.Group, stopCtx context.Context, cancelStop context.CancelFunc) {
 	wait, release := context.WithCancel(ctx)
 	execute := func() error {
@@ -162,7 +165,7 @@
 			return nil
 		}
 		if err == nil {
-			err = errEnded
+			err = errReturned
 		}
 		return eris.Wrapf(err, "run service %s", s.Name())
 	}
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -10,13 +10,14 @@
 	"github.com/shoenig/test/must"
 )
 
+// fake is a service that records its calls in events.
 type fake struct {
 	name     string
 	needs    []string
 	events   *[]string
 	startErr error
 	runErr   error
-	ends     bool // Run returns at once
+	returns  bool // Run returns nil at once
 }
 
 func (f *fake) Name() string    { return f.name }
@@ -28,7 +29,7 @@
 }
 
 func (f *fake) Run(ctx context.Context) error {
-	if f.runErr != nil || f.ends {
+	if f.runErr != nil || f.returns {
 		return f.runErr
 	}
 	<-ctx.Done()
@@ -40,7 +41,7 @@
 	return nil
 }
 
-func build(t *testing.T, services ...*fake) (*Kernel, *[]string) {
+func newKernel(t *testing.T, services ...*fake) (*Kernel, *[]string) {
 	t.Helper()
 	events := &[]string{}
 	k := New(time.Second)
@@ -53,7 +54,7 @@
 
 func TestRunStartsByNeedAndStopsInReverse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k, events := build(t, &fake{name: "entry", needs: []string{"peers", "config"}}, &fake{name: "config", needs: []string{"peers"}}, &fake{name: "peers"})
+		k, events := newKernel(t, &fake{name: "entry", needs: []string{"peers", "config"}}, &fake{name: "config", needs: []string{"peers"}}, &fake{name: "peers"})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		must.NoError(t, k.Run(ctx))
@@ -62,13 +63,13 @@
 }
 
 func TestRunRefusesBadNeeds(t *testing.T) {
-	k, events := build(t, &fake{name: "a", needs: []string{"b"}})
+	k, events := newKernel(t, &fake{name: "a", needs: []string{"b"}})
 	var missing *MissingError
 	must.True(t, errors.As(k.Run(context.Background()), &missing))
 	must.Eq(t, MissingError{Name: "b", NeededBy: "a"}, *missing)
 	must.SliceEmpty(t, *events)
 
-	k, events = build(t, &fake{name: "a", needs: []string{"b"}}, &fake{name: "b", needs: []string{"a"}})
+	k, events = newKernel(t, &fake{name: "a", needs: []string{"b"}}, &fake{name: "b", needs: []string{"a"}})
 	var cycle *CycleError
 	must.True(t, errors.As(k.Run(context.Background()), &cycle))
 	must.Eq(t, []string{"a", "b", "a"}, cycle.Names)
@@ -77,27 +78,27 @@
 
 func TestRunUndoesAFailedStart(t *testing.T) {
 	boom := errors.New("boom")
-	k, events := build(t, &fake{name: "a"}, &fake{name: "b", needs: []string{"a"}, startErr: boom})
+	k, events := newKernel(t, &fake{name: "a"}, &fake{name: "b", needs: []string{"a"}, startErr: boom})
 	must.ErrorIs(t, k.Run(context.Background()), boom)
 	must.Eq(t, []string{"start a", "start b", "stop a"}, *events)
 }
 
 func TestRunStopsAllWhenOneFails(t *testing.T) {
 	boom := errors.New("boom")
-	k, events := build(t, &fake{name: "a"}, &fake{name: "b", needs: []string{"a"}, runErr: boom})
+	k, events := newKernel(t, &fake{name: "a"}, &fake{name: "b", needs: []string{"a"}, runErr: boom})
 	must.ErrorIs(t, k.Run(context.Background()), boom)
 	must.Eq(t, []string{"start a", "start b", "stop b", "stop a"}, *events)
 }
 
-// A service that ends by itself stops the node: it would be missing otherwise.
-func TestRunStopsAllWhenOneEnds(t *testing.T) {
-	k, events := build(t, &fake{name: "a"}, &fake{name: "b", needs: []string{"a"}, ends: true})
-	must.ErrorIs(t, k.Run(context.Background()), errEnded)
+// A service that returns early stops the node, which would otherwise run without it.
+func TestRunStopsAllWhenOneReturns(t *testing.T) {
+	k, events := newKernel(t, &fake{name: "a"}, &fake{name: "b", needs: []string{"a"}, returns: true})
+	must.ErrorIs(t, k.Run(context.Background()), errReturned)
 	must.Eq(t, []string{"start a", "start b", "stop b", "stop a"}, *events)
 }
 
 func TestLookup(t *testing.T) {
-	k, _ := build(t, &fake{name: "a"})
+	k, _ := newKernel(t, &fake{name: "a"})
 	s, err := Lookup[*fake](k, "a")
 	must.NoError(t, err)
 	must.Eq(t, "a", s.name)
--- a/internal/kernel/order.go
+++ b/internal/kernel/order.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// MissingError tells that no service has the name.
+// MissingError reports that no service is registered under the name.
 type MissingError struct {
 	Name     string
-	NeededBy string // empty for a plain look-up
+	NeededBy string // empty if Lookup failed
 }
 
 // Error implements error.
@@ -19,15 +19,16 @@
 	return fmt.Sprintf("service %q needs %q, which is not registered", e.NeededBy, e.Name)
 }
 
-// CycleError tells which services need one another in a circle.
+// CycleError reports a dependency cycle. Names is the path from the service where the search
+// began to the second visit of a service on it.
 type CycleError struct{ Names []string }
 
 // Error implements error.
 func (e *CycleError) Error() string {
-	return "services need one another in a circle: " + strings.Join(e.Names, " -> ")
+	return "services have a dependency cycle: " + strings.Join(e.Names, " -> ")
 }
 
-// NameTakenError tells that a name was registered twice.
+// NameTakenError reports that a name was registered twice.
 type NameTakenError struct{ Name string }
 
 // Error implements error.
@@ -35,7 +36,7 @@
 	return fmt.Sprintf("service name %q is taken", e.Name)
 }
 
-// TypeError tells that a service lacks the methods that a look-up asked for.
+// TypeError reports that a service does not have the type passed to Lookup.
 type TypeError struct{ Name string }
 
 // Error implements error.
@@ -43,25 +44,26 @@
 	return fmt.Sprintf("service %q does not have the wanted type", e.Name)
 }
 
-type mark int
+// visitState is the state of a service in the depth-first search.
+type visitState int
 
 const (
-	unseen mark = iota
-	open
-	done
+	unvisited visitState = iota
+	visiting
+	visited
 )
 
-// sorter orders services by need, depth first.
+// sorter sorts services topologically by their dependencies, depth first.
 type sorter struct {
 	services map[string]Service
-	marks    map[string]mark
+	states   map[string]visitState
 	path     []string
 	order    []Service
 }
 
-// order returns the services so that each comes after all that it needs.
+// order returns the services with each one after all of its dependencies.
 func (k *Kernel) order() ([]Service, error) {
-	s := &sorter{services: k.services, marks: make(map[string]mark, len(k.names))}
+	s := &sorter{services: k.services, states: make(map[string]visitState, len(k.names))}
 	for _, name := range k.names {
 		if err := s.visit(name, ""); err != nil {
 			return nil, err
@@ -77,19 +79,19 @@
 	}
 	s.path = append(s.path, name)
 	defer func() { s.path = s.path[:len(s.path)-1] }()
-	switch s.marks[name] {
-	case done:
+	switch s.states[name] {
+	case visited:
 		return nil
-	case open:
+	case visiting:
 		return &CycleError{Names: append([]string(nil), s.path...)}
 	}
-	s.marks[name] = open
+	s.states[name] = visiting
 	for _, need := range svc.Needs() {
 		if err := s.visit(need, name); err != nil {
 			return err
 		}
 	}
-	s.marks[name] = done
+	s.states[name] = visited
 	s.order = append(s.order, svc)
 	return nil
 }
