--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,70 +1,71 @@
-// Package bootstrap describes what a node in gateway mode is told when it
-// starts: who it is, where it listens, what it may use, and the bounds that it
-// must keep.
+// Package bootstrap defines the start-up information of a node in gateway mode: its
+// identity, its addresses, its resource limits and the bounds that it must meet.
 package bootstrap
 
 import "time"
 
-// Node is the start-up information of one node. It is never changed in place:
-// a reload makes a new one.
+// Node is the start-up information of one node. It is immutable: a reload creates a
+// new Node.
 type Node struct {
 	Name   string
 	Domain string // failure domain
 	Region string
 	IP     string
 
-	CallersAddr string // where callers connect, IP:PORT
-	ReadyAddr   string // where readiness is asked for, IP:PORT
-	PeerPorts   [2]int // first and last port that nodes may use between them
+	CallersAddr string // address that callers connect to, IP:PORT
+	ReadyAddr   string // address of the readiness endpoint, IP:PORT
+	PeerPorts   [2]int // first and last port that nodes may use for traffic between nodes
 
-	MemoryBytes int64 // the process is killed beyond it
-	MaxFiles    int   // descriptors of the process
-	// MilliCores is what the process may use of a processor, in thousandths of a core, and
-	// LinkBytes what the host's link carries, in bytes a second; 0 if not said.
+	MemoryBytes int64 // memory limit; a process that exceeds it is killed
+	MaxFiles    int   // maximum number of open file descriptors of the process
+	// MilliCores is the CPU limit of the process in thousandths of a core, and LinkBytes
+	// the bandwidth of the host's network link in bytes per second; 0 if not specified.
 	MilliCores int
 	LinkBytes  int
 
-	// First is true where the whole system starts for the first time.
+	// First reports whether this is the first start of the whole system.
 	First bool
 
 	StoreAddr string // address of the metadata store, IP:PORT
 	Bounds    Bounds
 }
 
-// Bounds are the operators' figures for what must hold.
+// Bounds holds the limits set by the operators that the system must meet.
 type Bounds struct {
-	// ConfigApply is the longest time from a configuration's acknowledgement
-	// until requests are handled by it.
+	// ConfigApply is the maximum time from the acknowledgement of a configuration until
+	// all requests are handled according to it.
 	ConfigApply time.Duration
-	// Revoke is the longest time from the acknowledgement that a key was taken
-	// away until no request with it runs.
+	// Revoke is the maximum time from the acknowledgement of a key's revocation until no
+	// request authenticated with the key is running.
 	Revoke time.Duration
-	// AcceptStaleKeys is true where Revoke does not bind a node that is cut off from the
-	// store: it accepts the keys that it knows until the store is back.
+	// AcceptStaleKeys exempts a node that can't reach the metadata store from Revoke: it
+	// accepts the keys it has cached until the store is reachable again.
 	AcceptStaleKeys bool
-	// Drain is the longest time from the acknowledgement that an endpoint
-	// leaves until it gets no new request.
+	// Drain is the maximum time from the acknowledgement that an endpoint is being
+	// removed until no new request is sent to it.
 	Drain time.Duration
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
-	// StableWindow is how long a disruption excuses after it has ended.
+	// StableWindow is the time after the end of a disruption during which violations of
+	// the bounds are attributed to the disruption.
 	StableWindow time.Duration
-	// RetryRatio and RetrySlack bound the repeats to a service in each
-	// RetryWindow: RetryRatio times its requests, plus RetrySlack, over all nodes.
+	// RetryRatio and RetrySlack limit the retries to a service in each RetryWindow, over
+	// all nodes, to RetryRatio times its requests plus RetrySlack.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Lease is the time for which a holder of orders must be the only one.
+	// Lease is the time for which a node that holds the lease for orders must be the only
+	// one to issue them.
 	Lease time.Duration
-	// VersionApplyLimit is the longest time from the acknowledgement of new weights
-	// until no request begins on older ones.
+	// VersionApplyLimit is the maximum time from the acknowledgement of new weights until
+	// no request starts on older weights.
 	VersionApplyLimit time.Duration
-	// Evacuate is the longest time from the acknowledgement that a failure domain is evacuated until
-	// its endpoints get no more requests.
+	// Evacuate is the maximum time from the acknowledgement that a failure domain is to be
+	// evacuated until no request is sent to its endpoints.
 	Evacuate time.Duration
-	// A cold endpoint gets at most ColdOverage times the requests that it stands in a second, plus
-	// ColdTolerance, from all nodes together.
+	// ColdOverage and ColdTolerance limit the requests that all nodes together send to a
+	// cold endpoint in a second, to ColdOverage times its capacity plus ColdTolerance.
 	ColdOverage, ColdTolerance float64
-	// OrdersFenced is true where engines refuse an old fencing token.
+	// OrdersFenced reports whether engines reject outdated fencing tokens.
 	OrdersFenced bool
 }
