--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -1,9 +1,10 @@
-// Package tcp opens connections that notice when their peer went silent.
+// Package tcp opens TCP connections that fail soon after their peer becomes unresponsive.
 //
-// A connection may go silent for good without a reset, while new ones to the same peer work.
-// Bytes that stay unacknowledged break it within UserTimeout; one on which nothing is sent, as
-// while an answer is awaited, is probed after a second and breaks a second later. What was
-// sent on it may have arrived: that it is not sent twice is up to the caller.
+// A connection may stop delivering packets permanently without a reset, while new connections
+// to the same peer work. A connection fails if sent bytes stay unacknowledged for UserTimeout.
+// A connection without unacknowledged bytes, such as one that waits for a response, is probed
+// after a second of silence and fails a second later. Data sent on a failed connection may
+// have been delivered: callers must prevent duplicate processing when they send it again.
 package tcp
 
 import (
@@ -14,21 +15,21 @@
 )
 
 const (
-	// UserTimeout is how long sent bytes may stay unacknowledged. Peers are some ms away, so
-	// that three retransmissions fit in.
+	// UserTimeout is how long sent bytes may stay unacknowledged before the connection
+	// fails. With a round trip of some ms to a peer it allows three retransmissions.
 	UserTimeout = time.Second
-	// probeIdle, probeInterval and probeCount are when a silent connection is probed. Whole
-	// seconds are the finest unit.
+	// probeIdle, probeInterval and probeCount configure the keep-alive probes. Their
+	// resolution is one second.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 1
-	// optionUserTimeout is TCP_USER_TIMEOUT of Linux, which the syscall package of the
-	// standard library doesn't name.
+	// optionUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which the standard
+	// library's syscall package doesn't define.
 	optionUserTimeout = 18
 )
 
-// Dialer returns a dialer whose connections notice a silent peer. timeout bounds the time to
-// connect.
+// Dialer returns a dialer whose connections detect an unresponsive peer. timeout is the
+// maximum time to establish a connection.
 func Dialer(timeout time.Duration) net.Dialer {
 	return net.Dialer{
 		Timeout: timeout,
--- a/internal/tcp/tcp_test.go
+++ b/internal/tcp/tcp_test.go
@@ -10,9 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSilentPeersAreNoticed has the kernel watch each connection: for bytes that are not
-// acknowledged, and with probes while nothing is sent.
-func TestSilentPeersAreNoticed(t *testing.T) {
+// TestUnresponsivePeerDetection verifies the socket options by which the kernel detects an
+// unresponsive peer: a timeout for unacknowledged bytes and keep-alive probes.
+func TestUnresponsivePeerDetection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer listener.Close()
