--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,8 +1,8 @@
-// Package datagram carries JSON-RPC messages between nodes, one in each UDP datagram.
+// Package datagram exchanges JSON-RPC messages between nodes, one in each UDP datagram.
 //
-// Nothing is repeated and nothing waits for a peer that is frozen, cut off or gone: a
-// notification that is lost is lost, and a call without an answer ends with its context.
-// An answer is taken only from the address that was asked.
+// Messages are not retransmitted, so that sending never blocks on a peer that is suspended,
+// partitioned or gone: a notification may be lost, and a call without a response fails when
+// its context ends. A response is accepted only from the address that was called.
 package datagram
 
 import (
@@ -21,39 +21,39 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxBytes is the length of the longest message. A longer one is refused by the sender.
+// MaxBytes is the maximum length of a message. Sending a longer one fails.
 const MaxBytes = 16 << 10
 
-// headerBytes is the length of the headers of IPv4 and UDP.
+// headerBytes is the length of the IPv4 and UDP headers together.
 const headerBytes = 28
 
-// errBusy is told to a caller in place of an answer for which there is no room now.
-var errBusy = errors.New("datagram: the answers of this second are given")
+// errBusy is returned to a caller instead of a response that exceeds the rate limit.
+var errBusy = errors.New("datagram: rate limit of responses exceeded")
 
-// Handler serves one method. It must not wait, as messages are served one after the
-// other. For a notification its result is dropped.
+// Handler handles calls of one method. It must not block, since messages are handled
+// sequentially. The result is discarded if the message is a notification.
 type Handler func(params json.RawMessage) (result any, err error)
 
-// Conn sends and receives messages at one port. It is safe for concurrent use.
+// Conn sends and receives messages on one UDP port. It is safe for concurrent use.
 type Conn struct {
 	udp      *net.UDPConn
 	log      zerolog.Logger
 	handlers map[string]Handler
-	answers  *rate.Limiter // bytes of answers; nil for no bound
+	limiter  *rate.Limiter // limits the bytes of responses; nil for no limit
 	sent     atomic.Int64
 
 	mu      sync.Mutex
 	nextID  uint64
-	waiting map[uint64]*call
+	pending map[uint64]*call // by request ID
 }
 
-// call is a call that waits for its answer.
+// call is a call in flight.
 type call struct {
-	to     netip.AddrPort
-	answer chan message // has room for one
+	to       netip.AddrPort
+	response chan message // buffer size 1
 }
 
-// message is any JSON-RPC message.
+// message is a JSON-RPC request, notification or response.
 type message struct {
 	Method string           `json:"method,omitempty"`
 	Params *json.RawMessage `json:"params,omitempty"`
@@ -62,45 +62,46 @@
 	Error  *jsonrpc2.Error  `json:"error,omitempty"`
 }
 
-// Listen opens a port, given as IP:PORT.
+// Listen opens the UDP port addr, given as IP:PORT.
 func Listen(addr string, log zerolog.Logger) (*Conn, error) {
 	local, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
-		return nil, eris.Wrap(err, "parse the address for peers")
+		return nil, eris.Wrap(err, "resolve the peer listen address")
 	}
 	udp, err := net.ListenUDP("udp", local)
 	if err != nil {
-		return nil, eris.Wrap(err, "listen for peers")
+		return nil, eris.Wrap(err, "listen for peer datagrams")
 	}
-	return &Conn{udp: udp, log: log, handlers: make(map[string]Handler), waiting: make(map[uint64]*call)}, nil
+	return &Conn{udp: udp, log: log, handlers: make(map[string]Handler), pending: make(map[uint64]*call)}, nil
 }
 
 // Addr returns the address that peers send to.
 func (c *Conn) Addr() string { return c.udp.LocalAddr().String() }
 
-// Handle has a method served. It must be called before Run.
+// Handle registers the handler of a method. It must be called before Run.
 func (c *Conn) Handle(method string, h Handler) { c.handlers[method] = h }
 
-// Bound bounds the bytes of answers in a second, a second's worth at once. In place of an
-// answer beyond it the caller is told so. It must be called before Run.
-func (c *Conn) Bound(bytes int) { c.answers = rate.NewLimiter(rate.Limit(bytes), max(bytes, MaxBytes)) }
+// Bound limits the responses to the given number of bytes per second, with bursts of up to
+// one second's worth and at least MaxBytes. The caller of a response beyond the limit receives
+// an error. It must be called before Run.
+func (c *Conn) Bound(bytes int) { c.limiter = rate.NewLimiter(rate.Limit(bytes), max(bytes, MaxBytes)) }
 
-// Spare returns how many bytes an answer may take of what is not kept for others: half of
-// what Bound allows at once.
+// Spare returns the maximum number of bytes for an optional part of a response. Half of the
+// burst that Bound allows is reserved for other responses.
 func (c *Conn) Spare() int {
-	if c.answers == nil {
+	if c.limiter == nil {
 		return MaxBytes
 	}
-	return max(int(c.answers.Tokens())-c.answers.Burst()/2, 0)
+	return max(int(c.limiter.Tokens())-c.limiter.Burst()/2, 0)
 }
 
-// Sent returns the number of bytes sent so far, with the datagrams' headers.
+// Sent returns the number of bytes sent so far, including IPv4 and UDP headers.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
 
-// Close ends Run.
+// Close closes the port; Run then returns nil.
 func (c *Conn) Close() error { return c.udp.Close() }
 
-// Run receives until ctx is done or the connection is closed.
+// Run receives and handles messages until ctx is done or the connection is closed.
 func (c *Conn) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { c.udp.Close() })
 	defer stop()
@@ -113,20 +114,20 @@
 		case err != nil:
 			c.log.Warn().Str("event", "datagram_unread").Err(err).Send()
 		default:
-			c.take(buffer[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+			c.handleMessage(buffer[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		}
 	}
 }
 
-// take handles one message.
-func (c *Conn) take(data []byte, from netip.AddrPort) {
+// handleMessage decodes and handles one message.
+func (c *Conn) handleMessage(data []byte, from netip.AddrPort) {
 	var m message
 	if err := json.Unmarshal(data, &m); err != nil {
 		c.log.Warn().Str("event", "datagram_rejected").Stringer("from", from).Err(err).Send()
 		return
 	}
 	if m.Method == "" {
-		c.takeAnswer(m, from)
+		c.handleResponse(m, from)
 		return
 	}
 	result, err := c.serve(&m)
@@ -134,35 +135,36 @@
 		c.log.Warn().Str("event", "datagram_rejected").Stringer("from", from).Str("method", m.Method).AnErr("error", err).Send()
 	}
 	if m.ID != nil {
-		c.answer(*m.ID, result, err, from)
+		c.respond(*m.ID, result, err, from)
 	}
 }
 
 func (c *Conn) serve(m *message) (any, error) {
-	h, known := c.handlers[m.Method]
-	if !known {
+	h, ok := c.handlers[m.Method]
+	if !ok {
 		return nil, eris.Errorf("unknown method %q", m.Method)
 	}
 	if m.Params == nil {
-		return nil, eris.New("no parameters")
+		return nil, eris.New("message has no parameters")
 	}
 	return h(*m.Params)
 }
 
-// answer sends the answer to a call. In place of one that is too long the caller is told so:
-// it would take silence for a peer that is gone.
-func (c *Conn) answer(id jsonrpc2.ID, result any, failed error, to netip.AddrPort) {
+// respond sends the response to a call: the result, or the error callErr. If the result can't
+// be sent, for example because it is too long, it sends an error instead, because the caller
+// would take a missing response for a failed peer.
+func (c *Conn) respond(id jsonrpc2.ID, result any, callErr error, to netip.AddrPort) {
 	resp := jsonrpc2.Response{ID: id}
-	if failed == nil {
-		failed = resp.SetResult(result)
+	if callErr == nil {
+		callErr = resp.SetResult(result)
 	}
-	if failed == nil {
-		failed = c.send(&resp, to)
+	if callErr == nil {
+		callErr = c.send(&resp, to)
 	}
-	if failed == nil {
+	if callErr == nil {
 		return
 	}
-	err := c.send(&jsonrpc2.Response{ID: id, Error: &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: failed.Error()}}, to)
+	err := c.send(&jsonrpc2.Response{ID: id, Error: &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: callErr.Error()}}, to)
 	if err != nil {
 		c.log.Debug().Str("event", "datagram_unsent").Stringer("to", to).AnErr("error", err).Send()
 	}
@@ -171,40 +173,43 @@
 func (c *Conn) send(resp *jsonrpc2.Response, to netip.AddrPort) error {
 	data, err := json.Marshal(resp)
 	if err != nil {
-		return eris.Wrap(err, "encode an answer")
+		return eris.Wrap(err, "encode a response")
 	}
-	if resp.Error == nil && c.answers != nil && !c.answers.AllowN(time.Now(), len(data)) {
+	if resp.Error == nil && c.limiter != nil && !c.limiter.AllowN(time.Now(), len(data)) {
 		return errBusy
 	}
 	return c.write(data, to)
 }
 
-func (c *Conn) takeAnswer(m message, from netip.AddrPort) {
+// handleResponse passes a response to the call in flight that it belongs to. It ignores late
+// responses and responses from an address other than the one called.
+func (c *Conn) handleResponse(m message, from netip.AddrPort) {
 	if m.ID == nil {
 		return
 	}
 	c.mu.Lock()
-	w := c.waiting[m.ID.Num]
+	w := c.pending[m.ID.Num]
 	c.mu.Unlock()
 	if w == nil || w.to != from {
-		return // late, or of somebody who was not asked
+		return
 	}
 	select {
-	case w.answer <- m:
-	default: // it came twice
+	case w.response <- m:
+	default: // duplicate response
 	}
 }
 
 func (c *Conn) write(data []byte, to netip.AddrPort) error {
 	if len(data) > MaxBytes {
-		return eris.Errorf("a message of %d bytes is too long", len(data))
+		return eris.Errorf("message of %d bytes is too long", len(data))
 	}
 	c.sent.Add(int64(len(data) + headerBytes))
 	_, err := c.udp.WriteToUDPAddrPort(data, to)
 	return err
 }
 
-// Notify sends a notification to each peer, and returns the bytes of all.
+// Notify sends a notification to each peer and returns the total number of bytes, including
+// headers. Errors are logged; it returns 0 if the message can't be encoded.
 func (c *Conn) Notify(peers []netip.AddrPort, method string, params any) (bytes int) {
 	req := jsonrpc2.Request{Method: method, Notif: true}
 	err := req.SetParams(params)
@@ -224,11 +229,11 @@
 	return len(peers) * (len(data) + headerBytes)
 }
 
-// Call calls a method of a peer and decodes its result. Without an answer it fails when
-// ctx ends, and the peer may have served it.
+// Call calls a method of a peer and decodes the response into result. Without a response it
+// fails when ctx ends; the peer may have handled the call even so.
 func (c *Conn) Call(ctx context.Context, peer netip.AddrPort, method string, params, result any) error {
-	id, w := c.begin(peer)
-	defer c.end(id)
+	id, w := c.register(peer)
+	defer c.unregister(id)
 	req := jsonrpc2.Request{Method: method, ID: jsonrpc2.ID{Num: id}}
 	if err := req.SetParams(params); err != nil {
 		return eris.Wrapf(err, "encode a call of %s", method)
@@ -242,37 +247,39 @@
 	}
 	select {
 	case <-ctx.Done():
-		return eris.Wrapf(ctx.Err(), "wait for the answer of %s", method)
-	case m := <-w.answer:
-		return decodeAnswer(&m, method, result)
+		return eris.Wrapf(ctx.Err(), "wait for the response of %s", method)
+	case m := <-w.response:
+		return decodeResponse(&m, method, result)
 	}
 }
 
-func decodeAnswer(m *message, method string, result any) error {
+func decodeResponse(m *message, method string, result any) error {
 	if m.Error != nil {
 		return eris.Wrapf(m.Error, "call %s", method)
 	}
 	if m.Result == nil {
-		return eris.Errorf("the answer of %s has no result", method)
+		return eris.Errorf("response of %s has no result", method)
 	}
-	return eris.Wrapf(json.Unmarshal(*m.Result, result), "decode the answer of %s", method)
+	return eris.Wrapf(json.Unmarshal(*m.Result, result), "decode the response of %s", method)
 }
 
-func (c *Conn) begin(peer netip.AddrPort) (uint64, *call) {
+// register assigns a request ID to a new call.
+func (c *Conn) register(peer netip.AddrPort) (uint64, *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nextID == 0 {
-		// Answers to calls of an earlier process at this address must not be taken.
+		// Starting from the clock avoids accepting responses to calls that an earlier
+		// process made from this address.
 		c.nextID = uint64(time.Now().UnixNano())
 	}
 	c.nextID++
-	w := &call{to: peer, answer: make(chan message, 1)}
-	c.waiting[c.nextID] = w
+	w := &call{to: peer, response: make(chan message, 1)}
+	c.pending[c.nextID] = w
 	return c.nextID, w
 }
 
-func (c *Conn) end(id uint64) {
+func (c *Conn) unregister(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -17,23 +17,24 @@
 	"github.com/cherryward/cherryward/internal/datagram"
 )
 
-type words struct {
+// payload is the parameters and the result of the test methods.
+type payload struct {
 	Text string `json:"text"`
 }
 
-// open opens a connection whose method echo returns its parameters, and whose other
-// methods fail or answer too long.
+// open returns a running connection and its address. Its method echo returns the parameters,
+// fail returns an error and long returns a result longer than MaxBytes.
 func open(t *testing.T) (*datagram.Conn, netip.AddrPort) {
 	t.Helper()
 	c, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
 	c.Handle("echo", func(params json.RawMessage) (any, error) {
-		var w words
+		var w payload
 		err := json.Unmarshal(params, &w)
 		return w, err
 	})
 	c.Handle("fail", func(json.RawMessage) (any, error) { return nil, errors.New("no such thing") })
-	c.Handle("long", func(json.RawMessage) (any, error) { return words{strings.Repeat("x", datagram.MaxBytes)}, nil })
+	c.Handle("long", func(json.RawMessage) (any, error) { return payload{strings.Repeat("x", datagram.MaxBytes)}, nil })
 	done := make(chan error, 1)
 	go func() { done <- c.Run(t.Context()) }()
 	t.Cleanup(func() {
@@ -46,37 +47,39 @@
 func TestCall(t *testing.T) {
 	a, _ := open(t)
 	_, b := open(t)
-	var got words
-	must.NoError(t, a.Call(t.Context(), b, "echo", words{"hello"}, &got))
+	var got payload
+	must.NoError(t, a.Call(t.Context(), b, "echo", payload{"hello"}, &got))
 	test.Eq(t, "hello", got.Text)
-	test.ErrorContains(t, a.Call(t.Context(), b, "fail", words{}, &got), "no such thing")
-	test.ErrorContains(t, a.Call(t.Context(), b, "other", words{}, &got), "unknown method")
-	test.ErrorContains(t, a.Call(t.Context(), b, "echo", words{strings.Repeat("x", datagram.MaxBytes)}, &got), "too long")
+	test.ErrorContains(t, a.Call(t.Context(), b, "fail", payload{}, &got), "no such thing")
+	test.ErrorContains(t, a.Call(t.Context(), b, "other", payload{}, &got), "unknown method")
+	test.ErrorContains(t, a.Call(t.Context(), b, "echo", payload{strings.Repeat("x", datagram.MaxBytes)}, &got), "too long")
 }
 
-// TestAnswerTooLong tells the caller at once, which would else wait for its whole time.
-func TestAnswerTooLong(t *testing.T) {
+// TestResponseTooLong verifies that a caller receives an error for a response that is too
+// long, instead of waiting until its context ends.
+func TestResponseTooLong(t *testing.T) {
 	a, _ := open(t)
 	_, b := open(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	test.ErrorContains(t, a.Call(ctx, b, "long", words{}, &words{}), "too long")
+	test.ErrorContains(t, a.Call(ctx, b, "long", payload{}, &payload{}), "too long")
 }
 
-// TestCallWithoutAnswer ends with its context.
-func TestCallWithoutAnswer(t *testing.T) {
+// TestCallWithoutResponse verifies that calls fail at the latest when their context ends.
+func TestCallWithoutResponse(t *testing.T) {
 	a, _ := open(t)
 	_, b := open(t)
 	for _, to := range []netip.AddrPort{b, netip.MustParseAddrPort("127.0.0.1:9")} {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-		err := a.Call(ctx, to, "long", words{}, &words{})
+		err := a.Call(ctx, to, "long", payload{}, &payload{})
 		cancel()
 		test.Error(t, err)
 	}
 }
 
-// TestAnswersOfOthers takes no answer from an address that was not asked, nor noise.
-func TestAnswersOfOthers(t *testing.T) {
+// TestForgedResponses verifies that responses from an address other than the one called and
+// malformed messages are ignored.
+func TestForgedResponses(t *testing.T) {
 	a, addr := open(t)
 	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -88,7 +91,7 @@
 	defer cancel()
 	failed := make(chan error, 1)
 	go func() {
-		failed <- a.Call(ctx, netip.MustParseAddrPort(silent.LocalAddr().String()), "echo", words{}, &words{})
+		failed <- a.Call(ctx, netip.MustParseAddrPort(silent.LocalAddr().String()), "echo", payload{}, &payload{})
 	}()
 	buffer := make([]byte, datagram.MaxBytes)
 	n, _, err := silent.ReadFrom(buffer)
@@ -103,8 +106,8 @@
 	}
 	test.Error(t, <-failed)
 	_, b := open(t)
-	var got words
-	must.NoError(t, a.Call(t.Context(), b, "echo", words{"still there"}, &got))
+	var got payload
+	must.NoError(t, a.Call(t.Context(), b, "echo", payload{"still there"}, &got))
 	test.Eq(t, "still there", got.Text)
 }
 
@@ -112,39 +115,39 @@
 	a, _ := open(t)
 	b, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
-	heard := make(chan string, 1)
+	received := make(chan string, 1)
 	b.Handle("say", func(params json.RawMessage) (any, error) {
-		var w words
+		var w payload
 		err := json.Unmarshal(params, &w)
-		heard <- w.Text
+		received <- w.Text
 		return nil, err
 	})
 	go func() { _ = b.Run(t.Context()) }()
 	defer b.Close()
-	a.Notify([]netip.AddrPort{netip.MustParseAddrPort(b.Addr())}, "say", words{"hello"})
-	test.Eq(t, "hello", <-heard)
+	a.Notify([]netip.AddrPort{netip.MustParseAddrPort(b.Addr())}, "say", payload{"hello"})
+	test.Eq(t, "hello", <-received)
 }
 
-// TestAnswersAreBounded tells a caller at once that there is no room for its answer, and keeps
-// half of the room from those that ask what there is to spare.
-func TestAnswersAreBounded(t *testing.T) {
+// TestResponseRateLimit verifies that a caller receives an error when the rate limit of
+// responses is exceeded, and that Spare leaves half of the burst to other responses.
+func TestResponseRateLimit(t *testing.T) {
 	a, _ := open(t)
 	b, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
-	test.Eq(t, datagram.MaxBytes, b.Spare(), test.Sprint("it is not bounded"))
-	b.Bound(1) // and one longest message
+	test.Eq(t, datagram.MaxBytes, b.Spare(), test.Sprint("no rate limit is set"))
+	b.Bound(1) // plus one message of maximum length
 	b.Handle("long", func(json.RawMessage) (any, error) {
-		return words{strings.Repeat("x", datagram.MaxBytes*2/3)}, nil
+		return payload{strings.Repeat("x", datagram.MaxBytes*2/3)}, nil
 	})
 	go func() { _ = b.Run(t.Context()) }()
 	t.Cleanup(func() { b.Close() })
 	test.Eq(t, datagram.MaxBytes/2, b.Spare())
 	addr := netip.MustParseAddrPort(b.Addr())
-	var got words
-	must.NoError(t, a.Call(t.Context(), addr, "long", words{}, &got))
+	var got payload
+	must.NoError(t, a.Call(t.Context(), addr, "long", payload{}, &got))
 	test.Eq(t, 0, b.Spare())
 	sent := b.Sent()
 	test.Greater(t, datagram.MaxBytes*2/3, sent)
-	test.ErrorContains(t, a.Call(t.Context(), addr, "long", words{}, &got), "answers of this second")
+	test.ErrorContains(t, a.Call(t.Context(), addr, "long", payload{}, &got), "rate limit of responses exceeded")
 	test.Less(t, sent+500, b.Sent())
 }
--- a/internal/datagram/message_test.go
+++ b/internal/datagram/message_test.go
@@ -12,9 +12,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzTake: whatever arrives, handlers get parameters alone, and a call is answered by whom it
-// asked alone, once.
-func FuzzTake(f *testing.F) {
+// FuzzHandleMessage verifies that, for any data received, handlers are called only with valid
+// parameters, and a call receives exactly one response, from the address that was called.
+func FuzzHandleMessage(f *testing.F) {
 	for _, seed := range []string{
 		`{"method":"echo","params":{"a":1},"id":1}`, `{"method":"fail","params":[]}`, `{"method":"none","params":1,"id":"x"}`, `{"method":"echo","params":null,"id":1}`,
 		`{"id":1,"result":{}}`, `{"id":1,"error":{"code":1,"message":"m"}}`, `{"id":1.5}`, `{"id":null}`, `{"id":{}}`, `{"method":7}`, "null", "[]", "", "\xff",
@@ -35,19 +35,19 @@
 	self := netip.MustParseAddrPort(c.Addr())
 	other := netip.MustParseAddrPort("127.0.0.1:9")
 	f.Fuzz(func(t *testing.T, data []byte) {
-		id, w := c.begin(self)
-		defer c.end(id)
-		c.take(data, self)
+		id, w := c.register(self)
+		defer c.unregister(id)
+		c.handleMessage(data, self)
 		own := []byte(`{"id":` + strconv.FormatUint(id, 10) + `,"result":"first"}`)
-		c.take(own, other)
-		test.Eq(t, 0, len(w.answer), test.Sprint("an answer of another"))
-		c.take(own, self)
-		c.take(data, self)
-		c.take(own, self)
-		must.Eq(t, 1, len(w.answer))
-		m := <-w.answer
+		c.handleMessage(own, other)
+		test.Eq(t, 0, len(w.response), test.Sprint("accepted a response from another address"))
+		c.handleMessage(own, self)
+		c.handleMessage(data, self)
+		c.handleMessage(own, self)
+		must.Eq(t, 1, len(w.response))
+		m := <-w.response
 		var result string
-		must.NoError(t, decodeAnswer(&m, "echo", &result))
+		must.NoError(t, decodeResponse(&m, "echo", &result))
 		test.Eq(t, "first", result)
 	})
 }
