--- a/internal/experiment/config.go
+++ b/internal/experiment/config.go
@@ -10,8 +10,8 @@
 // config returns what the model plays for a policy and a seed.
 func (f *File) config(p *Policy, seed uint64) fleetmodel.Config {
 	c := fleetmodel.Config{
-		Seed: seed, Length: time.Duration(f.Length), EventsLate: time.Duration(f.Fleet.EventsLate),
-		StoreTokens: f.Fleet.StoreTokens, Told: f.Fleet.StatedMemoryTokens,
+		Seed: seed, Length: time.Duration(f.Length), EventDelay: time.Duration(f.Fleet.EventDelay),
+		StoreTokens: f.Fleet.StoreTokens, StatedMemory: f.Fleet.StatedMemoryTokens,
 		Engines: f.engines(), Classes: f.classes(), Faults: f.faults(),
 	}
 	p.apply(&c)
@@ -21,10 +21,10 @@
 // apply changes what the policy says.
 func (p *Policy) apply(c *fleetmodel.Config) {
 	if p.StatedMemoryTokens != nil {
-		c.Told = *p.StatedMemoryTokens
+		c.StatedMemory = *p.StatedMemoryTokens
 	}
 	if p.MemoryAdmission != nil && !*p.MemoryAdmission {
-		c.Told = 0
+		c.StatedMemory = 0
 	}
 	if p.Store != nil && !*p.Store {
 		c.StoreTokens = 0
@@ -44,7 +44,7 @@
 	for _, e := range f.Fleet.Engines {
 		for range e.Count {
 			all = append(all, fleetmodel.EngineConfig{
-				Memory: e.MemoryTokens, Slots: e.Slots, ReadPerMs: e.ReadTokensPerMs,
+				Memory: e.MemoryTokens, Slots: e.Slots, PrefillPerMs: e.ReadTokensPerMs,
 				StepMs: e.StepMs, RunStepMs: *e.RequestStepMs, ChunkTokens: e.ChunkTokens,
 			})
 		}
@@ -69,7 +69,7 @@
 	all := make([]fleetmodel.Fault, len(f.Faults))
 	for i, fault := range f.Faults {
 		all[i] = fleetmodel.Fault{
-			Engine: f.position(fault.Engine) + fault.Number, Slow: fault.Factor,
+			Engine: f.position(fault.Engine) + fault.Number, SlowFactor: fault.Factor,
 			At: time.Duration(fault.At), Length: time.Duration(fault.For),
 		}
 	}
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -31,7 +31,7 @@
 type Fleet struct {
 	Engines            []Engine          `json:"engines"`
 	StoreTokens        int               `json:"store_tokens"`
-	EventsLate         settings.Duration `json:"events_late"`
+	EventDelay         settings.Duration `json:"events_late"`
 	StatedMemoryTokens int               `json:"stated_memory_tokens"`
 }
 
@@ -104,7 +104,7 @@
 
 // Parse checks data and returns the experiment that it describes, with defaults applied.
 func Parse(data []byte) (*File, error) {
-	f := &File{Fleet: Fleet{EventsLate: settings.Duration(300 * time.Millisecond)}}
+	f := &File{Fleet: Fleet{EventDelay: settings.Duration(300 * time.Millisecond)}}
 	if problems := checker.Decode(data, f); len(problems) > 0 {
 		return nil, problems
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -19,12 +19,12 @@
 	InTime  int `json:"in_time"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
-	Broken  int `json:"broken"`  // by a crash, after the first event
+	Aborted int `json:"broken"`  // by a crash, after the first event
 	Retried int `json:"retried"` // came back after a refusal; counted above, too
 }
 
 // Asked returns the number of callers.
-func (c Counts) Asked() int { return c.InTime + c.Late + c.Refused + c.Broken }
+func (c Counts) Asked() int { return c.InTime + c.Late + c.Refused + c.Aborted }
 
 // ClassRun is what became of the callers of a class.
 type ClassRun struct {
@@ -42,11 +42,11 @@
 	Policy  string     `json:"policy"`
 	Seed    uint64     `json:"seed"`
 	Classes []ClassRun `json:"classes"`
-	// ReadAgain counts shared prompt tokens that were read though some engine had read them.
-	ReadAgain   int `json:"read_again_tokens"`
-	Preemptions int `json:"preemptions"`
-	// Resent counts requests that went to another engine after a crash.
-	Resent int `json:"resent"`
+	// RecomputedTokens counts shared prompt tokens that were read though some engine had read them.
+	RecomputedTokens int `json:"read_again_tokens"`
+	Preemptions      int `json:"preemptions"`
+	// FailedOver counts requests that went to another engine after a crash.
+	FailedOver int `json:"resent"`
 	// Refusals counts refusals, first ones too, by the second of virtual time.
 	Refusals []int `json:"refusals_by_second"`
 }
@@ -79,8 +79,8 @@
 }
 
 func (f *File) play(p *Policy, seed uint64) Run {
-	r := fleetmodel.New(f.config(p, seed)).Play()
-	run := Run{Policy: p.Name, Seed: seed, ReadAgain: r.ReadAgain, Preemptions: r.PutBack, Resent: r.Resent, Refusals: r.Refusals}
+	r := fleetmodel.New(f.config(p, seed)).Simulate()
+	run := Run{Policy: p.Name, Seed: seed, RecomputedTokens: r.RecomputedTokens, Preemptions: r.Preempted, FailedOver: r.FailedOver, Refusals: r.Refusals}
 	for _, k := range f.Load {
 		run.Classes = append(run.Classes, classRun(r, k.Name))
 	}
@@ -88,7 +88,7 @@
 }
 
 func classRun(r *fleetmodel.Result, class string) ClassRun {
-	c := ClassRun{Class: class, Counts: counts(r.Of(class)), FirstEventMs: percentiles(r.FirstEvents[class])}
+	c := ClassRun{Class: class, Counts: counts(r.ForClass(class)), FirstEventMs: percentiles(r.FirstEvents[class])}
 	if sizes := r.Classes[class]; sizes != nil {
 		for _, o := range sizes {
 			c.Sizes = append(c.Sizes, counts(o))
@@ -98,7 +98,7 @@
 }
 
 func counts(o fleetmodel.Outcome) Counts {
-	return Counts{InTime: o.InTime, Late: o.Late, Refused: o.Refused, Broken: o.Broken, Retried: o.Returned}
+	return Counts{InTime: o.InTime, Late: o.Late, Refused: o.Refused, Aborted: o.Aborted, Retried: o.Retries}
 }
 
 const (
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -57,7 +57,7 @@
 			sum.InTime += c.InTime
 			sum.Late += c.Late
 			sum.Refused += c.Refused
-			sum.Broken += c.Broken
+			sum.Aborted += c.Aborted
 			sum.Retried += c.Retried
 		}
 		must.Eq(t, class.Counts, sum)
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -45,9 +45,9 @@
 		of := f.policyRuns(runs, p.Name)
 		rows = append(rows, []string{
 			p.Name,
-			medianOf(of, func(r *Run) int { return r.ReadAgain }),
+			medianOf(of, func(r *Run) int { return r.RecomputedTokens }),
 			medianOf(of, func(r *Run) int { return r.Preemptions }),
-			medianOf(of, func(r *Run) int { return r.Resent }),
+			medianOf(of, func(r *Run) int { return r.FailedOver }),
 		})
 	}
 	return writeRows(w, rows)
--- a/internal/fleetmodel/callers.go
+++ b/internal/fleetmodel/callers.go
@@ -10,36 +10,38 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// Class is a kind of request.
+// Class describes the requests of one class and their arrival.
 type Class struct {
 	Name      string
 	PerSecond float64
-	Burst     int // callers that come at once
+	Burst     int // number of callers that arrive together
 	Rank      int
 	Sessions  int
-	// SharedTokens and OwnTokens are the mean sizes of a session's part and of the rest of a
-	// prompt. Sessions differ in size by up to four times, from half to twice the mean.
+	// SharedTokens is the mean size of the part of a prompt that all requests of a session
+	// share, OwnTokens that of the rest. The size of a session's part ranges from half to twice
+	// the mean.
 	SharedTokens, OwnTokens, OutputTokens int
-	// Skew is the exponent of Zipf's law by which sessions are drawn; 0 draws all alike.
+	// Skew is the exponent of the Zipf distribution of sessions; 0 for a uniform distribution.
 	Skew float64
-	// Accounts is the number of client accounts that the sessions belong to, which share no
-	// KV cache with each other; 0 for no accounts. Each prompt begins with a part of
+	// Accounts is the number of client accounts that the sessions belong to; 0 for none.
+	// Accounts share no KV cache with each other. Each prompt begins with a part of
 	// AccountTokens that all sessions of its account share.
 	Accounts, AccountTokens int
 	Objective, Deadline     time.Duration
 }
 
-// noEngineAfter is when a caller comes back where no engine is left to try.
-const noEngineAfter = 250 * time.Millisecond
+// noEngineRetryDelay is the delay before a refused caller retries if no engine was available.
+const noEngineRetryDelay = 250 * time.Millisecond
 
-// request is one caller's prompt.
+// request is the prompt of one caller.
 type request struct {
 	Account *routing.Account // nil without accounts
-	Shared  []forward.Part   // the session's part last
+	Shared  []forward.Part   // the account's part, if any, then the session's
 	Own     int              // tokens
 	Output  int
 }
 
+// prompt returns the prompt's tokens.
 func (r *request) prompt() int {
 	sum := r.Own
 	for _, p := range r.Shared {
@@ -48,24 +50,24 @@
 	return sum
 }
 
-// call is a caller with its request.
+// call is a caller and the state of its request.
 type call struct {
 	world     *World
 	class     *Class
 	request   request
-	first     time.Time // of its first try
-	arrived   time.Time // of its present try
+	first     time.Time // when the caller first arrived
+	arrived   time.Time // when the current attempt arrived
 	placement forward.Placement
 	rank      int
 	sent      time.Time
-	returned  bool
-	tried     []string // engines that failed it
-	started   bool     // the first token came
-	late      bool     // it came after the objective
+	retried   bool
+	tried     []string // engines that failed during this attempt
+	started   bool     // the first token was received
+	late      bool     // the first token was received after the objective
 }
 
-// schedule has a class's callers come.
-func (w *World) schedule(c *Class) {
+// scheduleClass schedules the arrivals of a class's callers.
+func (w *World) scheduleClass(c *Class) {
 	burst := max(c.Burst, 1)
 	gap := float64(burst) / c.PerSecond
 	draw := w.sessions(c)
@@ -80,7 +82,8 @@
 }
 
 func (w *World) newRequest(c *Class, session int) request {
-	// A session's size follows from its number, so that all requests agree on it.
+	// The size of a session's part depends only on its number, so that it is the same in all
+	// of its requests.
 	size := math.Exp2(2*float64(session)/float64(c.Sessions) - 1)
 	id := fmt.Sprintf("%s-%d", c.Name, session)
 	account, shared := c.account(session)
@@ -92,19 +95,20 @@
 	}
 }
 
-// key returns under what a shared part is kept.
-func (c *call) key(i int) kvindex.Part {
+// partKey returns the cache key of shared part i.
+func (c *call) partKey(i int) kvindex.Part {
 	return kvindex.Part{Salt: c.placement.Attempt.Salt, ID: c.request.Shared[i].ID}
 }
 
-// target returns where a shared part is to be saved.
-func (c *call) target(i int) string {
+// saveTarget returns the address of the store to save shared part i at, or "" for none.
+func (c *call) saveTarget(i int) string {
 	if i < len(c.placement.Attempt.Targets) {
 		return c.placement.Attempt.Targets[i]
 	}
 	return ""
 }
 
+// query returns the placement query for the current attempt.
 func (c *call) query() *forward.Query {
 	parts := append(append([]forward.Part(nil), c.request.Shared...), forward.Part{ID: "own", Tokens: c.request.Own})
 	age := c.world.now.Sub(c.first)
@@ -121,14 +125,14 @@
 	}
 }
 
-// place looks for an engine, waits, or is refused.
+// place sends the request to an engine, or waits or is refused if no engine can take it.
 func (c *call) place() {
 	w := c.world
-	w.proveStore()
+	w.confirmStore()
 	placement, ok := w.placer.Place(c.query())
 	placement.Waited = w.now.Sub(c.arrived)
 	if !ok {
-		c.decline(&placement)
+		c.waitOrRefuse(&placement)
 		return
 	}
 	c.placement = placement
@@ -138,31 +142,32 @@
 	w.engines[placement.Member.ID].send(c)
 }
 
-// decline waits for the next look, or comes back once after a refusal.
-func (c *call) decline(p *forward.Placement) {
+// waitOrRefuse schedules the next placement while the request may wait. Otherwise it refuses the
+// caller, who retries once.
+func (c *call) waitOrRefuse(p *forward.Placement) {
 	w := c.world
-	if pause := w.pause(p, c.class.Objective); pause > 0 {
+	if pause := w.retryDelay(p, c.class.Objective); pause > 0 {
 		w.after(pause, c.place)
 		return
 	}
-	w.Result.LongestWait = max(w.Result.LongestWait, p.Waited)
+	w.Result.MaxWait = max(w.Result.MaxWait, p.Waited)
 	w.Result.countRefusal(w.elapsed())
-	after := refusal(p)
-	if c.returned {
-		w.Result.of(c).Refused++
+	after := refusalDelay(p)
+	if c.retried {
+		w.Result.outcome(c).Refused++
 		return
 	}
-	w.Result.Declined++
-	w.Result.of(c).Returned++
-	c.returned = true
+	w.Result.FirstRefusals++
+	w.Result.outcome(c).Retries++
+	c.retried = true
 	w.after(after, func() {
 		c.arrived, c.tried = w.now, nil
 		c.place()
 	})
 }
 
-// began is called with the first token.
-func (c *call) began() {
+// onFirstToken records the first token.
+func (c *call) onFirstToken() {
 	after := c.world.now.Sub(c.sent)
 	c.placement.Member.Load.FirstEvent(c.placement.PrefillTokens)
 	c.placement.RecordFirstEvent(after)
@@ -170,46 +175,47 @@
 	c.started = true
 	took := c.world.now.Sub(c.first)
 	c.late = took > c.class.Objective
-	c.world.Result.noteFirst(c, took)
+	c.world.Result.countFirstToken(c, took)
 }
 
-// ended is called with the last token.
-func (c *call) ended() {
+// onComplete records the last token.
+func (c *call) onComplete() {
 	c.placement.Member.Load.End(c.placement.MemoryTokens)
 	c.placement.RecordRun(c.world.now.Sub(c.sent))
 }
 
-// failed is called when the engine is gone. A run without a first token goes elsewhere; one
-// that is under way is broken off.
-func (c *call) failed() {
+// onEngineFailure handles a crash of the engine. A request without a first token is placed at
+// another engine; one that had a first token is aborted.
+func (c *call) onEngineFailure() {
 	member := c.placement.Member
 	member.Load.End(c.placement.MemoryTokens)
 	member.Health.RecordFailure(c.world.now, true)
 	if c.started {
-		c.world.Result.noteBroken(c)
+		c.world.Result.countAborted(c)
 		return
 	}
 	member.Load.FirstEvent(c.placement.PrefillTokens)
 	if c.placement.RecordFailure != nil {
 		c.placement.RecordFailure()
 	}
-	c.world.Result.Resent++
+	c.world.Result.FailedOver++
 	c.tried = append(c.tried, member.ID)
 	c.place()
 }
 
-// pause returns how long a prompt without a place waits until the next look.
-func (w *World) pause(p *forward.Placement, objective time.Duration) time.Duration {
+// retryDelay returns the time until the next attempt to place a request that could not be placed;
+// 0 if it is to be refused.
+func (w *World) retryDelay(p *forward.Placement, objective time.Duration) time.Duration {
 	if w.MaxWaitShare == nil {
 		return p.RetryDelay(objective)
 	}
 	return p.RetryDelayWithin(time.Duration(*w.MaxWaitShare * float64(objective)))
 }
 
-// refusal returns when a caller that is refused may come back.
-func refusal(p *forward.Placement) time.Duration {
+// refusalDelay returns the time after which a refused caller may retry.
+func refusalDelay(p *forward.Placement) time.Duration {
 	if p.OnRefusal == nil {
-		return noEngineAfter
+		return noEngineRetryDelay
 	}
 	return p.OnRefusal()
 }
--- a/internal/fleetmodel/engine.go
+++ b/internal/fleetmodel/engine.go
@@ -10,55 +10,56 @@
 
 // EngineConfig describes one engine.
 type EngineConfig struct {
-	Memory      int     // tokens
-	Slots       int     // runs in a batch
-	ReadPerMs   float64 // prompt tokens
-	StepMs      float64 // of a batch of one
-	RunStepMs   float64 // that each further run adds to a step
-	ChunkTokens int     // read in one step at most
+	Memory       int     // tokens
+	Slots        int     // runs in a batch
+	PrefillPerMs float64 // prompt tokens
+	StepMs       float64 // of a batch of one
+	RunStepMs    float64 // that each further run adds to a step
+	ChunkTokens  int     // read in one step at most
 }
 
-// run is a request at an engine.
+// run is the state of a request at an engine.
 type run struct {
-	call    *call
-	unread  int // prompt tokens
-	left    int // tokens of the answer
-	tokens  int // in memory
-	started bool
+	call          *call
+	pendingPrompt int // prompt tokens
+	pendingOutput int // output tokens still to be generated
+	tokens        int // in memory
+	started       bool
 }
 
-// cached is a part in an engine's memory.
+// cached is a shared part in an engine's memory.
 type cached struct {
 	tokens int
-	used   time.Duration // when
+	used   time.Duration // time of last use
 }
 
-// engine is an engine in virtual time.
+// engine simulates an engine.
 type engine struct {
 	EngineConfig
-	world   *World
-	member  *fleet.Member
-	holder  *kvindex.Holder
-	waiting []*run // most urgent first
-	running []*run // oldest first
-	cache   map[kvindex.Part]cached
-	events  int64   // numbers given
-	busy    bool    // a step is under way
-	slow    float64 // by which steps take longer; 0 for 1
-	down    bool
-	crashes int
-}
-
-// send takes a request. The parts that it named at the store are there without reading.
+	world      *World
+	member     *fleet.Member
+	holder     *kvindex.Holder
+	waiting    []*run // most urgent first
+	running    []*run // oldest first
+	cache      map[kvindex.Part]cached
+	events     int64   // number of the latest cache event
+	busy       bool    // a step is in progress
+	slowFactor float64 // by which steps take longer; 0 for 1
+	down       bool
+	crashes    int
+}
+
+// send queues a request. It fails at once while the engine is down.
 func (e *engine) send(c *call) {
 	if e.down {
-		c.failed()
+		c.onEngineFailure()
 		return
 	}
-	e.enqueue(&run{call: c, left: c.request.Output})
+	e.enqueue(&run{call: c, pendingOutput: c.request.Output})
 	e.step()
 }
 
+// enqueue adds a run to the queue, after all runs of the same or a more urgent rank.
 func (e *engine) enqueue(r *run) {
 	at := slices.IndexFunc(e.waiting, func(w *run) bool { return w.call.rank > r.call.rank })
 	if at < 0 {
@@ -67,8 +68,8 @@
 	e.waiting = slices.Insert(e.waiting, at, r)
 }
 
-// held returns the tokens of running requests.
-func (e *engine) held() int {
+// runTokens returns the tokens in memory of all running requests.
+func (e *engine) runTokens() int {
 	sum := 0
 	for _, r := range e.running {
 		sum += r.tokens
@@ -76,53 +77,54 @@
 	return sum
 }
 
-// admit starts waiting requests while there are slots and memory.
+// admit starts queued requests while slots and memory are available.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.Slots {
 		r := e.waiting[0]
-		need := r.call.request.prompt() + r.call.request.Output - r.left
-		if e.held()+need > e.Memory {
+		need := r.call.request.prompt() + r.call.request.Output - r.pendingOutput
+		if e.runTokens()+need > e.Memory {
 			return
 		}
 		e.waiting = e.waiting[1:]
 		r.tokens = need
-		r.unread = need - e.found(r.call)
+		r.pendingPrompt = need - e.reusePrefix(r.call)
 		e.running = append(e.running, r)
 		e.evict()
 	}
 }
 
-// found returns the tokens that need no reading: a prefix of shared parts that are cached here
-// or come from the store. What is read again was read by some engine before.
-func (e *engine) found(c *call) int {
+// reusePrefix returns the number of prompt tokens that need no prefill: those of the leading shared
+// parts that are cached here or imported from the source that the placement names. It caches these
+// parts, and counts the shared parts after them as to be prefilled.
+func (e *engine) reusePrefix(c *call) int {
 	found := 0
 	for i, part := range c.request.Shared {
-		key := c.key(i)
+		key := c.partKey(i)
 		here := e.cache[key].tokens > 0
 		named := i < len(c.placement.Attempt.Sources) && c.placement.Attempt.Sources[i] != ""
 		if !here && !(named && e.world.holds(c.placement.Attempt.Sources[i], key)) {
 			for j := range c.request.Shared[i:] {
-				e.world.countRead(c.key(i+j), c.request.Shared[i+j].Tokens)
+				e.world.countPrefill(c.partKey(i+j), c.request.Shared[i+j].Tokens)
 			}
 			return found
 		}
 		found += part.Tokens
-		e.keep(key, part.Tokens)
+		e.touch(key, part.Tokens)
 	}
 	return found
 }
 
-// keep notes a part as cached and used now.
-func (e *engine) keep(key kvindex.Part, tokens int) {
+// touch adds a part to the cache, or updates its time of last use.
+func (e *engine) touch(key kvindex.Part, tokens int) {
 	if e.cache[key].tokens == 0 {
-		e.tell(key, tokens)
+		e.publishChange(key, tokens)
 	}
 	e.cache[key] = cached{tokens: tokens, used: e.world.elapsed()}
 }
 
-// evict drops the parts used least recently until all fits.
+// evict evicts the least recently used parts until runs and cached parts fit in memory.
 func (e *engine) evict() {
-	used := e.held()
+	used := e.runTokens()
 	for _, c := range e.cache {
 		used += c.tokens
 	}
@@ -136,17 +138,18 @@
 		}
 		used -= e.cache[oldest].tokens
 		delete(e.cache, oldest)
-		e.tell(oldest, 0)
+		e.publishChange(oldest, 0)
 	}
 }
 
-// tell has nodes hear of a change some time later.
-func (e *engine) tell(key kvindex.Part, tokens int) {
+// publishChange publishes a change of the cache; tokens is 0 if the part was evicted.
+func (e *engine) publishChange(key kvindex.Part, tokens int) {
 	e.events++
-	e.world.tell(e.holder, kvindex.Change{Number: e.events, Part: key, Tokens: tokens})
+	e.world.publishChange(e.holder, kvindex.Change{Number: e.events, Part: key, Tokens: tokens})
 }
 
-// step begins a step of the batch, unless one is under way.
+// step starts a step of the batch unless one is in progress. Prompts are prefilled in order of
+// start, up to ChunkTokens in total, and the step takes longer by the time for that.
 func (e *engine) step() {
 	if e.busy {
 		return
@@ -160,16 +163,16 @@
 	budget := e.ChunkTokens
 	var read []*run
 	for _, r := range e.running {
-		n := min(budget, r.unread)
-		r.unread -= n
+		n := min(budget, r.pendingPrompt)
+		r.pendingPrompt -= n
 		budget -= n
-		ms += float64(n) / e.ReadPerMs
-		if r.unread == 0 && (n > 0 || !r.started) {
+		ms += float64(n) / e.PrefillPerMs
+		if r.pendingPrompt == 0 && (n > 0 || !r.started) {
 			read = append(read, r)
 		}
 	}
-	if e.slow > 0 {
-		ms *= e.slow
+	if e.slowFactor > 0 {
+		ms *= e.slowFactor
 	}
 	crashes := e.crashes
 	e.world.after(duration(ms), func() {
@@ -179,31 +182,33 @@
 	})
 }
 
-// endStep produces a token of each run that was read.
+// endStep completes a step: it caches and saves the shared parts of the runs whose prefill is
+// complete, generates a token for each run without pending prompt tokens, and starts the next
+// step.
 func (e *engine) endStep(read []*run) {
 	e.busy = false
 	for _, r := range read {
 		for i, part := range r.call.request.Shared {
-			e.keep(r.call.key(i), part.Tokens)
-			e.world.save(r.call.target(i), r.call.key(i), part.Tokens)
+			e.touch(r.call.partKey(i), part.Tokens)
+			e.world.save(r.call.saveTarget(i), r.call.partKey(i), part.Tokens)
 		}
 	}
 	for _, r := range slices.Clone(e.running) {
-		if r.unread > 0 {
+		if r.pendingPrompt > 0 {
 			continue
 		}
 		r.tokens++
-		r.left--
+		r.pendingOutput--
 		if !r.started {
 			r.started = true
-			r.call.began()
+			r.call.onFirstToken()
 		}
-		if r.left <= 0 {
+		if r.pendingOutput <= 0 {
 			e.remove(r)
-			r.call.ended()
+			r.call.onComplete()
 		}
 	}
-	e.putBack()
+	e.preempt()
 	e.step()
 }
 
@@ -211,10 +216,11 @@
 	e.running = slices.DeleteFunc(e.running, func(other *run) bool { return other == r })
 }
 
-// putBack puts back the newest run of the least urgent rank while memory doesn't suffice.
-func (e *engine) putBack() {
+// preempt returns the newest run of the least urgent rank to the queue, repeatedly while the runs
+// don't fit in memory.
+func (e *engine) preempt() {
 	e.evict()
-	for e.held() > e.Memory && len(e.running) > 1 {
+	for e.runTokens() > e.Memory && len(e.running) > 1 {
 		last := e.running[0]
 		for _, r := range e.running {
 			if r.call.rank >= last.call.rank {
@@ -223,7 +229,7 @@
 		}
 		e.remove(last)
 		e.enqueue(last)
-		e.world.Result.PutBack++
+		e.world.Result.Preempted++
 	}
 }
 
--- a/internal/fleetmodel/faults.go
+++ b/internal/fleetmodel/faults.go
@@ -8,42 +8,42 @@
 	"github.com/cherryward/cherryward/internal/kvindex"
 )
 
-// Fault is a window in which an engine is slow, or down after a crash.
+// Fault is a period in which an engine is slow, or down after a crash.
 type Fault struct {
-	Engine     int // position in Config.Engines
+	Engine     int // index in Config.Engines
 	At, Length time.Duration
-	// Slow is by how much steps take longer; 0 for a crash: runs and cached parts are lost,
+	// SlowFactor is by how much steps take longer; 0 for a crash: runs and cached parts are lost,
 	// and each send fails at once until the window ends. Nodes learn of it by these failures
 	// alone.
-	Slow float64
+	SlowFactor float64
 }
 
-// scheduleFaults has all faults begin and end.
+// scheduleFaults schedules the begin and the end of each fault.
 func (w *World) scheduleFaults() {
 	for _, f := range w.Faults {
 		e := w.engines[engineID(f.Engine)]
-		w.after(f.At, func() { e.begin(f) })
+		w.after(f.At, func() { e.beginFault(f) })
 		w.after(f.At+f.Length, func() { e.recover(f) })
 	}
 }
 
-func (e *engine) begin(f Fault) {
-	if f.Slow > 0 {
-		e.slow = f.Slow
+func (e *engine) beginFault(f Fault) {
+	if f.SlowFactor > 0 {
+		e.slowFactor = f.SlowFactor
 		return
 	}
 	e.crash()
 }
 
 func (e *engine) recover(f Fault) {
-	if f.Slow > 0 {
-		e.slow = 0
+	if f.SlowFactor > 0 {
+		e.slowFactor = 0
 		return
 	}
 	e.down = false
 }
 
-// crash loses the engine's runs and its memory.
+// crash takes the engine down. Its cached parts are lost, and its runs fail.
 func (e *engine) crash() {
 	e.down, e.busy = true, false
 	e.crashes++
@@ -58,9 +58,9 @@
 	})
 	for _, key := range keys {
 		delete(e.cache, key)
-		e.tell(key, 0)
+		e.publishChange(key, 0)
 	}
 	for _, r := range lost {
-		r.call.failed()
+		r.call.onEngineFailure()
 	}
 }
--- a/internal/fleetmodel/result.go
+++ b/internal/fleetmodel/result.go
@@ -5,63 +5,66 @@
 	"time"
 )
 
-// sizes is the number of size classes, a tenth of the sessions each.
-const sizes = 10
+// sizeClasses is the number of size classes. Each holds a tenth of the sessions.
+const sizeClasses = 10
 
-// Outcome counts what became of callers.
+// Outcome counts callers by how their request ended.
 type Outcome struct {
 	InTime, Late, Refused int
-	Broken                int // by an engine's crash, after the first token
-	Returned              int // after a first refusal; they are counted above, too
+	Aborted               int // by an engine's crash after the first token
+	Retries               int // after a first refusal; also counted in one of the fields above
 }
 
-// Asked returns the number of callers.
-func (o Outcome) Asked() int { return o.InTime + o.Late + o.Refused + o.Broken }
+// Total returns the number of callers.
+func (o Outcome) Total() int { return o.InTime + o.Late + o.Refused + o.Aborted }
 
-// ShareInTime returns the share that was served within the objective.
-func (o Outcome) ShareInTime() float64 { return float64(o.InTime) / float64(max(o.Asked(), 1)) }
+// ShareInTime returns the share of callers who received the first token within the objective.
+func (o Outcome) ShareInTime() float64 { return float64(o.InTime) / float64(max(o.Total(), 1)) }
 
-// ShareServed returns the share that was served at all.
+// ShareServed returns the share of callers who were served, in time or late.
 func (o Outcome) ShareServed() float64 {
-	return float64(o.InTime+o.Late) / float64(max(o.Asked(), 1))
+	return float64(o.InTime+o.Late) / float64(max(o.Total(), 1))
 }
 
-// Result is what a load came to.
+// Result holds the outcome of a simulation.
 type Result struct {
-	// Classes holds the outcomes by class, and by size, the smallest tenth first.
-	Classes map[string]*[sizes]Outcome
-	// Declined counts first refusals; callers come back after them.
-	Declined int
-	// PutBack counts the runs that engines put back for want of memory.
-	PutBack int
-	// ReadAgain counts the shared tokens that were read though some engine had read them.
-	ReadAgain int
-	// LongestWait is the longest time that a caller waited before a refusal.
-	LongestWait time.Duration
-	// Resent counts requests that went elsewhere after their engine was gone.
-	Resent int
-	// FirstEvents holds the times from a caller's first try to the first token, by class.
+	// Classes holds the outcomes by class and size, with the smallest tenth of the sessions
+	// first.
+	Classes map[string]*[sizeClasses]Outcome
+	// FirstRefusals counts first refusals, after which callers retry.
+	FirstRefusals int
+	// Preempted counts runs that engines returned to the queue for lack of memory.
+	Preempted int
+	// RecomputedTokens counts the tokens of shared parts that were prefilled although an engine had
+	// prefilled them before.
+	RecomputedTokens int
+	// MaxWait is the maximum time that a caller waited before a refusal.
+	MaxWait time.Duration
+	// FailedOver counts requests that were sent to another engine after theirs crashed.
+	FailedOver int
+	// FirstEvents holds the times from a caller's first arrival to the first token, by class.
 	FirstEvents map[string][]time.Duration
-	// Refusals counts refusals, first ones too, by the second in which they were made.
+	// Refusals counts all refusals, including first ones, by second of virtual time.
 	Refusals []int
 }
 
-func (r *Result) of(c *call) *Outcome {
+// outcome returns the outcome counters for a caller's class and size.
+func (r *Result) outcome(c *call) *Outcome {
 	if r.Classes == nil {
-		r.Classes = make(map[string]*[sizes]Outcome)
+		r.Classes = make(map[string]*[sizeClasses]Outcome)
 	}
 	if r.Classes[c.class.Name] == nil {
-		r.Classes[c.class.Name] = new([sizes]Outcome)
+		r.Classes[c.class.Name] = new([sizeClasses]Outcome)
 	}
 	return &r.Classes[c.class.Name][c.sizeClass()]
 }
 
-// noteFirst counts a caller that got its first token.
-func (r *Result) noteFirst(c *call, took time.Duration) {
+// countFirstToken counts a caller who received the first token.
+func (r *Result) countFirstToken(c *call, took time.Duration) {
 	if c.late {
-		r.of(c).Late++
+		r.outcome(c).Late++
 	} else {
-		r.of(c).InTime++
+		r.outcome(c).InTime++
 	}
 	if r.FirstEvents == nil {
 		r.FirstEvents = make(map[string][]time.Duration)
@@ -69,14 +72,14 @@
 	r.FirstEvents[c.class.Name] = append(r.FirstEvents[c.class.Name], took)
 }
 
-// noteBroken counts a caller as broken off that was counted as served.
-func (r *Result) noteBroken(c *call) {
+// countAborted moves a caller from served to aborted.
+func (r *Result) countAborted(c *call) {
 	if c.late {
-		r.of(c).Late--
+		r.outcome(c).Late--
 	} else {
-		r.of(c).InTime--
+		r.outcome(c).InTime--
 	}
-	r.of(c).Broken++
+	r.outcome(c).Aborted++
 }
 
 func (r *Result) countRefusal(at time.Duration) {
@@ -87,21 +90,21 @@
 	r.Refusals[second]++
 }
 
-// sizeClass returns the tenth of its class to which a request belongs, by its session's size.
+// sizeClass returns the size class of a request, from the size of its session's part.
 func (c *call) sizeClass() int {
 	const smallest, spread = 0.5, 4.0
 	session := c.request.Shared[len(c.request.Shared)-1]
 	size := float64(session.Tokens) / (smallest * float64(c.class.SharedTokens))
-	for i := range sizes {
-		if size < math.Pow(spread, float64(i+1)/sizes) {
+	for i := range sizeClasses {
+		if size < math.Pow(spread, float64(i+1)/sizeClasses) {
 			return i
 		}
 	}
-	return sizes - 1
+	return sizeClasses - 1
 }
 
-// Of returns the outcome of a whole class.
-func (r *Result) Of(class string) Outcome {
+// ForClass returns the outcome of a class over all sizes.
+func (r *Result) ForClass(class string) Outcome {
 	var sum Outcome
 	if r.Classes[class] == nil {
 		return sum
@@ -110,11 +113,11 @@
 		sum.InTime += o.InTime
 		sum.Late += o.Late
 		sum.Refused += o.Refused
-		sum.Broken += o.Broken
-		sum.Returned += o.Returned
+		sum.Aborted += o.Aborted
+		sum.Retries += o.Retries
 	}
 	return sum
 }
 
-// Largest returns the outcome of the largest tenth of a class.
-func (r *Result) Largest(class string) Outcome { return r.Classes[class][sizes-1] }
+// LargestTenth returns the outcome of the tenth of a class with the largest sessions.
+func (r *Result) LargestTenth(class string) Outcome { return r.Classes[class][sizeClasses-1] }
--- a/internal/fleetmodel/tuning_test.go
+++ b/internal/fleetmodel/tuning_test.go
@@ -10,14 +10,15 @@
 	"github.com/cherryward/cherryward/internal/placer"
 )
 
-// TestTuning leaves decisions as they are with the default shares, and changes them with others.
+// TestTuning verifies that explicit default values don't change the result and that other values
+// do.
 func TestTuning(t *testing.T) {
-	c := site(2, 5, smallMemory, 1.5)
+	c := testConfig(2, 5, smallMemory, 1.5)
 	c.Length = 10 * time.Second
-	usual := describe(New(c).Play())
+	usual := describe(New(c).Simulate())
 	share, tuning := forward.MaxWaitShare, placer.DefaultTuning()
 	c.MaxWaitShare, c.Tuning = &share, &tuning
-	test.Eq(t, usual, describe(New(c).Play()))
+	test.Eq(t, usual, describe(New(c).Simulate()))
 	for name, change := range map[string]func(*float64, *placer.Tuning){
 		"waits longer": func(share *float64, _ *placer.Tuning) { *share = 0.5 },
 		"no reserve":   func(_ *float64, tuning *placer.Tuning) { tuning.ReserveShare = 0 },
@@ -25,21 +26,21 @@
 		share, tuning := forward.MaxWaitShare, placer.DefaultTuning()
 		change(&share, &tuning)
 		c.MaxWaitShare, c.Tuning = &share, &tuning
-		test.NotEq(t, usual, describe(New(c).Play()), test.Sprint(name))
+		test.NotEq(t, usual, describe(New(c).Simulate()), test.Sprint(name))
 	}
 }
 
-// TestQueueShare plays engines of which no memory is stated, so that only late prompts are
-// refused: none is where the share is never reached.
+// TestQueueShare verifies that no request is refused if QueueShare is too large to be reached. No
+// memory is stated for the engines, so that requests are refused only for their expected wait.
 func TestQueueShare(t *testing.T) {
-	c := site(2, 5, smallMemory, 1.5)
-	c.Length, c.Told = 10*time.Second, 0
-	usual := New(c).Play()
+	c := testConfig(2, 5, smallMemory, 1.5)
+	c.Length, c.StatedMemory = 10*time.Second, 0
+	usual := New(c).Simulate()
 	c.Tuning = &placer.Tuning{QueueShare: 1000, ReserveShare: placer.DefaultTuning().ReserveShare}
-	never := New(c).Play()
+	never := New(c).Simulate()
 	t.Log(describe(usual))
 	t.Log(describe(never))
-	test.Positive(t, usual.Declined)
-	test.Zero(t, never.Declined)
-	test.Greater(t, usual.PutBack, never.PutBack)
+	test.Positive(t, usual.FirstRefusals)
+	test.Zero(t, never.FirstRefusals)
+	test.Greater(t, usual.Preempted, never.Preempted)
 }
--- a/internal/fleetmodel/world.go
+++ b/internal/fleetmodel/world.go
@@ -21,72 +21,73 @@
 	service   = "engines"
 	storeAddr = "10.1.0.1:1"
 	domain    = "north"
-	// tokenBytes is the size of KV cache for a token, as that of a model of 120 billion
+	// tokenBytes is the size of the KV cache for a token, that of a model with 120 billion
 	// parameters.
 	tokenBytes = 18_432
 	linkMbps   = 100_000
 )
 
-// Config describes a fleet and its load.
+// Config describes a simulated fleet and its load.
 type Config struct {
 	Seed    uint64
 	Engines []EngineConfig
-	// StoreTokens is what the store has room for.
+	// StoreTokens is the capacity of the store; 0 for no store.
 	StoreTokens int
 	Classes     []Class
 	Faults      []Fault
-	Length      time.Duration // for which callers come
-	// EventsLate is how late nodes hear of what engines and the store keep.
-	EventsLate time.Duration
-	// Told is the memory that the configuration states for each engine; 0 where it states
-	// none, so that nothing is refused for want of room.
-	Told int
-	// Tuning and MaxWaitShare replace what nodes decide by: the shares of the placer, and the part
-	// of its objective for which a prompt waits for room. Nil keeps them.
+	Length      time.Duration // period of virtual time in which callers arrive
+	// EventDelay is the delay of the cache events of engines and the store.
+	EventDelay time.Duration
+	// StatedMemory is the memory that the configuration states for each engine, in tokens; 0 for
+	// none, which disables refusals for lack of memory.
+	StatedMemory int
+	// Tuning replaces the placer's tuning, and MaxWaitShare the fraction of its objective for
+	// which a request may wait for capacity. Nil keeps the defaults.
 	Tuning       *placer.Tuning
 	MaxWaitShare *float64
 }
 
-// World plays a fleet and its load.
+// World is the state of a simulation.
 type World struct {
 	Config
 	Result Result
 
-	now     time.Time
-	start   time.Time
-	random  *rand.Rand
-	events  eventQueue
-	order   int64
-	engines map[string]*engine
-	index   *kvindex.Index
-	store   *kvindex.Holder
-	stored  map[kvindex.Part]int
-	room    int
-	told    int64                 // number of the store's newest event
-	read    map[kvindex.Part]bool // by some engine
-	placer  *placer.Placer
-	service *routing.Service
+	now         time.Time
+	start       time.Time
+	random      *rand.Rand
+	events      eventQueue
+	order       int64
+	engines     map[string]*engine
+	index       *kvindex.Index
+	store       *kvindex.Holder
+	stored      map[kvindex.Part]int
+	storeRoom   int
+	storeEvents int64                 // number of the store's newest event
+	prefilled   map[kvindex.Part]bool // by some engine
+	placer      *placer.Placer
+	service     *routing.Service
 }
 
-// versions has one version of the weights.
+// versions implements placer.Versions for a single version of the weights.
 type versions struct{}
 
 func (versions) Wanted(string) (int64, time.Time)         { return 1, time.Time{} }
 func (versions) Replaced(string, int64) (time.Time, bool) { return time.Time{}, false }
 
-// New returns a world before its first caller.
+// New returns a simulation that has not run yet.
 func New(c Config) *World {
 	start := time.Now()
 	w := &World{
 		Config: c, now: start, start: start, random: rand.New(rand.NewPCG(c.Seed, 1)),
-		engines: make(map[string]*engine), stored: make(map[kvindex.Part]int), room: c.StoreTokens, read: make(map[kvindex.Part]bool),
+		engines: make(map[string]*engine), stored: make(map[kvindex.Part]int), storeRoom: c.StoreTokens, prefilled: make(map[kvindex.Part]bool),
 		index:   kvindex.NewIndex(nil, nil, zerolog.Nop()),
 		store:   kvindex.NewHolder(storeAddr, storeAddr, domain),
-		service: &routing.Service{Name: service, Engine: &routing.Engine{KVTokens: c.Told, TokenBytes: tokenBytes}},
+		service: &routing.Service{Name: service, Engine: &routing.Engine{KVTokens: c.StatedMemory, TokenBytes: tokenBytes}},
 	}
 	w.store.Mbps, w.store.Tokens = linkMbps, c.StoreTokens
 	w.placer = w.newPlacer(w.addEngines())
-	// It has been up for long, as its oldest events are gone.
+	// The gap marks the store as one that has been running for a long time, whose oldest events
+	// have been discarded.
 	w.index.Apply(w.store, &kvindex.Events{Epoch: 1, Next: 1, Gap: true, ClockMS: 1, ConfirmedAt: w.now})
 	return w
 }
@@ -122,10 +123,10 @@
 	}
 }
 
-// Play has all callers come, and returns what became of them.
-func (w *World) Play() *Result {
+// Simulate simulates the whole load and returns the result.
+func (w *World) Simulate() *Result {
 	for i := range w.Classes {
-		w.schedule(&w.Classes[i])
+		w.scheduleClass(&w.Classes[i])
 	}
 	w.scheduleFaults()
 	for len(w.events) > 0 {
@@ -136,29 +137,29 @@
 	return &w.Result
 }
 
-// elapsed returns the time since the start.
+// elapsed returns the virtual time since the start.
 func (w *World) elapsed() time.Duration { return w.now.Sub(w.start) }
 
-// after has something happen later.
+// after schedules run after a delay.
 func (w *World) after(d time.Duration, run func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now.Add(d), order: w.order, run: run})
 }
 
-// tell has nodes hear of a change.
-func (w *World) tell(h *kvindex.Holder, c kvindex.Change) {
-	w.after(w.EventsLate, func() {
+// publishChange applies a change of a cache to the node's index after the event delay.
+func (w *World) publishChange(h *kvindex.Holder, c kvindex.Change) {
+	w.after(w.EventDelay, func() {
 		w.index.Apply(h, &kvindex.Events{Epoch: 1, Next: c.Number + 1, Changes: []kvindex.Change{c}, ClockMS: 1, ConfirmedAt: w.now})
 	})
 }
 
-// proveStore has the node know that the store is still the one that it heard of, as its questions for
+// confirmStore confirms the store's current state to the index, as the node's requests for its
 // events do several times a second.
-func (w *World) proveStore() {
+func (w *World) confirmStore() {
 	w.index.Apply(w.store, &kvindex.Events{Epoch: 1, Next: w.store.Position().Next, ClockMS: 1, ConfirmedAt: w.now})
 }
 
-// holds reports whether the store or another engine keeps a part.
+// holds reports whether the store or engine at an address has a part.
 func (w *World) holds(addr string, key kvindex.Part) bool {
 	if addr == storeAddr {
 		return w.stored[key] > 0
@@ -171,33 +172,33 @@
 	return false
 }
 
-// save keeps a part at the store, if that is named and has room.
+// save stores a part if addr is the store's and it has room.
 func (w *World) save(addr string, key kvindex.Part, tokens int) {
-	if addr != storeAddr || w.stored[key] > 0 || tokens > w.room {
+	if addr != storeAddr || w.stored[key] > 0 || tokens > w.storeRoom {
 		return
 	}
 	w.stored[key] = tokens
-	w.room -= tokens
-	w.told++
-	w.tell(w.store, kvindex.Change{Number: w.told, Part: key, Tokens: tokens})
+	w.storeRoom -= tokens
+	w.storeEvents++
+	w.publishChange(w.store, kvindex.Change{Number: w.storeEvents, Part: key, Tokens: tokens})
 }
 
-// countRead notes that an engine reads a shared part.
-func (w *World) countRead(key kvindex.Part, tokens int) {
-	if w.read[key] {
-		w.Result.ReadAgain += tokens
+// countPrefill counts the prefill of a shared part by an engine.
+func (w *World) countPrefill(key kvindex.Part, tokens int) {
+	if w.prefilled[key] {
+		w.Result.RecomputedTokens += tokens
 	}
-	w.read[key] = true
+	w.prefilled[key] = true
 }
 
-// event is something that happens at a time.
+// event is a function scheduled for a point in virtual time.
 type event struct {
 	at    time.Time
-	order int64 // among those of the same time
+	order int64 // order among events of the same time
 	run   func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events with the earliest first.
 type eventQueue []event
 
 var _ heap.Interface = (*eventQueue)(nil)
