--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -26,14 +26,16 @@
 	"github.com/cherryward/cherryward/internal/settings"
 )
 
-// storeEvery-th endpoint of a benchmark's view is a store host.
-const storeEvery = 12
+// endpointsPerStore is the number of endpoints per store host in a benchmark's view.
+const endpointsPerStore = 12
 
+// viewOf returns a configuration view with the given number of endpoints, of which each
+// endpointsPerStore-th is a store host.
 func viewOf(endpoints int) *config.View {
 	view := config.NewView()
 	for i := range endpoints {
 		e := &pb.Endpoint{Name: fmt.Sprintf("endpoint-%05d", i), Kind: pb.EndpointKind_ENDPOINT_KIND_ENGINE, Url: urlOf(i), Models: []string{fmt.Sprint("m", i%39)}}
-		if i%storeEvery == 0 {
+		if i%endpointsPerStore == 0 {
 			e.Kind, e.Models = pb.EndpointKind_ENDPOINT_KIND_STORE, nil
 		}
 		view = view.With(config.Entry{Kind: config.KindEndpoint, Name: e.GetName(), Revision: int64(i + 1), Value: e})
@@ -44,19 +46,19 @@
 func urlOf(i int) string  { return "http://" + addrOf(i) }
 func addrOf(i int) string { return fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255) }
 
-// perOp runs f for as long as the benchmark asks, and reports the processor time
-// of all goroutines: on a shared machine that is steadier than time passed.
-func perOp(b *testing.B, f func()) {
+// measurePerOp runs f in the benchmark loop and reports the processor time of all goroutines per run. On
+// a shared machine it varies less than the elapsed time.
+func measurePerOp(b *testing.B, f func()) {
 	b.ReportAllocs()
-	cpu := measure.CPU()
+	cpu := measure.CPUTime()
 	for b.Loop() {
 		f()
 	}
-	b.ReportMetric(float64(measure.CPU()-cpu)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(measure.CPUTime()-cpu)/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkRolloutSweep is what rollout.Service does each second to find the
-// engines that it has workers for.
+// BenchmarkRolloutSweep measures the sweep by which rollout.Service finds, each second, the engines
+// that the node owns.
 func BenchmarkRolloutSweep(b *testing.B) {
 	for _, n := range []int{100, 1000, 12000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -64,7 +66,7 @@
 			for e := range view.All(config.KindEndpoint) {
 				c.Track(e.GetName())
 			}
-			perOp(b, func() {
+			measurePerOp(b, func() {
 				for value := range view.All(config.KindEndpoint) {
 					e, ok := value.(*pb.Endpoint)
 					_ = ok && e.GetKind() == pb.EndpointKind_ENDPOINT_KIND_ENGINE && c.Owns(e.GetName())
@@ -74,7 +76,7 @@
 	}
 }
 
-// BenchmarkReadState reads what an engine has loaded, as its rollout worker does
+// BenchmarkReadState measures a request for an engine's loaded weights, which its rollout worker sends
 // every two seconds.
 func BenchmarkReadState(b *testing.B) {
 	for _, n := range []int{1, 8, 64} {
@@ -85,8 +87,8 @@
 			}
 			data, err := json.Marshal(state)
 			must.NoError(b, err)
-			server, client := canned(b, data), engine.WeightsClient{Client: engine.NewClient()}
-			perOp(b, func() {
+			server, client := newCanned(b, data), engine.WeightsClient{Client: engine.NewClient()}
+			measurePerOp(b, func() {
 				got, err := client.State(b.Context(), server.URL)
 				must.NoError(b, err)
 				must.SliceLen(b, n, got.Loaded)
@@ -112,20 +114,20 @@
 	return data
 }
 
-func canned(b *testing.B, data []byte) *measure.Canned {
+func newCanned(b *testing.B, data []byte) *measure.Canned {
 	c, err := measure.NewCanned(data)
 	must.NoError(b, err)
 	b.Cleanup(c.Close)
 	return c
 }
 
-// BenchmarkReadHosts reads the platform's list, as each node does each second.
+// BenchmarkReadHosts measures reading the platform's host list, as each node does each second.
 func BenchmarkReadHosts(b *testing.B) {
 	for _, n := range []int{100, 1000, 13000} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
 			data := hostsOf(n)
-			hosts := logservice.NewHosts(canned(b, data).URL)
-			perOp(b, func() {
+			hosts := logservice.NewHosts(newCanned(b, data).URL)
+			measurePerOp(b, func() {
 				_, err := hosts.List(b.Context())
 				must.NoError(b, err)
 			})
@@ -134,13 +136,12 @@
 	}
 }
 
-// runningCluster returns a cluster of one node once it has read of the hosts what
-// is waited for.
+// runningCluster returns a cluster of one node after the host list it has read satisfies until.
 func runningCluster(b *testing.B, hosts []byte, until func(*cluster.Cluster) bool) *cluster.Cluster {
 	s := settings.Default()
 	s.Node.ID, s.Node.FailureDomain = "node-1", "north"
 	s.Peers.Address, s.Peers.Key = "127.0.0.1:0", "0123456789abcdef"
-	s.Hosts.URL, s.Hosts.PollInterval = canned(b, hosts).URL, settings.Duration(time.Hour)
+	s.Hosts.URL, s.Hosts.PollInterval = newCanned(b, hosts).URL, settings.Duration(time.Hour)
 	c, err := cluster.New(&s, nil, nil, zerolog.Nop())
 	must.NoError(b, err)
 	read := make(chan struct{}, 1)
@@ -157,45 +158,45 @@
 	return c
 }
 
-// BenchmarkHostLeaving looks an endpoint up in the list, as an entry node does
-// for each candidate of a prompt. Each hundredth host leaves, and the endpoint's.
+// BenchmarkHostLeaving measures whether an endpoint's host is leaving, which an entry node checks for
+// each candidate of a prompt. Each hundredth host is leaving, including the endpoint's.
 func BenchmarkHostLeaving(b *testing.B) {
 	for _, n := range []int{100, 1000, 13000} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
 			endpoint := &pb.Endpoint{Url: urlOf(n - 1)}
 			c := runningCluster(b, hostsOf(n), func(c *cluster.Cluster) bool { return c.HostLeaving(endpoint) })
-			perOp(b, func() { c.HostLeaving(endpoint) })
+			measurePerOp(b, func() { c.HostLeaving(endpoint) })
 		})
 	}
 }
 
-// BenchmarkReadLoad reads the load of the engines that a node owns, once each.
+// BenchmarkReadLoad measures one load request to each engine that a node owns.
 func BenchmarkReadLoad(b *testing.B) {
 	data, err := json.Marshal(enginewire.Load{Incarnation: "0123456789abcdef", Running: 24, Waiting: 3, WaitingTokens: 90_000, CacheUsed: 0.87, AgeMS: 812})
 	must.NoError(b, err)
 	for _, n := range []int{3, 12, 48} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			server := canned(b, data)
+			server := newCanned(b, data)
 			client := engine.NewClient()
-			perOp(b, func() {
+			measurePerOp(b, func() {
 				for range n {
 					_, err := client.Load(b.Context(), server.URL)
 					must.NoError(b, err)
 				}
 			})
-			b.ReportMetric(float64(server.Wire())/float64(b.N), "wire-bytes/op")
+			b.ReportMetric(float64(server.WireBytes())/float64(b.N), "wire-bytes/op")
 		})
 	}
 }
 
-// BenchmarkListStore lists the blocks and manifests of a store host, as a sweep does.
+// BenchmarkListStore measures listing the blocks and manifests of a store host, as in a sweep.
 func BenchmarkListStore(b *testing.B) {
 	for _, n := range []int{100, 500, 1000} {
 		b.Run(fmt.Sprintf("blocks=%d", n), func(b *testing.B) {
 			blocks, manifests := storeLists(b, n)
-			client := storehttp.NewClient(canned(b, blocks).URL, http.DefaultClient)
-			named := storehttp.NewClient(canned(b, manifests).URL, http.DefaultClient)
-			perOp(b, func() {
+			client := storehttp.NewClient(newCanned(b, blocks).URL, http.DefaultClient)
+			named := storehttp.NewClient(newCanned(b, manifests).URL, http.DefaultClient)
+			measurePerOp(b, func() {
 				page, err := client.ListBlocks(b.Context(), "", n)
 				must.NoError(b, err)
 				must.SliceLen(b, n, page.Blocks)
@@ -231,7 +232,8 @@
 
 var key = []byte("0123456789abcdef")
 
-// peerServer starts a node that gives one answer to one method.
+// peerServer starts a peer server that returns resp to each call of the method, and returns its
+// address.
 func peerServer[Req, Resp any](b *testing.B, id int, method string, resp *Resp, _ *Req) string {
 	s := peers.NewServer(key, &peers.Traffic{})
 	s.SetIdentity(peers.Identity{ID: fmt.Sprint("n", id), Incarnation: 1})
@@ -243,7 +245,7 @@
 	return addr.String()
 }
 
-// BenchmarkPeerCall is one call between two nodes, both ends in this process.
+// BenchmarkPeerCall measures a call between two nodes, with both ends in this process.
 func BenchmarkPeerCall(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("payload=%d", n), func(b *testing.B) {
@@ -252,7 +254,7 @@
 	}
 }
 
-// BenchmarkPeerConnections opens connections to many nodes; memory is of both ends.
+// BenchmarkPeerConnections reports the memory of connections to many nodes, for both ends together.
 func BenchmarkPeerConnections(b *testing.B) {
 	for _, n := range []int{50, 200, 800} {
 		b.Run(fmt.Sprintf("connections=%d", n), func(b *testing.B) {
@@ -261,13 +263,13 @@
 				for i := range addrs {
 					addrs[i] = peerServer(b, i, "echo", &payload{}, &payload{})
 				}
-				before := measure.InUse()
+				before := measure.MemoryInUse()
 				pool := peers.NewPool(peers.Identity{ID: "n0", Incarnation: 1}, key, nil, &peers.Traffic{})
 				for _, addr := range addrs {
 					_, err := peers.Call[payload, payload](b.Context(), pool, addr, "echo", &payload{})
 					must.NoError(b, err)
 				}
-				b.ReportMetric(measure.InUse()-before, "bytes")
+				b.ReportMetric(measure.MemoryInUse()-before, "bytes")
 			}
 		})
 	}
--- a/internal/capacity/calls_test.go
+++ b/internal/capacity/calls_test.go
@@ -24,14 +24,14 @@
 
 const layoutName = "layout-a"
 
-// promptOf returns a prompt of so many whole chunks.
+// promptOf returns a prompt with the given number of complete chunks.
 func promptOf(chunks int) owner.Prompt {
 	p := owner.Prompt{Account: "account-0815", Model: "model-17", Version: "v3", Size: chunks * kvcache.TextChunkBytes, TimeLeft: 5 * time.Minute}
 	p.Chain = p.Identity().TextChain(strings.Repeat("x", p.Size))
 	return p
 }
 
-// blocksOf returns the engine's blocks of a prompt: one for each four chunks.
+// blocksOf returns the engine's blocks of a prompt, one per four chunks.
 func blocksOf(chunks int) []enginewire.Block {
 	blocks := make([]enginewire.Block, chunks/4)
 	for i := range blocks {
@@ -45,7 +45,7 @@
 		Running: 24, Waiting: 3, ImportRate: 104857600, LastWait: 123456789, Layout: layoutName, BlockTokens: 2048, BlockBytes: 64 << 20}
 }
 
-// benchCall measures one call of a method with the owners' own messages.
+// benchCall measures a call of a method between two nodes and its bytes on the wire.
 func benchCall[Req, Resp any](b *testing.B, method string, req *Req, resp *Resp) {
 	addr, traffic := peerServer(b, 1, method, resp, req), &peers.Traffic{}
 	pool := peers.NewPool(peers.Identity{ID: "n0", Incarnation: 1}, key, nil, traffic)
@@ -55,12 +55,12 @@
 	}
 	call()
 	before := traffic.Sent.Load() + traffic.Received.Load()
-	perOp(b, call)
+	measurePerOp(b, call)
 	b.ReportMetric(float64(traffic.Sent.Load()+traffic.Received.Load()-before)/float64(b.N), "wire-bytes/op")
 }
 
-// BenchmarkRequestCalls is each call that a request makes, by the chunks of 2,048
-// bytes in its prompt. Both ends are in this process; the owner's work is not in it.
+// BenchmarkRequestCalls measures each call between nodes that a request makes, by the number of chunks
+// of 2,048 bytes in its prompt. Both ends are in this process; the owner's work is not included.
 func BenchmarkRequestCalls(b *testing.B) {
 	name := "endpoint-01234"
 	grant := strings.Repeat("g", 32)
@@ -91,8 +91,8 @@
 	}
 }
 
-// BenchmarkHolders asks a model's board which engines hold its versions; the
-// board's own work is not in it.
+// BenchmarkHolders measures a request to a model's rollout board for the engines that hold its
+// versions. The board's work is not included.
 func BenchmarkHolders(b *testing.B) {
 	for _, n := range []int{4, 16, 64} {
 		held := holders{Whole: true, Holders: []rollout.Holders{{Version: "v3", Count: n}}}
@@ -105,8 +105,8 @@
 	}
 }
 
-// BenchmarkReport tells a model's board of an engine; the board's own work is not
-// in it.
+// BenchmarkReport measures a report on an engine to a model's rollout board. The board's work is not
+// included.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{1, 2, 3} {
 		report := rollout.Report{Model: "model-17", Engine: "endpoint-01234", Domain: "domain-07"}
@@ -119,7 +119,7 @@
 	}
 }
 
-// holdersOf and holders have the fields of the rollout service's own messages.
+// holdersOf and holders have the same fields as the rollout service's messages.
 type holdersOf struct {
 	Model string `json:"m"`
 }
@@ -129,7 +129,7 @@
 	Whole   bool              `json:"w,omitempty"`
 }
 
-// offer has the fields of the owners' own message.
+// offer has the same fields as the message between owners.
 type offer struct {
 	Store       string              `json:"s"`
 	Engine      string              `json:"e"`
@@ -144,12 +144,12 @@
 	for _, n := range []int{32_000, 120_000, 240_000} {
 		prompt := strings.Repeat("pass or hold? ", n/14)
 		b.Run(fmt.Sprintf("bytes=%d", n), func(b *testing.B) {
-			perOp(b, func() { id.TextChain(prompt) })
+			measurePerOp(b, func() { id.TextChain(prompt) })
 		})
 	}
 }
 
-// BenchmarkNextRound is a round of a borrower that has nothing to ask for.
+// BenchmarkNextRound measures a round of a borrower that has nothing to borrow.
 func BenchmarkNextRound(b *testing.B) {
 	epoch := time.Unix(1_900_000_000, 0)
 	ample := func(string) (limit.Limit, bool) { return limit.Limit{Requests: 1e12, Tokens: 1e12}, true }
@@ -159,12 +159,12 @@
 			borrower.Allow(epoch.Add(time.Second), fmt.Sprintf("account-%04d", i), 300)
 		}
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
-			perOp(b, func() { borrower.Next(epoch.Add(2 * time.Second)) })
+			measurePerOp(b, func() { borrower.Next(epoch.Add(2 * time.Second)) })
 		})
 	}
 }
 
-// BenchmarkEvents reads one answer of cache events, as it crosses the wire.
+// BenchmarkEvents measures decoding a response with cache events.
 func BenchmarkEvents(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("events=%d", n), func(b *testing.B) {
@@ -174,7 +174,7 @@
 			}
 			data, err := json.Marshal(events)
 			must.NoError(b, err)
-			perOp(b, func() {
+			measurePerOp(b, func() {
 				var out enginewire.Events
 				must.NoError(b, json.Unmarshal(data, &out))
 			})
@@ -183,16 +183,16 @@
 	}
 }
 
-// BenchmarkTickets issues and runs tickets of one account, and reports the bytes
-// of its window.
+// BenchmarkTickets measures issuing and executing tickets of one account, and reports the memory of its
+// window.
 func BenchmarkTickets(b *testing.B) {
 	answer := func(context.Context) (ticket.Answer, error) { return nil, nil }
 	for _, n := range []int{1024, 16_384, 65_536} {
 		b.Run(fmt.Sprintf("tickets=%d", n), func(b *testing.B) {
-			perOp(b, func() {
+			measurePerOp(b, func() {
 				e, err := ticket.New(ticket.Config{Self: ticket.Incarnation{Node: "n", Run: 1}, Key: make(ticket.Key, 32), Window: 1 << 16, KeepAnswers: 1, KeepBytes: 1 << 10, KeepFor: time.Minute, AdoptFor: time.Hour})
 				must.NoError(b, err)
-				before := measure.InUse()
+				before := measure.MemoryInUse()
 				for i := range n {
 					_, err := e.Issue("a", 1)
 					must.NoError(b, err)
@@ -200,7 +200,7 @@
 					_, err = e.Do(b.Context(), used, "a", ticket.Fingerprint{}, answer)
 					must.NoError(b, err)
 				}
-				b.ReportMetric(measure.InUse()-before, "bytes")
+				b.ReportMetric(measure.MemoryInUse()-before, "bytes")
 				runtime.KeepAlive(e)
 			})
 		})
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -19,6 +19,7 @@
 	updateHint = "put the output of `go run ./cmd/cherryctl capacity --markdown` between the marks"
 )
 
+// TestPageCurrent verifies that the tables on the capacity page match the model's output.
 func TestPageCurrent(t *testing.T) {
 	var want bytes.Buffer
 	must.NoError(t, WriteMarkdown(&want))
@@ -31,8 +32,8 @@
 	must.Eq(t, want.String(), tables, must.Sprint(updateHint))
 }
 
-// TestFitFindsLine draws lines with noise that sums to nothing and is at right
-// angles to the sizes, so that the fit must find them.
+// TestFitFindsLine verifies that the fit recovers lines with added noise. The noise sums to zero and is
+// orthogonal to the sizes, so that it doesn't change the least-squares fit.
 func TestFitFindsLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(-100, 100).Draw(t, "a"), rapid.Float64Range(-100, 100).Draw(t, "b")
@@ -49,8 +50,8 @@
 	})
 }
 
-// TestFitsReproduce holds fits of the points in this package against sums done
-// here in another way: the residuals are at right angles to the sizes.
+// TestFitsReproduce verifies the fits of all slopes independently: the residuals of a least-squares fit
+// sum to zero and are orthogonal to the sizes.
 func TestFitsReproduce(t *testing.T) {
 	for _, s := range NewModel().Slopes {
 		f, ok := s.Fit()
@@ -94,24 +95,24 @@
 			must.True(t, seen[id], must.Sprintf("%s: %s", l.What, id))
 			measured = measured && len(m.Slope(id).Points) >= minPoints
 		}
-		must.Eq(t, l.Missing, !measured, must.Sprint(l.What))
+		must.Eq(t, l.NotMeasured, !measured, must.Sprint(l.What))
 	}
 }
 
-// TestMissingSlopeIsNotMeasured takes the points of a slope away: what rests on
-// it must disappear and not become zero.
+// TestMissingSlopeIsNotMeasured verifies that figures derived from a slope without points are unknown
+// instead of zero.
 func TestMissingSlopeIsNotMeasured(t *testing.T) {
 	m := NewModel()
 	m.Slopes = slices.Clone(m.Slopes)
 	m.Slope(HostsBytes).Points = nil
 	must.False(t, m.hostsLine().Bytes.Known)
 	must.False(t, Sum([]Line{m.hostsLine()}, BytesOf).Known)
-	must.Eq(t, "-", m.hostsLine().Bytes.with(1))
+	must.Eq(t, "-", m.hostsLine().Bytes.inUnit(1))
 	must.True(t, slices.ContainsFunc(m.slopeTable().rows, func(row []string) bool { return row[0] == string(HostsBytes) && row[3] == notMeasured }))
 }
 
-// TestCallsOfRequest holds the model's bytes of a request against those that node
-// processes counted: 5 endpoints over so many nodes.
+// TestCallsOfRequest compares the model's bytes of a request with those counted by node processes, for
+// 5 endpoints and several numbers of nodes.
 func TestCallsOfRequest(t *testing.T) {
 	m := NewModel()
 	chunks := m.Work.Chunks()
@@ -125,8 +126,8 @@
 
 func TestNumber(t *testing.T) {
 	for want, v := range map[string]float64{"0": 0, "12.0": 12, "1,230,000": 1_226_390, "0.0105": 0.01053, "-2,810": -2813.4, "100": 99.99} {
-		must.Eq(t, want, number(v, valueDigits))
+		must.Eq(t, want, formatNumber(v, valueDigits))
 	}
-	must.Eq(t, "1,226,853", exact(1_226_853))
-	must.Eq(t, "0.887", exact(0.887))
+	must.Eq(t, "1,226,853", formatExact(1_226_853))
+	must.Eq(t, "0.887", formatExact(0.887))
 }
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -1,23 +1,23 @@
 package capacity
 
-// Rates of the daemon's own timers.
+// Rates of the daemon's timers, and limits.
 const (
-	limitRounds    = 10.0 / 3 // a second: a tenth of the lease
-	hostChanges    = 2.0      // of the host list for a host replaced
+	limitRounds    = 10.0 / 3 // per second: one per tenth of the lease
+	hostChanges    = 2.0      // changes of the host list per replaced host
 	daySeconds     = 86_400.0
-	ownerSweeps    = 1.0    // a second
-	loadReads      = 1.0    // a second for each engine
-	stateReads     = 0.5    // a second for each engine, by the rollout's worker
-	reportsMade    = 0.1    // a second for each engine, of one model
-	holdersAsked   = 0.2    // a second for each model that a node's callers use
-	namedEngines   = 64     // at most, in the answer
+	ownerSweeps    = 1.0    // per second
+	loadReads      = 1.0    // per second and engine
+	stateReads     = 0.5    // per second and engine, by its rollout worker
+	reportsMade    = 0.1    // per second and engine, for one model
+	holdersAsked   = 0.2    // per second and model used by a node's callers
+	namedEngines   = 64     // maximum in a response
 	storeSweep     = 3600.0 // seconds
-	eventsPerBlock = 2.0    // one when it comes, one when it goes
+	eventsPerBlock = 2.0    // one when it is added, one when it is evicted
 	microseconds   = 1e-6
 )
 
-// Standing returns what a node spends on control whether or not requests come,
-// but for the limits and the cache events, which follow the requests.
+// Standing returns the control costs of a node that don't depend on requests, and in addition those of
+// limits and cache events, which do.
 func (m *Model) Standing() []Line {
 	return []Line{m.memberLine(), m.configLine(), m.limitLine(), m.hostsLine(), m.ownedLine(), m.movesLine(), m.workersLine(),
 		m.loadLine(), m.stateLine(), m.eventLine(), m.storeLine(), m.storeSetLine(), m.reportLine(), m.holdersLine(), m.framingLine()}
@@ -29,7 +29,7 @@
 		Slopes: []SlopeID{MemberBytes, MemberExchange, MemberStart},
 		Core:   m.at(MemberExchange, nodes).Times(2 * microseconds).Plus(m.at(PeerCallCPU, 200).Times(1 * microseconds)),
 		Memory: m.at(MemberStart, nodes),
-		Bytes:  m.at(MemberBytes, nodes).Times(bothDirection)}
+		Bytes:  m.at(MemberBytes, nodes).Times(bothDirections)}
 }
 
 func (m *Model) configLine() Line {
@@ -50,7 +50,7 @@
 	return Line{Role: AccountOwner, What: "shares asked for and lent, parts kept", Basis: "2 x bytes sent; each call as one of 300 B; 3.3 rounds a second",
 		Slopes: []SlopeID{LimitBytes, LimitCalls, LimitRound, PeerCallCPU},
 		Core:   rounds.Plus(calls),
-		Bytes:  m.at(LimitBytes, nodes).Times(bothDirection)}
+		Bytes:  m.at(LimitBytes, nodes).Times(bothDirections)}
 }
 
 func (m *Model) hostsLine() Line {
@@ -68,7 +68,7 @@
 		Core:   m.Slope(OwnedCPU).PerUnit().Times(m.Size.OwnedPerNode() * ownerSweeps * microseconds)}
 }
 
-// movesLine takes every replaced host for a node.
+// movesLine assumes that every replaced host is a node.
 func (m *Model) movesLine() Line {
 	return Line{Role: Member, What: "the table of owners, when a node leaves and returns", Basis: "12,000 endpoints, 1,000 nodes, 2,900 times a day",
 		Slopes: []SlopeID{OwnerMoves},
@@ -84,12 +84,11 @@
 		Bytes:  m.at(LoadBytes, owned).Times(loadReads)}
 }
 
-// indexedBlocks is what an engine is taken to hold; the index is bounded at
-// 65,536.
+// indexedBlocks is the assumed number of blocks in an engine's index, whose maximum is 65,536.
 const indexedBlocks = 10_000
 
-// BlockRate returns the blocks that answers fill at the engines of one node a
-// second; those of prompts that were not held come on top.
+// BlockRate returns the blocks per second that generated tokens fill at the engines of one node. Blocks
+// of recomputed prompts are not included.
 func (m *Model) BlockRate() float64 { return m.Size.TokensPerNode() / m.Work.BlockTokens }
 
 func (m *Model) eventLine() Line {
@@ -100,8 +99,8 @@
 		Bytes:  m.Slope(EventBytes).PerUnit().Times(events)}
 }
 
-// StoredBlocksPerNode returns the stored blocks that one node's index holds, if
-// all returning prompts are stored once.
+// StoredBlocksPerNode returns the number of stored blocks in one node's index if every returning prompt
+// is stored once.
 func (m *Model) StoredBlocksPerNode() float64 {
 	return float64(m.Size.Returning) * m.Work.Blocks() / float64(m.Size.Nodes)
 }
@@ -115,15 +114,15 @@
 		Bytes:  m.Slope(StoreListBytes).PerUnit().Times(blocks / storeSweep)}
 }
 
-// framingLine is what the JSON-RPC adds to the members' and followers' messages;
-// those of the limits contain it.
+// framingLine returns the JSON-RPC overhead of the members' and followers' messages. Those of the limits
+// include it already.
 func (m *Model) framingLine() Line {
 	calls := 1 + m.at(ConfigCalls, float64(m.Size.Nodes)).Value
-	overhead := m.at(PeerCallBytes, 0).Times(calls * bothDirection)
+	overhead := m.at(PeerCallBytes, 0).Times(calls * bothDirections)
 	return Line{Role: EveryRole, What: "framing of the members' and followers' calls", Basis: "2 calls a second made and 2 served; an empty call", Slopes: []SlopeID{PeerCallBytes, ConfigCalls}, Bytes: overhead}
 }
 
-// Base returns the memory that a node needs before any of these.
+// Base returns the costs of a node process and its connections, without any of the standing costs.
 func (m *Model) Base() []Line {
 	return []Line{
 		{Role: EveryRole, What: "the process, without endpoints", Basis: "3 to 28 nodes; memory at 28; the time holds the members' and followers' calls once more", Slopes: []SlopeID{IdleCPU, IdleMemory},
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,7 +1,7 @@
-// Package capacity works out what a node costs at the planned size, from slopes
-// measured on the real code.
+// Package capacity estimates the resources that a node needs at the planned system size, from slopes
+// measured on the daemon's code.
 //
-// Guarantee: every figure comes from points that stand in this package beside
-// the command that measured them, or is printed as not measured. The points are
-// of shared machines; each slope says how loaded the machine was.
+// Every figure is derived from measured points in this package, which state the command that measured
+// them, or is printed as not measured. The points were measured on shared machines; each slope states
+// the machine's load.
 package capacity
--- a/internal/capacity/loss.go
+++ b/internal/capacity/loss.go
@@ -1,23 +1,23 @@
 package capacity
 
-// Loss is what an event takes away and moves.
+// Loss describes the effects of the loss of nodes and servers in an event.
 type Loss struct {
 	Event     string
 	Nodes     float64
-	Servers   float64 // lost with the nodes, their memory cold
-	Endpoints float64 // with a new owner
-	Streams   float64 // that callers resume at another node
-	Listed    Figure  // bytes of store hosts' lists that the new owners read
-	Reading   Figure  // seconds of a core for that, over all of them
-	Prompts   float64 // whose stored blocks were on the lost servers
-	Known     string  // seconds until the members know, as measured at 1,000
+	Servers   float64 // lost with the nodes, together with the caches in their memory
+	Endpoints float64 // endpoints that change their owner
+	Streams   float64 // streams that callers resume at another node
+	Listed    Figure  // bytes of the store hosts' lists that new owners read
+	Reading   Figure  // processor seconds for reading them, over all new owners
+	Prompts   float64 // prompts whose stored blocks were on the lost servers
+	Known     string  // seconds until members detect the event, as measured with 1,000
 }
 
 // rackHosts is the assumed number of hosts in a rack.
 const rackHosts = 40
 
-// Losses works the events out. The seconds are those of docs/design/members.md at
-// 1,000 members without loss of messages: p50, p99 and all pairs.
+// Losses returns the effects of several events. The detection times are those of docs/design/members.md
+// with 1,000 members and no message loss: p50, p99 and all pairs.
 func (m *Model) Losses() []Loss {
 	nodes, servers := float64(m.Size.Nodes), float64(m.Size.Servers)
 	rackNodes := rackHosts * nodes / (nodes + servers)
@@ -41,12 +41,13 @@
 		Servers:   servers,
 		Endpoints: nodes * m.Size.OwnedPerNode() * left,
 		Streams:   nodes * m.Size.StreamsPerNode(),
-		Listed:    m.Slope(StoreListBytes).PerUnit().Times(blocks / bothLists),
-		Reading:   m.Slope(StoreListCPU).PerUnit().Times(blocks / bothLists * microseconds),
+		Listed:    m.Slope(StoreListBytes).PerUnit().Times(blocks / listsPerSweep),
+		Reading:   m.Slope(StoreListCPU).PerUnit().Times(blocks / listsPerSweep * microseconds),
 		Prompts:   float64(m.Size.Returning) * servers / float64(m.Size.Servers),
 		Known:     known,
 	}
 }
 
-// bothLists: a new owner lists the manifests, about half of what a sweep lists.
-const bothLists = 2
+// listsPerSweep is the number of lists, of similar size, in a sweep: those of blocks and of manifests.
+// A new owner only reads the manifests.
+const listsPerSweep = 2
--- a/internal/capacity/measure/doc.go
+++ b/internal/capacity/measure/doc.go
@@ -1,7 +1,7 @@
-// Package measure reads what code costs in processor time and memory, and serves
-// canned answers to it. Its tests run small fleets of node processes on loopback,
-// before stand-ins, and read from the nodes' own metrics what they cost.
+// Package measure provides tools to measure the processor time and memory of code, and a server with
+// canned responses. Its tests run small fleets of node processes on loopback against simulated endpoints
+// and read their resource usage from the nodes' metrics.
 //
-// It is a measuring tool: its figures depend on the machine and its load, so no
-// test gates on them. The processes end with the test that started them.
+// The figures depend on the machine and its load, so no test asserts on them. Node processes end with
+// the test that started them.
 package measure
--- a/internal/capacity/measure/fleet_test.go
+++ b/internal/capacity/measure/fleet_test.go
@@ -23,27 +23,27 @@
 const (
 	readyPoll    = 50 * time.Millisecond
 	storeBytes   = 1 << 30
-	addressLevel = "info" // of the line with the addresses
+	addressLevel = "info" // level of the log line with the addresses
 )
 
-// Options size a fleet.
+// Options configure a fleet.
 type Options struct {
 	Nodes   int
 	Engines int
 	Stores  int
-	// Engine is how all engines compute.
+	// Engine is the configuration of all engines.
 	Engine  engine.Config
 	Command Command
 }
 
-// Fleet is node processes before stand-ins that run in this process.
+// Fleet is a set of node processes. The simulated endpoints run in this process.
 type Fleet struct {
 	Nodes    []*Process
 	standIns *demo.Fleet
 	dir      string
 }
 
-// Start starts a fleet, configures it and waits until every node knows the others.
+// Start starts a fleet, configures it and waits until every node has discovered the others.
 func Start(ctx context.Context, opts Options) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "cherryward-measure-")
 	if err != nil {
@@ -61,7 +61,7 @@
 	var base settings.Settings
 	var err error
 	f.standIns, err = demo.Start(demo.Options{
-		Nodes:   1, // writes the configuration, then goes
+		Nodes:   1, // writes the configuration, then is stopped
 		Engines: slices.Repeat([]engine.Config{opts.Engine}, opts.Engines),
 		Stores:  storesOf(opts.Stores),
 		Log:     zerolog.Nop(),
@@ -112,12 +112,12 @@
 	return nil
 }
 
-// wait returns once every node is ready and counts that many members alive.
+// wait returns once every node is ready and reports the given number of alive members.
 func (f *Fleet) wait(ctx context.Context, alive int) error {
 	for _, p := range f.Nodes {
 		for {
 			s, err := p.read(ctx)
-			if err == nil && s.Ready == 1 && int(s.Alive) == alive && p.serves(ctx) {
+			if err == nil && s.Ready == 1 && int(s.Alive) == alive && p.knowsAccounts(ctx) {
 				break
 			}
 			if !retry.Sleep(ctx, readyPoll) {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Measure returns what the fleet costs while work runs.
+// Measure returns the resource usage of the fleet while work runs.
 func (f *Fleet) Measure(ctx context.Context, work func(context.Context) error) (Cost, error) {
 	before, err := f.sample(ctx)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return samples, group.Wait()
 }
 
-// Close ends the processes and the stand-ins.
+// Close stops the node processes and the simulated endpoints.
 func (f *Fleet) Close() error {
 	var group errgroup.Group
 	for _, p := range f.Nodes {
--- a/internal/capacity/measure/load_test.go
+++ b/internal/capacity/measure/load_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	word       = "pass or hold? "
-	settleTime = 500 * time.Millisecond // for releases and offers
+	promptText = "pass or hold? "
+	settleTime = 500 * time.Millisecond // time for releases and offers to be sent
 )
 
-// Batch is a number of like prompts, sent to the nodes in turn.
+// Batch is a number of similar prompts, sent to the nodes in rotation.
 type Batch struct {
-	Requests  int
-	Prompt    int // bytes
-	MaxTokens int
-	AtOnce    int // requests open at once
+	Requests      int
+	Prompt        int // bytes
+	MaxTokens     int
+	MaxConcurrent int // concurrent requests
 }
 
 type body struct {
@@ -36,14 +36,14 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Send sends a batch and returns when all is answered and released.
+// Send sends a batch and returns after all requests have been answered and released.
 func (f *Fleet) Send(ctx context.Context, b Batch, label string) error {
 	group, inner := errgroup.WithContext(ctx)
-	group.SetLimit(b.AtOnce)
+	group.SetLimit(b.MaxConcurrent)
 	for i := range b.Requests {
 		group.Go(func() error {
 			head := label + " " + strconv.Itoa(i) + " "
-			text := (head + strings.Repeat(word, b.Prompt/len(word)+1))[:max(b.Prompt, len(head))]
+			text := (head + strings.Repeat(promptText, b.Prompt/len(promptText)+1))[:max(b.Prompt, len(head))]
 			return f.send(inner, f.Nodes[i%len(f.Nodes)], i, &body{Model: demo.Model, Prompt: text, MaxTokens: b.MaxTokens, Stream: true})
 		})
 	}
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// serves tells whether a node knows the accounts. It may say that it is ready a
-// moment before.
-func (p *Process) serves(ctx context.Context) bool {
+// knowsAccounts reports whether a node has received the accounts, which may be shortly after it
+// reports to be ready.
+func (p *Process) knowsAccounts(ctx context.Context) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.callers+"/v1/models", nil)
 	if err != nil {
 		return false
--- a/internal/capacity/measure/measure_test.go
+++ b/internal/capacity/measure/measure_test.go
@@ -18,9 +18,10 @@
 	"github.com/cherryward/cherryward/standin/engine"
 )
 
-var full = flag.Bool("measure", false, "run the measurements, about a minute each")
+var measureFlag = flag.Bool("measure", false, "run the measurements, about a minute each")
 
-// nodeVariable makes the test binary run a node with the settings file it names.
+// nodeVariable is the environment variable that names the settings file if the test binary is to run as
+// a node.
 const nodeVariable = "CHERRYWARD_MEASURE_NODE"
 
 func TestMain(m *testing.M) {
@@ -45,9 +46,9 @@
 	return f
 }
 
-// TestIdle prints what a node without requests spends, by the number of nodes.
+// TestIdle prints the resource usage of a node without requests, by the number of nodes.
 func TestIdle(t *testing.T) {
-	if !*full {
+	if !*measureFlag {
 		t.Skip("a measurement: run with -measure")
 	}
 	for _, nodes := range []int{3, 7, 14, 28} {
@@ -60,14 +61,14 @@
 		must.NoError(t, err)
 		r := c.rate()
 		t.Logf("nodes=%d sent=%.0f B/s received=%.0f B/s most=%.0f B/s calls=%.2f/s cpu=%.3f%% resident=%.1f MB",
-			nodes, r.Sent, r.Received, r.Most, r.Calls, 100*r.CPU, r.Resident/1e6)
+			nodes, r.Sent, r.Received, r.MaxBytes, r.Calls, 100*r.CPU, r.Resident/1e6)
 		must.NoError(t, f.Close())
 	}
 }
 
-// TestOwned prints what a node without requests spends, by the engines it owns.
+// TestOwned prints the resource usage of a node without requests, by the number of engines it owns.
 func TestOwned(t *testing.T) {
-	if !*full {
+	if !*measureFlag {
 		t.Skip("a measurement: run with -measure")
 	}
 	for _, engines := range []int{0, 6, 12, 24} {
@@ -83,19 +84,19 @@
 	}
 }
 
-// TestRequests prints what a request costs, by nodes, bytes of prompt and tokens.
+// TestRequests prints the cost of a request, by nodes, prompt bytes and tokens.
 func TestRequests(t *testing.T) {
-	if !*full {
+	if !*measureFlag {
 		t.Skip("a measurement: run with -measure")
 	}
 	for _, nodes := range []int{3, 5, 7} {
 		f := startFleet(t, Options{Nodes: nodes, Engines: 3, Stores: 2})
-		must.NoError(t, f.Send(t.Context(), Batch{Requests: 100, Prompt: 200, MaxTokens: 4, AtOnce: 8}, "warm "))
+		must.NoError(t, f.Send(t.Context(), Batch{Requests: 100, Prompt: 200, MaxTokens: 4, MaxConcurrent: 8}, "warm "))
 		idle, err := f.Measure(t.Context(), func(ctx context.Context) error { retry.Sleep(ctx, 3*time.Second); return nil })
 		must.NoError(t, err)
 		for i, b := range []Batch{
-			{Requests: 420, Prompt: 200, MaxTokens: 64, AtOnce: 8}, {Requests: 420, Prompt: 200, MaxTokens: 256, AtOnce: 8}, {Requests: 210, Prompt: 200, MaxTokens: 1024, AtOnce: 8},
-			{Requests: 210, Prompt: 32_000, MaxTokens: 64, AtOnce: 8}, {Requests: 210, Prompt: 120_000, MaxTokens: 64, AtOnce: 8}, {Requests: 210, Prompt: 240_000, MaxTokens: 64, AtOnce: 8},
+			{Requests: 420, Prompt: 200, MaxTokens: 64, MaxConcurrent: 8}, {Requests: 420, Prompt: 200, MaxTokens: 256, MaxConcurrent: 8}, {Requests: 210, Prompt: 200, MaxTokens: 1024, MaxConcurrent: 8},
+			{Requests: 210, Prompt: 32_000, MaxTokens: 64, MaxConcurrent: 8}, {Requests: 210, Prompt: 120_000, MaxTokens: 64, MaxConcurrent: 8}, {Requests: 210, Prompt: 240_000, MaxTokens: 64, MaxConcurrent: 8},
 		} {
 			c, err := f.Measure(t.Context(), func(ctx context.Context) error { return f.Send(ctx, b, strings.Repeat("b", i+1)) })
 			must.NoError(t, err)
@@ -108,9 +109,9 @@
 	}
 }
 
-// TestStreams prints the memory of one node, by the streams that are open.
+// TestStreams prints the memory of one node, by the number of open streams.
 func TestStreams(t *testing.T) {
-	if !*full {
+	if !*measureFlag {
 		t.Skip("a measurement: run with -measure")
 	}
 	slow := engine.Config{TimeScale: 1, DecodeStep: 200 * time.Millisecond, MaxRunning: 10_000, MaxWaiting: 10_000}
@@ -118,7 +119,7 @@
 		f := startFleet(t, Options{Nodes: 1, Engines: 1, Engine: slow})
 		sent := make(chan error, 1)
 		go func() {
-			sent <- f.Send(t.Context(), Batch{Requests: streams, Prompt: 200, MaxTokens: 40, AtOnce: max(streams, 1)}, "s")
+			sent <- f.Send(t.Context(), Batch{Requests: streams, Prompt: 200, MaxTokens: 40, MaxConcurrent: max(streams, 1)}, "s")
 		}()
 		retry.Sleep(t.Context(), 5*time.Second)
 		s, err := f.Nodes[0].read(t.Context())
@@ -129,7 +130,7 @@
 	}
 }
 
-// TestCost holds samples against metrics as a node writes them.
+// TestCost verifies parsing of a node's metrics and the cost computed from samples.
 func TestCost(t *testing.T) {
 	read := func(text string, at int64) Sample {
 		s, err := parse(strings.NewReader(text))
@@ -142,8 +143,8 @@
 	second := read("cherryward_peer_sent_bytes_total 300\ncherryward_peer_received_bytes_total 90\nprocess_cpu_seconds_total 0.75\nprocess_resident_memory_bytes 1e6\n", 14)
 	idle := read("cherryward_peer_sent_bytes_total 100\ncherryward_peer_received_bytes_total 50\nprocess_cpu_seconds_total 0.25\n", 14)
 	c := costOf([]Sample{first, first}, []Sample{second, idle})
-	must.Eq(t, Cost{Seconds: 4, Sent: 100, Received: 20, CPU: 0.25, Resident: 5e5, Most: 240}, c)
-	must.Eq(t, Cost{Seconds: 1, Sent: 25, Received: 5, CPU: 0.0625, Resident: 5e5, Most: 60}, c.rate())
+	must.Eq(t, Cost{Seconds: 4, Sent: 100, Received: 20, CPU: 0.25, Resident: 5e5, MaxBytes: 240}, c)
+	must.Eq(t, Cost{Seconds: 1, Sent: 25, Received: 5, CPU: 0.0625, Resident: 5e5, MaxBytes: 60}, c.rate())
 	_, err := parse(strings.NewReader("process_cpu_seconds_total much\n"))
 	must.Error(t, err)
 }
--- a/internal/capacity/measure/process_test.go
+++ b/internal/capacity/measure/process_test.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	startLimit = 10 * time.Second
-	stopLimit  = 10 * time.Second
+	startTimeout = 10 * time.Second
+	stopTimeout  = 10 * time.Second
 )
 
-// listening marks the line by which a node tells its addresses.
+// listening identifies the log line with a node's addresses.
 const listening = " event=listening "
 
 var address = regexp.MustCompile(` (callers|peers)=(\S+)`)
@@ -62,18 +62,18 @@
 	}
 	up := make(chan string, 1)
 	go func() {
-		follow(out, up)
+		readLog(out, up)
 		p.ended <- p.cmd.Wait()
 	}()
 	select {
 	case line := <-up:
 		if !strings.Contains(line, listening) {
-			return nil, eris.Errorf("node %s ended at its start: %s", p.ID, line)
+			return nil, eris.Errorf("node %s exited during its start: %s", p.ID, line)
 		}
 		p.setAddresses(line)
 		return p, nil
-	case <-time.After(startLimit):
-		return nil, eris.Errorf("node %s does not listen", p.ID)
+	case <-time.After(startTimeout):
+		return nil, eris.Errorf("node %s did not start to listen in time", p.ID)
 	}
 }
 
@@ -87,9 +87,9 @@
 	}
 }
 
-// starter starts processes from one thread, whose end ends them: so none is left
-// when this process is broken off.
-var starter = sync.OnceValue(func() chan<- func() {
+// launcher starts processes from one thread. The kernel kills them when that thread ends, so that
+// none is left over if this process is killed.
+var launcher = sync.OnceValue(func() chan<- func() {
 	jobs := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -103,13 +103,13 @@
 func launch(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	done := make(chan error)
-	starter() <- func() { done <- cmd.Start() }
+	launcher() <- func() { done <- cmd.Start() }
 	return <-done
 }
 
-// follow reads a node's log to its end and reports the line with its addresses,
-// or the last one if there was none.
-func follow(out io.Reader, up chan<- string) {
+// readLog reads a node's log until it ends. It sends the line with the node's addresses to up, or the
+// last line if there is no such line.
+func readLog(out io.Reader, up chan<- string) {
 	lines := bufio.NewScanner(out)
 	last, found := "", false
 	for lines.Scan() {
@@ -124,12 +124,12 @@
 	}
 }
 
-// stop ends the process gracefully, and kills it when that takes too long.
+// stop stops the process gracefully, and kills it after stopTimeout.
 func (p *Process) stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return eris.Wrap(err, "stop node")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	select {
 	case err := <-p.ended:
--- a/internal/capacity/measure/sample_test.go
+++ b/internal/capacity/measure/sample_test.go
@@ -12,20 +12,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Sample is what a node's metrics say at one moment.
+// Sample holds the values of a node's metrics at one time.
 type Sample struct {
 	At       time.Time
 	Sent     float64 // bytes to peers
 	Received float64 // bytes from peers
 	Calls    float64 // calls to peers
 	CPU      float64 // processor seconds
-	Resident float64 // bytes
-	Alive    float64 // members
-	Ready    float64 // 1 with a fresh configuration
-	Owned    float64 // endpoints
+	Resident float64 // bytes of resident memory
+	Alive    float64 // number of alive members
+	Ready    float64 // 1 if the configuration is up to date
+	Owned    float64 // number of owned endpoints
 }
 
-// fields maps the metrics to the sample's fields.
+// fields returns pointers to the sample's fields by metric name.
 func (s *Sample) fields() map[string]*float64 {
 	return map[string]*float64{
 		"cherryward_peer_sent_bytes_total":     &s.Sent,
@@ -39,7 +39,7 @@
 	}
 }
 
-// read returns a sample of a node.
+// read requests a node's metrics.
 func (p *Process) read(ctx context.Context) (Sample, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.callers+"/metrics", nil)
 	if err != nil {
@@ -72,15 +72,15 @@
 	return s, eris.Wrap(lines.Err(), "read metrics")
 }
 
-// Cost is the mean over a fleet's nodes between two samples of each.
+// Cost is the mean resource usage of a fleet's nodes between two samples of each.
 type Cost struct {
 	Seconds  float64
 	Sent     float64 // bytes for each node
 	Received float64
 	Calls    float64
 	CPU      float64 // processor seconds for each node
-	Resident float64 // bytes, at the end
-	Most     float64 // bytes in and out of the busiest node
+	Resident float64 // bytes, in the second sample
+	MaxBytes float64 // bytes sent and received by the busiest node
 }
 
 func costOf(before, after []Sample) Cost {
@@ -94,7 +94,7 @@
 		c.Calls += (a.Calls - b.Calls) / n
 		c.CPU += (a.CPU - b.CPU) / n
 		c.Resident += a.Resident / n
-		c.Most = max(c.Most, a.Sent+a.Received-b.Sent-b.Received)
+		c.MaxBytes = max(c.MaxBytes, a.Sent+a.Received-b.Sent-b.Received)
 	}
 	return c
 }
@@ -102,5 +102,5 @@
 // rate returns the cost of one second.
 func (c Cost) rate() Cost {
 	s := c.Seconds
-	return Cost{Seconds: 1, Sent: c.Sent / s, Received: c.Received / s, Calls: c.Calls / s, CPU: c.CPU / s, Resident: c.Resident, Most: c.Most / s}
+	return Cost{Seconds: 1, Sent: c.Sent / s, Received: c.Received / s, Calls: c.Calls / s, CPU: c.CPU / s, Resident: c.Resident, MaxBytes: c.MaxBytes / s}
 }
--- a/internal/capacity/memory_test.go
+++ b/internal/capacity/memory_test.go
@@ -11,32 +11,32 @@
 	"github.com/cherryward/cherryward/internal/kvcache"
 )
 
-// BenchmarkView reports the bytes of the typed configuration.
+// BenchmarkView reports the memory of the typed configuration.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{1000, 4000, 12_000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				before := measure.InUse()
+				before := measure.MemoryInUse()
 				view := viewOf(n)
-				b.ReportMetric(measure.InUse()-before, "bytes")
+				b.ReportMetric(measure.MemoryInUse()-before, "bytes")
 				runtime.KeepAlive(view)
 			}
 		})
 	}
 }
 
-// BenchmarkEngineIndex reports the bytes of one engine's index.
+// BenchmarkEngineIndex reports the memory of one engine's index.
 func BenchmarkEngineIndex(b *testing.B) {
 	for _, blocks := range []int{2900, 11_600, 58_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
 			for b.Loop() {
-				before := measure.InUse()
+				before := measure.MemoryInUse()
 				x := kvcache.NewEngineIndex(1 << 16)
 				x.Resync("i", 0, nil)
 				for c := range blocks / blocksPerPrompt {
 					x.Observe(engineRun(c))
 				}
-				b.ReportMetric(measure.InUse()-before, "bytes")
+				b.ReportMetric(measure.MemoryInUse()-before, "bytes")
 				runtime.KeepAlive(x)
 			}
 		})
@@ -45,7 +45,7 @@
 
 const blocksPerPrompt = 29
 
-// engineRun is a run of a conversation of 117 chunks.
+// engineRun returns a run of a conversation with 117 chunks.
 func engineRun(c int) kvcache.Run {
 	id := kvcache.Identity{Account: fmt.Sprint("account-", c), Model: "m", Version: "v"}
 	run := kvcache.Run{Incarnation: "i", Chain: id.TextChain(strings.Repeat("x", 240_000)), PromptSize: 240_000, PromptTokens: 60_000}
@@ -55,17 +55,17 @@
 	return run
 }
 
-// BenchmarkStoreIndex reports the bytes of one store host's index.
+// BenchmarkStoreIndex reports the memory of one store host's index.
 func BenchmarkStoreIndex(b *testing.B) {
 	for _, blocks := range []int{3000, 12_000, 60_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
 			for b.Loop() {
-				before := measure.InUse()
+				before := measure.MemoryInUse()
 				x := kvcache.NewStoreIndex()
 				for c := range blocks / 30 {
 					addConversation(x, c)
 				}
-				b.ReportMetric(measure.InUse()-before, "bytes")
+				b.ReportMetric(measure.MemoryInUse()-before, "bytes")
 				runtime.KeepAlive(x)
 			}
 		})
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -33,15 +33,15 @@
 func (m *Model) sizeTable() *table {
 	s := m.Size
 	t := &table{title: "Size", note: "What one node has of it follows by division; nothing here is measured.", head: []string{"what", "all", "a node"}}
-	t.add("nodes", number(float64(s.Nodes), valueDigits), "1")
-	t.add("servers (endpoints)", number(float64(s.Servers), valueDigits), number(s.OwnedPerNode(), valueDigits))
-	t.add("requests a second", number(s.Requests, valueDigits), number(s.RequestsPerNode(), valueDigits))
-	t.add("tokens generated a second", number(s.Tokens, valueDigits), number(s.TokensPerNode(), valueDigits))
-	t.add("open streams (tokens a second x 66 ms)", number(s.StreamsPerNode()*float64(s.Nodes), valueDigits), number(s.StreamsPerNode(), valueDigits))
-	t.add("returning prompts", number(float64(s.Returning), valueDigits), number(float64(s.Returning)/float64(s.Nodes), valueDigits))
-	t.add("blocks stored for them (assumed: 240,000 bytes each, 4 a token, blocks of 2,048 tokens)", number(m.StoredBlocksPerNode()*float64(s.Nodes), valueDigits), number(m.StoredBlocksPerNode(), valueDigits))
-	t.add("changes of configuration a second", number(s.ChangesPerSecond(), valueDigits), "the same")
-	t.add("seconds from one replacement of a host to the next", number(secondsPerDay/s.Replaced, valueDigits), number(secondsPerDay/s.Replaced*float64(s.Nodes), valueDigits))
+	t.add("nodes", formatNumber(float64(s.Nodes), valueDigits), "1")
+	t.add("servers (endpoints)", formatNumber(float64(s.Servers), valueDigits), formatNumber(s.OwnedPerNode(), valueDigits))
+	t.add("requests a second", formatNumber(s.Requests, valueDigits), formatNumber(s.RequestsPerNode(), valueDigits))
+	t.add("tokens generated a second", formatNumber(s.Tokens, valueDigits), formatNumber(s.TokensPerNode(), valueDigits))
+	t.add("open streams (tokens a second x 66 ms)", formatNumber(s.StreamsPerNode()*float64(s.Nodes), valueDigits), formatNumber(s.StreamsPerNode(), valueDigits))
+	t.add("returning prompts", formatNumber(float64(s.Returning), valueDigits), formatNumber(float64(s.Returning)/float64(s.Nodes), valueDigits))
+	t.add("blocks stored for them (assumed: 240,000 bytes each, 4 a token, blocks of 2,048 tokens)", formatNumber(m.StoredBlocksPerNode()*float64(s.Nodes), valueDigits), formatNumber(m.StoredBlocksPerNode(), valueDigits))
+	t.add("changes of configuration a second", formatNumber(s.ChangesPerSecond(), valueDigits), "the same")
+	t.add("seconds from one replacement of a host to the next", formatNumber(secondsPerDay/s.Replaced, valueDigits), formatNumber(secondsPerDay/s.Replaced*float64(s.Nodes), valueDigits))
 	return t
 }
 
@@ -50,14 +50,14 @@
 		head: []string{"role", "what", "worked out from", "% of a core", "MB", "B/s, both ways", "core / budget", "bytes / budget"}}
 	lines := append(m.Standing(), m.Base()...)
 	for _, l := range lines {
-		t.add(string(l.Role), l.What, l.Basis, l.Core.Times(percent).with(1), l.Memory.with(mega), l.Bytes.with(1), l.Core.of(Control.Core), l.Bytes.of(Control.Bytes))
+		t.add(string(l.Role), l.What, l.Basis, l.Core.Times(percent).inUnit(1), l.Memory.inUnit(mega), l.Bytes.inUnit(1), l.Core.shareOf(Control.Core), l.Bytes.shareOf(Control.Bytes))
 	}
 	core := Sum(lines, CoreOf)
 	memory := Sum(lines, MemoryOf)
 	bytes := Sum(lines, BytesOf)
-	t.add("", "**sum**", "", core.Times(percent).with(1), memory.with(mega), bytes.with(1), core.of(Control.Core), bytes.of(Control.Bytes))
-	t.add("", "**budget**", "", number(Control.Core*percent, valueDigits), number(Control.Memory/mega, valueDigits), number(Control.Bytes, valueDigits), "1", "1")
-	t.add("", "**sum / budget**", "", core.of(Control.Core), memory.of(Control.Memory), bytes.of(Control.Bytes), "", "")
+	t.add("", "**sum**", "", core.Times(percent).inUnit(1), memory.inUnit(mega), bytes.inUnit(1), core.shareOf(Control.Core), bytes.shareOf(Control.Bytes))
+	t.add("", "**budget**", "", formatNumber(Control.Core*percent, valueDigits), formatNumber(Control.Memory/mega, valueDigits), formatNumber(Control.Bytes, valueDigits), "1", "1")
+	t.add("", "**sum / budget**", "", core.shareOf(Control.Core), memory.shareOf(Control.Memory), bytes.shareOf(Control.Bytes), "", "")
 	return t
 }
 
@@ -66,15 +66,15 @@
 		head: []string{"role", "call", "how many", "ms of a core", "B, sent and received", "at 97 requests/s: % of a core", "B/s"}}
 	lines, rate := m.Messages(), m.Size.RequestsPerNode()
 	for _, l := range lines {
-		if l.Missing {
+		if l.NotMeasured {
 			t.add(string(l.Role), l.What, l.Basis, notMeasured, notMeasured, notMeasured, notMeasured)
 			continue
 		}
-		t.add(string(l.Role), l.What, l.Basis, l.Core.Times(msPerSecond).with(1), l.Bytes.with(1), l.Core.Times(rate*percent).with(1), l.Bytes.Times(rate).with(1))
+		t.add(string(l.Role), l.What, l.Basis, l.Core.Times(msPerSecond).inUnit(1), l.Bytes.inUnit(1), l.Core.Times(rate*percent).inUnit(1), l.Bytes.Times(rate).inUnit(1))
 	}
 	core := Sum(lines, CoreOf)
 	bytes := Sum(lines, BytesOf)
-	t.add("", "**sum of what is measured**", "", core.Times(msPerSecond).with(1), bytes.with(1), core.Times(rate*percent).with(1), bytes.Times(rate).with(1))
+	t.add("", "**sum of what is measured**", "", core.Times(msPerSecond).inUnit(1), bytes.inUnit(1), core.Times(rate*percent).inUnit(1), bytes.Times(rate).inUnit(1))
 	return t
 }
 
@@ -83,12 +83,12 @@
 		head: []string{"role", "what", "worked out from", "ms of a core", "at 97 requests/s: % of a core"}}
 	lines, rate := m.Request(), m.Size.RequestsPerNode()
 	for _, l := range lines {
-		t.add(string(l.Role), l.What, l.Basis, l.Core.Times(msPerSecond).with(1), l.Core.Times(rate*percent).with(1))
+		t.add(string(l.Role), l.What, l.Basis, l.Core.Times(msPerSecond).inUnit(1), l.Core.Times(rate*percent).inUnit(1))
 	}
 	core := Sum(lines, CoreOf)
-	t.add("", "**sum**", "", core.Times(msPerSecond).with(1), core.Times(rate*percent).with(1))
+	t.add("", "**sum**", "", core.Times(msPerSecond).inUnit(1), core.Times(rate*percent).inUnit(1))
 	streams := m.Slope(StreamMemory).PerUnit().Times(m.Size.StreamsPerNode())
-	t.note += fmt.Sprintf(" Beside it, %s open streams take %s MB at a node.", number(m.Size.StreamsPerNode(), valueDigits), streams.with(1))
+	t.note += fmt.Sprintf(" Beside it, %s open streams take %s MB at a node.", formatNumber(m.Size.StreamsPerNode(), valueDigits), streams.inUnit(1))
 	return t
 }
 
@@ -96,8 +96,8 @@
 	t := &table{title: "Losses", note: "Numbers follow from the sizes; *known* is measured at 1,000 members: seconds p50 / p99 / all pairs.",
 		head: []string{"event", "nodes", "servers", "endpoints with a new owner", "streams to resume", "MB of store lists read anew", "s of a core for that", "prompts whose stored blocks are out of reach", "known, s"}}
 	for _, l := range m.Losses() {
-		t.add(l.Event, number(l.Nodes, valueDigits), number(l.Servers, valueDigits), number(l.Endpoints, valueDigits), number(l.Streams, valueDigits),
-			l.Listed.with(mega), l.Reading.with(1), number(l.Prompts, valueDigits), l.Known)
+		t.add(l.Event, formatNumber(l.Nodes, valueDigits), formatNumber(l.Servers, valueDigits), formatNumber(l.Endpoints, valueDigits), formatNumber(l.Streams, valueDigits),
+			l.Listed.inUnit(mega), l.Reading.inUnit(1), formatNumber(l.Prompts, valueDigits), l.Known)
 	}
 	return t
 }
@@ -112,7 +112,7 @@
 			t.add(string(s.ID), s.Title, s.Unit, notMeasured, "", "", "")
 			continue
 		}
-		t.add(string(s.ID), s.Title, s.Unit, s.pointsText(), s.fitText(f), number(f.Residual, errorDigits), s.Load)
+		t.add(string(s.ID), s.Title, s.Unit, s.pointsText(), s.fitText(f), formatNumber(f.Residual, errorDigits), s.Load)
 	}
 	return t
 }
@@ -120,16 +120,16 @@
 func (s *Slope) pointsText() string {
 	parts := make([]string, len(s.Points))
 	for i, p := range s.Points {
-		parts[i] = exact(p.Size) + ": " + exact(p.Value)
+		parts[i] = formatExact(p.Size) + ": " + formatExact(p.Value)
 	}
 	return s.Per + " " + strings.Join(parts, ", ")
 }
 
 func (s *Slope) fitText(f Fit) string {
 	if s.Growth == Flat {
-		return number(f.Intercept, valueDigits) + ", flat"
+		return formatNumber(f.Intercept, valueDigits) + ", flat"
 	}
-	return fmt.Sprintf("%s + %s x %s", number(f.Intercept, valueDigits), number(f.Slope, valueDigits), s.Per)
+	return fmt.Sprintf("%s + %s x %s", formatNumber(f.Intercept, valueDigits), formatNumber(f.Slope, valueDigits), s.Per)
 }
 
 func (m *Model) commandTable() *table {
--- a/internal/capacity/request.go
+++ b/internal/capacity/request.go
@@ -1,20 +1,20 @@
 package capacity
 
-// Calls of one request at the planned size, and what a fleet of 5 nodes makes.
+// Numbers of calls per request, at the planned size and in the measured fleet of 5 nodes.
 const (
-	storeHosts       = 1000 // of the servers, assumed
-	storesForCalls   = 2.0  // the entry node's and the engine owner's
-	fleetTokens      = 64   // of the measured requests
+	storeHosts       = 1000 // assumed number among the servers
+	storesForCalls   = 2.0  // one by the entry node and one by the engine's owner
+	fleetTokens      = 64   // tokens per request in the measurement
 	fleetEstimates   = 2.7  // 5 endpoints over 5 nodes: 3.4 owners, less the entry node's own 0.7
 	offersPerRequest = 1.0
 )
 
-// Estimates returns the calls for estimates of one request: nearly every
-// candidate has another owner.
+// Estimates returns the number of estimate calls of one request. It assumes that each candidate has a
+// different owner, which is nearly so at the planned size.
 func (m *Model) Estimates() float64 { return m.Work.Candidates + m.Work.Stores }
 
-// Request returns what one request of the assumed work costs, in seconds of a
-// core and in bytes at both ends together.
+// Request returns the processor time of one request of the assumed workload, in seconds of a core over
+// all nodes.
 func (m *Model) Request() []Line {
 	chunks, prompt := m.Work.Chunks(), m.Work.PromptBytes
 	calls := m.Estimates() + 1 + 1 + 1 + offersPerRequest
@@ -36,14 +36,14 @@
 	}
 }
 
-// Messages returns the bytes of one request's calls between nodes, at both ends
-// together: a byte is sent by one node and received by another.
+// Messages returns the cost of one request's calls between nodes. Bytes are counted at both ends: each is
+// sent by one node and received by another.
 func (m *Model) Messages() []Line {
 	chunks := m.Work.Chunks()
 	line := func(role Role, what, basis string, count float64, bytes, cpu SlopeID) Line {
 		return Line{Role: role, What: what, Basis: basis, Slopes: []SlopeID{bytes, cpu},
 			Core:  m.at(cpu, chunks).Times(count * microseconds),
-			Bytes: m.at(bytes, chunks).Times(count * bothDirection)}
+			Bytes: m.at(bytes, chunks).Times(count * bothDirections)}
 	}
 	return []Line{
 		line(Entry, "estimate", "16 engines and 2 store hosts, each with an owner of its own", m.Estimates(), EstimateBytes, EstimateCPU),
@@ -51,6 +51,6 @@
 		line(EngineOwner, "first token", "1", 1, FirstBytes, FirstCPU),
 		line(EngineOwner, "release", "1, with the blocks that the run left", 1, ReleaseBytes, ReleaseCPU),
 		line(StoreOwner, "offer", "1, from the engine's owner to the store host's", offersPerRequest, OfferBytes, OfferCPU),
-		{Role: StoreOwner, What: "import", Basis: "for the prompts that need one", Slopes: []SlopeID{ImportBytes}, Missing: true},
+		{Role: StoreOwner, What: "import", Basis: "for the prompts that need one", Slopes: []SlopeID{ImportBytes}, NotMeasured: true},
 	}
 }
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -1,14 +1,14 @@
 package capacity
 
-// part describes a role: what it keeps and what carries it.
-type part struct {
+// roleDescription describes a role: its state, its messages and the code that implements it.
+type roleDescription struct {
 	role     Role
 	state    string
 	messages string
 	carrier  string
 }
 
-var parts = []part{
+var roleDescriptions = []roleDescription{
 	{Entry, "open streams; last figures of engines for 10 s; grants in force", "a request's calls to owners; the engine's stream", "`router`, `runs`: rendezvous slots name 16 candidates; owners that are late are left out"},
 	{EngineOwner, "queue, grants, learned speed and index of 12 engines; all soft", "load each second, open reads of events and, for the rollout, the full state each 2 s of each engine; grants in force told by entry nodes after a change of owner", "`owner`, `enginestate`, `fairqueue`; ownership by rendezvous over the member view"},
 	{StoreOwner, "index, link budget and return histograms of its store hosts; all soft", "usage every 2 s, lists every hour, orders to engines", "`kvcache`: write-once names, manifests after verification, grace; correct with any number of owners"},
@@ -24,7 +24,7 @@
 	t := &table{title: "Roles", note: "Every node plays all of them. Standing cost only; what requests cost is below.",
 		head: []string{"role", "state", "messages", "% of a core", "MB", "B/s, both ways", "carried by"}}
 	lines := m.Standing()
-	for _, p := range parts {
+	for _, p := range roleDescriptions {
 		var own []Line
 		for _, l := range lines {
 			if l.Role == p.role {
@@ -34,7 +34,7 @@
 		core := Sum(own, CoreOf)
 		memory := Sum(own, MemoryOf)
 		bytes := Sum(own, BytesOf)
-		t.add(string(p.role), p.state, p.messages, core.Times(percent).with(1), memory.with(mega), bytes.with(1), p.carrier)
+		t.add(string(p.role), p.state, p.messages, core.Times(percent).inUnit(1), memory.inUnit(mega), bytes.inUnit(1), p.carrier)
 	}
 	return t
 }
--- a/internal/capacity/rollout.go
+++ b/internal/capacity/rollout.go
@@ -1,7 +1,5 @@
 package capacity
 
-// workersLine and the lines after it are the rollout service's and what follows
-// the configuration's changes.
 func (m *Model) workersLine() Line {
 	return Line{Role: EngineOwner, What: "the rollout service's look for owned engines, each second over all", Basis: "12,000 endpoints",
 		Slopes: []SlopeID{RolloutSweep},
@@ -21,7 +19,7 @@
 	return Line{Role: ModelOwner, What: "reports on engines, each 10 s", Basis: "1.2 a second made and 1.2 served on the mean; one version; without the board's work",
 		Slopes: []SlopeID{ReportBytes, ReportCPU},
 		Core:   m.at(ReportCPU, 1).Times(calls * microseconds),
-		Bytes:  m.at(ReportBytes, 1).Times(calls * bothDirection)}
+		Bytes:  m.at(ReportBytes, 1).Times(calls * bothDirections)}
 }
 
 func (m *Model) holdersLine() Line {
@@ -29,10 +27,10 @@
 	return Line{Role: ModelOwner, What: "questions for the holders of versions, each 5 s and model", Basis: "39 models used at each node: 7.8 a second made and 7.8 served on the mean; 64 engines named; without the board's work",
 		Slopes: []SlopeID{HoldersBytes, HoldersCPU},
 		Core:   m.at(HoldersCPU, namedEngines).Times(calls * microseconds),
-		Bytes:  m.at(HoldersBytes, namedEngines).Times(calls * bothDirection)}
+		Bytes:  m.at(HoldersBytes, namedEngines).Times(calls * bothDirections)}
 }
 
-// storeSetLine takes a request to follow every change.
+// storeSetLine assumes that a request follows every change, so that the set is rebuilt each time.
 func (m *Model) storeSetLine() Line {
 	return Line{Role: Entry, What: "the set of store hosts, made anew after each change", Basis: "12,000 endpoints, 57,000 changes a day",
 		Slopes: []SlopeID{StoresMade},
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -1,25 +1,25 @@
 package capacity
 
-// Size is the size of a fleet and of its work.
+// Size is the size of a system and of its load.
 type Size struct {
 	Nodes             int
 	Servers           int // endpoints: engines and store hosts
 	Accelerators      int
-	Requests          float64 // a second, all nodes
-	Tokens            float64 // generated a second, all nodes
+	Requests          float64 // per second, all nodes
+	Tokens            float64 // generated per second, all nodes
 	TokenGap          float64 // seconds between tokens of a stream
 	Returning         int     // prompts that return after minutes to days
 	Accounts          int
 	Models            int
 	Regions           int
 	Domains           int
-	Changes           float64 // of the configuration, a day
-	Replaced          float64 // hosts restarted or replaced a day
-	Failed            float64 // hosts that fail a day
+	Changes           float64 // configuration changes per day
+	Replaced          float64 // hosts restarted or replaced per day
+	Failed            float64 // hosts that fail per day
 	MaxInForceSeconds float64
 }
 
-// Planned is the size to design for.
+// Planned is the size that the system is designed for.
 var Planned = Size{
 	Nodes:             1000,
 	Servers:           12_000,
@@ -40,51 +40,51 @@
 
 const secondsPerDay = 86_400
 
-// RequestsPerNode returns the requests a second at one node.
+// RequestsPerNode returns the requests per second at one node.
 func (s Size) RequestsPerNode() float64 { return s.Requests / float64(s.Nodes) }
 
-// TokensPerNode returns the tokens a second at one node.
+// TokensPerNode returns the generated tokens per second at one node.
 func (s Size) TokensPerNode() float64 { return s.Tokens / float64(s.Nodes) }
 
-// TokensPerRequest returns the tokens of one answer.
+// TokensPerRequest returns the mean number of tokens of an answer.
 func (s Size) TokensPerRequest() float64 { return s.Tokens / s.Requests }
 
-// StreamsPerNode returns the streams that are open at one node at once.
+// StreamsPerNode returns the mean number of open streams at one node.
 func (s Size) StreamsPerNode() float64 { return s.TokensPerNode() * s.TokenGap }
 
-// OwnedPerNode returns the endpoints that one node owns.
+// OwnedPerNode returns the mean number of endpoints that a node owns.
 func (s Size) OwnedPerNode() float64 { return float64(s.Servers) / float64(s.Nodes) }
 
-// Hosts returns the entries of the platform's list.
+// Hosts returns the number of entries in the platform's host list.
 func (s Size) Hosts() float64 { return float64(s.Servers + s.Nodes) }
 
-// ChangesPerSecond returns the changes of the configuration a second.
+// ChangesPerSecond returns the configuration changes per second.
 func (s Size) ChangesPerSecond() float64 { return s.Changes / secondsPerDay }
 
-// Budget is what a node may spend on control.
+// Budget limits the resources that a node may use for control.
 type Budget struct {
-	Core   float64 // of one core
+	Core   float64 // share of one core
 	Memory float64 // bytes
-	Bytes  float64 // a second
+	Bytes  float64 // per second
 }
 
-// Control is the budget of a node for control.
+// Control is a node's budget for control.
 var Control = Budget{Core: 0.023, Memory: 256e6, Bytes: 5000}
 
-// Work is what is assumed of the requests, where the plan does not say it.
+// Work holds assumptions about requests that the planned size does not specify.
 type Work struct {
-	PromptBytes float64 // of a prompt that returns
-	Candidates  float64 // engines that are asked for an estimate
-	Stores      float64 // store hosts that are asked beside them
+	PromptBytes float64 // size of a returning prompt
+	Candidates  float64 // engines for which estimates are requested
+	Stores      float64 // store hosts for which estimates are requested
 	BlockTokens float64
-	TokenBytes  float64 // of prompt text
+	TokenBytes  float64 // bytes of prompt text per token
 }
 
-// Assumed is the work that the table is for.
+// Assumed is the workload that the tables are computed for.
 var Assumed = Work{PromptBytes: 240_000, Candidates: 16, Stores: 2, BlockTokens: 2048, TokenBytes: 4}
 
-// Chunks returns the fingerprints of a prompt.
+// Chunks returns the number of chunks, and so of fingerprints, of a prompt.
 func (w Work) Chunks() float64 { return w.PromptBytes / 2048 }
 
-// Blocks returns the engine blocks of a prompt.
+// Blocks returns the number of engine blocks of a prompt.
 func (w Work) Blocks() float64 { return w.PromptBytes / w.TokenBytes / w.BlockTokens }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -6,49 +6,49 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// SlopeID names a slope.
+// SlopeID identifies a slope.
 type SlopeID string
 
-// Growth is the form that is fitted to the points.
+// Growth is the function that is fitted to the points.
 type Growth uint8
 
-// The forms.
+// The functions.
 const (
 	Linear Growth = iota // a line
 	Flat                 // the mean: the value does not depend on the size
 )
 
-// minPoints is the number of sizes that a fit needs.
+// minPoints is the minimum number of points for a fit.
 const minPoints = 3
 
-// Point is one measured value.
+// Point is the value measured at one size.
 type Point struct {
 	Size  float64
 	Value float64
 }
 
-// Slope is how a cost grows, as measured.
+// Slope holds measurements of a cost at several sizes.
 type Slope struct {
 	ID      SlopeID
 	Title   string
 	Unit    string  // of the values
-	Per     string  // what the sizes count
-	Growth  Growth  // the form that is fitted
-	Points  []Point // in order of size; without any it is not measured
-	Command string  // that measures the points again
+	Per     string  // unit of the sizes
+	Growth  Growth  // function that is fitted
+	Points  []Point // ordered by size; empty if not measured
+	Command string  // command that measures the points
 	Load    string  // load average of the machine, of 12 cores
 }
 
 // Fit is a least-squares fit of a slope's points.
 type Fit struct {
 	Intercept float64
-	Slope     float64 // of one more of the size
-	// Residual is the root of the mean square of the points' distances from the
-	// fit, by the degrees of freedom left; in the slope's unit.
+	Slope     float64 // increase per unit of size
+	// Residual is the residual standard error: the square root of the sum of squared residuals
+	// divided by the degrees of freedom, in the unit of the values.
 	Residual float64
 }
 
-// Fit fits the points. ok is false with fewer than three sizes.
+// Fit fits the points. ok is false if there are fewer than minPoints.
 func (s *Slope) Fit() (f Fit, ok bool) {
 	if len(s.Points) < minPoints {
 		return Fit{}, false
@@ -81,18 +81,18 @@
 // At returns the fitted value at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// Figure is a value worked out from slopes, with its error. It is unknown where
-// a slope that it needs is not measured.
+// Figure is a value derived from slopes, with its error. It is unknown if a slope that it depends on is
+// not measured.
 type Figure struct {
 	Value float64
-	Error float64 // residuals carried through
+	Error float64 // propagated from the residuals of the slopes
 	Known bool
 }
 
-// Exactly returns a figure that is given, not measured.
-func Exactly(v float64) Figure { return Figure{Value: v, Known: true} }
+// ExactFigure returns a known figure without error.
+func ExactFigure(v float64) Figure { return Figure{Value: v, Known: true} }
 
-// At returns the slope's value at a size.
+// At returns the slope's fitted value at a size.
 func (s *Slope) At(size float64) Figure {
 	f, ok := s.Fit()
 	if !ok {
@@ -101,7 +101,7 @@
 	return Figure{Value: f.At(size), Error: f.Residual, Known: true}
 }
 
-// PerUnit returns the cost of one more of the size, without the intercept.
+// PerUnit returns the increase of the cost per unit of size. It is unknown for flat slopes.
 func (s *Slope) PerUnit() Figure {
 	f, ok := s.Fit()
 	if !ok || s.Growth == Flat {
@@ -116,7 +116,7 @@
 	return Figure{Value: f.Value * factor, Error: f.Error * math.Abs(factor), Known: f.Known}
 }
 
-// Plus returns the sum; it is unknown if either is.
+// Plus returns the sum of two figures, unknown if either is.
 func (f Figure) Plus(g Figure) Figure {
 	return Figure{Value: f.Value + g.Value, Error: f.Error + g.Error, Known: f.Known && g.Known}
 }
--- a/internal/capacity/slopes_standing.go
+++ b/internal/capacity/slopes_standing.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Slopes of standing control: what a node spends without requests.
+// Slopes of the control costs of a node without requests.
 const (
 	MemberBytes    SlopeID = "member-bytes"
 	MemberExchange SlopeID = "member-exchange"
@@ -36,7 +36,7 @@
 	IdleMemory     SlopeID = "idle-memory"
 )
 
-// Commands that measure several slopes.
+// Commands that each measure several slopes.
 const (
 	memberCommand  = "cd coord && CHERRYWARD_MEMBER_FULL=1 go test -timeout 1200s -run Measure -v ./member"
 	coreCommand    = "cd coord && go test -run xxx -bench Core -benchtime 100ms ./member"
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// notMeasured stands for an unknown figure.
+// notMeasured is printed in place of an unknown figure.
 const notMeasured = "not measured"
 
 // table is one table of the output.
@@ -53,14 +53,15 @@
 	return err
 }
 
-// significant digits of a printed value and of its error.
+// Numbers of significant digits of printed values and their errors.
 const (
 	valueDigits = 3
 	errorDigits = 2
 )
 
-// number writes a value with a few significant digits, large ones grouped.
-func number(v float64, digits int) string {
+// formatNumber formats a value with the given number of significant digits and grouped
+// thousands.
+func formatNumber(v float64, digits int) string {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return strconv.FormatFloat(v, 'g', -1, 64)
 	}
@@ -68,14 +69,14 @@
 	scale := math.Pow(10, float64(exponent-digits+1))
 	rounded := math.Round(v/scale) * scale
 	decimals := max(digits-1-int(math.Floor(math.Log10(math.Abs(rounded)))), 0)
-	return grouped(strconv.FormatFloat(rounded, 'f', decimals, 64))
+	return groupThousands(strconv.FormatFloat(rounded, 'f', decimals, 64))
 }
 
-// exact writes a value as it was noted.
-func exact(v float64) string { return grouped(strconv.FormatFloat(v, 'f', -1, 64)) }
+// formatExact formats a value without rounding.
+func formatExact(v float64) string { return groupThousands(strconv.FormatFloat(v, 'f', -1, 64)) }
 
-// grouped puts commas between the thousands of a number.
-func grouped(text string) string {
+// groupThousands inserts commas between the thousands of a decimal number.
+func groupThousands(text string) string {
 	whole, fraction, hasFraction := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
@@ -90,22 +91,22 @@
 	return sign + whole
 }
 
-// with writes a figure in a unit: its value divided by scale, and its error.
-func (f Figure) with(scale float64) string {
+// inUnit formats a figure and its error, both divided by scale.
+func (f Figure) inUnit(scale float64) string {
 	if !f.Known {
 		return "-"
 	}
-	text := number(f.Value/scale, valueDigits)
+	text := formatNumber(f.Value/scale, valueDigits)
 	if f.Error > 0 {
-		text += " ± " + number(f.Error/scale, errorDigits)
+		text += " ± " + formatNumber(f.Error/scale, errorDigits)
 	}
 	return text
 }
 
-// of writes a figure as a part of a budget.
-func (f Figure) of(budget float64) string {
+// shareOf formats a figure as a fraction of a budget.
+func (f Figure) shareOf(budget float64) string {
 	if !f.Known {
 		return "-"
 	}
-	return number(f.Value/budget, errorDigits)
+	return formatNumber(f.Value/budget, errorDigits)
 }
