--- a/internal/experiment/check.go
+++ b/internal/experiment/check.go
@@ -11,26 +11,27 @@
 
 const (
 	maxEngines = 256
-	// maxRequests bounds the callers of one run, which are held in memory.
+	// maxRequests is the maximum number of callers of one run, which are kept in memory.
 	maxRequests = 1_000_000
 )
 
-// checks collects what a schema can't say.
+// checks collects problems that a JSON schema can't express.
 type checks struct{ problems settings.Problems }
 
 func (c *checks) add(path, format string, args ...any) {
 	c.problems = append(c.problems, settings.Problem{Code: result.ExperimentClash, Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// unique adds a problem for each name that stands twice. path has a place for its position.
+// unique adds a problem for each name that occurs before in names. path is a format for its index.
 func (c *checks) unique(path string, names []string) {
 	for i, name := range names {
 		if slices.Contains(names[:i], name) {
-			c.add(fmt.Sprintf(path, i), "%q stands twice", name)
+			c.add(fmt.Sprintf(path, i), "%q is used more than once", name)
 		}
 	}
 }
 
+// check returns the problems that the schema doesn't detect.
 func (f *File) check() settings.Problems {
 	c := &checks{}
 	c.unique("/fleet/engines/%d/name", names(f.Fleet.Engines, func(e Engine) string { return e.Name }))
@@ -42,7 +43,7 @@
 	}
 	for i, p := range f.Policies {
 		if p.StatedMemoryTokens != nil && p.MemoryAdmission != nil && !*p.MemoryAdmission {
-			c.add(fmt.Sprintf("/policies/%d/stated_memory_tokens", i), "is not used without memory_admission")
+			c.add(fmt.Sprintf("/policies/%d/stated_memory_tokens", i), "has no effect when memory_admission is false")
 		}
 	}
 	for i := range f.Faults {
@@ -68,10 +69,10 @@
 		requests += k.RequestsPerSecond * time.Duration(f.Length).Seconds()
 	}
 	if engines > maxEngines {
-		c.add("/fleet/engines", "%d engines in all; %d at most", engines, maxEngines)
+		c.add("/fleet/engines", "%d engines in total; the maximum is %d", engines, maxEngines)
 	}
 	if requests > maxRequests {
-		c.add("/length", "%.0f requests in a run; %d at most", requests, maxRequests)
+		c.add("/length", "%.0f requests in a run; the maximum is %d", requests, maxRequests)
 	}
 }
 
@@ -80,10 +81,10 @@
 		c.add(fmt.Sprintf("/load/%d/deadline", i), "is shorter than the objective")
 	}
 	if k.Accounts > k.Sessions {
-		c.add(fmt.Sprintf("/load/%d/accounts", i), "are more than the sessions")
+		c.add(fmt.Sprintf("/load/%d/accounts", i), "is greater than the number of sessions")
 	}
 	if k.AccountTokens > 0 && k.Accounts == 0 {
-		c.add(fmt.Sprintf("/load/%d/account_tokens", i), "is given without accounts")
+		c.add(fmt.Sprintf("/load/%d/account_tokens", i), "requires accounts")
 	}
 }
 
@@ -94,18 +95,18 @@
 	case at < 0:
 		c.add(path+"engine", "the fleet has no engines %q", fault.Engine)
 	case fault.Number >= f.Fleet.Engines[at].Count:
-		c.add(path+"number", "there are %d of %q, counted from 0", f.Fleet.Engines[at].Count, fault.Engine)
+		c.add(path+"number", "is out of range: there are %d engines %q, counted from 0", f.Fleet.Engines[at].Count, fault.Engine)
 	}
 	if fault.At >= f.Length {
 		c.add(path+"at", "is not within the length of the experiment")
 	}
 	if (fault.Factor > 0) != (fault.Kind == slow) {
-		c.add(path+"factor", "is for slow engines, and they need it")
+		c.add(path+"factor", "is required for faults of kind slow, and not allowed for others")
 	}
 	for _, other := range f.Faults[:i] {
 		if fault.Kind == other.Kind && fault.Engine == other.Engine && fault.Number == other.Number &&
 			fault.At < other.At+other.For && other.At < fault.At+fault.For {
-			c.add(path+"at", "lies within another fault of the same kind and engine")
+			c.add(path+"at", "overlaps another fault of the same kind and engine")
 		}
 	}
 }
--- a/internal/experiment/config.go
+++ b/internal/experiment/config.go
@@ -7,7 +7,7 @@
 	"github.com/cherryward/cherryward/internal/placer"
 )
 
-// config returns what the model plays for a policy and a seed.
+// config returns the simulation for a policy and a seed.
 func (f *File) config(p *Policy, seed uint64) fleetmodel.Config {
 	c := fleetmodel.Config{
 		Seed: seed, Length: time.Duration(f.Length), EventDelay: time.Duration(f.Fleet.EventDelay),
@@ -18,7 +18,7 @@
 	return c
 }
 
-// apply changes what the policy says.
+// apply applies the settings of the policy that are not nil.
 func (p *Policy) apply(c *fleetmodel.Config) {
 	if p.StatedMemoryTokens != nil {
 		c.StatedMemory = *p.StatedMemoryTokens
@@ -69,15 +69,15 @@
 	all := make([]fleetmodel.Fault, len(f.Faults))
 	for i, fault := range f.Faults {
 		all[i] = fleetmodel.Fault{
-			Engine: f.position(fault.Engine) + fault.Number, SlowFactor: fault.Factor,
+			Engine: f.engineIndex(fault.Engine) + fault.Number, SlowFactor: fault.Factor,
 			At: time.Duration(fault.At), Length: time.Duration(fault.For),
 		}
 	}
 	return all
 }
 
-// position returns that of the first engine of a kind.
-func (f *File) position(name string) int {
+// engineIndex returns the index of the first engine of the named kind.
+func (f *File) engineIndex(name string) int {
 	before := 0
 	for _, e := range f.Fleet.Engines {
 		if e.Name == name {
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,6 +1,6 @@
-// Package experiment plays policies over a described fleet, load and faults, each with the same
-// seeds, and compares what became of the callers.
+// Package experiment compares placement policies by simulation: it runs each policy with the same
+// seeds on a described fleet, load and faults.
 //
-// Guarantee: a file gives the same results on every machine, whatever runs beside it; a file
-// that is wrong is refused as a whole, with the path and the number of each problem.
+// A file gives the same results on every machine, whatever else runs concurrently. An invalid file is
+// rejected as a whole, with the path and result code of each problem.
 package experiment
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -15,7 +15,7 @@
 
 var checker = settings.NewChecker("experiment.json", schemaJSON)
 
-// File describes an experiment. schema.json tells what each field means.
+// File describes an experiment. schema.json describes each field.
 type File struct {
 	Name     string            `json:"name"`
 	About    string            `json:"about"`
@@ -27,7 +27,7 @@
 	Policies []Policy          `json:"policies"`
 }
 
-// Fleet are the engines and their store.
+// Fleet describes the engines and their store.
 type Fleet struct {
 	Engines            []Engine          `json:"engines"`
 	StoreTokens        int               `json:"store_tokens"`
@@ -35,7 +35,7 @@
 	StatedMemoryTokens int               `json:"stated_memory_tokens"`
 }
 
-// Engine is a number of equal engines.
+// Engine describes a number of identical engines.
 type Engine struct {
 	Name            string   `json:"name"`
 	Count           int      `json:"count"`
@@ -47,7 +47,7 @@
 	ChunkTokens     int      `json:"chunk_tokens"`
 }
 
-// Class is a kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name              string            `json:"class"`
 	RequestsPerSecond float64           `json:"requests_per_second"`
@@ -70,7 +70,7 @@
 	slow  = "slow"
 )
 
-// Fault is a window in which one engine is down or slow.
+// Fault is a period in which one engine is down or slow.
 type Fault struct {
 	Kind   string            `json:"kind"`
 	Engine string            `json:"engine"`
@@ -80,11 +80,11 @@
 	Factor float64           `json:"factor"`
 }
 
-// Policy is what the gateway decides by. Nil keeps its own value.
+// Policy holds the settings by which the gateway places requests. Nil keeps the default.
 type Policy struct {
 	Name            string `json:"name"`
 	MemoryAdmission *bool  `json:"memory_admission"`
-	// StatedMemoryTokens replaces the fleet's.
+	// StatedMemoryTokens replaces the fleet's value.
 	StatedMemoryTokens *int     `json:"stated_memory_tokens"`
 	Store              *bool    `json:"store"`
 	WaitingShare       *float64 `json:"waiting_share"`
@@ -92,8 +92,8 @@
 	ReserveShare       *float64 `json:"reserve_share"`
 }
 
-// Load reads and checks a file. The error is settings.Problems when the file can be read but
-// says something wrong.
+// Load reads and checks a file. The error is settings.Problems if the file can be read but is
+// invalid.
 func Load(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -124,8 +124,8 @@
 			e.ChunkTokens = chunkTokens
 		}
 		if e.RequestStepMs == nil {
-			usual := requestStepMs
-			e.RequestStepMs = &usual
+			value := requestStepMs
+			e.RequestStepMs = &value
 		}
 		if stated && (i == 0 || e.MemoryTokens < f.Fleet.StatedMemoryTokens) {
 			f.Fleet.StatedMemoryTokens = e.MemoryTokens
--- a/internal/experiment/file_test.go
+++ b/internal/experiment/file_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/internal/settings"
 )
 
-// whole has each field.
-const whole = `{
+// fullExperiment sets every field.
+const fullExperiment = `{
  "name": "trial", "about": "all fields", "seeds": [1, 2], "length": "3s",
  "fleet": {
   "engines": [
@@ -32,7 +32,7 @@
 }`
 
 func TestParse(t *testing.T) {
-	f, err := Parse([]byte(whole))
+	f, err := Parse([]byte(fullExperiment))
 	must.NoError(t, err)
 	p, q := f.config(&f.Policies[0], 7), f.config(&f.Policies[2], 8)
 	must.Eq(t, 3, len(p.Engines))
@@ -47,7 +47,7 @@
 	must.Nil(t, p.MaxWaitShare)
 	must.Eq(t, placer.Tuning{QueueShare: 0.5, ReserveShare: 0.1}, *q.Tuning)
 	must.Eq(t, 0.3, *q.MaxWaitShare)
-	f, err = Parse([]byte(strings.Replace(whole, `, "stated_memory_tokens": 20000`, "", 1)))
+	f, err = Parse([]byte(strings.Replace(fullExperiment, `, "stated_memory_tokens": 20000`, "", 1)))
 	must.NoError(t, err)
 	must.Eq(t, 30_000, f.Fleet.StatedMemoryTokens)
 }
@@ -88,8 +88,8 @@
 		{"fault within another", `"faults": [`, `"faults": [{"kind": "crash", "engine": "a", "number": 1, "at": "900ms", "for": "200ms"}, `, "/faults/1/at", result.ExperimentClash},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(whole, c.old, c.new, 1)
-			must.NotEq(t, whole, text)
+			text := strings.Replace(fullExperiment, c.old, c.new, 1)
+			must.NotEq(t, fullExperiment, text)
 			_, err := Parse([]byte(text))
 			var problems settings.Problems
 			must.True(t, errors.As(err, &problems), must.Sprint(err))
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -20,8 +20,8 @@
 	plotGap     = 5 * vg.Millimeter
 )
 
-// WritePlot writes plots as SVG, with a line for each policy: for each class which share of
-// those served had their first event by when, and refusals over time.
+// WritePlot writes plots as SVG with a line for each policy: for each class the cumulative
+// distribution of the time to first event, and the refusals over time.
 func (f *File) WritePlot(w io.Writer, runs []Run) error {
 	var plots []*plot.Plot
 	for class := range f.Load {
@@ -38,7 +38,7 @@
 	return writeTiles(w, append(plots, refusals))
 }
 
-// writeTiles draws plots beside and below each other.
+// writeTiles draws plots in a grid.
 func writeTiles(w io.Writer, plots []*plot.Plot) error {
 	rows := (len(plots) + plotColumns - 1) / plotColumns
 	grid := make([][]*plot.Plot, rows)
@@ -64,7 +64,7 @@
 func (f *File) plotFirstEvents(runs []Run, class int) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = f.Load[class].Name + ": time to first event"
-	p.X.Label.Text, p.Y.Label.Text = "ms (median over seeds)", "share of those served"
+	p.X.Label.Text, p.Y.Label.Text = "ms (median over seeds)", "fraction of served requests"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.X.Min = 0
 	for i, policy := range f.Policies {
@@ -75,13 +75,13 @@
 	return p, nil
 }
 
-// firstEvents returns the medians over seeds of the percentiles.
+// firstEvents returns the median over seeds of each percentile of the time to first event.
 func firstEvents(runs []Run, class int) plotter.XYs {
 	var line plotter.XYs
-	for at := 0; at <= allPercent/percentileStep; at++ {
-		m := Measure{of: firstEvent(at)}
-		if ms := Median(known(values(runs, class, &m))).Value; !math.IsNaN(ms) {
-			line = append(line, plotter.XY{X: ms, Y: float64(at*percentileStep) / allPercent})
+	for at := 0; at <= maxPercent/percentileStep; at++ {
+		m := Measure{value: firstEvent(at)}
+		if ms := Median(withoutNaN(values(runs, class, &m))).Value; !math.IsNaN(ms) {
+			line = append(line, plotter.XY{X: ms, Y: float64(at*percentileStep) / maxPercent})
 		}
 	}
 	return line
@@ -90,7 +90,7 @@
 func (f *File) plotRefusals(runs []Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "refusals"
-	p.X.Label.Text, p.Y.Label.Text = "s", "a second (mean over seeds)"
+	p.X.Label.Text, p.Y.Label.Text = "s", "refusals per second (mean over seeds)"
 	p.X.Min, p.Y.Min = 0, 0
 	p.Y.Max = 1
 	p.Legend.Top = true
@@ -103,7 +103,8 @@
 	return p, nil
 }
 
-// refusals returns the mean of refusals by second, of so many seconds at least.
+// refusals returns the mean number of refusals in each second, for at least the given number of
+// seconds.
 func refusals(runs []Run, seconds int) plotter.XYs {
 	for i := range runs {
 		seconds = max(seconds, len(runs[i].Refusals))
@@ -120,8 +121,8 @@
 	return line
 }
 
-// addLine adds the line of a policy, and names it; it stands in the legend also where there is
-// nothing to draw.
+// addLine adds the line of a policy and its name to the plot. The policy is in the legend even if it
+// has no points.
 func addLine(p *plot.Plot, i int, name string, points plotter.XYs) error {
 	if len(points) == 0 {
 		points = plotter.XYs{{}}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -14,45 +14,47 @@
 	"github.com/cherryward/cherryward/internal/fleetmodel"
 )
 
-// Counts are what became of callers.
+// Counts counts callers by how their request ended.
 type Counts struct {
 	InTime  int `json:"in_time"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
-	Aborted int `json:"broken"`  // by a crash, after the first event
-	Retried int `json:"retried"` // came back after a refusal; counted above, too
+	Aborted int `json:"broken"`  // by a crash after the first event
+	Retried int `json:"retried"` // retried after a refusal; also counted in one of the other fields
 }
 
-// Asked returns the number of callers.
-func (c Counts) Asked() int { return c.InTime + c.Late + c.Refused + c.Aborted }
+// Total returns the number of callers.
+func (c Counts) Total() int { return c.InTime + c.Late + c.Refused + c.Aborted }
 
-// ClassRun is what became of the callers of a class.
+// ClassRun is the result of one class in a run.
 type ClassRun struct {
 	Class string `json:"class"`
 	Counts
-	// FirstEventMs holds the percentiles 0, 5, 10 to 100 of the time from a caller's first try
-	// to its first event, of those served; empty where none was.
+	// FirstEventMs holds the percentiles 0, 5, 10 to 100 of the time from a caller's first try to
+	// its first event, over served callers; empty if none was served.
 	FirstEventMs []float64 `json:"first_event_ms,omitempty"`
-	// Sizes holds the counts by size, the smallest tenth first.
+	// Sizes holds the counts by size, the smallest tenth of the sessions first.
 	Sizes []Counts `json:"sizes"`
 }
 
-// Run is the result of a policy with a seed.
+// Run is the result of one policy with one seed.
 type Run struct {
 	Policy  string     `json:"policy"`
 	Seed    uint64     `json:"seed"`
 	Classes []ClassRun `json:"classes"`
-	// RecomputedTokens counts shared prompt tokens that were read though some engine had read them.
+	// RecomputedTokens counts tokens of shared parts that were prefilled although an engine had
+	// prefilled them before.
 	RecomputedTokens int `json:"read_again_tokens"`
 	Preemptions      int `json:"preemptions"`
-	// FailedOver counts requests that went to another engine after a crash.
+	// FailedOver counts requests that were sent to another engine after a crash.
 	FailedOver int `json:"resent"`
-	// Refusals counts refusals, first ones too, by the second of virtual time.
+	// Refusals counts all refusals, including first ones, by second of virtual time.
 	Refusals []int `json:"refusals_by_second"`
 }
 
-// Play plays each policy with each seed, so many at once, and returns the runs in the order of
-// the file. done, if not nil, is told after each run how many are done, never twice at once.
+// Play runs each policy with each seed, at most parallel at a time, and returns the results in the
+// order of the file. done, if not nil, is called after each run with the number of completed runs
+// and the total, never concurrently.
 func (f *File) Play(ctx context.Context, parallel int, done func(n, of int)) ([]Run, error) {
 	runs := make([]Run, len(f.Policies)*len(f.Seeds))
 	var mu sync.Mutex
@@ -64,7 +66,7 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			runs[i] = f.play(&f.Policies[i/len(f.Seeds)], f.Seeds[i%len(f.Seeds)])
+			runs[i] = f.simulate(&f.Policies[i/len(f.Seeds)], f.Seeds[i%len(f.Seeds)])
 			mu.Lock()
 			defer mu.Unlock()
 			finished++
@@ -78,7 +80,7 @@
 	return runs, err
 }
 
-func (f *File) play(p *Policy, seed uint64) Run {
+func (f *File) simulate(p *Policy, seed uint64) Run {
 	r := fleetmodel.New(f.config(p, seed)).Simulate()
 	run := Run{Policy: p.Name, Seed: seed, RecomputedTokens: r.RecomputedTokens, Preemptions: r.Preempted, FailedOver: r.FailedOver, Refusals: r.Refusals}
 	for _, k := range f.Load {
@@ -103,7 +105,7 @@
 
 const (
 	percentileStep = 5
-	allPercent     = 100
+	maxPercent     = 100
 )
 
 func percentiles(times []time.Duration) []float64 {
@@ -116,8 +118,8 @@
 	}
 	slices.Sort(sorted)
 	var at []float64
-	for p := 0; p <= allPercent; p += percentileStep {
-		at = append(at, stat.Quantile(float64(p)/allPercent, stat.Empirical, sorted, nil))
+	for p := 0; p <= maxPercent; p += percentileStep {
+		at = append(at, stat.Quantile(float64(p)/maxPercent, stat.Empirical, sorted, nil))
 	}
 	return at
 }
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -16,18 +16,19 @@
 	"github.com/cherryward/cherryward/internal/settings"
 )
 
-// shipped returns the files that are described in docs/operating/experiments.md.
-func shipped(t *testing.T) []string {
+// experimentFiles returns the files that are described in docs/operating/experiments.md.
+func experimentFiles(t *testing.T) []string {
 	files, err := filepath.Glob("../../docs/experiments/*.json")
 	must.NoError(t, err)
 	must.SliceLen(t, 5, files)
 	return files
 }
 
-// TestShippedFiles plays each file for a few seconds. Each policy has the same callers, and all
-// are accounted for, by size too; the results can be written as tables and as a plot.
-func TestShippedFiles(t *testing.T) {
-	for _, path := range shipped(t) {
+// TestExperimentFiles simulates each file for a few seconds. It verifies that all policies have the
+// same callers, that each caller is counted, also by size, and that the results can be written as
+// tables and as a plot.
+func TestExperimentFiles(t *testing.T) {
+	for _, path := range experimentFiles(t) {
 		f, err := Load(path)
 		must.NoError(t, err)
 		must.Eq(t, f.Name+".json", filepath.Base(path))
@@ -51,7 +52,7 @@
 func checkRun(t *testing.T, run, first *Run) {
 	t.Helper()
 	for i, class := range run.Classes {
-		must.Eq(t, first.Classes[i].Asked(), class.Asked())
+		must.Eq(t, first.Classes[i].Total(), class.Total())
 		var sum Counts
 		for _, c := range class.Sizes {
 			sum.InTime += c.InTime
@@ -65,28 +66,29 @@
 	}
 }
 
-// TestSameResults gives the same runs whatever plays beside each.
-func TestSameResults(t *testing.T) {
-	f, err := Parse([]byte(whole))
+// TestResultsIndependentOfConcurrency verifies that results do not depend on the number of
+// concurrent runs.
+func TestResultsIndependentOfConcurrency(t *testing.T) {
+	f, err := Parse([]byte(fullExperiment))
 	must.NoError(t, err)
 	var texts [2]bytes.Buffer
 	for i, parallel := range []int{1, 4} {
-		told := 0
+		completed := 0
 		runs, err := f.Play(t.Context(), parallel, func(n, of int) {
-			told++
-			must.Eq(t, told, n)
+			completed++
+			must.Eq(t, completed, n)
 			must.Eq(t, 6, of)
 		})
 		must.NoError(t, err)
-		must.Eq(t, 6, told)
+		must.Eq(t, 6, completed)
 		must.NoError(t, WriteRuns(&texts[i], runs))
 	}
 	must.Eq(t, 6, strings.Count(texts[0].String(), "\n"))
 	must.Eq(t, texts[0].String(), texts[1].String())
 }
 
-func TestPlayEnds(t *testing.T) {
-	f, err := Parse([]byte(whole))
+func TestRunCanceled(t *testing.T) {
+	f, err := Parse([]byte(fullExperiment))
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -94,9 +96,10 @@
 	must.ErrorIs(t, err, context.Canceled)
 }
 
-// TestPlot draws valid XML that names all that is plotted, also where nothing was served.
+// TestPlot verifies that the plot is valid XML and names all plotted data, even if nothing was
+// served.
 func TestPlot(t *testing.T) {
-	f, err := Parse([]byte(whole))
+	f, err := Parse([]byte(fullExperiment))
 	must.NoError(t, err)
 	runs, err := f.Play(t.Context(), 1, nil)
 	must.NoError(t, err)
--- a/internal/experiment/stats_test.go
+++ b/internal/experiment/stats_test.go
@@ -9,9 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestMedian compares with intervals by hand. Of nine values, one or fewer lies below the median
-// with a probability of 10/512 = 0.0195, two or fewer with 46/512 = 0.0898: the second and the
-// eighth value are the ends. Of six, none with 1/64 = 0.0156, one or fewer with 7/64.
+// TestMedian compares with manually calculated intervals. Of nine values, one or fewer lies below
+// the median with a probability of 10/512 = 0.0195, two or fewer with 46/512 = 0.0898, so the ends
+// are the second and the eighth value. Of six values, none lies below it with a probability of 1/64
+// = 0.0156, one or fewer with 7/64.
 func TestMedian(t *testing.T) {
 	for _, tc := range []struct {
 		values           []float64
@@ -27,9 +28,9 @@
 	test.True(t, math.IsNaN(Median(nil).Value))
 }
 
-// TestDifference compares with figures by hand: of the differences 1, 2 and 3 the mean is 2, the
-// standard deviation 1, its error 1/√3 = 0.57735; Student's t for two degrees of freedom at 0.975
-// is 4.30265, half the interval 2.48414.
+// TestDifference compares with manually calculated figures: the differences 1, 2 and 3 have the mean
+// 2, the standard deviation 1 and the standard error 1/√3 = 0.57735. Student's t for two degrees of
+// freedom at 0.975 is 4.30265, so half the interval is 2.48414.
 func TestDifference(t *testing.T) {
 	d := Difference([]float64{10, 20, 30}, []float64{11, 22, 33})
 	test.Eq(t, 3, d.N)
@@ -41,19 +42,19 @@
 	test.True(t, math.IsNaN(Difference(nil, nil).Value))
 }
 
-// played returns a run of one class.
-func played(policy string, seed uint64, inTime, refused int, ms ...float64) Run {
+// testRun returns a run with one class.
+func testRun(policy string, seed uint64, inTime, refused int, ms ...float64) Run {
 	return Run{Policy: policy, Seed: seed, Classes: []ClassRun{{Class: "c", Counts: Counts{InTime: inTime, Refused: refused}, FirstEventMs: ms}}}
 }
 
-// TestComparePairs pairs runs by seed, and leaves out seeds with which one has no figure. The
-// shares in time are 0.5, 0.6, 0.7 and 0.6, 0.8, 1.0: the differences 0.1, 0.2 and 0.3 have the
-// mean 0.2, and half the interval is 0.24841.
+// TestComparePairs verifies that runs are paired by seed, and that seeds without a figure in one of
+// them are left out. The shares in time are 0.5, 0.6, 0.7 and 0.6, 0.8, 1.0: the differences 0.1,
+// 0.2 and 0.3 have the mean 0.2, and half the interval is 0.24841.
 func TestComparePairs(t *testing.T) {
 	f := &File{Seeds: []uint64{1, 2, 3}, Load: []Class{{Name: "c"}}, Policies: []Policy{{Name: "p"}, {Name: "q"}}}
 	runs := []Run{
-		played("p", 1, 5, 5), played("p", 2, 6, 4), played("p", 3, 7, 3),
-		played("q", 1, 6, 4), played("q", 2, 8, 2), played("q", 3, 10, 0),
+		testRun("p", 1, 5, 5), testRun("p", 2, 6, 4), testRun("p", 3, 7, 3),
+		testRun("q", 1, 6, 4), testRun("q", 2, 8, 2), testRun("q", 3, 10, 0),
 	}
 	inTime := Measures()[0]
 	d := f.Compare(runs, 0, &inTime, "p", "q")
@@ -63,7 +64,7 @@
 	back := f.Compare(runs, 0, &inTime, "q", "p")
 	test.InDelta(t, -0.2, back.Value, 1e-9)
 
-	runs[4] = played("q", 2, 0, 0)
+	runs[4] = testRun("q", 2, 0, 0)
 	test.Eq(t, 2, f.Compare(runs, 0, &inTime, "p", "q").N)
 	var out bytes.Buffer
 	must.NoError(t, f.WriteSummary(&out, runs))
@@ -73,8 +74,8 @@
 	must.StrNotContains(t, out.String(), "NaN")
 }
 
-// TestMark marks differences whose interval leaves out 0.
-func TestMark(t *testing.T) {
-	test.Eq(t, "+2.0 [+1.0, +3.0] *", Estimate{Value: 2, Low: 1, High: 3}.signed(1))
-	test.Eq(t, "-2.0 [-3.0, +0.5]", Estimate{Value: -2, Low: -3, High: 0.5}.signed(1))
+// TestSignificanceMark verifies that differences are marked if their interval does not contain 0.
+func TestSignificanceMark(t *testing.T) {
+	test.Eq(t, "+2.0 [+1.0, +3.0] *", Estimate{Value: 2, Low: 1, High: 3}.formatSigned(1))
+	test.Eq(t, "-2.0 [-3.0, +0.5]", Estimate{Value: -2, Low: -3, High: 0.5}.formatSigned(1))
 }
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -7,38 +7,38 @@
 // Measure is a figure of a class in one run.
 type Measure struct {
 	Name string
-	// Decimals is the number of digits after the point that are shown.
+	// Decimals is the number of decimal places shown.
 	Decimals int
-	// of returns NaN where the run has no such figure.
-	of func(c *ClassRun) float64
+	// value returns the figure, or NaN if the run does not have it.
+	value func(c *ClassRun) float64
 }
 
-// Positions of percentiles in ClassRun.FirstEventMs.
+// Indexes of percentiles in ClassRun.FirstEventMs, and the decimal places of shares.
 const (
-	half       = 50 / percentileStep
-	nearlyAll  = 95 / percentileStep
-	shareDigit = 3
+	medianIndex   = 50 / percentileStep
+	p95Index      = 95 / percentileStep
+	shareDecimals = 3
 )
 
-// Measures returns the figures of a class that are compared: shares of callers, and times to
-// the first event of those served.
+// Measures returns the figures of a class to compare: shares of callers, and percentiles of the time
+// to first event of served callers.
 func Measures() []Measure {
 	return []Measure{
-		{"in time", shareDigit, share(func(c *Counts) int { return c.InTime })},
-		{"late", shareDigit, share(func(c *Counts) int { return c.Late })},
-		{"refused", shareDigit, share(func(c *Counts) int { return c.Refused })},
-		{"retried", shareDigit, share(func(c *Counts) int { return c.Retried })},
-		{"p50 ms", 0, firstEvent(half)},
-		{"p95 ms", 0, firstEvent(nearlyAll)},
+		{"in time", shareDecimals, share(func(c *Counts) int { return c.InTime })},
+		{"late", shareDecimals, share(func(c *Counts) int { return c.Late })},
+		{"refused", shareDecimals, share(func(c *Counts) int { return c.Refused })},
+		{"retried", shareDecimals, share(func(c *Counts) int { return c.Retried })},
+		{"p50 ms", 0, firstEvent(medianIndex)},
+		{"p95 ms", 0, firstEvent(p95Index)},
 	}
 }
 
 func share(count func(*Counts) int) func(*ClassRun) float64 {
 	return func(c *ClassRun) float64 {
-		if c.Asked() == 0 {
+		if c.Total() == 0 {
 			return math.NaN()
 		}
-		return float64(count(&c.Counts)) / float64(c.Asked())
+		return float64(count(&c.Counts)) / float64(c.Total())
 	}
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// policyRuns returns a policy's runs, in the order of the seeds.
+// policyRuns returns a policy's runs in the order of the seeds.
 func (f *File) policyRuns(runs []Run, policy string) []Run {
 	for i, p := range f.Policies {
 		if p.Name == policy {
@@ -61,17 +61,17 @@
 	return nil
 }
 
-// values returns a figure of a class by seed; NaN where a run has none.
+// values returns a figure of a class by seed, NaN for runs without it.
 func values(runs []Run, class int, m *Measure) []float64 {
 	all := make([]float64, len(runs))
 	for i := range runs {
-		all[i] = m.of(&runs[i].Classes[class])
+		all[i] = m.value(&runs[i].Classes[class])
 	}
 	return all
 }
 
-// known returns the values that are not NaN.
-func known(values []float64) []float64 {
+// withoutNaN returns the values that are not NaN.
+func withoutNaN(values []float64) []float64 {
 	var left []float64
 	for _, v := range values {
 		if !math.IsNaN(v) {
@@ -81,8 +81,8 @@
 	return left
 }
 
-// Compare returns how a figure of a class differs under the second policy from the first, over
-// the seeds with which both have it.
+// Compare returns the mean difference of a figure of a class, second policy minus first, over the
+// seeds for which both have the figure.
 func (f *File) Compare(runs []Run, class int, m *Measure, first, second string) Estimate {
 	a, b := values(f.policyRuns(runs, first), class, m), values(f.policyRuns(runs, second), class, m)
 	var before, after []float64
@@ -94,7 +94,7 @@
 	return Difference(before, after)
 }
 
-// HasPolicy reports whether the experiment has a policy of this name.
+// HasPolicy reports whether the experiment has a policy with the given name.
 func (f *File) HasPolicy(name string) bool {
 	for _, p := range f.Policies {
 		if p.Name == name {
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 )
 
-// WriteSummary writes a table of each policy and class, and one of each policy: medians over
-// seeds, with their intervals.
+// WriteSummary writes a table by policy and class, and a table by policy: medians over seeds with
+// their intervals.
 func (f *File) WriteSummary(w io.Writer, runs []Run) error {
 	fmt.Fprintf(w, "%s: %d policies, %d seeds; median [interval] over seeds\n\n", f.Name, len(f.Policies), len(f.Seeds))
 	if err := f.writeClasses(w, runs); err != nil {
@@ -30,8 +30,8 @@
 		for _, p := range f.Policies {
 			row := []string{p.Name, k.Name}
 			for i := range measures {
-				e := Median(known(values(f.policyRuns(runs, p.Name), class, &measures[i])))
-				row = append(row, e.text(measures[i].Decimals))
+				e := Median(withoutNaN(values(f.policyRuns(runs, p.Name), class, &measures[i])))
+				row = append(row, e.format(measures[i].Decimals))
 			}
 			rows = append(rows, row)
 		}
@@ -58,13 +58,13 @@
 	for i := range runs {
 		all[i] = float64(count(&runs[i]))
 	}
-	return Median(all).text(0)
+	return Median(all).format(0)
 }
 
-// WriteComparison writes how the second policy differs from the first in each figure of each
-// class: the mean difference over the same seeds, with its interval.
+// WriteComparison writes the differences between two policies, second minus first, in each figure of
+// each class: the mean difference over the same seeds with its interval.
 func (f *File) WriteComparison(w io.Writer, runs []Run, first, second string) error {
-	fmt.Fprintf(w, "%s minus %s, same seeds; mean difference [95%% interval]; * where the interval leaves out 0\n\n", second, first)
+	fmt.Fprintf(w, "%s minus %s, same seeds; mean difference [95%% interval]; * where the interval excludes 0\n\n", second, first)
 	measures := Measures()
 	head := []string{"CLASS"}
 	for _, m := range measures {
@@ -75,21 +75,21 @@
 		row := []string{k.Name}
 		for i := range measures {
 			e := f.Compare(runs, class, &measures[i], first, second)
-			row = append(row, e.signed(measures[i].Decimals))
+			row = append(row, e.formatSigned(measures[i].Decimals))
 		}
 		rows = append(rows, row)
 	}
 	return writeRows(w, rows)
 }
 
-func (e Estimate) text(decimals int) string {
+func (e Estimate) format(decimals int) string {
 	if math.IsNaN(e.Value) {
 		return "-"
 	}
 	return fmt.Sprintf("%.*f [%.*f, %.*f]", decimals, e.Value, decimals, e.Low, decimals, e.High)
 }
 
-func (e Estimate) signed(decimals int) string {
+func (e Estimate) formatSigned(decimals int) string {
 	if math.IsNaN(e.Value) {
 		return "-"
 	}
