--- a/internal/invariant/answers.go
+++ b/internal/invariant/answers.go
@@ -8,19 +8,19 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// WholeAnswers checks that every caller got its whole own answer or a numbered
-// error, and never a token that is not its own, is lost or comes twice.
+// WholeAnswers checks that every caller received either its complete answer or a numbered error, and
+// never a token that is wrong, missing or duplicated.
 func WholeAnswers(answers []Answer) error {
 	var errs []error
 	for i := range answers {
-		if err := wholeAnswer(&answers[i]); err != nil {
+		if err := checkAnswer(&answers[i]); err != nil {
 			errs = append(errs, fmt.Errorf("answer %s: %w", answers[i].Name, err))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func wholeAnswer(a *Answer) error {
+func checkAnswer(a *Answer) error {
 	switch {
 	case !strings.HasPrefix(a.Want, a.Text):
 		return fmt.Errorf("its %d bytes are not the beginning of its own answer", len(a.Text))
@@ -36,10 +36,9 @@
 	return nil
 }
 
-// AccountsApart checks that no prompt found more context than its own account
-// could have left: the longest beginning that it shares with the account's other
-// prompts and their answers. A prompt that several engines began may find what
-// it left itself.
+// AccountsApart checks that no prompt found more cached context than its own account can have left:
+// the longest prefix that it shares with the account's other prompts and their answers. Prompts
+// started by several engines are not checked, since they may find what they cached themselves.
 func AccountsApart(answers []Answer) error {
 	var errs []error
 	for i := range answers {
@@ -47,27 +46,27 @@
 		if a.Cached == 0 || a.Engines > 1 {
 			continue
 		}
-		if own := ownContext(answers, i); a.Cached > own {
+		if own := maxOwnContext(answers, i); a.Cached > own {
 			errs = append(errs, fmt.Errorf("answer %s: %d tokens cached, and account %s left at most %d", a.Name, a.Cached, a.Account, own))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// ownContext is the longest beginning of a prompt, in tokens, that its account
-// sent in another request.
-func ownContext(answers []Answer, i int) int {
+// maxOwnContext returns the length in tokens of the longest prefix of a prompt that its account sent
+// or received in another request.
+func maxOwnContext(answers []Answer, i int) int {
 	longest := 0
 	for j := range answers {
 		if j != i && answers[j].Account == answers[i].Account {
-			longest = max(longest, shared(answers[i].Prompt, answers[j].Prompt+answers[j].Want))
+			longest = max(longest, commonPrefix(answers[i].Prompt, answers[j].Prompt+answers[j].Want))
 		}
 	}
 	return longest / tokenBytes
 }
 
-// shared is the length of the longest common beginning.
-func shared(a, b string) int {
+// commonPrefix returns the length of the longest common prefix.
+func commonPrefix(a, b string) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
@@ -77,8 +76,7 @@
 	return n
 }
 
-// NotRunPrompts checks that no engine began a prompt whose caller was told that
-// it did not run. Engines of an answer counts the starts that were taken.
+// NotRunPrompts checks that no engine started a prompt whose caller received the run state not_run.
 func NotRunPrompts(answers []Answer) error {
 	var errs []error
 	for i := range answers {
--- a/internal/invariant/calls.go
+++ b/internal/invariant/calls.go
@@ -8,7 +8,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// AtMostOnce checks that no call that is not idempotent was executed twice.
+// AtMostOnce checks that no call that is not idempotent was executed more than once.
 func AtMostOnce(executions []Execution) error {
 	var errs []error
 	for _, e := range executions {
@@ -19,8 +19,8 @@
 	return errors.Join(errs...)
 }
 
-// NotRunCalls checks the word "not run": a call is executed no more often than
-// it was sent and not answered so.
+// NotRunCalls checks that run states not_run are true: a call is executed at most as often as it was
+// sent without such a response.
 func NotRunCalls(calls []Call, executions []Execution) error {
 	possible := make(map[string]int)
 	for _, c := range calls {
@@ -37,8 +37,8 @@
 	return errors.Join(errs...)
 }
 
-// LeavingIdle checks that an endpoint gets no new run once its leaving has been
-// published for 3 seconds.
+// LeavingIdle checks that an endpoint receives no new run more than 3 seconds after it was published
+// as leaving.
 func LeavingIdle(leaves []Leave, starts []RunStart) error {
 	var errs []error
 	for _, l := range leaves {
@@ -55,7 +55,7 @@
 	return errors.Join(errs...)
 }
 
-// RightBlocks checks that no engine was given bytes of another block.
+// RightBlocks checks that no engine imported the bytes of another block.
 func RightBlocks(wrong int) error {
 	if wrong == 0 {
 		return nil
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,9 +1,8 @@
-// Package invariant checks what must always hold of a system over the history of
-// a run: what callers sent and got, what endpoints executed, and what nodes said
-// of their configuration.
+// Package invariant checks the invariants of a system against the history of a run: what callers sent
+// and received, what endpoints executed, and which configuration nodes reported.
 //
-// A checker returns nil for a history that keeps the invariant, and otherwise an
-// error that names every breach. Checkers do no I/O and read no clock.
+// A checker returns nil if the history satisfies the invariant, and otherwise an error that describes
+// every violation. Checkers do no I/O and read no clock.
 package invariant
 
 import (
@@ -16,10 +15,10 @@
 // tokenBytes is the length of an output token of the stand-in engine.
 const tokenBytes = 4
 
-// leavingLimit is how long after its leaving an endpoint may still get runs.
+// leavingLimit is the time after its publication as leaving in which an endpoint may receive new runs.
 const leavingLimit = 3 * time.Second
 
-// History is what a run left to check.
+// History is the history of a run.
 type History struct {
 	Answers    []Answer
 	Calls      []Call
@@ -28,69 +27,68 @@
 	Readings   []Reading
 	Leaves     []Leave
 	Starts     []RunStart
-	// WrongBlocks counts imports of another block's bytes, over all engines.
+	// WrongBlocks counts imports of the bytes of another block, over all engines.
 	WrongBlocks int
 }
 
-// Answer is what the caller of one prompt got.
+// Answer is the response to one prompt, as received by its caller.
 type Answer struct {
 	Name    string
 	Account string
 	Prompt  string
-	// Want is the whole answer of an undisturbed engine.
+	// Want is the complete answer that an engine without faults returns.
 	Want string
 	Text string
-	// Offset is the number of tokens that the last event stated; -1 without events.
+	// Offset is the number of tokens stated in the last event; -1 without events.
 	Offset int
-	// Whole tells that the answer came with its end.
+	// Whole is true if the end of the answer was received.
 	Whole bool
-	// Code and RunState are those of the error; Code is 0 without one.
+	// Code and RunState are those of the error; Code is 0 if there was none.
 	Code     result.Code
 	RunState result.RunState
 	Cached   int // prompt tokens that were not recomputed
-	// EntryGone tells that the caller's node was killed, or that the caller left,
-	// before the end.
+	// EntryGone is true if the caller's node was killed or the caller disconnected before the end.
 	EntryGone bool
-	// Engines counts the starts of this prompt that engines were asked for.
+	// Engines is the number of runs of this prompt that engines accepted.
 	Engines int
 }
 
-// Call is one send of a call that must not be repeated.
+// Call is one request to execute a call that must not be repeated.
 type Call struct {
 	Name     string
-	BodyID   string // identifies the call over its repeats
+	BodyID   string // identifies the call across retries
 	Code     result.Code
 	RunState result.RunState
 }
 
-// Execution is how often a service executed a call.
+// Execution is the number of times that a service executed a call.
 type Execution struct {
 	BodyID     string
 	Idempotent bool
 	Count      int
 }
 
-// Accepted is a change that an operator was told is accepted.
+// Accepted is a configuration change that was acknowledged to an operator.
 type Accepted struct {
 	Object   string // kind/name
 	Revision int64
 	Delete   bool
 }
 
-// Reading is one look at a node's configuration, in the order of time.
+// Reading is a node's configuration at one time. Readings are in chronological order.
 type Reading struct {
-	Process   string // a node's process; a restarted node is another one
+	Process   string // process of a node; a restarted node is a different process
 	Applied   int64
 	Revisions map[string]int64 // by object
 }
 
-// Leave is the moment that an endpoint's leaving was published.
+// Leave is the time at which an endpoint was published as leaving.
 type Leave struct {
 	Endpoint string
 	At       time.Time
 }
 
-// RunStart is the arrival of a new run at an engine.
+// RunStart is the time at which an engine received a new run.
 type RunStart struct {
 	Endpoint string
 	Prompt   string
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -9,9 +9,9 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// good is a history that keeps every invariant.
-func good() *History {
-	begun := time.Unix(1000, 0)
+// validHistory returns a history that satisfies every invariant.
+func validHistory() *History {
+	begin := time.Unix(1000, 0)
 	return &History{
 		Answers: []Answer{
 			{Name: "first", Account: "a", Prompt: "heat4711", Want: " hot ore", Text: " hot ore", Offset: 2, Whole: true, Engines: 1},
@@ -30,18 +30,18 @@
 			{Process: "n2", Applied: 1, Revisions: map[string]int64{"model/m": 1}},
 			{Process: "n1", Applied: 4, Revisions: map[string]int64{"model/m": 4}},
 		},
-		Leaves: []Leave{{Endpoint: "engine-1", At: begun}},
-		Starts: []RunStart{{Endpoint: "engine-1", At: begun.Add(2 * time.Second)}, {Endpoint: "engine-2", At: begun.Add(time.Hour)}},
+		Leaves: []Leave{{Endpoint: "engine-1", At: begin}},
+		Starts: []RunStart{{Endpoint: "engine-1", At: begin.Add(2 * time.Second)}, {Endpoint: "engine-2", At: begin.Add(time.Hour)}},
 	}
 }
 
-func TestGoodHistoryPasses(t *testing.T) { must.NoError(t, Check(good())) }
+func TestValidHistoryPasses(t *testing.T) { must.NoError(t, Check(validHistory())) }
 
-// TestBreachIsFound breaks one thing at a time; each must be found, by name.
-func TestBreachIsFound(t *testing.T) {
-	breaches := map[string]struct {
-		spoil func(*History)
-		want  string
+// TestViolationsAreReported verifies that each single violation is reported with its description.
+func TestViolationsAreReported(t *testing.T) {
+	violations := map[string]struct {
+		violate func(*History)
+		want    string
 	}{
 		"token lost":        {func(h *History) { h.Answers[0].Text = " ore" }, "answer first"},
 		"token doubled":     {func(h *History) { h.Answers[0].Text = " hot hot ore" }, "answer first"},
@@ -63,10 +63,10 @@
 		"run after leaving":       {func(h *History) { h.Starts[0].At = h.Leaves[0].At.Add(3100 * time.Millisecond) }, "3.1s after its leaving"},
 		"wrong block":             {func(h *History) { h.WrongBlocks = 1 }, "another block's bytes"},
 	}
-	for name, b := range breaches {
+	for name, b := range violations {
 		t.Run(name, func(t *testing.T) {
-			h := good()
-			b.spoil(h)
+			h := validHistory()
+			b.violate(h)
 			must.ErrorContains(t, Check(h), b.want)
 		})
 	}
--- a/internal/invariant/revisions.go
+++ b/internal/invariant/revisions.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// Revisions checks that the configuration of a process never goes back, and that
-// an accepted change is there, or a newer one, wherever its revision is applied.
+// Revisions checks that the configuration of a process never goes back to an older revision, and
+// that a node that has applied the revision of an accepted change has that change or a newer one.
 func Revisions(accepted []Accepted, readings []Reading) error {
 	var errs []error
 	last := make(map[string]*Reading)
 	for i := range readings {
 		r := &readings[i]
 		if before := last[r.Process]; before != nil {
-			errs = append(errs, forward(before, r))
+			errs = append(errs, checkMonotonic(before, r))
 		}
 		last[r.Process] = r
-		errs = append(errs, keeps(accepted, r))
+		errs = append(errs, checkAccepted(accepted, r))
 	}
 	return errors.Join(errs...)
 }
 
-// forward compares two readings of one process.
-func forward(before, after *Reading) error {
+// checkMonotonic checks that no revision decreases between two readings of one process.
+func checkMonotonic(before, after *Reading) error {
 	var errs []error
 	if after.Applied < before.Applied {
 		errs = append(errs, fmt.Errorf("%s: applied %d after %d", after.Process, after.Applied, before.Applied))
@@ -36,10 +36,10 @@
 	return errors.Join(errs...)
 }
 
-// keeps tells accepted changes that a node has applied and does not show.
-func keeps(accepted []Accepted, r *Reading) error {
+// checkAccepted reports accepted changes that a node has applied but that its configuration lacks.
+func checkAccepted(accepted []Accepted, r *Reading) error {
 	var errs []error
-	for object, newest := range newestOf(accepted, r.Applied) {
+	for object, newest := range newestAccepted(accepted, r.Applied) {
 		now, ok := r.Revisions[object]
 		if !newest.Delete && (!ok || now < newest.Revision) {
 			errs = append(errs, fmt.Errorf("%s: %s at revision %d, and %d was accepted", r.Process, object, now, newest.Revision))
@@ -48,8 +48,8 @@
 	return errors.Join(errs...)
 }
 
-// newestOf returns the last accepted change of each object up to a revision.
-func newestOf(accepted []Accepted, applied int64) map[string]Accepted {
+// newestAccepted returns the last accepted change of each object, up to the applied revision.
+func newestAccepted(accepted []Accepted, applied int64) map[string]Accepted {
 	newest := make(map[string]Accepted)
 	for _, a := range accepted {
 		if a.Revision <= applied && a.Revision > newest[a.Object].Revision {
