--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -21,25 +21,26 @@
 
 const benchTokens = 64
 
-// direct runs a prompt at an engine without a node and returns the time to its
-// first token and to its end.
-func direct(b *testing.B, client *engineclient.Client, url, prompt string) (first, total time.Duration) {
-	begun := time.Now()
+// runDirect runs a prompt at an engine, without a node, and returns the times to its first token and
+// to its end.
+func runDirect(b *testing.B, client *engineclient.Client, url, prompt string) (first, total time.Duration) {
+	start := time.Now()
 	stream, err := client.Start(b.Context(), url, &enginewire.RunRequest{Run: runid.Nonce(), Model: Model, Version: Version, CacheSalt: "s", Prompt: prompt, MaxTokens: benchTokens})
 	must.NoError(b, err)
 	defer stream.Close()
 	var frame enginewire.Frame
 	for stream.Next(&frame) == nil {
 		if frame.Kind == enginewire.FrameTokens && first == 0 {
-			first = time.Since(begun)
+			first = time.Since(start)
 		}
 	}
-	return first, time.Since(begun)
+	return first, time.Since(start)
 }
 
-// through runs a prompt through a node.
-func through(b *testing.B, m *Member, prompt string) (first, total time.Duration) {
-	begun := time.Now()
+// runThroughNode runs a prompt through a node and returns the times to its first token and to its
+// end.
+func runThroughNode(b *testing.B, m *Member, prompt string) (first, total time.Duration) {
+	start := time.Now()
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"prompt":%q}`, Model, benchTokens, prompt)
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodPost, m.URL()+"/v1/completions", strings.NewReader(body))
 	must.NoError(b, err)
@@ -50,11 +51,11 @@
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if first == 0 && strings.HasPrefix(lines.Text(), "data:") {
-			first = time.Since(begun)
+			first = time.Since(start)
 		}
 	}
 	must.NoError(b, lines.Err())
-	return first, time.Since(begun)
+	return first, time.Since(start)
 }
 
 func median(times []time.Duration) float64 {
@@ -62,8 +63,8 @@
 	return float64(times[len(times)/2].Microseconds())
 }
 
-// BenchmarkAddedByNode reports in one run what a node adds to an engine's answer:
-// a short prompt, which asks for no estimate, and a long one, which does.
+// BenchmarkAddedByNode reports the latency that a node adds to an engine: for a short prompt, which
+// needs no estimates, and for a long one, which does. Both paths are measured in the same run.
 func BenchmarkAddedByNode(b *testing.B) {
 	for _, size := range []int{200, 32_000} {
 		b.Run(fmt.Sprintf("prompt=%dB", size), func(b *testing.B) {
@@ -72,9 +73,9 @@
 			prompt := strings.Repeat("pass or hold? ", size/14)
 			var at, via, atEnd, viaEnd []time.Duration
 			for b.Loop() {
-				first, total := direct(b, client, f.EngineURLs[0], prompt)
+				first, total := runDirect(b, client, f.EngineURLs[0], prompt)
 				at, atEnd = append(at, first), append(atEnd, total)
-				first, total = through(b, f.Nodes[0], prompt)
+				first, total = runThroughNode(b, f.Nodes[0], prompt)
 				via, viaEnd = append(via, first), append(viaEnd, total)
 			}
 			b.ReportMetric(median(at), "µs-first-direct")
@@ -84,26 +85,26 @@
 	}
 }
 
-// BenchmarkOpenStreams reports the memory of a whole fleet in one process, engines
-// and callers included, with many streams open at once.
+// BenchmarkOpenStreams reports the memory per open stream of a whole fleet in one process, including
+// engines and callers.
 func BenchmarkOpenStreams(b *testing.B) {
 	for _, streams := range []int{1000, 2500, 5000} {
 		b.Run(fmt.Sprint(streams), func(b *testing.B) {
 			f := startFleet(b, Options{Nodes: 1, Engines: []engine.Config{{TimeScale: 1, DecodeStep: 200 * time.Millisecond, MaxRunning: 10000, MaxWaiting: 10000}}})
-			before := heap()
+			before := memoryInUse()
 			for b.Loop() {
 				var wg sync.WaitGroup
 				for range streams {
-					wg.Go(func() { through(b, f.Nodes[0], "pass or hold?") })
+					wg.Go(func() { runThroughNode(b, f.Nodes[0], "pass or hold?") })
 				}
-				b.ReportMetric(peak(&wg, before)/float64(streams)/1024, "KiB/stream")
+				b.ReportMetric(peakMemory(&wg, before)/float64(streams)/1024, "KiB/stream")
 			}
 		})
 	}
 }
 
-// peak samples the memory in use until the group is done.
-func peak(wg *sync.WaitGroup, before float64) float64 {
+// peakMemory returns the maximum increase of memory over before, sampled until the group is done.
+func peakMemory(wg *sync.WaitGroup, before float64) float64 {
 	done := make(chan struct{})
 	go func() {
 		wg.Wait()
@@ -111,18 +112,18 @@
 	}()
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
-	most := 0.0
+	maximum := 0.0
 	for {
 		select {
 		case <-done:
-			return most
+			return maximum
 		case <-ticker.C:
-			most = max(most, heap()-before)
+			maximum = max(maximum, memoryInUse()-before)
 		}
 	}
 }
 
-func heap() float64 {
+func memoryInUse() float64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapInuse + m.StackInuse)
--- a/internal/demo/calls_test.go
+++ b/internal/demo/calls_test.go
@@ -19,7 +19,7 @@
 	"github.com/cherryward/cherryward/standin/service"
 )
 
-func call(t *testing.T, m *Member, account, method, path, body string, headers ...string) (int, string) {
+func sendCall(t *testing.T, m *Member, account, method, path, body string, headers ...string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, m.URL()+path, strings.NewReader(body))
 	must.NoError(t, err)
@@ -35,9 +35,9 @@
 	return resp.StatusCode, string(data)
 }
 
-func issue(t *testing.T, m *Member, account string) string {
+func issueTicket(t *testing.T, m *Member, account string) string {
 	t.Helper()
-	status, text := call(t, m, account, http.MethodPost, "/v1/tickets", "")
+	status, text := sendCall(t, m, account, http.MethodPost, "/v1/tickets", "")
 	must.Eq(t, http.StatusOK, status, must.Sprint(text))
 	var list struct{ Data []string }
 	must.NoError(t, json.Unmarshal([]byte(text), &list))
@@ -45,7 +45,7 @@
 	return list.Data[0]
 }
 
-func failure(t *testing.T, text string) result.BodyError {
+func decodeError(t *testing.T, text string) result.BodyError {
 	t.Helper()
 	var body result.Body
 	must.NoError(t, json.Unmarshal([]byte(text), &body), must.Sprint(text))
@@ -62,59 +62,59 @@
 	return total
 }
 
-func TestTicketedCallRunsOnceAtAnyNode(t *testing.T) {
+func TestTicketedCallRunsOnce(t *testing.T) {
 	f := start(t, Options{Nodes: 3, Engines: []engine.Config{{TimeScale: 0}}})
 	clerk := Accounts[1]
-	key := issue(t, f.Nodes[0], clerk)
-	status, first := call(t, f.Nodes[1], clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+	key := issueTicket(t, f.Nodes[0], clerk)
+	status, first := sendCall(t, f.Nodes[1], clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
 	must.Eq(t, http.StatusOK, status, must.Sprint(first))
 	for _, m := range f.Nodes {
-		status, again := call(t, m, clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+		status, again := sendCall(t, m, clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
 		must.Eq(t, http.StatusOK, status)
 		must.Eq(t, first, again)
 	}
 	must.Eq(t, 1, executions(f))
 
-	_, text := call(t, f.Nodes[2], Accounts[0], http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
-	must.Eq(t, result.UnknownTicket, failure(t, text).Number)
-	_, text = call(t, f.Nodes[2], clerk, http.MethodPost, charge, `{"heat":9}`, "Idempotency-Key", key)
-	must.Eq(t, result.TicketMismatch, failure(t, text).Number)
-	_, text = call(t, f.Nodes[2], clerk, http.MethodPost, charge, `{}`, "Idempotency-Key", "made-up")
-	must.Eq(t, result.UnknownTicket, failure(t, text).Number)
-	must.Eq(t, result.NotRun, failure(t, text).RunState)
+	_, text := sendCall(t, f.Nodes[2], Accounts[0], http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+	must.Eq(t, result.UnknownTicket, decodeError(t, text).Number)
+	_, text = sendCall(t, f.Nodes[2], clerk, http.MethodPost, charge, `{"heat":9}`, "Idempotency-Key", key)
+	must.Eq(t, result.TicketMismatch, decodeError(t, text).Number)
+	_, text = sendCall(t, f.Nodes[2], clerk, http.MethodPost, charge, `{}`, "Idempotency-Key", "made-up")
+	must.Eq(t, result.UnknownTicket, decodeError(t, text).Number)
+	must.Eq(t, result.NotRun, decodeError(t, text).RunState)
 	must.Eq(t, 1, executions(f))
 
 	must.NoError(t, f.Nodes[0].Stop())
-	status, again := call(t, f.Nodes[2], clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+	status, again := sendCall(t, f.Nodes[2], clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
 	must.Eq(t, http.StatusOK, status, must.Sprint(again))
 	must.Eq(t, first, again)
 	must.Eq(t, 1, executions(f))
 }
 
-func TestLostAnswerIsNeverRunAgain(t *testing.T) {
+func TestCallWithLostAnswerIsNotRepeated(t *testing.T) {
 	f := start(t, Options{Nodes: 2, Engines: []engine.Config{{TimeScale: 0}}})
 	clerk := Accounts[1]
 	f.Service.Faults.Set(service.Faults{LoseAnswers: true})
-	_, text := call(t, f.Nodes[0], clerk, http.MethodPost, charge, `{}`)
-	must.Eq(t, result.ServiceCallFailed, failure(t, text).Number)
-	must.Eq(t, result.MayHaveRun, failure(t, text).RunState)
+	_, text := sendCall(t, f.Nodes[0], clerk, http.MethodPost, charge, `{}`)
+	must.Eq(t, result.ServiceCallFailed, decodeError(t, text).Number)
+	must.Eq(t, result.MayHaveRun, decodeError(t, text).RunState)
 	must.Eq(t, 1, executions(f))
 
-	key := issue(t, f.Nodes[0], clerk)
+	key := issueTicket(t, f.Nodes[0], clerk)
 	for _, m := range f.Nodes {
-		_, text = call(t, m, clerk, http.MethodPost, charge, `{}`, "Idempotency-Key", key)
-		must.Eq(t, result.MayHaveRun, failure(t, text).RunState)
+		_, text = sendCall(t, m, clerk, http.MethodPost, charge, `{}`, "Idempotency-Key", key)
+		must.Eq(t, result.MayHaveRun, decodeError(t, text).RunState)
 	}
 	must.Eq(t, 2, executions(f))
 }
 
 func TestTicketedPromptIsAnsweredOnce(t *testing.T) {
 	f := start(t, Options{Nodes: 2, Engines: []engine.Config{{TimeScale: 0}}})
-	key := issue(t, f.Nodes[0], Accounts[0])
+	key := issueTicket(t, f.Nodes[0], Accounts[0])
 	body := `{"model":"` + Model + `","prompt":"pass or hold?","max_tokens":5}`
-	status, first := call(t, f.Nodes[1], Accounts[0], http.MethodPost, "/v1/completions", body, "Idempotency-Key", key)
+	status, first := sendCall(t, f.Nodes[1], Accounts[0], http.MethodPost, "/v1/completions", body, "Idempotency-Key", key)
 	must.Eq(t, http.StatusOK, status, must.Sprint(first))
-	status, again := call(t, f.Nodes[0], Accounts[0], http.MethodPost, "/v1/completions", body, "Idempotency-Key", key)
+	status, again := sendCall(t, f.Nodes[0], Accounts[0], http.MethodPost, "/v1/completions", body, "Idempotency-Key", key)
 	must.Eq(t, http.StatusOK, status)
 	var a, b struct{ ID string }
 	must.NoError(t, json.Unmarshal([]byte(first), &a))
@@ -122,30 +122,30 @@
 	must.Eq(t, a.ID, b.ID)
 }
 
-// One account's limit is one number for all nodes together.
+// TestLimitHoldsOverAllNodes verifies that an account's limit applies to all nodes together.
 func TestLimitHoldsOverAllNodes(t *testing.T) {
 	const limit, offered = 20, 400
 	f := start(t, Options{Nodes: 3, Engines: []engine.Config{{TimeScale: 0}}})
 	must.NoError(t, f.Limit(t.Context(), Accounts[2], &pb.Limits{RequestsPerSecond: limit}))
 	admits := func() bool {
-		status, _ := call(t, f.Nodes[0], Accounts[2], http.MethodGet, "/services/ledger/charges", "")
+		status, _ := sendCall(t, f.Nodes[0], Accounts[2], http.MethodGet, "/services/ledger/charges", "")
 		return status == http.StatusOK
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	must.NoError(t, until(ctx, admits), must.Sprint("nothing is lent until a part lease after the start"))
+	must.NoError(t, waitUntil(ctx, admits), must.Sprint("no request was admitted; limits are lent only one part lease after the start"))
 	var admitted, refused atomic.Int64
 	var group errgroup.Group
 	begun := time.Now()
 	for i := range offered {
 		group.Go(func() error {
-			status, text := call(t, f.Nodes[i%len(f.Nodes)], Accounts[2], http.MethodGet, "/services/ledger/charges", "")
+			status, text := sendCall(t, f.Nodes[i%len(f.Nodes)], Accounts[2], http.MethodGet, "/services/ledger/charges", "")
 			if status == http.StatusOK {
 				admitted.Add(1)
 				return nil
 			}
 			refused.Add(1)
-			e := failure(t, text)
+			e := decodeError(t, text)
 			must.Eq(t, result.RequestRate, e.Number)
 			must.Eq(t, result.NotRun, e.RunState)
 			must.Positive(t, e.RetryAfterMS)
@@ -153,8 +153,8 @@
 		})
 	}
 	must.NoError(t, group.Wait())
-	bound := limit*time.Since(begun).Seconds() + limit*4.4 // the excess that coord/limit states
-	must.Less(t, bound, float64(admitted.Load()))
+	maxAdmitted := limit*time.Since(begun).Seconds() + limit*4.4 // plus the excess that coord/limit documents
+	must.Less(t, maxAdmitted, float64(admitted.Load()))
 	must.Positive(t, admitted.Load())
 	must.Positive(t, refused.Load())
 }
--- a/internal/demo/configure.go
+++ b/internal/demo/configure.go
@@ -15,30 +15,30 @@
 	"github.com/cherryward/cherryward/internal/runid"
 )
 
-// The configuration of a fleet.
+// Names in the configuration of a fleet.
 const (
 	Model   = "melt-summary"
 	Version = "v1"
 	Ledger  = "ledger"
 )
 
-// Accounts are the client accounts; the key of each is KeyOf its name.
+// Accounts lists the client accounts. The key of each is KeyOf(name).
 var Accounts = []string{"inspectors", "mill-clerks", "certifiers"}
 
 // KeyOf returns the bearer key of an account.
 func KeyOf(account string) string { return "key-" + account }
 
-// Client returns a client of a node's operators' RPCs.
+// Client returns a client for the operators' RPCs of a node.
 func Client(m *Member) cherrywardv1connect.ConfigServiceClient {
 	return ClientAt("http://" + m.OperatorsAddr().String())
 }
 
-// ClientAt returns a client of the operators' RPCs at a base URL.
+// ClientAt returns a client for the operators' RPCs at a base URL.
 func ClientAt(url string) cherrywardv1connect.ConfigServiceClient {
 	return cherrywardv1connect.NewConfigServiceClient(http.DefaultClient, url, connect.WithInterceptors(withKey{}))
 }
 
-// withKey sends the operators' bearer key.
+// withKey adds the operators' bearer key to requests.
 type withKey struct{}
 
 // WrapUnary implements connect.Interceptor.
@@ -59,7 +59,7 @@
 	return next
 }
 
-// Objects returns the configuration that fits the fleet.
+// Objects returns the configuration objects for the fleet's accounts, model and endpoints.
 func (f *Fleet) Objects() []*pb.Object {
 	var out []*pb.Object
 	for _, name := range append([]string{fillerAccount}, Accounts...) {
@@ -97,8 +97,8 @@
 	}, 0))
 }
 
-// Configure applies the configuration through the operators' RPC and waits until
-// every node has it. It returns the seconds that the last change took.
+// Configure applies the configuration through the operators' RPCs and waits until every node has it.
+// It returns the time until the last change was in force on all nodes.
 func (f *Fleet) Configure(ctx context.Context) (time.Duration, error) {
 	if err := f.waitReady(ctx); err != nil {
 		return 0, err
@@ -117,7 +117,7 @@
 	return time.Duration(last.Msg.GetInForceSeconds() * float64(time.Second)), nil
 }
 
-// Limit sets an account's limits and waits until they are in force everywhere.
+// Limit sets an account's limits and waits until they are in force on all nodes.
 func (f *Fleet) Limit(ctx context.Context, name string, limits *pb.Limits) error {
 	client := Client(f.Nodes[0])
 	got, err := client.Get(ctx, connect.NewRequest(&pb.GetRequest{Kind: string(config.KindAccount), Name: name}))
@@ -131,10 +131,10 @@
 	return err
 }
 
-// waitReady returns once every node has a configuration and knows the others.
+// waitReady waits until every node has a configuration and has discovered the other nodes.
 func (f *Fleet) waitReady(ctx context.Context) error {
 	for _, m := range f.Nodes {
-		if err := until(ctx, func() bool { return m.ready(ctx) && f.knowsAll(ctx, m) }); err != nil {
+		if err := waitUntil(ctx, func() bool { return m.ready(ctx) && f.seesAllNodes(ctx, m) }); err != nil {
 			return eris.Wrapf(err, "wait for %s", m.ID)
 		}
 	}
@@ -154,25 +154,25 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// knowsAll tells whether a node has met every running node of the fleet.
-func (f *Fleet) knowsAll(ctx context.Context, m *Member) bool {
+// seesAllNodes reports whether a node sees every running node of the fleet as alive.
+func (f *Fleet) seesAllNodes(ctx context.Context, m *Member) bool {
 	resp, err := StatusClient(m).Status(ctx, connect.NewRequest(&pb.StatusRequest{}))
 	if err != nil {
 		return false
 	}
-	met := 0
+	alive := 0
 	for _, n := range resp.Msg.GetNodes() {
 		if n.GetIncarnation() != 0 && n.GetState() == "alive" {
-			met++
+			alive++
 		}
 	}
-	return met >= f.running()
+	return alive >= f.running()
 }
 
-// Settle returns once no run is in force by any owner's word.
+// Settle waits until owners report no running or waiting requests at any endpoint.
 func (f *Fleet) Settle(ctx context.Context) error {
 	client := StatusClient(f.Nodes[0])
-	return until(ctx, func() bool {
+	return waitUntil(ctx, func() bool {
 		resp, err := client.Status(ctx, connect.NewRequest(&pb.StatusRequest{}))
 		if err != nil {
 			return false
@@ -196,23 +196,23 @@
 	return n
 }
 
-// URL returns the base URL for callers.
+// URL returns the base URL of the callers' API.
 func (m *Member) URL() string { return "http://" + m.CallersAddr().String() }
 
-// StatusClient returns a client of a node's status RPCs.
+// StatusClient returns a client for a node's status RPCs.
 func StatusClient(m *Member) cherrywardv1connect.StatusServiceClient {
 	return StatusClientAt("http://" + m.OperatorsAddr().String())
 }
 
-// StatusClientAt returns a client of the status RPCs at a base URL.
+// StatusClientAt returns a client for the status RPCs at a base URL.
 func StatusClientAt(url string) cherrywardv1connect.StatusServiceClient {
 	return cherrywardv1connect.NewStatusServiceClient(http.DefaultClient, url, connect.WithInterceptors(withKey{}))
 }
 
 const readyInterval = 20 * time.Millisecond
 
-// until polls a condition.
-func until(ctx context.Context, ok func() bool) error {
+// waitUntil polls a condition until it holds. It returns the error of ctx if that ends first.
+func waitUntil(ctx context.Context, ok func() bool) error {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
 	for !ok() {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -41,10 +41,10 @@
 
 func TestOpenAIClientThroughThreeNodes(t *testing.T) {
 	quick := engine.Config{TimeScale: 0}
-	// An estimate that is late is left out, so that an engine is chosen without its cache
-	// being known. Here none is late, however busy the machine.
-	patient := func(s *settings.Settings) { s.Requests.EstimateTimeout = settings.Duration(5 * time.Second) }
-	f := start(t, Options{Nodes: 3, Engines: []engine.Config{quick, quick, quick}, Stores: []store.Config{{}}, Adjust: patient})
+	// Estimates that arrive after the timeout are ignored, and placement then does not consider the
+	// engine's cache. The long timeout avoids this on a busy machine.
+	longTimeout := func(s *settings.Settings) { s.Requests.EstimateTimeout = settings.Duration(5 * time.Second) }
+	f := start(t, Options{Nodes: 3, Engines: []engine.Config{quick, quick, quick}, Stores: []store.Config{{}}, Adjust: longTimeout})
 	history := strings.Repeat("Heat 4711 poured at 09:12 in furnace 3. ", 600)
 	messages := []openai.ChatCompletionMessageParamUnion{openai.UserMessage(history)}
 	for turn, m := range f.Nodes {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole small system in one process on loopback: stand-ins
-// of the outside systems, and nodes before them.
+// Package demo runs a complete small system in one process on loopback: nodes, and simulations of the
+// external systems that they use.
 package demo
 
 import (
@@ -27,32 +27,32 @@
 	"github.com/cherryward/cherryward/standin/store"
 )
 
-// Credentials of a fleet; it listens on loopback only.
+// Credentials of a fleet, which listens on loopback only.
 const (
 	PeersKey     = "loopback-peers-key-0123456789abcdef"
 	OperatorsKey = "loopback-operators-key"
 
-	loopback   = "127.0.0.1:0"
-	headerTime = 5 * time.Second
+	loopback      = "127.0.0.1:0"
+	headerTimeout = 5 * time.Second
 )
 
-// Options size a fleet.
+// Options configure a fleet.
 type Options struct {
 	Nodes   int
 	Engines []engine.Config
 	Stores  []store.Config
 	Service service.Config
 	Log     zerolog.Logger
-	// Adjust changes a node's settings before its start; nil leaves them.
+	// Adjust, if not nil, changes a node's settings before it starts.
 	Adjust func(*settings.Settings)
-	// Wrap is put around the handler of each endpoint's stand-in; nil leaves it.
+	// Wrap, if not nil, wraps the handler of each simulated endpoint.
 	Wrap func(endpoint string, h http.Handler) http.Handler
 }
 
-// domains are the failure domains that nodes and endpoints are spread over.
+// domains lists the failure domains over which nodes and endpoints are distributed.
 var domains = []string{"north", "east", "south"}
 
-// Fleet is a running system.
+// Fleet is a running system of nodes and simulated external systems.
 type Fleet struct {
 	Nodes   []*Member
 	Engines []*engine.Engine
@@ -83,7 +83,7 @@
 	err     error
 }
 
-// Stop stops the node gracefully and returns how that went.
+// Stop stops the node gracefully and returns the error of its Run.
 func (m *Member) Stop() error {
 	m.stopped.Store(true)
 	m.stop()
@@ -91,7 +91,7 @@
 	return m.err
 }
 
-// Start starts the stand-ins and the nodes.
+// Start starts the simulated external systems and the nodes.
 func Start(opts Options) (*Fleet, error) {
 	f := &Fleet{opts: opts}
 	if err := f.startStandIns(); err != nil {
@@ -152,19 +152,19 @@
 	return f.opts.Wrap(endpoint, h)
 }
 
-// serve puts a stand-in on a loopback port.
+// serve serves a handler on a loopback port and returns its URL.
 func (f *Fleet) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return "", eris.Wrap(err, "listen")
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTime}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(l) }() // ends with Close
 	f.closers = append(f.closers, func() { _ = server.Close() })
 	return "http://" + l.Addr().String(), nil
 }
 
-// AddNode starts one more node and puts it on the host list.
+// AddNode starts another node and adds it to the host list.
 func (f *Fleet) AddNode() (*Member, error) {
 	f.started++
 	id := fmt.Sprintf("node-%d", f.started)
@@ -202,10 +202,10 @@
 	return &s
 }
 
-// Remove takes a node that has stopped off the host list.
+// Remove removes a stopped node from the host list.
 func (f *Fleet) Remove(m *Member) { f.Hosts.Remove(m.ID) }
 
-// Close stops everything, one node after the other.
+// Close stops the nodes, one after the other, and then the simulated external systems.
 func (f *Fleet) Close() error {
 	var errs []error
 	for _, m := range f.Nodes {
--- a/internal/demo/process_bench_test.go
+++ b/internal/demo/process_bench_test.go
@@ -27,13 +27,13 @@
 	"github.com/cherryward/cherryward/standin/engine"
 )
 
-// nodeProcess is a node in a process of its own, before a fleet's stand-ins.
+// nodeProcess is a node that runs in its own process, with a fleet's simulated endpoints.
 type nodeProcess struct {
 	callers string
 	pid     int
 }
 
-// freeAddress is a loopback address that was free a moment ago.
+// freeAddress returns a loopback address with a port that was free at the time of the call.
 func freeAddress(b *testing.B) string {
 	l, err := net.Listen("tcp", loopback)
 	must.NoError(b, err)
@@ -68,7 +68,7 @@
 	return p
 }
 
-// configure applies the fleet's objects, the first when the node answers.
+// configure applies the fleet's objects. It retries until the node answers.
 func (p *nodeProcess) configure(b *testing.B, f *Fleet, operators string) {
 	client := ClientAt(operators)
 	ticker := time.NewTicker(50 * time.Millisecond)
@@ -84,7 +84,7 @@
 	}
 }
 
-// peakMemory is the most memory that the process has held, in MiB.
+// peakMemory returns the peak resident memory of the process in MiB.
 func (p *nodeProcess) peakMemory(b *testing.B) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.pid))
 	must.NoError(b, err)
@@ -95,7 +95,7 @@
 	return kib / 1024
 }
 
-// processorTime is the process's time in user and system mode, in seconds.
+// processorTime returns the process's user and system time in seconds.
 func (p *nodeProcess) processorTime(b *testing.B) float64 {
 	const ticksPerSecond = 100
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.pid))
@@ -108,9 +108,9 @@
 	return (user + system) / ticksPerSecond
 }
 
-// BenchmarkNodeProcess reports the memory and processor time of one node process
-// with many streams open at the same time; engines and callers are in another
-// process. Streams are opened a few at a time, since a burst would be shed.
+// BenchmarkNodeProcess reports the memory and processor time of a node process with many streams
+// open at the same time. Engines and callers run in another process. Streams are opened gradually,
+// since the node would shed a burst.
 func BenchmarkNodeProcess(b *testing.B) {
 	slow := engine.Config{TimeScale: 1, DecodeStep: 300 * time.Millisecond, MaxRunning: 10000, MaxWaiting: 10000}
 	for _, streams := range []int{100, 1000, 2500, 5000} {
@@ -128,46 +128,46 @@
 	}
 }
 
-// opening is the number of streams that wait for their first byte at once.
-const opening = 512
+// maxOpening is the maximum number of streams that wait for their first byte at the same time.
+const maxOpening = 512
 
-// streamAll returns the most streams that were open at the same time. All must
-// come whole.
+// streamAll returns the maximum number of streams that were open at the same time. It fails unless
+// all answers are complete.
 func (p *nodeProcess) streamAll(b *testing.B, streams int) int {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	gate := make(chan struct{}, opening)
-	var open, most, whole atomic.Int64
+	gate := make(chan struct{}, maxOpening)
+	var open, maxOpen, complete atomic.Int64
 	var wg sync.WaitGroup
 	for range streams {
 		gate <- struct{}{}
 		wg.Go(func() {
 			answer := p.stream(b, client, func() {
-				most.Store(max(most.Load(), open.Add(1)))
+				maxOpen.Store(max(maxOpen.Load(), open.Add(1)))
 				<-gate
 			})
 			open.Add(-1)
 			if strings.Count(answer, "\ndata: ") == benchTokens+2 && strings.HasSuffix(answer, "data: [DONE]\n\n") {
-				whole.Add(1)
+				complete.Add(1)
 			} else {
 				b.Logf("%.300s", answer)
 			}
 		})
 	}
 	wg.Wait()
-	must.Eq(b, int64(streams), whole.Load())
-	return int(most.Load())
+	must.Eq(b, int64(streams), complete.Load())
+	return int(maxOpen.Load())
 }
 
-// stream returns the events of one answer, or what went wrong. begun is called
-// once: when the answer begins or fails.
-func (p *nodeProcess) stream(b *testing.B, client *http.Client, begun func()) string {
+// stream returns the events of one answer, or the error text. onBegin is called once, when the
+// answer begins or the request fails.
+func (p *nodeProcess) stream(b *testing.B, client *http.Client, onBegin func()) string {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"prompt":"pass or hold?"}`, Model, benchTokens)
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodPost, p.callers+"/v1/completions", strings.NewReader(body))
 	must.NoError(b, err)
 	req.Header.Set("Authorization", "Bearer "+KeyOf(Accounts[0]))
 	resp, err := client.Do(req)
-	begun()
+	onBegin()
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -21,24 +21,24 @@
 	"github.com/cherryward/cherryward/standin/store"
 )
 
-// The demo's engines: two new ones and an old one, with small memories so that a
-// conversation's context does not stay long.
+// Parameters of the demo. Two engines are fast and one is slow. Their memories are small, so that a
+// conversation's context is evicted soon.
 const (
-	demoNodes       = 3
-	newPrefill      = 40000
-	oldPrefill      = 16000
-	demoBlocks      = 8
-	fillerBlocks    = 7 // of a prompt that pushes others out of an engine's memory
-	fillerPerEngine = 2
-	demoTimeScale   = 1
-	demoStoreSize   = 256 << 20
-	turns           = 3
-	turnGap         = 400 * time.Millisecond
-	answerTokens    = 24
-	configureTime   = 30 * time.Second
-	paragraphs      = 260
-	blockChars      = 4 * 2048 // of text in one engine block
-	fillerAccount   = "background"
+	demoNodes        = 3
+	newPrefill       = 40000
+	oldPrefill       = 16000
+	demoBlocks       = 8
+	fillerBlocks     = 7 // blocks of a filler prompt, which evicts others from an engine's memory
+	fillerPerEngine  = 2
+	demoTimeScale    = 1
+	demoStoreSize    = 256 << 20
+	turns            = 3
+	turnGap          = 400 * time.Millisecond
+	answerTokens     = 24
+	configureTimeout = 30 * time.Second
+	paragraphs       = 260
+	blockChars       = 4 * 2048 // characters of text in one engine block
+	fillerAccount    = "background"
 )
 
 func demoOptions(log zerolog.Logger) Options {
@@ -54,14 +54,15 @@
 	}
 }
 
-// Run starts a small system, plays conversations and prints what they cost.
+// Run starts a small system, runs conversations and prints for each turn the time to first token and the
+// tokens recomputed and imported. If serve is true it then runs until ctx is done.
 func Run(ctx context.Context, out io.Writer, log zerolog.Logger, serve bool) error {
 	f, err := Start(demoOptions(log))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // nothing follows that could use the error
-	configure, cancel := context.WithTimeout(ctx, configureTime)
+	defer func() { _ = f.Close() }() // errors during shutdown are ignored
+	configure, cancel := context.WithTimeout(ctx, configureTimeout)
 	defer cancel()
 	took, err := f.Configure(configure)
 	if err != nil {
@@ -69,7 +70,7 @@
 	}
 	fmt.Fprintf(out, "%d nodes, %d engines, %d stores; the last change was in force everywhere after %s\n\n",
 		len(f.Nodes), len(f.Engines), len(f.Stores), took.Round(time.Millisecond))
-	if err := f.play(ctx, out); err != nil {
+	if err := f.runConversations(ctx, out); err != nil {
 		return err
 	}
 	if !serve {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// turn is what one prompt came to.
+// turn holds the measurements of one prompt.
 type turn struct {
 	account    string
 	number     int
@@ -93,7 +94,7 @@
 	linkBytes  int64
 }
 
-func (f *Fleet) play(ctx context.Context, out io.Writer) error {
+func (f *Fleet) runConversations(ctx context.Context, out io.Writer) error {
 	histories := make([]string, len(Accounts))
 	for i, account := range Accounts {
 		histories[i] = history(account)
@@ -101,7 +102,7 @@
 	var all []turn
 	for n := range turns {
 		for i, account := range Accounts {
-			t, answer, err := f.ask(ctx, f.Nodes[(n+i)%len(f.Nodes)], account, histories[i])
+			t, answer, err := f.send(ctx, f.Nodes[(n+i)%len(f.Nodes)], account, histories[i])
 			if err != nil {
 				return err
 			}
@@ -109,16 +110,16 @@
 			all = append(all, t)
 			histories[i] += answer + fmt.Sprintf("\nQuestion %d: which heats were held, and why?\n", n+2)
 		}
-		if err := f.gap(ctx, n); err != nil {
+		if err := f.fillGap(ctx, n); err != nil {
 			return err
 		}
 	}
 	return report(out, all)
 }
 
-// gap lets kept context reach the stores and then fills the engines' memories
-// with other work, as minutes or hours between two turns would.
-func (f *Fleet) gap(ctx context.Context, n int) error {
+// fillGap waits until kept context has been exported to the stores, and then fills the engines'
+// memories with other prompts, which simulates a gap of minutes or hours between two turns.
+func (f *Fleet) fillGap(ctx context.Context, n int) error {
 	if !retry.Sleep(ctx, turnGap) {
 		return ctx.Err()
 	}
@@ -126,14 +127,14 @@
 	for i := range fillerPerEngine * len(f.Engines) {
 		group.Go(func() error {
 			prompt := strings.Repeat(fmt.Sprintf("gap %d prompt %d ", n, i), fillerBlocks*blockChars/16)
-			_, _, err := f.ask(ctx, f.Nodes[i%len(f.Nodes)], fillerAccount, prompt)
+			_, _, err := f.send(ctx, f.Nodes[i%len(f.Nodes)], fillerAccount, prompt)
 			return err
 		})
 	}
 	return group.Wait()
 }
 
-// history is an account's long context.
+// history returns a long context for an account.
 func history(account string) string {
 	var b strings.Builder
 	for i := range paragraphs {
@@ -142,7 +143,7 @@
 	return b.String()
 }
 
-type askRequest struct {
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
@@ -152,7 +153,7 @@
 	} `json:"stream_options"`
 }
 
-type askChunk struct {
+type completionChunk struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -166,9 +167,9 @@
 	} `json:"usage"`
 }
 
-// ask sends a prompt as a caller would and reads its stream.
-func (f *Fleet) ask(ctx context.Context, m *Member, account, prompt string) (turn, string, error) {
-	body := askRequest{Model: Model, Prompt: prompt, MaxTokens: answerTokens, Stream: true}
+// send sends a prompt as a caller and reads the stream. It returns the measurements and the answer.
+func (f *Fleet) send(ctx context.Context, m *Member, account, prompt string) (turn, string, error) {
+	body := completionRequest{Model: Model, Prompt: prompt, MaxTokens: answerTokens, Stream: true}
 	body.Options.IncludeUsage = true
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -179,22 +180,22 @@
 		return turn{}, "", err
 	}
 	req.Header.Set("Authorization", "Bearer "+KeyOf(account))
-	begun := time.Now()
+	start := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return turn{}, "", err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(resp.Body) // the status says enough without it
+		text, _ := io.ReadAll(resp.Body) // the status is reported even without the body
 		return turn{}, "", eris.Errorf("status %d: %s", resp.StatusCode, text)
 	}
 	t := turn{account: account}
-	answer, err := t.read(resp.Body, begun)
+	answer, err := t.read(resp.Body, start)
 	return t, answer, err
 }
 
-func (t *turn) read(body io.Reader, begun time.Time) (string, error) {
+func (t *turn) read(body io.Reader, start time.Time) (string, error) {
 	var answer strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -202,13 +203,13 @@
 		if !ok {
 			continue
 		}
-		var c askChunk
+		var c completionChunk
 		if err := json.Unmarshal([]byte("{"+data), &c); err != nil {
 			return "", eris.Wrap(err, "read chunk")
 		}
 		for _, ch := range c.Choices {
 			if ch.Text != "" && t.firstToken == 0 {
-				t.firstToken = time.Since(begun)
+				t.firstToken = time.Since(start)
 			}
 			answer.WriteString(ch.Text)
 		}
@@ -220,7 +221,7 @@
 	return answer.String(), lines.Err()
 }
 
-// report prints each turn, and first turns against returns.
+// report prints each turn, and the means of first and of later turns.
 func report(out io.Writer, all []turn) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "account\tturn\tfirst token\tprompt tokens\trecomputed\tfrom engine memory\tfrom store\tlink bytes\t")
@@ -245,7 +246,7 @@
 		t.prompt, t.prompt-t.cached, t.cached-t.imported, t.imported, t.linkBytes)
 }
 
-// add sums up turns; number counts them.
+// add adds the figures of o; number counts the added turns.
 func (t *turn) add(o turn) {
 	t.number++
 	t.firstToken += o.firstToken
@@ -255,6 +256,7 @@
 	t.linkBytes += o.linkBytes
 }
 
+// mean returns the means of the added turns.
 func (t turn) mean() turn {
 	n := max(t.number, 1)
 	return turn{firstToken: t.firstToken / time.Duration(n), prompt: t.prompt / n, cached: t.cached / n, imported: t.imported / n, linkBytes: t.linkBytes / int64(n)}
--- a/internal/demo/tls_test.go
+++ b/internal/demo/tls_test.go
@@ -22,7 +22,7 @@
 	"github.com/cherryward/cherryward/standin/engine"
 )
 
-// certificate writes a self-signed certificate for loopback and its key.
+// certificate writes a self-signed certificate for loopback and its key to files.
 func certificate(t *testing.T) *settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -49,8 +49,9 @@
 	return out
 }
 
-// Peers speak TLS with certificates of both ends, callers with the node's.
-func TestListenersSpeakTLS(t *testing.T) {
+// TestListenersUseTLS verifies that the peer listener requires a certificate of both ends and that
+// the callers' listener presents the node's certificate.
+func TestListenersUseTLS(t *testing.T) {
 	cert := certificate(t)
 	f, err := Start(Options{Nodes: 2, Engines: []engine.Config{{TimeScale: 0}}, Log: zerolog.Nop(), Adjust: func(s *settings.Settings) {
 		s.Peers.TLS = cert
@@ -58,7 +59,7 @@
 	}})
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, f.Close()) })
-	must.NoError(t, until(t.Context(), func() bool { return f.knowsAll(t.Context(), f.Nodes[0]) }))
+	must.NoError(t, waitUntil(t.Context(), func() bool { return f.seesAllNodes(t.Context(), f.Nodes[0]) }))
 
 	pool := x509.NewCertPool()
 	data, err := os.ReadFile(cert.CertificateFile)
@@ -70,7 +71,7 @@
 	must.NoError(t, resp.Body.Close())
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 	conn, err := tls.Dial("tcp", f.Nodes[0].PeersAddr(), &tls.Config{RootCAs: pool})
-	if err == nil { // TLS 1.3 tells a missing client certificate on the first read
+	if err == nil { // with TLS 1.3 a missing client certificate is reported by the first read
 		_, err = conn.Read(make([]byte, 1))
 	}
 	must.ErrorContains(t, err, "certificate required")
