--- a/internal/gatewaydemo/gatewaydemo.go
+++ b/internal/gatewaydemo/gatewaydemo.go
@@ -1,5 +1,5 @@
-// Package gatewaydemo runs gateway nodes before a stand-in of the users' platform,
-// all in one process on loopback.
+// Package gatewaydemo runs gateway nodes with a simulation of the users' platform, in one process on
+// loopback.
 package gatewaydemo
 
 import (
@@ -24,13 +24,13 @@
 	// Key is the client account's key in the demo.
 	Key = "loopback-key"
 
-	nodes     = 2
-	sessions  = 3
-	turns     = 3
-	readyTime = 10 * time.Second
-	readyPoll = 20 * time.Millisecond
-	beat      = 200 * time.Millisecond
-	gap       = 10 * time.Millisecond
+	nodes        = 2
+	sessions     = 3
+	turns        = 3
+	readyTimeout = 10 * time.Second
+	readyPoll    = 20 * time.Millisecond
+	beat         = 200 * time.Millisecond
+	gap          = 10 * time.Millisecond
 )
 
 // Member is a running node.
@@ -40,18 +40,18 @@
 	done   chan error
 }
 
-// Stop stops the node as SIGTERM would, and returns how that went.
+// Stop stops the node as SIGTERM does, and returns the error of its Run. It must be called once.
 func (m *Member) Stop() error {
 	m.cancel()
 	return <-m.done
 }
 
-// StartNode starts a node of the site on this host.
+// StartNode starts a node of the site with the system clock.
 func StartNode(s *site.Site, name string, log zerolog.Logger) (*Member, error) {
 	return StartNodeOn(clock.System(), s, name, log)
 }
 
-// StartNodeOn starts a node on a host of its own.
+// StartNodeOn starts a node of the site with the clock of the given host.
 func StartNodeOn(host *clock.Clock, s *site.Site, name string, log zerolog.Logger) (*Member, error) {
 	load := func() (*bootstrap.Node, error) { return platform.ParseBoot([]byte(s.BootFile(name))) }
 	boot, err := load()
@@ -68,23 +68,24 @@
 	return m, nil
 }
 
-// WaitReady returns when the node takes requests.
+// WaitReady waits until the node accepts requests. It fails after readyTimeout.
 func (m *Member) WaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	ticker := time.NewTicker(readyPoll)
 	defer ticker.Stop()
 	for !m.Ready() {
 		select {
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "wait for a node")
+			return eris.Wrap(ctx.Err(), "wait for a node to become ready")
 		case <-ticker.C:
 		}
 	}
 	return nil
 }
 
-// Run starts a site and nodes, plays requests and prints what they came to.
+// Run starts a site and nodes, sends requests and prints the status, time to first event and size of each
+// response. If serve is true it then runs until ctx is done.
 func Run(ctx context.Context, out io.Writer, log zerolog.Logger, serve bool) error {
 	s, err := site.Start(site.Config{Beat: beat, Gap: gap})
 	if err != nil {
@@ -98,13 +99,13 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = m.Stop() }() // nothing follows that could use the error
+		defer func() { _ = m.Stop() }() // errors during shutdown are ignored
 		if err := m.WaitReady(ctx); err != nil {
 			return err
 		}
 		members = append(members, m)
 	}
-	if err := play(ctx, out, members); err != nil {
+	if err := sendRequests(ctx, out, members); err != nil {
 		return err
 	}
 	if serve {
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// play sends the turns of some sessions to both nodes in turn, and a plain request.
-func play(ctx context.Context, out io.Writer, members []*Member) error {
+// sendRequests sends the turns of several sessions to the nodes in rotation, and a lookup request.
+func sendRequests(ctx context.Context, out io.Writer, members []*Member) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "REQUEST\tNODE\tSTATUS\tFIRST EVENT\tBYTES")
 	for turn := range turns {
@@ -144,13 +145,13 @@
 	begun := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return "", eris.Wrap(err, "ask a node")
+		return "", eris.Wrap(err, "send a request to a node")
 	}
 	first := time.Since(begun)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "", eris.Wrap(err, "read an answer")
+		return "", eris.Wrap(err, "read a response")
 	}
 	return fmt.Sprintf("%d\t%s\t%d", resp.StatusCode, first.Round(time.Millisecond), len(body)), nil
 }
--- a/internal/gatewaydemo/invalid_entries_test.go
+++ b/internal/gatewaydemo/invalid_entries_test.go
@@ -13,28 +13,29 @@
 	"github.com/cherryward/cherryward/standin/site"
 )
 
-// TestForeignWriter has another writer put what names no server to use under keys of its own
-// and of living servers, and spoil the operator's records: all requests are served, the servers
-// come to the named version of weights, and no call goes to the writer. A node that starts then
-// serves as well.
-func TestForeignWriter(t *testing.T) {
-	s, members := start(t, 2)
+// TestInvalidStoreEntries verifies that entries by another writer to the metadata store do no harm.
+// The writer adds entries that describe no valid server, under its own keys and under those of
+// running servers, and corrupts the operator's records. All requests are served, the servers are
+// updated to the named version of the weights, and no request is sent to the writer. A node that
+// starts afterwards serves requests as well.
+func TestInvalidStoreEntries(t *testing.T) {
+	s, members := startSite(t, 2)
 	id, moving := 0, false
 	serve := func(m *gatewaydemo.Member) {
 		t.Helper()
 		for _, path := range []string{site.PathLookup, site.PathUpload} {
 			id++
-			status, _ := ask(t, m, path, key, fmt.Sprint("r", id), "")
+			status, _ := sendRequest(t, m, path, key, fmt.Sprint("r", id), "")
 			must.Eq(t, http.StatusOK, status, must.Sprint(path))
 		}
 		for _, path := range []string{site.PathQuery, site.PathSummary} {
 			id++
 			name, session := fmt.Sprint("r", id), fmt.Sprint("5e55", id)
 			if moving {
-				served(t, s, m, path, name, session)
+				askUntilServed(t, s, m, path, name, session)
 				continue
 			}
-			status, _ := ask(t, m, path, key, name, session)
+			status, _ := sendRequest(t, m, path, key, name, session)
 			must.Eq(t, http.StatusOK, status, must.Sprint(path))
 		}
 	}
@@ -45,7 +46,7 @@
 	s.Foreign.Write(1)
 	moving = true
 	s.NameVersion(2)
-	until(t, "all servers have the version", func() bool {
+	waitUntil(t, "all servers have the version", func() bool {
 		serve(members[id%2])
 		for _, m := range s.Models {
 			if m.Version() != 2 {
@@ -59,7 +60,7 @@
 	late, err := gatewaydemo.StartNode(s, "late", zerolog.Nop())
 	must.NoError(t, err)
 	defer func() { test.NoError(t, late.Stop()) }()
-	s.Configure(2, key) // what was there is overwritten
+	s.Configure(2, key) // overwrites the corrupted records
 	must.NoError(t, late.WaitReady(t.Context()))
 	serve(late)
 	test.Eq(t, 0, s.Foreign.Calls())
--- a/internal/gatewaydemo/leaving_test.go
+++ b/internal/gatewaydemo/leaving_test.go
@@ -13,25 +13,26 @@
 	"github.com/cherryward/cherryward/standin/site"
 )
 
-// askAnew has a node serve so many prompts, each of a session that no server keeps anything of.
-func askAnew(t *testing.T, s *site.Site, m *gatewaydemo.Member, name string, prompts int) {
+// sendNewSessions sends prompts to a node, each of a new session that no server has cached.
+func sendNewSessions(t *testing.T, s *site.Site, m *gatewaydemo.Member, name string, prompts int) {
 	t.Helper()
 	for i := range prompts {
 		id := fmt.Sprintf("%s-%d", name, i)
-		served(t, s, m, site.PathQuery, id, "5e"+id)
+		askUntilServed(t, s, m, site.PathQuery, id, "5e"+id)
 	}
 }
 
-// TestLeavingEndpointGetsNothingMore has a server say in its answers that it leaves, while its entry says that
-// it is ready, and then while the store is away: each node sends nothing more there after its first such answer.
-func TestLeavingEndpointGetsNothingMore(t *testing.T) {
-	const prompts, promptsAway = 30, 16 // keys are refused once the store has been away for some seconds
-	s, members := start(t, 2)
+// TestLeavingEndpointGetsNoRequests verifies that a node sends no further requests to a server after
+// the first response in which the server says that it is leaving: while the server's entry in the
+// store still says that it is ready, and while the store is unavailable.
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
+	const prompts, promptsAway = 30, 16 // few, since keys are refused some seconds after the store becomes unavailable
+	s, members := startSite(t, 2)
 	leaving := s.Models[0]
 	leaving.SetFaults(modelserver.Faults{Leaving: "1"})
 	for i, m := range members {
 		before := len(leaving.Runs())
-		askAnew(t, s, m, fmt.Sprint("n", i), prompts)
+		sendNewSessions(t, s, m, fmt.Sprint("n", i), prompts)
 		must.Eq(t, before+1, len(leaving.Runs()))
 	}
 	s.Store.SetFaults(metastore.Faults{Down: true})
@@ -39,7 +40,7 @@
 	leaving.SetFaults(modelserver.Faults{Leaving: "1"})
 	for i, m := range members {
 		before := len(leaving.Runs())
-		askAnew(t, s, m, fmt.Sprint("away-n", i), promptsAway)
+		sendNewSessions(t, s, m, fmt.Sprint("away-n", i), promptsAway)
 		test.Eq(t, before+1, len(leaving.Runs()))
 	}
 }
--- a/internal/gatewaydemo/limit_test.go
+++ b/internal/gatewaydemo/limit_test.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	limitNodes   = 6
-	limitWindow  = 4 * time.Second
-	limitPlayed  = 6 * time.Second
-	limitGap     = 30 * time.Millisecond // between two requests of a node's caller
-	limitTold    = 500 * time.Millisecond
-	limitPerS    = 2.8
-	limitAllowed = 22 // 1.5 times 4 s of the limit, and 5
+	limitNodes    = 6
+	limitWindow   = 4 * time.Second
+	limitDuration = 6 * time.Second
+	limitGap      = 30 * time.Millisecond // time between the requests of a node's caller
+	limitDelay    = 500 * time.Millisecond
+	limitPerS     = 2.8
+	limitAllowed  = 22 // 1.5 times the limit for 4 s, plus 5
 )
 
-// askOn sends prompts to a node until the time is over, and returns how many were answered.
-func askOn(t *testing.T, m *gatewaydemo.Member, name string, until time.Time) (answered int) {
+// sendUntil sends prompts to a node until a point in time, and returns how many were answered.
+func sendUntil(t *testing.T, m *gatewaydemo.Member, name string, until time.Time) (answered int) {
 	for i := 0; time.Now().Before(until); i++ {
-		status, _ := ask(t, m, site.PathQuery, key, fmt.Sprintf("%s-%d", name, i), fmt.Sprint("5e55", i%7))
+		status, _ := sendRequest(t, m, site.PathQuery, key, fmt.Sprintf("%s-%d", name, i), fmt.Sprint("5e55", i%7))
 		if status == http.StatusOK {
 			answered++
 		}
@@ -38,8 +38,9 @@
 	return answered
 }
 
-// told returns the runs of nodes that had an answer of the server for long enough to heed its word.
-func told(runs []modelserver.Run) (times []time.Time) {
+// runsAfterReport returns the times of runs sent by nodes more than limitDelay after their first run
+// at the server, whose response reported its limit.
+func runsAfterReport(runs []modelserver.Run) (times []time.Time) {
 	first := make(map[string]time.Time)
 	for _, r := range runs {
 		node, _, _ := strings.Cut(r.Request, "-")
@@ -47,15 +48,15 @@
 		switch {
 		case !known:
 			first[node] = r.At
-		case r.At.Sub(since) > limitTold:
+		case r.At.Sub(since) > limitDelay:
 			times = append(times, r.At)
 		}
 	}
 	return times
 }
 
-// most returns the greatest number of times that lie within a window.
-func most(times []time.Time, window time.Duration) (count int) {
+// maxInWindow returns the maximum number of times within a window.
+func maxInWindow(times []time.Time, window time.Duration) (count int) {
 	for i, from := range times {
 		in := 0
 		for _, at := range times[i:] {
@@ -68,11 +69,12 @@
 	return count
 }
 
-// TestEndpointGetsNoMoreThanItsLimit has all nodes together keep to the limit that a server names, while
-// the others serve what is left.
-func TestEndpointGetsNoMoreThanItsLimit(t *testing.T) {
-	s, members := start(t, limitNodes)
-	until(t, "the nodes know one another", func() bool {
+// TestEndpointLimit verifies that all nodes together observe the request limit that a server
+// reports, while the other servers handle the remaining requests, and that all nodes use the server
+// again when it no longer reports a limit.
+func TestEndpointLimit(t *testing.T) {
+	s, members := startSite(t, limitNodes)
+	waitUntil(t, "the nodes have discovered each other", func() bool {
 		for _, m := range members {
 			if m.Nodes() != limitNodes {
 				return false
@@ -82,26 +84,26 @@
 	})
 	limited := s.Models[0]
 	limited.SetFaults(modelserver.Faults{Limit: fmt.Sprint(limitPerS)})
-	end := time.Now().Add(limitPlayed)
+	end := time.Now().Add(limitDuration)
 	var wg sync.WaitGroup
 	answered := make([]int, limitNodes)
 	for i, m := range members {
-		wg.Go(func() { answered[i] = askOn(t, m, fmt.Sprint("n", i), end) })
+		wg.Go(func() { answered[i] = sendUntil(t, m, fmt.Sprint("n", i), end) })
 	}
 	wg.Wait()
 	runs := limited.Runs()
-	must.Positive(t, len(told(runs)))
-	test.LessEq(t, limitAllowed, most(told(runs), limitWindow))
+	must.Positive(t, len(runsAfterReport(runs)))
+	test.LessEq(t, limitAllowed, maxInWindow(runsAfterReport(runs), limitWindow))
 	for i := range answered {
 		test.Positive(t, answered[i])
 	}
 	limited.SetFaults(modelserver.Faults{})
 	before := len(limited.Runs())
 	turn := 0
-	until(t, "all nodes use the server again", func() bool {
-		turn++ // each prompt is of a session that no server keeps anything of
+	waitUntil(t, "all nodes use the server again", func() bool {
+		turn++ // each prompt belongs to a new session that no server has cached
 		for i, m := range members {
-			served(t, s, m, site.PathQuery, fmt.Sprintf("n%d-again-%d", i, turn), fmt.Sprint("ae", turn*limitNodes+i))
+			askUntilServed(t, s, m, site.PathQuery, fmt.Sprintf("n%d-again-%d", i, turn), fmt.Sprint("ae", turn*limitNodes+i))
 		}
 		senders := make(map[string]bool)
 		for _, r := range limited.Runs()[before:] {
--- a/internal/gatewaydemo/paused_test.go
+++ b/internal/gatewaydemo/paused_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	restAsked   = 2 * time.Second
-	restHeeded  = 500 * time.Millisecond // after the refusal
-	restAllowed = 2                      // requests of a node meanwhile
+	pauseRequested = 2 * time.Second
+	pauseDelay     = 500 * time.Millisecond // time after a refusal in which the node may still send requests
+	maxDuringPause = 2                      // maximum number of requests of a node during the pause
 )
 
-// restless returns the most requests of one node that reached a server within a rest that it had asked that
-// node for.
-func restless(arrivals []modelserver.Arrival) (most int) {
+// maxDuringPauses returns the maximum number of requests that a server received from one node during
+// a pause that it had requested from that node.
+func maxDuringPauses(arrivals []modelserver.Arrival) (most int) {
 	byNode := make(map[string][]time.Time)
 	for _, r := range arrivals {
 		node, _, _ := strings.Cut(r.Request, "-")
@@ -31,7 +31,7 @@
 		for i, asked := range times {
 			count := 0
 			for _, at := range times[i:] {
-				if after := at.Sub(asked); after > restHeeded && after < restAsked {
+				if after := at.Sub(asked); after > pauseDelay && after < pauseRequested {
 					count++
 				}
 			}
@@ -41,24 +41,25 @@
 	return most
 }
 
-// TestEndpointThatAskedForRestIsSpared has two of three servers refuse requests and ask for rest: no node sends them
-// more than two requests meanwhile, and the third one serves.
-func TestEndpointThatAskedForRestIsSpared(t *testing.T) {
-	s, members := start(t, 2)
+// TestPausedEndpoint verifies that no node sends more than two requests to a server during a pause
+// that the server requested with a refusal, and that the third server, which requests no pause,
+// handles the prompts.
+func TestPausedEndpoint(t *testing.T) {
+	s, members := startSite(t, 2)
 	resting := s.Models[:2]
 	for _, m := range resting {
-		m.SetFaults(modelserver.Faults{Shed: true, Rest: fmt.Sprint(restAsked.Seconds())})
+		m.SetFaults(modelserver.Faults{Shed: true, Rest: fmt.Sprint(pauseRequested.Seconds())})
 	}
-	end := time.Now().Add(2 * restAsked)
+	end := time.Now().Add(2 * pauseRequested)
 	var wg sync.WaitGroup
 	answered := make([]int, len(members))
 	for i, m := range members {
-		wg.Go(func() { answered[i] = askOn(t, m, fmt.Sprint("n", i), end) })
+		wg.Go(func() { answered[i] = sendUntil(t, m, fmt.Sprint("n", i), end) })
 	}
 	wg.Wait()
 	for i, m := range resting {
 		must.Positive(t, len(m.Arrivals()), must.Sprint(i))
-		test.LessEq(t, restAllowed, restless(m.Arrivals()), test.Sprint(i))
+		test.LessEq(t, maxDuringPause, maxDuringPauses(m.Arrivals()), test.Sprint(i))
 	}
 	for i := range answered {
 		test.Positive(t, answered[i])
--- a/internal/gatewaydemo/quarantine_test.go
+++ b/internal/gatewaydemo/quarantine_test.go
@@ -16,41 +16,41 @@
 	"github.com/cherryward/cherryward/standin/site"
 )
 
-// ends is the end of the path of a request that ends the servers that run it.
-const ends = "ends"
+// crashPath is the suffix of the path of requests that crash the servers that run them.
+const crashPath = "ends"
 
-// guiltyRuns returns the runs of that request.
-func guiltyRuns(s *site.Site) (count int) {
+// crashingRuns returns the number of runs of such requests.
+func crashingRuns(s *site.Site) (count int) {
 	for _, r := range runs(s) {
-		if strings.HasSuffix(r.Target, ends) {
+		if strings.HasSuffix(r.Target, crashPath) {
 			count++
 		}
 	}
 	return count
 }
 
-// TestRequestThatEndsServersAtAllNodes: a request ends three servers, sent by two nodes, and its
-// caller goes on with it at all nodes. Each node saw less than three servers end under it, and one
-// that starts later none; in the failure that this stands for six nodes sent it to 33 engines in
-// turn, as each knew only of its own tries. None sends it once the three are back.
-func TestRequestThatEndsServersAtAllNodes(t *testing.T) {
-	s, members := start(t, 3)
-	until(t, "the nodes know one another", func() bool {
+// TestCrashingRequestIsQuarantined verifies that a request that has crashed three servers, sent by
+// two nodes, is refused by all nodes once the servers are back, including a node that starts later.
+// No node on its own has seen three crashes. Without shared knowledge of the crashes, six nodes sent
+// such a request to 33 engines in turn, since each node considered only its own attempts.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
+	s, members := startSite(t, 3)
+	waitUntil(t, "the nodes have discovered each other", func() bool {
 		return !slices.ContainsFunc(members, func(m *gatewaydemo.Member) bool { return m.Nodes() != len(members) })
 	})
 	for _, m := range s.Models {
-		m.SetFaults(modelserver.Faults{EndOn: ends})
+		m.SetFaults(modelserver.Faults{EndOn: crashPath})
 	}
-	asked := 0
-	askGuilty := func(m *gatewaydemo.Member) (status int) {
-		asked++
-		status, _ = ask(t, m, site.PathQuery+ends, key, fmt.Sprint("guilty-", asked), "5e55")
+	count := 0
+	sendCrashing := func(m *gatewaydemo.Member) (status int) {
+		count++
+		status, _ = sendRequest(t, m, site.PathQuery+crashPath, key, fmt.Sprint("guilty-", count), "5e55")
 		return status
 	}
-	must.Eq(t, http.StatusBadGateway, askGuilty(members[0]))
-	must.Eq(t, 2, guiltyRuns(s))
-	until(t, "a third server ends", func() bool { askGuilty(members[1]); return guiltyRuns(s) == 3 })
-	until(t, "all nodes know of three endings", func() bool {
+	must.Eq(t, http.StatusBadGateway, sendCrashing(members[0]))
+	must.Eq(t, 2, crashingRuns(s))
+	waitUntil(t, "a third server crashes", func() bool { sendCrashing(members[1]); return crashingRuns(s) == 3 })
+	waitUntil(t, "all nodes have received the report of three crashes", func() bool {
 		return !slices.ContainsFunc(members, func(m *gatewaydemo.Member) bool { return len(m.Holds()) == 0 })
 	})
 	for i := range s.Models {
@@ -58,20 +58,20 @@
 		must.NoError(t, s.Restart(i, false))
 	}
 	for i, m := range members {
-		served(t, s, m, site.PathQuery+"innocent", fmt.Sprint("innocent-", i), "5e55")
+		askUntilServed(t, s, m, site.PathQuery+"innocent", fmt.Sprint("innocent-", i), "5e55")
 	}
 	late, err := gatewaydemo.StartNode(s, "late", zerolog.Nop())
 	must.NoError(t, err)
 	defer func() { test.NoError(t, late.Stop()) }()
 	must.NoError(t, late.WaitReady(t.Context()))
-	until(t, "the node knows the others", func() bool { return late.Nodes() == len(members)+1 })
+	waitUntil(t, "the node has discovered the others", func() bool { return late.Nodes() == len(members)+1 })
 	for range 3 {
 		for _, m := range append(members, late) {
-			test.Eq(t, http.StatusServiceUnavailable, askGuilty(m))
+			test.Eq(t, http.StatusServiceUnavailable, sendCrashing(m))
 		}
 	}
-	test.Eq(t, 3, guiltyRuns(s))
+	test.Eq(t, 3, crashingRuns(s))
 	for i, m := range append(members, late) {
-		served(t, s, m, site.PathQuery+"innocent", fmt.Sprint("innocent-after-", i), "5e55")
+		askUntilServed(t, s, m, site.PathQuery+"innocent", fmt.Sprint("innocent-after-", i), "5e55")
 	}
 }
--- a/internal/gatewaydemo/restart_test.go
+++ b/internal/gatewaydemo/restart_test.go
@@ -15,26 +15,26 @@
 	"github.com/cherryward/cherryward/standin/site"
 )
 
-// runsAfter returns the prompts that a server ran since it started last.
-func runsAfter(m *modelserver.Server) []modelserver.Run {
+// runsSinceStart returns the prompts that a server ran since its last start.
+func runsSinceStart(m *modelserver.Server) []modelserver.Run {
 	born := m.Born()
 	return slices.DeleteFunc(m.Runs(), func(r modelserver.Run) bool { return r.Born != born })
 }
 
-// askUntil sends prompts until something holds.
+// askUntil sends prompts until a condition holds.
 func askUntil(t *testing.T, s *site.Site, m *gatewaydemo.Member, what string, ok func() bool) {
 	t.Helper()
 	asked := 0
-	until(t, what, func() bool {
+	waitUntil(t, what, func() bool {
 		asked++
-		served(t, s, m, site.PathQuery, fmt.Sprintf("%s-%d", t.Name(), asked), fmt.Sprint("5e55", asked))
+		askUntilServed(t, s, m, site.PathQuery, fmt.Sprintf("%s-%d", t.Name(), asked), fmt.Sprint("5e55", asked))
 		return ok()
 	})
 }
 
-// testOneVersion checks that no prompt ran under a salt of other weights than the server had, nor
-// without naming the weights that it expects.
-func testOneVersion(t *testing.T, s *site.Site) {
+// checkVersions verifies that each prompt was sent with the expected version of the weights, and
+// with a cache salt for it, and that this was the version of the server that ran it.
+func checkVersions(t *testing.T, s *site.Site) {
 	t.Helper()
 	for _, r := range runs(s) {
 		version := fmt.Sprint(r.Version)
@@ -51,46 +51,47 @@
 	return list
 }
 
-// TestRestartedServer sends prompts to a model server that starts again under its id, at the
-// address that it had and at another one, and brings it to new weights.
+// TestRestartedServer verifies that a model server that restarts under its ID, at the same or
+// another address, receives prompts again and is updated to new weights.
 func TestRestartedServer(t *testing.T) {
 	for name, moves := range map[string]bool{"at its address": false, "at another address": true} {
 		t.Run(name, func(t *testing.T) {
-			s, members := start(t, 1)
-			again := s.Models[1]
-			askUntil(t, s, members[0], "all serve", func() bool { return len(runsAfter(again)) > 0 })
+			s, members := startSite(t, 1)
+			restarted := s.Models[1]
+			askUntil(t, s, members[0], "all serve", func() bool { return len(runsSinceStart(restarted)) > 0 })
 			s.NameVersion(2)
 			askUntil(t, s, members[0], "all have version 2", func() bool { return slices.Equal(versionsOf(s), []int64{2, 2, 2}) })
 			must.NoError(t, s.Restart(1, moves))
-			askUntil(t, s, members[0], "the new start serves", func() bool { return len(runsAfter(again)) > 0 })
+			askUntil(t, s, members[0], "the restarted server serves", func() bool { return len(runsSinceStart(restarted)) > 0 })
 			s.NameVersion(3)
 			askUntil(t, s, members[0], "all have version 3", func() bool { return slices.Equal(versionsOf(s), []int64{3, 3, 3}) })
-			testOneVersion(t, s)
+			checkVersions(t, s)
 		})
 	}
 }
 
-// TestOrderAfterARestart has an order be carried out by the next start of a server, which had
-// newer weights and whose count of orders began anew: it is brought to the newest again, and
-// serves.
-func TestOrderAfterARestart(t *testing.T) {
-	s, members := start(t, 2)
-	late := s.Models[1]
-	late.SetFaults(modelserver.Faults{HoldOrders: true})
+// TestDelayedOrderAfterRestart verifies recovery from a delayed order to load weights that is
+// carried out only after the server has restarted. The server had newer weights, and its count of
+// orders started again at its restart. It must be updated to the newest version again and serve
+// requests.
+func TestDelayedOrderAfterRestart(t *testing.T) {
+	s, members := startSite(t, 2)
+	server := s.Models[1]
+	server.SetFaults(modelserver.Faults{HoldOrders: true})
 	s.NameVersion(2)
-	askUntil(t, s, members[0], "an order is under way", func() bool { return late.HeldOrders() > 0 })
-	late.SetFaults(modelserver.Faults{})
+	askUntil(t, s, members[0], "an order is in progress", func() bool { return server.HeldOrders() > 0 })
+	server.SetFaults(modelserver.Faults{})
 	s.NameVersion(3)
 	newest := func() bool { return slices.Equal(versionsOf(s), []int64{3, 3, 3}) }
 	askUntil(t, s, members[0], "all have version 3", newest)
 	must.NoError(t, s.Restart(1, false))
-	askUntil(t, s, members[0], "the new start serves", func() bool { return len(runsAfter(late)) > 0 })
-	must.Eq(t, http.StatusAccepted, late.ReleaseOrders())
-	must.Eq(t, 2, late.Version())
-	before := len(late.Runs())
+	askUntil(t, s, members[0], "the restarted server serves", func() bool { return len(runsSinceStart(server)) > 0 })
+	must.Eq(t, http.StatusAccepted, server.ReleaseOrders())
+	must.Eq(t, 2, server.Version())
+	before := len(server.Runs())
 	askUntil(t, s, members[0], "all have version 3 again", newest)
 	askUntil(t, s, members[0], "the server serves", func() bool {
-		return slices.ContainsFunc(late.Runs()[before:], func(r modelserver.Run) bool { return strings.HasPrefix(r.Header.Get("X-Cache-Salt"), "3/") })
+		return slices.ContainsFunc(server.Runs()[before:], func(r modelserver.Run) bool { return strings.HasPrefix(r.Header.Get("X-Cache-Salt"), "3/") })
 	})
-	testOneVersion(t, s)
+	checkVersions(t, s)
 }
