--- a/cmd/cherryctl/main.go
+++ b/cmd/cherryctl/main.go
@@ -1,5 +1,5 @@
-// Command cherryctl is the operators' tool: it writes and reads the
-// configuration, shows the state of the system and explains result codes.
+// Command cherryctl is the operators' command-line tool: it writes and reads the
+// configuration, shows the system's state and explains result codes.
 package main
 
 import (
--- a/cmd/cherryward/main.go
+++ b/cmd/cherryward/main.go
@@ -1,4 +1,4 @@
-// Command cherryward is the daemon: a node between callers and endpoints.
+// Command cherryward is the daemon: it runs a node that routes requests from callers to endpoints.
 package main
 
 import (
