--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -77,18 +77,18 @@
 
 // groupThousands inserts commas between the thousands of a decimal number.
 func groupThousands(text string) string {
-	whole, fraction, hasFraction := strings.Cut(text, ".")
+	integer, fraction, hasFraction := strings.Cut(text, ".")
 	sign := ""
-	if strings.HasPrefix(whole, "-") {
-		sign, whole = "-", whole[1:]
+	if strings.HasPrefix(integer, "-") {
+		sign, integer = "-", integer[1:]
 	}
-	for at := len(whole) - 3; at > 0; at -= 3 {
-		whole = whole[:at] + "," + whole[at:]
+	for at := len(integer) - 3; at > 0; at -= 3 {
+		integer = integer[:at] + "," + integer[at:]
 	}
 	if hasFraction {
-		whole += "." + fraction
+		integer += "." + fraction
 	}
-	return sign + whole
+	return sign + integer
 }
 
 // inUnit formats a figure and its error, both divided by scale.
--- a/internal/demo/calls_test.go
+++ b/internal/demo/calls_test.go
@@ -136,7 +136,7 @@
 	must.NoError(t, waitUntil(ctx, admits), must.Sprint("no request was admitted; limits are lent only one part lease after the start"))
 	var admitted, refused atomic.Int64
 	var group errgroup.Group
-	begun := time.Now()
+	begin := time.Now()
 	for i := range offered {
 		group.Go(func() error {
 			status, text := sendCall(t, f.Nodes[i%len(f.Nodes)], Accounts[2], http.MethodGet, "/services/ledger/charges", "")
@@ -153,7 +153,7 @@
 		})
 	}
 	must.NoError(t, group.Wait())
-	maxAdmitted := limit*time.Since(begun).Seconds() + limit*4.4 // plus the excess that coord/limit documents
+	maxAdmitted := limit*time.Since(begin).Seconds() + limit*4.4 // plus the excess that coord/limit documents
 	must.Less(t, maxAdmitted, float64(admitted.Load()))
 	must.Positive(t, admitted.Load())
 	must.Positive(t, refused.Load())
--- a/internal/gatewaydemo/gateway_test.go
+++ b/internal/gatewaydemo/gateway_test.go
@@ -189,11 +189,11 @@
 	for i := range sessions {
 		s.Keep.Keep("1/reader/", fmt.Sprint("5e55", i), 2000)
 	}
-	asked := 0
+	attempt := 0
 	waitUntil(t, "parts are fetched from the store", func() bool {
-		asked++
-		must.Less(t, sessions, asked)
-		status, _ := sendRequest(t, members[0], site.PathQuery, key, fmt.Sprint("r", asked), fmt.Sprint("5e55", asked))
+		attempt++
+		must.Less(t, sessions, attempt)
+		status, _ := sendRequest(t, members[0], site.PathQuery, key, fmt.Sprint("r", attempt), fmt.Sprint("5e55", attempt))
 		must.Eq(t, http.StatusOK, status)
 		for _, r := range runs(s) {
 			if strings.Contains(r.Header.Get("X-Kv-Source"), ":") && r.Header.Get("X-Kv-Until") != "" {
--- a/internal/gatewaydemo/gatewaydemo.go
+++ b/internal/gatewaydemo/gatewaydemo.go
@@ -142,12 +142,12 @@
 	if err != nil {
 		return "", err
 	}
-	begun := time.Now()
+	begin := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return "", eris.Wrap(err, "send a request to a node")
 	}
-	first := time.Since(begun)
+	first := time.Since(begin)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/internal/gatewaydemo/paused_test.go
+++ b/internal/gatewaydemo/paused_test.go
@@ -21,24 +21,24 @@
 
 // maxDuringPauses returns the maximum number of requests that a server received from one node during
 // a pause that it had requested from that node.
-func maxDuringPauses(arrivals []modelserver.Arrival) (most int) {
+func maxDuringPauses(arrivals []modelserver.Arrival) (maximum int) {
 	byNode := make(map[string][]time.Time)
 	for _, r := range arrivals {
 		node, _, _ := strings.Cut(r.Request, "-")
 		byNode[node] = append(byNode[node], r.At)
 	}
 	for _, times := range byNode {
-		for i, asked := range times {
+		for i, refused := range times {
 			count := 0
 			for _, at := range times[i:] {
-				if after := at.Sub(asked); after > pauseDelay && after < pauseRequested {
+				if after := at.Sub(refused); after > pauseDelay && after < pauseRequested {
 					count++
 				}
 			}
-			most = max(most, count)
+			maximum = max(maximum, count)
 		}
 	}
-	return most
+	return maximum
 }
 
 // TestPausedEndpoint verifies that no node sends more than two requests to a server during a pause
--- a/internal/invariant/answers.go
+++ b/internal/invariant/answers.go
@@ -23,15 +23,15 @@
 func checkAnswer(a *Answer) error {
 	switch {
 	case !strings.HasPrefix(a.Want, a.Text):
-		return fmt.Errorf("its %d bytes are not the beginning of its own answer", len(a.Text))
+		return fmt.Errorf("its %d bytes are not a prefix of the expected answer", len(a.Text))
 	case a.Offset >= 0 && a.Offset*tokenBytes != len(a.Text):
-		return fmt.Errorf("the last event states %d tokens, and %d bytes came", a.Offset, len(a.Text))
+		return fmt.Errorf("the last event states %d tokens, but %d bytes were received", a.Offset, len(a.Text))
 	case a.Whole && a.Text != a.Want:
-		return fmt.Errorf("ended as whole after %d of %d bytes", len(a.Text), len(a.Want))
+		return fmt.Errorf("marked complete after %d of %d bytes", len(a.Text), len(a.Want))
 	case a.Whole && a.Code != 0:
-		return fmt.Errorf("whole, and error %d", a.Code)
+		return fmt.Errorf("complete, but with error %d", a.Code)
 	case !a.Whole && a.Code == 0 && !a.EntryGone:
-		return errors.New("broken off without a numbered error")
+		return errors.New("aborted without a numbered error")
 	}
 	return nil
 }
@@ -47,7 +47,7 @@
 			continue
 		}
 		if own := maxOwnContext(answers, i); a.Cached > own {
-			errs = append(errs, fmt.Errorf("answer %s: %d tokens cached, and account %s left at most %d", a.Name, a.Cached, a.Account, own))
+			errs = append(errs, fmt.Errorf("answer %s: %d tokens cached, but account %s left at most %d", a.Name, a.Cached, a.Account, own))
 		}
 	}
 	return errors.Join(errs...)
@@ -82,7 +82,7 @@
 	for i := range answers {
 		a := &answers[i]
 		if a.RunState == result.NotRun && (a.Engines > 0 || a.Text != "") {
-			errs = append(errs, fmt.Errorf("answer %s: not_run, and %d engines began it", a.Name, a.Engines))
+			errs = append(errs, fmt.Errorf("answer %s: not_run, but %d engines started it", a.Name, a.Engines))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/invariant/calls.go
+++ b/internal/invariant/calls.go
@@ -31,7 +31,7 @@
 	var errs []error
 	for _, e := range executions {
 		if !e.Idempotent && e.Count > possible[e.BodyID] {
-			errs = append(errs, fmt.Errorf("call %s: executed %d times, and all but %d sends were answered not_run", e.BodyID, e.Count, possible[e.BodyID]))
+			errs = append(errs, fmt.Errorf("call %s: executed %d times, but all except %d requests were answered not_run", e.BodyID, e.Count, possible[e.BodyID]))
 		}
 	}
 	return errors.Join(errs...)
@@ -49,7 +49,7 @@
 			}
 		}
 		if count > 0 {
-			errs = append(errs, fmt.Errorf("endpoint %s: %d new runs, the last %s after its leaving", l.Endpoint, count, latest.Round(time.Millisecond)))
+			errs = append(errs, fmt.Errorf("endpoint %s: %d new runs, the last %s after it was published as leaving", l.Endpoint, count, latest.Round(time.Millisecond)))
 		}
 	}
 	return errors.Join(errs...)
@@ -60,5 +60,5 @@
 	if wrong == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d imports were of another block's bytes", wrong)
+	return fmt.Errorf("%d imports received another block's bytes", wrong)
 }
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -12,7 +12,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// tokenBytes is the length of an output token of the stand-in engine.
+// tokenBytes is the length in bytes of an output token of the simulated engine.
 const tokenBytes = 4
 
 // leavingLimit is the time after its publication as leaving in which an endpoint may receive new runs.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -46,21 +46,21 @@
 		"token lost":        {func(h *History) { h.Answers[0].Text = " ore" }, "answer first"},
 		"token doubled":     {func(h *History) { h.Answers[0].Text = " hot hot ore" }, "answer first"},
 		"answer of another": {func(h *History) { h.Answers[0].Text = h.Answers[1].Text }, "answer first"},
-		"part as whole":     {func(h *History) { h.Answers[0].Text, h.Answers[0].Offset = " hot", 1 }, "ended as whole"},
+		"part as whole":     {func(h *History) { h.Answers[0].Text, h.Answers[0].Offset = " hot", 1 }, "marked complete"},
 		"wrong event id":    {func(h *History) { h.Answers[0].Offset = 3 }, "states 3 tokens"},
 		"cut without error": {func(h *History) { h.Answers[3].EntryGone = false }, "without a numbered error"},
-		"whole with error":  {func(h *History) { h.Answers[0].Code = result.Internal }, "whole, and error"},
+		"whole with error":  {func(h *History) { h.Answers[0].Code = result.Internal }, "complete, but with error"},
 		"context of another account": {func(h *History) {
 			h.Answers[2].Cached, h.Answers[2].RunState, h.Answers[2].Engines = 2, result.MayHaveRun, 1
 		}, "account b left at most 1"},
-		"not_run, but begun":      {func(h *History) { h.Answers[2].Engines = 1 }, "not_run, and 1"},
+		"not_run, but begun":      {func(h *History) { h.Answers[2].Engines = 1 }, "not_run, but 1"},
 		"executed twice":          {func(h *History) { h.Executions[0].Count = 2 }, "executed 2 times"},
 		"executed, never allowed": {func(h *History) { h.Calls[1].RunState = result.NotRun }, "answered not_run"},
 		"applied went back":       {func(h *History) { h.Readings[2].Applied = 2 }, "applied 2 after 3"},
 		"object went back":        {func(h *History) { h.Readings[2].Revisions["model/m"] = 1 }, "revision 1 after 2"},
 		"accepted is gone":        {func(h *History) { h.Readings[2].Revisions["model/m"] = 3 }, "4 was accepted"},
 		"accepted was removed":    {func(h *History) { delete(h.Readings[2].Revisions, "model/m") }, "4 was accepted"},
-		"run after leaving":       {func(h *History) { h.Starts[0].At = h.Leaves[0].At.Add(3100 * time.Millisecond) }, "3.1s after its leaving"},
+		"run after leaving":       {func(h *History) { h.Starts[0].At = h.Leaves[0].At.Add(3100 * time.Millisecond) }, "3.1s after it was published as leaving"},
 		"wrong block":             {func(h *History) { h.WrongBlocks = 1 }, "another block's bytes"},
 	}
 	for name, b := range violations {
--- a/internal/invariant/revisions.go
+++ b/internal/invariant/revisions.go
@@ -42,7 +42,7 @@
 	for object, newest := range newestAccepted(accepted, r.Applied) {
 		now, ok := r.Revisions[object]
 		if !newest.Delete && (!ok || now < newest.Revision) {
-			errs = append(errs, fmt.Errorf("%s: %s at revision %d, and %d was accepted", r.Process, object, now, newest.Revision))
+			errs = append(errs, fmt.Errorf("%s: %s at revision %d, but %d was accepted", r.Process, object, now, newest.Revision))
 		}
 	}
 	return errors.Join(errs...)
