--- a/internal/experiment/file_test.go
+++ b/internal/experiment/file_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/internal/settings"
 )
 
-// whole has each field.
-const whole = `{
+// fullExperiment sets every field.
+const fullExperiment = `{
  "name": "trial", "about": "all fields", "seeds": [1, 2], "length": "3s",
  "fleet": {
   "engines": [
@@ -32,7 +32,7 @@
 }`
 
 func TestParse(t *testing.T) {
-	f, err := Parse([]byte(whole))
+	f, err := Parse([]byte(fullExperiment))
 	must.NoError(t, err)
 	p, q := f.config(&f.Policies[0], 7), f.config(&f.Policies[2], 8)
 	must.Eq(t, 3, len(p.Engines))
@@ -40,14 +40,14 @@
 	must.Eq(t, 0.12, p.Engines[2].RunStepMs)
 	must.Eq(t, 1, p.Faults[0].Engine)
 	must.Eq(t, 2, p.Faults[1].Engine)
-	must.Eq(t, 200*time.Millisecond, p.EventsLate)
-	must.Eq(t, []int{20_000, 100_000, 0, 0}, []int{p.Told, p.StoreTokens, q.Told, q.StoreTokens})
-	must.Eq(t, 35_000, f.config(&f.Policies[1], 7).Told)
+	must.Eq(t, 200*time.Millisecond, p.EventDelay)
+	must.Eq(t, []int{20_000, 100_000, 0, 0}, []int{p.StatedMemory, p.StoreTokens, q.StatedMemory, q.StoreTokens})
+	must.Eq(t, 35_000, f.config(&f.Policies[1], 7).StatedMemory)
 	must.Eq(t, placer.DefaultTuning(), *p.Tuning)
 	must.Nil(t, p.MaxWaitShare)
 	must.Eq(t, placer.Tuning{QueueShare: 0.5, ReserveShare: 0.1}, *q.Tuning)
 	must.Eq(t, 0.3, *q.MaxWaitShare)
-	f, err = Parse([]byte(strings.Replace(whole, `, "stated_memory_tokens": 20000`, "", 1)))
+	f, err = Parse([]byte(strings.Replace(fullExperiment, `, "stated_memory_tokens": 20000`, "", 1)))
 	must.NoError(t, err)
 	must.Eq(t, 30_000, f.Fleet.StatedMemoryTokens)
 }
@@ -88,8 +88,8 @@
 		{"fault within another", `"faults": [`, `"faults": [{"kind": "crash", "engine": "a", "number": 1, "at": "900ms", "for": "200ms"}, `, "/faults/1/at", result.ExperimentClash},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(whole, c.old, c.new, 1)
-			must.NotEq(t, whole, text)
+			text := strings.Replace(fullExperiment, c.old, c.new, 1)
+			must.NotEq(t, fullExperiment, text)
 			_, err := Parse([]byte(text))
 			var problems settings.Problems
 			must.True(t, errors.As(err, &problems), must.Sprint(err))
--- a/internal/invariant/calls.go
+++ b/internal/invariant/calls.go
@@ -8,7 +8,7 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// AtMostOnce checks that no call that is not idempotent was executed twice.
+// AtMostOnce checks that no call that is not idempotent was executed more than once.
 func AtMostOnce(executions []Execution) error {
 	var errs []error
 	for _, e := range executions {
@@ -19,8 +19,8 @@
 	return errors.Join(errs...)
 }
 
-// NotRunCalls checks the word "not run": a call is executed no more often than
-// it was sent and not answered so.
+// NotRunCalls checks that run states not_run are true: a call is executed at most as often as it was
+// sent without such a response.
 func NotRunCalls(calls []Call, executions []Execution) error {
 	possible := make(map[string]int)
 	for _, c := range calls {
@@ -31,14 +31,14 @@
 	var errs []error
 	for _, e := range executions {
 		if !e.Idempotent && e.Count > possible[e.BodyID] {
-			errs = append(errs, fmt.Errorf("call %s: executed %d times, and all but %d sends were answered not_run", e.BodyID, e.Count, possible[e.BodyID]))
+			errs = append(errs, fmt.Errorf("call %s: executed %d times, but all except %d requests were answered not_run", e.BodyID, e.Count, possible[e.BodyID]))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// LeavingIdle checks that an endpoint gets no new run once its leaving has been
-// published for 3 seconds.
+// LeavingIdle checks that an endpoint receives no new run more than 3 seconds after it was published
+// as leaving.
 func LeavingIdle(leaves []Leave, starts []RunStart) error {
 	var errs []error
 	for _, l := range leaves {
@@ -49,16 +49,16 @@
 			}
 		}
 		if count > 0 {
-			errs = append(errs, fmt.Errorf("endpoint %s: %d new runs, the last %s after its leaving", l.Endpoint, count, latest.Round(time.Millisecond)))
+			errs = append(errs, fmt.Errorf("endpoint %s: %d new runs, the last %s after it was published as leaving", l.Endpoint, count, latest.Round(time.Millisecond)))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// RightBlocks checks that no engine was given bytes of another block.
+// RightBlocks checks that no engine imported the bytes of another block.
 func RightBlocks(wrong int) error {
 	if wrong == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d imports were of another block's bytes", wrong)
+	return fmt.Errorf("%d imports received another block's bytes", wrong)
 }
