--- a/coord/ticket/ticket.go
+++ b/coord/ticket/ticket.go
@@ -75,7 +75,7 @@
 		return Ticket{}, attemptError(ReasonMalformed, NotRun, err)
 	}
 	if len(raw) <= macBytes || raw[0] != version {
-		return Ticket{}, attemptError(ReasonMalformed, NotRun, errors.New("too short or unknown version"))
+		return Ticket{}, attemptError(ReasonMalformed, NotRun, errors.New("unknown form"))
 	}
 	body, tag := raw[:len(raw)-macBytes], raw[len(raw)-macBytes:]
 	if !hmac.Equal(tag, mac(key, body)) {
--- a/internal/calls/redeem.go
+++ b/internal/calls/redeem.go
@@ -59,7 +59,7 @@
 		return encode(answer), nil
 	}
 	if call.Prompt == nil {
-		return nil, result.New(result.MalformedBody, result.WithMessage("unknown kind of ticketed call"))
+		return nil, result.New(result.MalformedBody, result.WithMessage("the node does not know this kind of call"))
 	}
 	req := *call.Prompt
 	req.Once = true
--- a/internal/configsync/sync.go
+++ b/internal/configsync/sync.go
@@ -123,7 +123,7 @@
 func (s *Sync) Ready() *result.Error {
 	status := s.Status()
 	if !status.Ready || !s.caughtUp(max(status.Applied, status.NewestKnown)) {
-		return result.New(result.NodeStale, result.WithMessage("the node has not read its configuration yet"))
+		return result.New(result.NodeStale, result.WithMessage("the node has no configuration yet"))
 	}
 	if status.Stale {
 		return result.New(result.NodeStale)
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -28,7 +28,7 @@
 const headerBytes = 28
 
 // errBusy is returned to a caller instead of a response that exceeds the rate limit.
-var errBusy = errors.New("datagram: rate limit of responses exceeded")
+var errBusy = errors.New("datagram: the answers of this second are given")
 
 // Handler handles calls of one method. It must not block, since messages are handled
 // sequentially. The result is discarded if the message is a notification.
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -148,6 +148,6 @@
 	test.Eq(t, 0, b.Spare())
 	sent := b.Sent()
 	test.Greater(t, datagram.MaxBytes*2/3, sent)
-	test.ErrorContains(t, a.Call(t.Context(), addr, "long", payload{}, &got), "rate limit of responses exceeded")
+	test.ErrorContains(t, a.Call(t.Context(), addr, "long", payload{}, &got), "answers of this second are given")
 	test.Less(t, sent+500, b.Sent())
 }
--- a/internal/entry/prompts.go
+++ b/internal/entry/prompts.go
@@ -63,7 +63,7 @@
 		switch m.Role {
 		case "system", "developer", "user", assistantRole:
 		default:
-			return "", result.New(result.InvalidValue, result.WithField("messages.role"), result.WithMessage("role %q is not supported", m.Role))
+			return "", result.New(result.InvalidValue, result.WithField("messages.role"), result.WithMessage("role %q is not served", m.Role))
 		}
 		b.WriteString("<|" + m.Role + "|>\n")
 		b.WriteString(string(m.Content))
@@ -134,7 +134,7 @@
 	}
 	version, ok := s.VersionSelector.Serving(ctx, info.view, modelName, req.VersionDraw())
 	if !ok {
-		return result.New(result.NoEndpoint, result.WithField("model"), result.WithMessage("no version of the model is in service"))
+		return result.New(result.NoEndpoint, result.WithField("model"), result.WithMessage("the model has no version in service"))
 	}
 	req.Model = modelName
 	if !withAdapter {
@@ -156,7 +156,7 @@
 
 func setSampling(req *runs.Request, body *common) error {
 	if body.N != nil && *body.N != 1 {
-		return result.New(result.InvalidValue, result.WithField("n"), result.WithMessage("n must be 1: a request has one answer"))
+		return result.New(result.InvalidValue, result.WithField("n"), result.WithMessage("only one answer a request is served"))
 	}
 	req.MaxTokens = defaultMaxTokens
 	if body.MaxTokens != nil {
--- a/internal/framecheck/framecheck.go
+++ b/internal/framecheck/framecheck.go
@@ -122,5 +122,5 @@
 	if f.Error.NotRun {
 		return result.New(result.EndpointRefused, result.WithRunState(result.NotRun))
 	}
-	return result.New(result.EndpointBrokeOff, result.WithMessage("engine failed the run: %s", f.Error.Code))
+	return result.New(result.EndpointBrokeOff, result.WithMessage("the engine failed the run: %s", f.Error.Code))
 }
--- a/internal/operator/configservice.go
+++ b/internal/operator/configservice.go
@@ -49,11 +49,11 @@
 func newChange(req *pb.ApplyRequest) (config.Change, error) {
 	if !changeIDPattern.MatchString(req.GetChangeId()) {
 		return config.Change{}, result.New(result.InvalidObject, result.WithField("change_id"),
-			result.WithMessage("want 1 to 64 letters, digits, '.', '_' or '-'"))
+			result.WithMessage("want 1 to 64 of letters, digits, '.', '_' and '-'"))
 	}
 	if req.GetBasedOn() < 0 {
 		return config.Change{}, result.New(result.InvalidObject, result.WithField("based_on"),
-			result.WithMessage("want a revision of at least 0"))
+			result.WithMessage("a revision is at least 0"))
 	}
 	value, err := config.FromObject(req.GetObject())
 	if err != nil {
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -20,7 +20,7 @@
 		nodes, err := s.opts.Nodes.Applied(ctx)
 		if err != nil {
 			return nil, result.Wrap(err, result.Internal, result.WithRunState(result.Ran), result.WithRevision(revision),
-				result.WithMessage("the change is accepted, but reading the nodes' applied offsets failed"))
+				result.WithMessage("the change is accepted, but the nodes can't be told"))
 		}
 		waitingFor = nodesBehind(nodes, revision)
 		if len(waitingFor) == 0 {
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -18,7 +18,7 @@
 	defer s.watchers.Add(-1)
 	if s.watchers.Add(1) > maxWatchers {
 		return wireError(result.New(result.Overloaded, result.WithRetryAfter(time.Second),
-			result.WithMessage("the node has reached its maximum of %d watch streams", maxWatchers)))
+			result.WithMessage("the node has its largest number of watchers: %d", maxWatchers)))
 	}
 	ctx, cancel := s.contextUntilStop(ctx)
 	defer cancel()
