--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// announceInterval is the time between two checks that this node's entry is present.
+	// announceInterval is the time between two checks whether this node's entry must be written.
 	announceInterval = 500 * time.Millisecond
 	// readBackDelay is the time after a write until the entry is checked again. It spans several
 	// reads of the topic, so that a node does not write twice when many nodes start together: each
@@ -19,16 +19,16 @@
 	readBackDelay = 2 * time.Second
 )
 
-// ownEntryMissing reports whether the topic was read and does not hold this node's entry as this
+// ownEntryOutdated reports whether the topic was read and does not hold this node's entry as this
 // node would write it, for example because it is marked as gone.
-func (r *roster) ownEntryMissing() bool {
+func (r *roster) ownEntryOutdated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded && r.entries[r.node] != r.own
 }
 
-// announce writes this node's entry whenever it is missing, until ctx is done. Writing the entry
-// twice is harmless.
+// announce writes this node's entry whenever it is missing or outdated, until ctx is done. Writing
+// the entry twice is harmless.
 func (r *roster) announce(ctx context.Context) error {
 	for ctx.Err() == nil {
 		retry.Sleep(ctx, r.announceOnce(ctx))
@@ -36,9 +36,10 @@
 	return nil
 }
 
-// announceOnce writes the entry if it is missing, and returns the time until the next check.
+// announceOnce writes the entry if it is missing or outdated, and returns the time until the next
+// check.
 func (r *roster) announceOnce(ctx context.Context) (pause time.Duration) {
-	if !r.ownEntryMissing() {
+	if !r.ownEntryOutdated() {
 		return announceInterval
 	}
 	err := r.writeOwnEntry(ctx)
--- a/internal/gateway/cachestart.go
+++ b/internal/gateway/cachestart.go
@@ -10,24 +10,26 @@
 
 const (
 	// reportTimeout is how long a starting node of a large system waits for the nodes that read the
-	// store for its failure domain to report what all stores hold, before it queries the stores
-	// itself. After a power loss those nodes first have to query the stores, which takes a second
-	// or two.
+	// metadata store for its failure domain to report the contents of all KV-cache stores, before
+	// it queries the KV-cache stores itself. After a power loss those nodes first have to query
+	// them, which takes a second or two.
 	reportTimeout = 4 * time.Second
-	// firstReportTimeout replaces reportTimeout at the first start of the whole system. The stores
-	// may then come up 5 s after the nodes, and hold nothing that a request could miss.
+	// firstReportTimeout replaces reportTimeout at the first start of the whole system. The
+	// KV-cache stores may then come up 5 s after the nodes. They are still empty, so no cached part
+	// is overlooked.
 	firstReportTimeout = 10 * time.Second
-	// firstListTimeout is how long nodes that start together for the first time need to list
-	// themselves. Until then a large system looks like a small one, in which every node queries the
-	// stores.
+	// firstListTimeout is how long nodes that start together for the first time need to write their
+	// entries to the list of nodes. Until then a large system looks like a small one, in which
+	// every node queries the KV-cache stores.
 	firstListTimeout = 2 * time.Second
-	// reportCheckInterval is the time between two checks whether all stores have been reported.
+	// reportCheckInterval is the time between two checks whether the contents of all KV-cache
+	// stores have been reported.
 	reportCheckInterval = 50 * time.Millisecond
 )
 
-// awaitReports waits until other nodes have reported what all stores hold, or until this node
-// should query the stores itself. It prevents nodes that start together from all querying each
-// store, which serves few readers at once.
+// awaitReports waits until other nodes have reported the contents of all KV-cache stores, or until
+// this node should query the stores itself. It prevents nodes that start together from all querying
+// each store, which serves few readers at once.
 func (c *cacheTracker) awaitReports(ctx context.Context) {
 	for ctx.Err() == nil && !c.index.AllRelayed(c.node.clock.Now()) && c.shouldAwaitReports(c.node.clock.Since(c.node.started)) {
 		retry.Sleep(ctx, reportCheckInterval)
@@ -37,7 +39,7 @@
 }
 
 // shouldAwaitReports reports whether a node that started age ago should still wait for other nodes
-// to report what the stores hold.
+// to report the contents of the KV-cache stores.
 func (c *cacheTracker) shouldAwaitReports(age time.Duration) bool {
 	roster := c.node.roster
 	switch {
--- a/internal/gateway/cachestart_test.go
+++ b/internal/gateway/cachestart_test.go
@@ -35,11 +35,11 @@
 	const nodes = 59
 	waiting := 0
 	for i := range nodes {
-		k := startedTracker(t, fmt.Sprint("n", i), nodes, false)
-		if k.shouldAwaitReports(0) {
+		tracker := startedTracker(t, fmt.Sprint("n", i), nodes, false)
+		if tracker.shouldAwaitReports(0) {
 			waiting++
-			test.True(t, k.shouldAwaitReports(reportTimeout-1))
-			test.False(t, k.shouldAwaitReports(reportTimeout), test.Sprint("the other nodes may have failed"))
+			test.True(t, tracker.shouldAwaitReports(reportTimeout-1))
+			test.False(t, tracker.shouldAwaitReports(reportTimeout), test.Sprint("the other nodes may have failed"))
 		}
 	}
 	test.Eq(t, nodes-domainReaders-domainStandbys, waiting)
@@ -56,8 +56,8 @@
 		{"all start for the first time", 7, true, firstListTimeout},
 		{"many start for the first time", 59, true, firstReportTimeout},
 	} {
-		k := startedTracker(t, "n5", c.nodes, c.first)
-		test.Eq(t, c.until > 0, k.shouldAwaitReports(c.until-1), test.Sprint(c.name))
-		test.False(t, k.shouldAwaitReports(c.until), test.Sprint(c.name))
+		tracker := startedTracker(t, "n5", c.nodes, c.first)
+		test.Eq(t, c.until > 0, tracker.shouldAwaitReports(c.until-1), test.Sprint(c.name))
+		test.False(t, tracker.shouldAwaitReports(c.until), test.Sprint(c.name))
 	}
 }
--- a/internal/gateway/cachetracker.go
+++ b/internal/gateway/cachetracker.go
@@ -15,34 +15,36 @@
 	// followInterval is the time between two checks for engines and stores that were added or
 	// removed.
 	followInterval = 300 * time.Millisecond
-	// initialFollowInterval is followInterval at a starting node until it knows of a store. Callers
-	// arrive at once, and each prompt part that is not known to be cached is computed again.
+	// initialFollowInterval is followInterval at a starting node until a store is configured.
+	// Requests arrive immediately, and each prompt part that is not known to be cached is computed
+	// again.
 	initialFollowInterval = 10 * time.Millisecond
-	// maxFreshConfigAge is the maximum age of the configuration at which a node counts as knowing
-	// the wanted versions: somewhat more than its age in normal operation. A longer age delays the
+	// maxFreshConfigAge is the maximum age of the configuration up to which its wanted versions are
+	// considered current: somewhat more than its age in normal operation. A longer age delays the
 	// freeing of outdated parts, whose space new parts need.
 	maxFreshConfigAge = 2800 * time.Millisecond
 	// maxReferenceConfigAge is the maximum age of the configuration at which a node references
-	// parts of the version that it takes for the wanted one. Other nodes cannot have seen a
-	// replacement before that configuration was current, and wait for freeDelay from then on. KV
-	// cache is therefore still fetched from stores during a metadata store outage of some seconds.
+	// parts of the newest version that it has read. Other nodes cannot have read a replacement
+	// before that configuration was current, and wait for freeDelay from then on. KV cache is
+	// therefore still fetched from stores during a metadata store outage of some seconds.
 	maxReferenceConfigAge = replacedReferenceTime + maxFreshConfigAge
 	// replacedReferenceTime is how long parts of a replaced version are still referenced, for
 	// engines that have not loaded the new one. It is about the duration of a rollout.
 	replacedReferenceTime = 9 * time.Second
 	// freeDelay is the time from the replacement of a version until its parts are freed. A node
-	// references them until replacedReferenceTime after it saw the new version, which happens at
+	// references them until replacedReferenceTime after it read the new version, which happens at
 	// most maxFreshConfigAge late, and no fetch takes longer than placer.FetchLimit.
 	freeDelay = replacedReferenceTime + maxFreshConfigAge + placer.FetchLimit + 500*time.Millisecond
 	// minReportedLatenessMs is the lateness of fetches above which it is reported to peers. A busy
-	// engine alone delays a typical first event by less.
+	// engine without store problems usually delays the first event by less.
 	minReportedLatenessMs = 100.0
 	// freeSlots and freeSlotInterval stagger the nodes' searches for parts to free, so that most
 	// nodes find nothing left.
 	freeSlots        = 6
 	freeSlotInterval = 400 * time.Millisecond
-	// nonStandbyFreeDelay is the additional delay at nodes of a large system that are not standbys.
-	// Freeing sends a reference to each part to its store, which saturates a small host's link.
+	// nonStandbyFreeDelay is the additional delay at nodes of a large system that are not standbys
+	// for the claim on orders. Freeing sends a reference to each part to its store, which saturates
+	// a small host's link.
 	nonStandbyFreeDelay = 8 * time.Second
 )
 
@@ -55,9 +57,9 @@
 
 var _ kvindex.SaltFilter = (*cacheTracker)(nil)
 
-// follow updates the index's holders from the configuration and the fleet until ctx is done. A
-// starting node queries the stores first: reading thousands of events from each engine takes a
-// small host some hundred ms, and the engines' parts are also at stores.
+// follow updates the index's engines and stores from the configuration and the fleet until ctx is
+// done. A starting node queries the stores first: reading thousands of events from each engine
+// takes a small host some hundred ms, and the engines' parts are also at stores.
 func (c *cacheTracker) follow(ctx context.Context) error {
 	stores := c.stores()
 	for ; len(stores) == 0 && ctx.Err() == nil; stores = c.stores() {
@@ -121,9 +123,9 @@
 	return stores
 }
 
-// intervals returns how long a read of a holder's events waits, and the time between the start of two
-// reads. In a large system only a few nodes poll the holder.
-func (c *cacheTracker) intervals(h *kvindex.Holder) (wait, pause time.Duration) {
+// intervals returns how long a read of the events of an engine or store waits, and the time between
+// the start of two reads. In a large system only a few nodes poll the engine or store.
+func (c *cacheTracker) intervals(h *kvindex.Holder) (wait, interval time.Duration) {
 	return intervals.EventIntervals(c.node.storeReaderCount(), eventReadersOrDefault(h.Readers))
 }
 
@@ -139,8 +141,8 @@
 	return list
 }
 
-// eventReadersOrDefault returns the number of concurrent event readers that a holder serves: the
-// configured number, or intervals.MaxMeshNodes if it is not configured.
+// eventReadersOrDefault returns the number of concurrent event readers that an engine or store
+// serves: the configured number, or intervals.MaxMeshNodes if it is not configured.
 func eventReadersOrDefault(configured int) int {
 	if configured > 0 {
 		return configured
--- a/internal/gateway/cachetracker_test.go
+++ b/internal/gateway/cachetracker_test.go
@@ -32,7 +32,7 @@
 	for cutFrom := 0; cutFrom < 150; cutFrom += 7 {
 		t.Run(fmt.Sprint("cut from step ", cutFrom), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				freer, reader := newView("freer"), newView("reader")
+				freeingNode, reader := newView("freer"), newView("reader")
 				referenced := map[int64]time.Time{} // when the reader last referenced a version
 				pending := map[string][]int64{}
 				for i := range steps {
@@ -43,7 +43,7 @@
 						}
 					}
 					if i%9 == 0 {
-						freer.readVersions(t, pending["freer"]...)
+						freeingNode.readVersions(t, pending["freer"]...)
 						pending["freer"] = nil
 					}
 					if cut := i >= cutFrom && i < cutFrom+cutSteps; !cut && i%13 == 5 {
@@ -54,15 +54,15 @@
 						if reader.mayReference(model, version+1) {
 							referenced[version+1] = time.Now()
 						}
-						if freer.configFresh() && freer.Outdated(salt(version+1)) {
+						if freeingNode.configFresh() && freeingNode.Outdated(salt(version+1)) {
 							test.Greater(t, fetch, time.Since(referenced[version+1]), test.Sprint("version ", version+1, " at step ", i))
 						}
 					}
 					time.Sleep(step)
 				}
-				test.True(t, freer.Outdated(salt(1)) && freer.Outdated(salt(2)))
-				test.False(t, freer.Outdated(salt(3)))
-				test.False(t, freer.Outdated("another's salt"))
+				test.True(t, freeingNode.Outdated(salt(1)) && freeingNode.Outdated(salt(2)))
+				test.False(t, freeingNode.Outdated(salt(3)))
+				test.False(t, freeingNode.Outdated("another's salt"))
 			})
 		})
 	}
@@ -72,32 +72,32 @@
 // has the weights and all nodes' watermarks are above them, long before freeDelay.
 func TestUnreferencedPartsFreedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		freer, reader := newView("freer"), newView("reader")
-		freer.setNodes(t, "freer", "reader")
-		freer.readVersions(t, 1)
+		freeingNode, reader := newView("freer"), newView("reader")
+		freeingNode.setNodes(t, "freer", "reader")
+		freeingNode.readVersions(t, 1)
 		reader.readVersions(t, 1)
-		freer.setEngineVersion(1)
+		freeingNode.setEngineVersion(1)
 		reader.setEngineVersion(1)
-		freer.readVersions(t, 2)
+		freeingNode.readVersions(t, 2)
 		reader.readVersions(t, 2)
-		freer.receiveFrom(reader, 1)
+		freeingNode.receiveFrom(reader, 1)
 		time.Sleep(3 * time.Second)
 		test.True(t, reader.mayReference(model, 1), test.Sprint("an engine still has it"))
-		freer.setEngineVersion(2)
-		freer.referencedWatermarks()
+		freeingNode.setEngineVersion(2)
+		freeingNode.referencedWatermarks()
 		time.Sleep(unreferencedDelay + freeSlots*freeSlotInterval)
-		test.False(t, freer.Outdated(salt(1)), test.Sprint("the other node may reference it"))
+		test.False(t, freeingNode.Outdated(salt(1)), test.Sprint("the other node may reference it"))
 		reader.setEngineVersion(2)
-		freer.receiveFrom(reader, 2)
+		freeingNode.receiveFrom(reader, 2)
 		test.False(t, reader.mayReference(model, 1))
 		test.True(t, reader.mayReference(model, 2))
 		time.Sleep(placer.FetchLimit)
-		test.False(t, freer.Outdated(salt(1)), test.Sprint("a fetch may be in progress"))
+		test.False(t, freeingNode.Outdated(salt(1)), test.Sprint("a fetch may be in progress"))
 		time.Sleep(unreferencedDelay - placer.FetchLimit + freeSlots*freeSlotInterval)
-		test.True(t, freer.Outdated(salt(1)))
-		test.False(t, freer.Outdated(salt(2)))
-		freer.setNodes(t, "freer", "reader", "silent")
-		test.False(t, freer.Outdated(salt(1)), test.Sprint("a node without a watermark counts"))
+		test.True(t, freeingNode.Outdated(salt(1)))
+		test.False(t, freeingNode.Outdated(salt(2)))
+		freeingNode.setNodes(t, "freer", "reader", "silent")
+		test.False(t, freeingNode.Outdated(salt(1)), test.Sprint("a node without a watermark counts"))
 	})
 }
 
@@ -108,19 +108,19 @@
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			freer, reader := newView("freer"), newView("reader")
-			freer.setNodes(t, "freer", "reader")
-			freer.readVersions(t, 1)
+			freeingNode, reader := newView("freer"), newView("reader")
+			freeingNode.setNodes(t, "freer", "reader")
+			freeingNode.readVersions(t, 1)
 			reader.readVersions(t, 1)
 			loaded := [3]int{0, 30 + random.IntN(60), 90 + random.IntN(90)}
 			referenced := map[int64]time.Time{}
 			for i := range 300 {
 				if i == 20 || i == 60 {
 					version := int64(2 + i/60)
-					freer.readVersions(t, version)
+					freeingNode.readVersions(t, version)
 					reader.readVersions(t, version)
 				} else if random.IntN(8) == 0 {
-					freer.readVersions(t)
+					freeingNode.readVersions(t)
 					reader.readVersions(t)
 				}
 				for v, at := range loaded {
@@ -128,20 +128,20 @@
 						reader.setEngineVersion(int64(v + 1))
 					}
 					if i == at {
-						freer.setEngineVersion(int64(v + 1))
+						freeingNode.setEngineVersion(int64(v + 1))
 					}
 				}
-				freer.referencedWatermarks()
+				freeingNode.referencedWatermarks()
 				for version := int64(1); version <= 3; version++ {
 					if reader.mayReference(model, version) {
 						referenced[version] = time.Now()
 					}
 				}
 				if random.IntN(3) == 0 {
-					freer.receiveFrom(reader, int64(i+1))
+					freeingNode.receiveFrom(reader, int64(i+1))
 				}
 				for version := int64(1); version <= 3; version++ {
-					if freer.Outdated(salt(version)) {
+					if freeingNode.Outdated(salt(version)) {
 						test.Greater(t, placer.FetchLimit, time.Since(referenced[version]), test.Sprint("seed ", seed, " version ", version, " at step ", i))
 					}
 				}
@@ -152,23 +152,23 @@
 }
 
 // TestPartsNotFreedBeforeWatermarkLargeSystem is the same with nodes whose watermarks reach the
-// freeing node through the representative of their failure domain, with messages at random times. Parts
-// must be freed within some seconds after the last engine has loaded.
+// freeing node through the representative of their failure domain, with messages at random times.
+// Parts must be freed within some seconds after the last engine has loaded.
 func TestPartsNotFreedBeforeWatermarkLargeSystem(t *testing.T) {
-	const seenLate = 80 // maximum steps until a node knows that the last engine has loaded
+	const maxSteps = 80 // maximum number of steps until a node has read that the last engine has loaded
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			freer, others := newLargeViews(t)
-			all := append([]view{freer}, others...)
+			freeingNode, others := newLargeViews(t)
+			all := append([]view{freeingNode}, others...)
 			for _, v := range all {
 				v.readVersions(t, 1)
 				v.setEngineVersion(1)
 			}
 			loaded := 22 + random.IntN(20)
-			seen := make([]int, len(all)) // step at which each node knows that the last engine has loaded
+			seen := make([]int, len(all)) // step at which each node reads that the last engine has loaded
 			for i := range seen {
-				seen[i] = loaded + random.IntN(seenLate)
+				seen[i] = loaded + random.IntN(maxSteps)
 			}
 			var referenced, freed time.Time
 			started := time.Now()
@@ -184,7 +184,7 @@
 						v.setEngineVersion(2)
 					}
 				}
-				freer.referencedWatermarks()
+				freeingNode.referencedWatermarks()
 				for _, v := range all {
 					if v.mayReference(model, 1) {
 						referenced = time.Now()
@@ -196,19 +196,19 @@
 					}
 				}
 				if random.IntN(3) == 0 {
-					freer.receiveDomain(others[0], int64(i+1))
+					freeingNode.receiveDomain(others[0], int64(i+1))
 				}
-				if freer.Outdated(salt(1)) {
+				if freeingNode.Outdated(salt(1)) {
 					test.Greater(t, placer.FetchLimit, time.Since(referenced), test.Sprint("seed ", seed, " at step ", i))
 					if freed.IsZero() {
 						freed = time.Now()
 					}
 				}
-				test.False(t, freer.Outdated(salt(2)))
+				test.False(t, freeingNode.Outdated(salt(2)))
 				time.Sleep(100 * time.Millisecond)
 			}
 			must.False(t, freed.IsZero())
-			test.Less(t, time.Duration(loaded+seenLate)*100*time.Millisecond+unreferencedDelay+freer.freeStagger()+4*time.Second, freed.Sub(started))
+			test.Less(t, time.Duration(loaded+maxSteps)*100*time.Millisecond+unreferencedDelay+freeingNode.freeStagger()+4*time.Second, freed.Sub(started))
 		})
 	}
 }
@@ -223,7 +223,7 @@
 		time.Sleep(maxReferenceConfigAge)
 		test.False(t, v.mayReference(model, 1))
 		v.readVersions(t, 2)
-		test.False(t, v.mayReference(model, 1), test.Sprint("it does not know when the version was replaced"))
+		test.False(t, v.mayReference(model, 1), test.Sprint("the time of the replacement is unknown"))
 		test.True(t, v.mayReference(model, 2))
 	})
 }
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -20,17 +20,17 @@
 
 // evacuationChange is the start or the end of an evacuation.
 type evacuationChange struct {
-	domain string
-	active bool
-	offset int64 // of the record; 0 if a snapshot lacks the order
+	domain    string
+	evacuated bool
+	offset    int64 // of the record; 0 if a snapshot lacks the order
 }
 
-// inForce reports whether a failure domain is evacuated.
-func (e *evacuations) inForce(domain string) bool { return e.activeDomains()[domain] }
+// isEvacuated reports whether a failure domain is evacuated.
+func (e *evacuations) isEvacuated(domain string) bool { return e.evacuatedDomains()[domain] }
 
-// activeDomains returns the evacuated failure domains according to the records read so far. Callers
-// must not modify the map.
-func (e *evacuations) activeDomains() map[string]bool {
+// evacuatedDomains returns the evacuated failure domains according to the records read so far.
+// Callers must not modify the map.
+func (e *evacuations) evacuatedDomains() map[string]bool {
 	if domains := e.domains.Load(); domains != nil {
 		return *domains
 	}
@@ -39,14 +39,14 @@
 
 // apply applies the evacuation orders of a batch and returns what changed. An order that is missing
 // in a snapshot has been withdrawn, even if the record of the withdrawal was never read. An order
-// that is withdrawn and issued again within one batch stays in force, but its end is still
+// that is withdrawn and issued again within one batch remains in effect, but its end is still
 // reported, since its endpoints may have become cold.
 func (e *evacuations) apply(b *follow.Batch) []evacuationChange {
 	if !b.Snapshot && len(b.Records) == 0 {
 		return nil
 	}
 	next := make(map[string]bool)
-	maps.Copy(next, e.activeDomains())
+	maps.Copy(next, e.evacuatedDomains())
 	present := make(map[string]bool)
 	var changes []evacuationChange
 	for i := range b.Records {
@@ -55,17 +55,17 @@
 		if !ok {
 			continue
 		}
-		active := r.Value != nil
-		present[domain] = active
-		if active == next[domain] {
+		evacuated := r.Value != nil
+		present[domain] = evacuated
+		if evacuated == next[domain] {
 			continue
 		}
-		if active {
+		if evacuated {
 			next[domain] = true
 		} else {
 			delete(next, domain)
 		}
-		changes = append(changes, evacuationChange{domain: domain, active: active, offset: r.Offset})
+		changes = append(changes, evacuationChange{domain: domain, evacuated: evacuated, offset: r.Offset})
 	}
 	if b.Snapshot {
 		for domain := range next {
@@ -89,7 +89,7 @@
 		return
 	}
 	for _, change := range changes {
-		if !change.active {
+		if !change.evacuated {
 			e.onEnd(change.domain)
 		}
 	}
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -33,10 +33,9 @@
 	s.Apply(follow.Batch{Records: records, Snapshot: snapshot, ConfirmedAt: time.Now()})
 }
 
-// If nodes ignore evacuation orders in the operators' topic, requests reach the endpoints of
+// TestEvacuationOrders checks that nodes apply the evacuation orders in the operators' topic,
+// through records, snapshots and removals. Otherwise requests would reach the endpoints of
 // evacuated failure domains.
-
-// TestEvacuationOrders applies orders through records, snapshots and removals.
 func TestEvacuationOrders(t *testing.T) {
 	s, ended := newEvacuationState()
 	test.False(t, s.Evacuated("north"))
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -11,10 +11,11 @@
 )
 
 // relayPollInterval is the time between two requests to another node for changes of a topic.
-// Together with the age of that node's copy it stays well within the operators' bounds.
+// Together with the age of that node's copy it stays well within the operators' drain and
+// revocation bounds.
 const relayPollInterval = 400 * time.Millisecond
 
-// nodesRelayPollInterval is relayPollInterval for the nodes' addresses, which rarely change.
+// nodesRelayPollInterval is relayPollInterval for the list of nodes, which rarely changes.
 const nodesRelayPollInterval = 3 * time.Second
 
 // followers keep this node's copies of the store's topics current.
@@ -27,7 +28,7 @@
 	copies := relay.New(n.conn)
 	follower := func(name, topic string, replica *relay.Copy) (*follow.Follower, *relay.Topic) {
 		copies.Serve(name, replica)
-		source := &relay.Topic{Name: name, Store: store.Topic(topic), Relay: copies, Readers: n.readers, Backups: n.roster.backups, Fallback: n.fallbackPause, Log: n.log}
+		source := &relay.Topic{Name: name, Store: store.Topic(topic), Relay: copies, Readers: n.readers, Backups: n.roster.backups, Fallback: n.fallbackInterval, Log: n.log}
 		return &follow.Follower{Name: name, Topic: source, Sink: replica, Retry: storeRetry, MaxRetryDelay: maxStoreRetry, Reject: n.state.rejected.record, Clock: n.clock, Log: n.log}, source
 	}
 	var f followers
@@ -37,51 +38,52 @@
 	f.endpoints, source = follower("registry", platform.TopicEndpoints, &relay.Copy{Sink: n.registry, Clock: n.clock, Same: platform.SameEndpoint, Brief: platform.BriefEndpoint})
 	// Each heartbeat is a record, so a read that waits for a change would end many times per
 	// second.
-	f.endpoints.Pause = intervalIfRelayed(source.Relayed, relayPollInterval, n.registryPause)
+	f.endpoints.Pause = intervalIfRelayed(source.Relayed, relayPollInterval, n.registryInterval)
 	f.nodes, source = follower("nodes", platform.NodesTopic, &relay.Copy{Sink: n.roster, Clock: n.clock})
 	source.MaxAge = maxNodesAge
-	f.nodes.Wait, f.nodes.Pause = zeroIfRelayed(source.Relayed, n.nodesWait), intervalIfRelayed(source.Relayed, nodesRelayPollInterval, n.rosterPause)
+	f.nodes.Wait, f.nodes.Pause = zeroIfRelayed(source.Relayed, n.nodesWait), intervalIfRelayed(source.Relayed, nodesRelayPollInterval, n.rosterInterval)
 	return f
 }
 
 // zeroIfRelayed returns a function that returns 0 while a topic is read from another node, and the
-// value of setting otherwise.
-func zeroIfRelayed(relayed func() bool, setting func() time.Duration) func() time.Duration {
+// value of ifDirect otherwise.
+func zeroIfRelayed(relayed func() bool, ifDirect func() time.Duration) func() time.Duration {
 	return func() time.Duration {
 		if relayed() {
 			return 0
 		}
-		return setting()
+		return ifDirect()
 	}
 }
 
 // intervalIfRelayed returns a function that returns interval while a topic is read from another
-// node, and the value of direct otherwise. A nil direct stands for 0.
-func intervalIfRelayed(relayed func() bool, interval time.Duration, direct func() time.Duration) func() time.Duration {
+// node, and the value of ifDirect otherwise. A nil ifDirect stands for 0.
+func intervalIfRelayed(relayed func() bool, interval time.Duration, ifDirect func() time.Duration) func() time.Duration {
 	return func() time.Duration {
 		switch {
 		case relayed():
 			return interval
-		case direct == nil:
+		case ifDirect == nil:
 			return 0
 		}
-		return direct()
+		return ifDirect()
 	}
 }
 
-// readers returns the nodes from which this node obtains the store's contents, empty if it reads
-// the store itself.
+// readers returns the nodes from which this node obtains the metadata store's contents. It returns
+// none if this node reads that store itself.
 func (n *Node) readers() []netip.AddrPort {
 	addrs, _ := n.roster.readers()
 	return addrs
 }
 
-// relayed reports whether other nodes read the metadata store and poll the KV-cache stores on
-// behalf of this node.
-func (n *Node) relayed() bool { return len(n.readers()) > 0 }
+// readsThroughOthers reports whether other nodes read the metadata store and poll the KV-cache
+// stores on behalf of this node.
+func (n *Node) readsThroughOthers() bool { return len(n.readers()) > 0 }
 
-// storeReaderCount returns the number of nodes among which reads of the store are divided: all
-// nodes, or intervals.MaxMeshNodes at one of the few nodes of a large system that read for the others.
+// storeReaderCount returns the number of nodes among which reads of the platform's stores are
+// divided: all nodes, or intervals.MaxMeshNodes at one of the few nodes of a large system that read
+// for the others.
 func (n *Node) storeReaderCount() int {
 	if _, isReader := n.roster.readers(); isReader {
 		return intervals.MaxMeshNodes
@@ -89,16 +91,16 @@
 	return n.nodes()
 }
 
-// fallbackPause returns the time between two reads of a failing store, at a node that relies on
-// others to read it. Those nodes report to it as soon as the store is back.
-func (n *Node) fallbackPause() time.Duration { return intervals.FallbackInterval(n.nodes()) }
+// fallbackInterval returns the time between two reads of a failing metadata store, at a node that
+// relies on others to read it. Those nodes report to this one as soon as the store is back.
+func (n *Node) fallbackInterval() time.Duration { return intervals.FallbackInterval(n.nodes()) }
 
 // configWait returns how long a read of the configuration waits for a change.
 func (n *Node) configWait() time.Duration {
 	return intervals.ConfigWait(n.storeReaderCount(), n.bounds().Revoke)
 }
 
-// nodesWait returns how long a read of the nodes' addresses waits for a change.
+// nodesWait returns how long a read of the list of nodes waits for a change.
 func (n *Node) nodesWait() time.Duration {
 	if _, isReader := n.roster.readers(); isReader {
 		return readerNodesWait
@@ -106,16 +108,16 @@
 	return nodesWait
 }
 
-// registryPause returns the time between two reads of the registry.
-func (n *Node) registryPause() time.Duration {
+// registryInterval returns the time between two reads of the registry.
+func (n *Node) registryInterval() time.Duration {
 	if _, isReader := n.roster.readers(); isReader {
 		return intervals.ReaderInterval(n.bounds().Drain)
 	}
 	return intervals.RegistryInterval(n.nodes(), n.bounds().Drain)
 }
 
-// rosterPause returns the time between two reads of the nodes' addresses.
-func (n *Node) rosterPause() time.Duration {
+// rosterInterval returns the time between two reads of the list of nodes.
+func (n *Node) rosterInterval() time.Duration {
 	if n.clock.Since(n.started) < startupWindow {
 		return startupReadInterval
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway assembles a gateway node, which forwards requests from clients to the servers of
+// Package gateway assembles a gateway node, which forwards requests from callers to the servers of
 // the users' platform.
 package gateway
 
@@ -31,10 +31,10 @@
 )
 
 const (
-	// storeRetry is the delay after a failed read of the store.
+	// storeRetry is the delay after a failed read of the metadata store.
 	storeRetry = 250 * time.Millisecond
-	// maxStoreRetry is the delay after repeated failures. A node must learn what changed within the
-	// stable window, at least 3 s, after the store is back.
+	// maxStoreRetry is the longest delay after repeated failures. A node must read the changes
+	// within the stable window, at least 3 s, after the store is back.
 	maxStoreRetry = time.Second
 	// stopMargin is the part of the grace period reserved for the exit of the process.
 	stopMargin = 500 * time.Millisecond
@@ -48,8 +48,8 @@
 	// 5.5 s: the rest of the claim's duration, the lease bound and a read of the log.
 	takeoverDelay = 8 * time.Second
 
-	// peerTimeout is how long a node that reads the store for others may be silent before it counts
-	// as unavailable. It tolerates the loss of a few messages.
+	// peerTimeout is how long no message of a node may arrive before the node counts as
+	// unavailable. It tolerates the loss of a few messages.
 	peerTimeout = time.Second
 )
 
@@ -64,7 +64,7 @@
 	callers       *server
 	readyServer   *server // readiness checks of the balancer, metrics
 	cacheTracker  *cacheTracker
-	events        *kvindex.Peers // exchanges the stores' contents with other nodes
+	cachePeers    *kvindex.Peers // exchanges the contents of KV-cache stores with other nodes
 	orders        *weights.Service
 	conn          *datagram.Conn // messages to and from other nodes
 	peers         *peerload.Exchange
@@ -72,7 +72,7 @@
 	quarantine    *quarantine.Service
 	recorder      *recorder
 	started       time.Time
-	leaving       atomic.Bool
+	shuttingDown  atomic.Bool
 	reportedReady atomic.Bool // last readiness reported to the balancer
 	log           zerolog.Logger
 }
@@ -118,15 +118,15 @@
 	engines := platform.NewEngines()
 	n.cacheTracker = &cacheTracker{node: n}
 	n.cacheTracker.index = kvindex.NewIndex(engines, n.cacheTracker.intervals, n.log)
-	n.cacheTracker.index.ReceivesRelays = n.relayed
+	n.cacheTracker.index.ReceivesRelays = n.readsThroughOthers
 	n.cacheTracker.index.Clock = n.clock
 	n.conn, err = datagram.Listen(peerAddr(boot), n.log)
 	if err != nil {
 		return err
 	}
 	n.conn.Bound(intervals.AnswerRate(boot.LinkBytes))
-	n.events = &kvindex.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
-	n.events.Serve()
+	n.cachePeers = &kvindex.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
+	n.cachePeers.Serve()
 	n.peers = peerload.New(peerload.Config{
 		Node:       boot.Name,
 		Domain:     boot.Domain,
@@ -173,13 +173,13 @@
 // listen opens the listeners for callers and for the balancer.
 func (n *Node) listen() (err error) {
 	boot := n.boot.Load()
-	n.callers, err = listen("callers", boot.CallersAddr, closeWhenLeaving(&n.leaving, n.handler()), &n.leaving, n.log)
+	n.callers, err = listen("callers", boot.CallersAddr, closeWhenShuttingDown(&n.shuttingDown, n.handler()), &n.shuttingDown, n.log)
 	if err != nil {
 		return err
 	}
-	n.callers.linger = lingerTime
+	n.callers.shutdownDelay = callersShutdownDelay
 	n.callers.needs = []string{"ready", "config", "registry", "kept"}
-	n.readyServer, err = listen("ready", boot.ReadyAddr, http.HandlerFunc(n.serveReady), &n.leaving, n.log)
+	n.readyServer, err = listen("ready", boot.ReadyAddr, http.HandlerFunc(n.serveReady), &n.shuttingDown, n.log)
 	return err
 }
 
@@ -199,7 +199,7 @@
 		&task{name: "sweep", run: newSweeper(n).run},
 		&task{name: "reload", run: func(ctx context.Context) error { return n.reload(ctx, load) }},
 		&task{name: "kept", run: n.cacheTracker.follow},
-		&task{name: "events", run: n.events.Run},
+		&task{name: "events", run: n.cachePeers.Run},
 		&task{name: "free", run: n.cacheTracker.free},
 	)
 }
@@ -249,7 +249,7 @@
 		Evacuated:         n.state.Evacuated,
 		SlowStart:         &slowstart.Limiter{Node: n.boot.Load().Name, View: n.roster.senders},
 		MaxColdPerSecond:  n.maxColdRate,
-		Throttle:          &throttle.Limiter{Node: n.boot.Load().Name, View: n.roster.throttlers},
+		Throttle:          &throttle.Limiter{Node: n.boot.Load().Name, View: n.roster.rateLimitedSenders},
 		ReplacedGrace:     n.state.startupGrace,
 		Services:          &placer.Services{},
 		Nodes:             n.nodes,
@@ -269,7 +269,7 @@
 // CallersAddr returns the address that callers connect to.
 func (n *Node) CallersAddr() string { return n.callers.listener.Addr().String() }
 
-// Nodes returns the number of listed nodes, this one included.
+// Nodes returns the number of listed nodes, including this one.
 func (n *Node) Nodes() int { return n.roster.Nodes() }
 
 // Holds returns the current and past holds on requests.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestReadIntervalsAtStart checks that a starting node reads as often as later on: after a power
-// loss it does not know which parts are cached, and each unknown part is computed again.
+// loss its index of cached parts is empty, and each part that is missing there is computed again.
 func TestReadIntervalsAtStart(t *testing.T) {
 	boot := &bootstrap.Node{
 		Name: "n", Domain: "north", IP: "127.0.0.1", CallersAddr: "127.0.0.1:0", ReadyAddr: "127.0.0.1:0",
@@ -27,6 +27,6 @@
 	defer n.readyServer.listener.Close()
 	_, pause := n.cacheTracker.intervals(kvindex.NewHolder("e", "127.0.0.1:9", "north"))
 	test.Eq(t, 250*time.Millisecond, pause)
-	test.Eq(t, 400*time.Millisecond, n.registryPause())
+	test.Eq(t, 400*time.Millisecond, n.registryInterval())
 	test.Eq(t, 900*time.Millisecond, n.configWait())
 }
--- a/internal/gateway/lease.go
+++ b/internal/gateway/lease.go
@@ -18,16 +18,17 @@
 )
 
 // removalGrace returns how long an entry stays marked before it is removed, and how long a node
-// whose entry was removed waits after it has an entry again. A disconnected node acts as counted
-// for leaseDuration. The effects of its last actions end after a window of the retry budget, and
-// after the longest fetch of a part that it referenced with the oldest permitted configuration.
+// whose entry was removed waits, after its new entry was read, before its lease is valid. A
+// disconnected node acts as if the others counted it for leaseDuration. The effects of its last
+// actions end after one window of the retry budget, and after the longest fetch of a part that it
+// referenced with the oldest permitted configuration.
 func removalGrace(budgetWindow time.Duration) time.Duration {
 	return leaseDuration + max(budgetWindow, maxReferenceConfigAge+placer.FetchLimit) + timerSlack
 }
 
 // lease is a node's right to act as one of the nodes that the others count: to use its share of the
-// retry budget, and to reference parts at stores, which other nodes free only once every counted
-// node has agreed.
+// retry budget, and to reference parts at stores, which other nodes free early only once every
+// counted node has reported that it no longer references them.
 //
 // Guarantee: no node excludes another from the count while the other's lease is valid, nor until
 // the effects of its last actions have ended. The lease is renewed by each read of the topic that
@@ -56,8 +57,8 @@
 	case !o.listed:
 		l.removed = l.everListed
 	case !o.gone:
-		lapsed := l.everListed && o.updated && o.confirmedAt.Sub(l.lastConfirmed) >= leaseDuration
-		if l.removed || lapsed {
+		mayHaveBeenRemoved := l.everListed && o.updated && o.confirmedAt.Sub(l.lastConfirmed) >= leaseDuration
+		if l.removed || mayHaveBeenRemoved {
 			l.validFrom = o.at.Add(l.grace)
 		}
 		l.everListed, l.removed = true, false
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -15,31 +15,32 @@
 	"github.com/cherryward/cherryward/internal/placer"
 )
 
-// shares records the part of the retry budget that each node used.
+// shares records the share of the retry budget that each node may use over time.
 type shares struct {
 	window time.Duration
 	used   map[string][]share
 }
 
 type share struct {
-	part float64
-	at   time.Time
+	fraction float64
+	at       time.Time
 }
 
-// sum returns the part of the budget that all nodes together may have used in the window that ends
-// now, if each used the largest share it had in that window.
+// sum records the present share of each node and returns the part of the budget that all nodes
+// together may have used in the window that ends now, if each used the largest share it had in that
+// window.
 func (s *shares) sum(nodes map[string]*simNode) float64 {
 	total := 0.0
 	for name, n := range nodes {
-		part := 0.0
+		fraction := 0.0
 		if n.HoldsLease() {
-			part = 1 / float64(n.Nodes())
+			fraction = 1 / float64(n.Nodes())
 		}
-		s.used[name] = append(s.used[name], share{part: part, at: time.Now()})
+		s.used[name] = append(s.used[name], share{fraction: fraction, at: time.Now()})
 		largest := 0.0
 		for _, u := range s.used[name] {
 			if time.Since(u.at) <= s.window {
-				largest = max(largest, u.part)
+				largest = max(largest, u.fraction)
 			}
 		}
 		total += largest
@@ -49,8 +50,8 @@
 
 // TestRemovedNodesKeepRetryBudget freezes nodes or disconnects them from the store and the others,
 // together or one after the other, for durations around those at which they are marked and removed.
-// All nodes together must never use more than the whole budget in a window, and all must be counted
-// again in the end.
+// All nodes together must never use more than the whole budget in a window, and in the end all
+// nodes must be counted again.
 func TestRemovedNodesKeepRetryBudget(t *testing.T) {
 	const (
 		nodes = 8
@@ -152,9 +153,9 @@
 			random := rand.New(rand.NewPCG(seed, 1))
 			s := newCluster()
 			s.startAll(t, 3)
-			reader, freer := newView("n2"), newView("n0")
-			reader.node.roster, freer.node.roster = s.nodes["n2"].roster, s.nodes["n0"].roster
-			early += simulateRemovedNode(t, random, s, freer, reader)
+			reader, freeingNode := newView("n2"), newView("n0")
+			reader.node.roster, freeingNode.node.roster = s.nodes["n2"].roster, s.nodes["n0"].roster
+			early += simulateRemovedNode(t, random, s, freeingNode, reader)
 		})
 	}
 	test.Positive(t, early, test.Sprint("times that parts were freed early without the removed node's watermark"))
@@ -162,10 +163,10 @@
 
 // simulateRemovedNode simulates some minutes and returns how often a part was freed before
 // freeDelay while the reader was removed.
-func simulateRemovedNode(t *testing.T, random *rand.Rand, s *cluster, freer, reader view) (early int) {
+func simulateRemovedNode(t *testing.T, random *rand.Rand, s *cluster, freeingNode, reader view) (early int) {
 	const (
 		step     = 200 * time.Millisecond
-		lasts    = 2000 // steps
+		steps    = 2000
 		versions = 12
 	)
 	cutFrom, cutFor := random.IntN(400), 500+random.IntN(800)
@@ -174,36 +175,36 @@
 	replaced := map[int64]time.Time{}
 	pending := []int64{1}
 	newest := int64(1)
-	freer.readVersions(t, 1)
+	freeingNode.readVersions(t, 1)
 	away := s.nodes["n2"]
 	away.silent = true
-	for i := range lasts {
+	for i := range steps {
 		away.disconnected = i >= cutFrom && i < cutFrom+cutFor
 		var fresh []int64
-		if i%(lasts/versions) == lasts/versions/2 {
+		if i%(steps/versions) == steps/versions/2 {
 			replaced[newest] = time.Now()
 			newest++
 			fresh = []int64{newest}
 			pending = append(pending, newest)
 		}
-		freer.readVersions(t, fresh...)
+		freeingNode.readVersions(t, fresh...)
 		if configCut := i >= configCutFrom && i < configCutFrom+configCutFor; !configCut {
 			reader.readVersions(t, pending...)
 			pending = nil
 			reader.setEngineVersion(newest)
 		}
-		freer.setEngineVersion(newest)
-		freer.referencedWatermarks()
-		freer.receiveFrom(viewReferencing("n1", newest), int64(i+1))
+		freeingNode.setEngineVersion(newest)
+		freeingNode.referencedWatermarks()
+		freeingNode.receiveFrom(viewReferencing("n1", newest), int64(i+1))
 		for v := int64(1); v <= newest; v++ {
 			if reader.mayReference(model, v) {
 				referenced[v] = time.Now()
 			}
-			if !freer.Outdated(salt(v)) {
+			if !freeingNode.Outdated(salt(v)) {
 				continue
 			}
 			test.Greater(t, placer.FetchLimit, time.Since(referenced[v]), test.Sprint("version ", v, " at step ", i))
-			if freer.node.roster.Nodes() == 2 && time.Since(replaced[v]) < freeDelay {
+			if freeingNode.node.roster.Nodes() == 2 && time.Since(replaced[v]) < freeDelay {
 				early++
 			}
 		}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -14,34 +14,34 @@
 
 // Names of the gateway's metrics; docs/OPERATIONS.md describes them.
 const (
-	metricRequests    = "cherryward_gateway_requests_total"
-	metricAttempts    = "cherryward_gateway_attempts_total"
-	metricFirst       = "cherryward_gateway_first_byte_seconds"
-	metricTotal       = "cherryward_gateway_request_seconds"
-	metricConfigAge   = "cherryward_gateway_config_age_seconds"
-	metricConfig      = "cherryward_gateway_config_version"
-	metricEndpoints   = "cherryward_gateway_endpoints"
-	metricPeers       = "cherryward_gateway_nodes"
-	metricRejected    = "cherryward_gateway_rejected_records_total"
-	metricConnections = "cherryward_gateway_connections_opened_total"
-	metricReady       = "cherryward_gateway_ready"
-	metricCollects    = "cherryward_gateway_collects"
-	metricLoadAge     = "cherryward_gateway_load_age_seconds"
-	metricHeld        = "cherryward_gateway_held_requests"
-	metricSuspended   = "cherryward_gateway_suspended_seconds"
-	metricSuspects    = "cherryward_gateway_suspected_requests"
-	metricEvacuated   = "cherryward_gateway_evacuated_domains"
-	metricCold        = "cherryward_gateway_cold_endpoints"
-	metricLimited     = "cherryward_gateway_limited_endpoints"
-	metricBackoff     = "cherryward_gateway_backoff_endpoints"
+	metricRequests         = "cherryward_gateway_requests_total"
+	metricAttempts         = "cherryward_gateway_attempts_total"
+	metricFirstByteSeconds = "cherryward_gateway_first_byte_seconds"
+	metricRequestSeconds   = "cherryward_gateway_request_seconds"
+	metricConfigAge        = "cherryward_gateway_config_age_seconds"
+	metricConfig           = "cherryward_gateway_config_version"
+	metricEndpoints        = "cherryward_gateway_endpoints"
+	metricNodes            = "cherryward_gateway_nodes"
+	metricRejected         = "cherryward_gateway_rejected_records_total"
+	metricConnections      = "cherryward_gateway_connections_opened_total"
+	metricReady            = "cherryward_gateway_ready"
+	metricCollects         = "cherryward_gateway_collects"
+	metricLoadAge          = "cherryward_gateway_load_age_seconds"
+	metricHeld             = "cherryward_gateway_held_requests"
+	metricSuspended        = "cherryward_gateway_suspended_seconds"
+	metricSuspects         = "cherryward_gateway_suspected_requests"
+	metricEvacuated        = "cherryward_gateway_evacuated_domains"
+	metricCold             = "cherryward_gateway_cold_endpoints"
+	metricLimited          = "cherryward_gateway_limited_endpoints"
+	metricBackoff          = "cherryward_gateway_backoff_endpoints"
 )
 
 // secondsBounds are the upper bounds of the histogram buckets, in seconds. They are the same on all
 // nodes so that their series can be added up.
 var secondsBounds = []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 5, 15}
 
-// recorder holds a node's metrics. The number of series is bounded by the route kinds, their ranks
-// and the result codes; it does not depend on the number of routes and accounts.
+// recorder holds a node's metrics. The number of series is bounded by the route kinds, their
+// priorities and the result codes; it does not depend on the number of routes and accounts.
 type recorder struct{ set *metrics.Set }
 
 var _ forward.Recorder = (*recorder)(nil)
@@ -60,7 +60,7 @@
 		return 0
 	})
 	set.NewGauge(metricEndpoints, func() float64 { return float64(len(n.fleet.All())) })
-	set.NewGauge(metricPeers, func() float64 { return float64(n.nodes()) })
+	set.NewGauge(metricNodes, func() float64 { return float64(n.nodes()) })
 	set.NewGauge(metricRejected, func() float64 { return float64(n.state.rejected.Load()) })
 	set.NewGauge(metricConnections, func() float64 {
 		opened := int64(0)
@@ -88,7 +88,7 @@
 	set.NewGauge(metricHeld, func() float64 { return float64(n.quarantine.HeldCount()) })
 	set.NewGauge(metricSuspended, func() float64 { return n.clock.Suspended().Seconds() })
 	set.NewGauge(metricSuspects, func() float64 { return float64(n.quarantine.SuspectCount()) })
-	set.NewGauge(metricEvacuated, func() float64 { return float64(len(n.state.evacuations.activeDomains())) })
+	set.NewGauge(metricEvacuated, func() float64 { return float64(len(n.state.evacuations.evacuatedDomains())) })
 	set.NewGauge(metricCold, func() float64 { return n.countEndpoints((*fleet.Member).Cold) })
 	set.NewGauge(metricLimited, func() float64 { return n.countEndpoints(isLimited) })
 	set.NewGauge(metricBackoff, func() float64 { return n.countEndpoints(isBackingOff) })
@@ -124,12 +124,12 @@
 	r.set.GetOrCreateCounter(metricRequests + labels + `,code="` + strconv.Itoa(int(o.Code)) + `"}`).Inc()
 	r.set.GetOrCreateCounter(metricAttempts + labels + `}`).Add(o.Attempts)
 	if o.TimeToFirstByte > 0 {
-		r.set.GetOrCreatePrometheusHistogramExt(metricFirst+labels+`}`, secondsBounds).Update(o.TimeToFirstByte.Seconds())
+		r.set.GetOrCreatePrometheusHistogramExt(metricFirstByteSeconds+labels+`}`, secondsBounds).Update(o.TimeToFirstByte.Seconds())
 	}
-	r.set.GetOrCreatePrometheusHistogramExt(metricTotal+labels+`}`, secondsBounds).Update(o.Total.Seconds())
+	r.set.GetOrCreatePrometheusHistogramExt(metricRequestSeconds+labels+`}`, secondsBounds).Update(o.Total.Seconds())
 }
 
-// classOf returns a route's class label: its kind and rank, or "none" without a route.
+// classOf returns a route's class label: its kind and priority, or "none" without a route.
 func classOf(route *routing.Route) string {
 	if route == nil {
 		return "none"
--- a/internal/gateway/nodeentry.go
+++ b/internal/gateway/nodeentry.go
@@ -14,8 +14,9 @@
 	// MilliCores is the processor time available to the node, in thousandths of a core; 0 if
 	// unknown. The nodes with the most perform work for the others.
 	MilliCores int `json:"millicores,omitempty"`
-	// Gone is true if another node has received no message from this one for a long time. A live
-	// node then writes its entry again; otherwise the entry is removed.
+	// Gone is true if another node has received no message from this one for a long time; such an
+	// entry is called marked. A live node then writes its entry again; otherwise the entry is
+	// removed.
 	Gone bool `json:"gone,omitempty"`
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -10,22 +10,23 @@
 // Standby implements weights.Peers.
 func (n *Node) Standby() bool { return n.roster.Standby() }
 
-// Led implements weights.Peers.
+// Led implements weights.Peers. It reports whether another node has reported within takeoverDelay
+// that it holds the claim on orders.
 func (n *Node) Led() bool { return n.peers.Table.ClaimHeld(n.clock.Now(), takeoverDelay) }
 
-// orderStatus returns the status of this node's orders that is reported to peers.
+// orderStatus returns the status that is reported to peers: the engines that will load or are
+// loading new weights by this node's orders, and whether this node holds the claim on orders.
 func (n *Node) orderStatus() (closed []weights.Closed, leads bool) {
 	return n.orders.Closed(), n.orders.Leads()
 }
 
-// peerAlive reports whether a message of another node of the failure domain arrived within
-// peerTimeout.
+// peerAlive reports whether a message of the given node arrived within peerTimeout.
 func (n *Node) peerAlive(node string) bool {
 	return n.peers.Table.ReceivedFrom(node, n.clock.Now(), peerTimeout)
 }
 
-// domainPeers returns the other nodes of the failure domain. The nodes that read the store for
-// others also report for the domain.
+// domainPeers returns the other nodes of the failure domain. The nodes that read the metadata store
+// for others also represent the domain.
 func (n *Node) domainPeers() peerload.Neighbours {
 	_, isReader := n.roster.readers()
 	return peerload.Neighbours{Others: n.roster.othersByDomain()[n.boot.Load().Domain], Represents: isReader}
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -11,10 +11,11 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// domainReaders is the number of nodes of a failure domain of a large system that read the store
-// and collect loads for the others. A reader that fails is replaced as soon as its messages cease;
-// while one is cut off from the store, the other serves alone. domainStandbys is the number of
-// further nodes that all others report to, so that they can replace a reader at once.
+// domainReaders is the number of nodes of a failure domain of a large system that read the metadata
+// store for the others and collect their loads; they are both the readers and the collectors. A
+// reader that fails is replaced as soon as its messages cease; while one is disconnected from the
+// store, the other one reads for all. domainStandbys is the number of further nodes that all others
+// report to, so that they can replace a reader at once.
 const (
 	domainReaders  = 2
 	domainStandbys = 2
@@ -28,8 +29,9 @@
 	addr         netip.AddrPort
 }
 
-// compareNodes orders nodes by decreasing capacity, since capacities differ widely: of 59 nodes of
-// a failure domain, three may have four times the processor and ten times the link of the rest.
+// compareNodes orders nodes by decreasing processor capacity, then by the hashes of their names.
+// Capacities differ widely: some nodes have four times the processor and ten times the link of the
+// rest.
 func compareNodes(a, b rosterNode) int {
 	return cmp.Or(cmp.Compare(b.milliCores, a.milliCores), cmp.Compare(a.hash, b.hash))
 }
@@ -55,17 +57,18 @@
 	return list
 }
 
-// readers returns the nodes that read the store for this one: the first nodes of its failure domain
-// whose messages arrived recently. If it returns none, this node reads the store itself, as all
-// nodes of a small system do; isReader is true if it is one of the few readers of a large one.
-// Nodes may temporarily disagree on the readers, in which case more nodes read the store.
+// readers returns the nodes that read the metadata store for this one: those of its failure domain
+// that come first in the order of compareNodes and whose messages arrived recently. If it returns
+// none, this node reads the store itself, as all nodes of a small system do; isReader is true if it
+// is one of the few readers of a large one. Nodes may temporarily disagree on the readers, in which
+// case more nodes read the store.
 func (r *roster) readers() (addrs []netip.AddrPort, isReader bool) {
 	if intervals.FullMesh(r.Nodes()) {
 		return nil, false
 	}
 	role := r.assignRole(r.currentDomainNodes())
 	if role.Collects || len(role.Collectors) < domainReaders {
-		return nil, role.Collects // otherwise its own entry is not listed yet
+		return nil, role.Collects // if it does not collect, its own entry is not listed yet
 	}
 	return role.Collectors, false
 }
@@ -132,13 +135,13 @@
 // hold mu.
 func (r *roster) listBackups() []netip.AddrPort {
 	small := intervals.FullMesh(len(r.entries))
-	found := make(map[string]int) // nodes, by failure domain
+	countByDomain := make(map[string]int) // number of nodes by failure domain
 	var addrs []netip.AddrPort
 	for _, n := range r.sortedNodes(func(nodeEntry) bool { return true }) {
-		if n.name == r.node || !small && found[n.domain] == domainReaders {
+		if n.name == r.node || !small && countByDomain[n.domain] == domainReaders {
 			continue
 		}
-		found[n.domain]++
+		countByDomain[n.domain]++
 		addrs = append(addrs, n.addr)
 	}
 	return addrs
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -8,8 +8,8 @@
 
 const (
 	// readyShare is the fraction of the revocation bound up to which a node with an aging
-	// configuration counts as ready. Other nodes serve callers better before this one has to reject
-	// their keys.
+	// configuration counts as ready. Callers should be sent to other nodes before this one has to
+	// reject their keys.
 	readyShare = 0.5
 	// readyMargin is added to two waits of a read, the configuration's age in normal operation, to
 	// give the age up to which a node always counts as ready.
@@ -25,12 +25,12 @@
 // least one endpoint, and is not shutting down.
 func (n *Node) ready() bool {
 	config, age := n.state.Config()
-	return config != nil && n.configCurrent(age) && !n.fleet.Empty() && !n.leaving.Load()
+	return config != nil && n.configCurrent(age) && !n.fleet.Empty() && !n.shuttingDown.Load()
 }
 
-// configCurrent reports whether a configuration of the given age is as good as another node's. If
-// stale keys are accepted, a node that receives messages from others counts as current while the
-// store is unavailable: any of them would have reported a newer configuration.
+// configCurrent reports whether a configuration of the given age is current enough for the node to
+// count as ready. If stale keys are accepted, a node that receives messages from others counts as
+// current while the store is unavailable: any of them would have reported a newer configuration.
 func (n *Node) configCurrent(age time.Duration) bool {
 	bounds := n.bounds()
 	limit := max(time.Duration(readyShare*float64(bounds.Revoke)), 2*n.configWait()+relayPollInterval+readyMargin)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Ready reports whether the node reports itself ready to the balancer.
+// Ready reports whether the node is ready to serve callers.
 func (n *Node) Ready() bool { return n.ready() }
 
 // reportReady returns the result of ready, and logs each change with the conditions behind it.
@@ -77,7 +77,7 @@
 		config, age := n.state.Config()
 		n.log.Info().Str("event", "ready").Bool("ready", ready).Bool("configured", config != nil).
 			Int64("config_age_ms", age.Milliseconds()).Bool("endpoints", !n.fleet.Empty()).
-			Bool("leaving", n.leaving.Load()).Send()
+			Bool("leaving", n.shuttingDown.Load()).Send()
 	}
 	return ready
 }
--- a/internal/gateway/references.go
+++ b/internal/gateway/references.go
@@ -66,9 +66,9 @@
 	return list
 }
 
-// referencedWatermarks returns the oldest version of each model whose parts this node references, after
-// raising it to what the engines have loaded. Other nodes may free older parts, since a watermark
-// never falls.
+// referencedWatermarks returns the oldest version of each model whose parts this node references,
+// after raising it to what the engines have loaded. Other nodes may free older parts, since a
+// watermark never falls.
 func (c *cacheTracker) referencedWatermarks() []peerload.OldestReferenced {
 	now := c.node.clock.Now()
 	for model, version := range c.minEngineVersions() {
@@ -92,7 +92,8 @@
 	return versions
 }
 
-// configFresh reports whether the configuration is recent enough to know which versions are wanted.
+// configFresh reports whether the configuration is recent enough to decide which versions are
+// outdated.
 func (c *cacheTracker) configFresh() bool {
 	_, age := c.node.state.Config()
 	return age < maxFreshConfigAge
@@ -100,18 +101,18 @@
 
 // mayReference reports whether this node may reference parts of a version at stores.
 //
-// A part is freed freeDelay after its version was replaced, or once the watermarks of all nodes
-// are above it. A node that saw the replacement promptly stops referencing the old version in time
-// by its own clock. A node that saw it late, because it was disconnected or frozen,
-// references the wanted version only, and if it remains disconnected, it stops doing so before
-// other nodes may free those parts. A node that the others may not count references nothing, since
-// they do not wait for its watermark.
+// A part is freed freeDelay after its version was replaced, or once the watermarks of all nodes are
+// above it. A node that read the replacement promptly stops referencing the old version
+// replacedReferenceTime later, by its own clock. A node that read it late, because it was
+// disconnected or frozen, references the wanted version only, and if it remains disconnected, it
+// stops doing so before other nodes may free those parts. A node that the others possibly do not
+// count references nothing, since they do not wait for its watermark.
 func (c *cacheTracker) mayReference(model string, version int64) bool {
 	if version < c.watermarks.get(model).version || !c.node.roster.HoldsLease() {
 		return false
 	}
 	if by, replaced := c.node.state.replaced(model, version); replaced {
-		return by.timely && c.node.clock.Since(by.seen) < replacedReferenceTime
+		return by.readPromptly && c.node.clock.Since(by.readAt) < replacedReferenceTime
 	}
 	_, age := c.node.state.Config()
 	return age < maxReferenceConfigAge
@@ -128,7 +129,7 @@
 		return false
 	}
 	stagger := c.freeStagger()
-	return c.node.clock.Since(by.seen) > freeDelay+stagger || c.unreferenced(salt.Model, salt.Version, stagger)
+	return c.node.clock.Since(by.readAt) > freeDelay+stagger || c.unreferenced(salt.Model, salt.Version, stagger)
 }
 
 // unreferenced reports whether all nodes have reported long enough ago that they do not reference a
@@ -148,8 +149,9 @@
 
 // unreferencedByOthers returns the time since which all other nodes have referenced only newer
 // versions; false if not all have. In a large system, the representative of each failure domain
-// confirms this for the nodes of its domain: it must have received their messages itself and know
-// the same nodes as this one. A representative checks the nodes of its own domain itself.
+// confirms this for the nodes of its domain: it must have received their messages itself, and its
+// list of the domain's nodes must equal this node's. A representative checks the nodes of its own
+// domain itself.
 func (c *cacheTracker) unreferencedByOthers(model string, version int64) (since time.Time, all bool) {
 	table := c.node.peers.Table
 	if intervals.FullMesh(c.node.roster.Nodes()) {
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// minLapseOutage is the shortest outage of the registry during which entries of live endpoints
+	// minExpiryOutage is the shortest outage of the registry during which entries of live endpoints
 	// may have expired: half of the three heartbeats after which an entry is removed.
-	minLapseOutage = 1500 * time.Millisecond
+	minExpiryOutage = 1500 * time.Millisecond
 	// reregistrationTime is how long live endpoints take to restore their entries after the
 	// registry is back: about 2 s according to the platform.
 	reregistrationTime = 2200 * time.Millisecond
-	// maxClockSkew is how far a server's clock may be ahead of this host's. Without it, an entry of
-	// another writer that claims a later start would exclude the server with its id permanently.
+	// maxClockSkew is how far a server's clock may be ahead of this host's. Without this limit, a
+	// faulty entry with a start time far in the future would make all later entries of the server
+	// outdated.
 	maxClockSkew = time.Minute
-	// lapseMargin is subtracted from a bound to cover the time between the end of a hold and the
-	// arrival of a request that was placed before.
-	lapseMargin = 100 * time.Millisecond
+	// expiryHoldMargin is subtracted from a bound to cover the time between the end of a hold and
+	// the arrival of a request that was placed before it.
+	expiryHoldMargin = 100 * time.Millisecond
 )
 
-// lapseHold returns how long endpoints with missing entries are kept after the registry is back. A
-// request must not reach an endpoint that is gone later than the drain bound after this node could
-// have known, nor after the stable window that follows the outage. The node may notice the return
-// of the registry one failed read late.
-func lapseHold(b bootstrap.Bounds) time.Duration {
-	return min(reregistrationTime, b.Drain-lapseMargin, b.StableWindow-maxStoreRetry-lapseMargin)
+// expiryHold returns how long endpoints with missing entries are kept after the registry is back.
+// Once an endpoint is gone, requests may reach it only within the drain bound, counted from the
+// time at which this node could have read the removal, and not after the stable window that follows
+// the outage. The node may notice the return of the registry one failed read late.
+func expiryHold(b bootstrap.Bounds) time.Duration {
+	return min(reregistrationTime, b.Drain-expiryHoldMargin, b.StableWindow-maxStoreRetry-expiryHoldMargin)
 }
 
 // registry transfers the endpoints' entries to the fleet.
@@ -50,8 +51,8 @@
 	rejected *rejected
 	clock    *clock.Clock // nil is the monotonic clock
 
-	mu          sync.Mutex
-	lapsesUntil time.Time // entries missing before this time may merely have expired
+	mu              sync.Mutex
+	expiryHoldUntil time.Time // entries missing before this time may merely have expired
 	// entries holds the newest valid entries by endpoint id.
 	entries map[string]entry
 }
@@ -73,8 +74,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	if b.Failed && b.Gap > minLapseOutage {
-		r.beginLapseHold(now)
+	if b.Failed && b.Gap > minExpiryOutage {
+		r.beginExpiryHold(now)
 	}
 	r.fleet.UpdateBatch(func() { r.applyRecords(&b, now) })
 	// The timer that ends the hold may have fired after now was read and before the missing entries
@@ -98,21 +99,21 @@
 	}
 }
 
-// beginLapseHold starts a period in which missing entries count as expired rather than removed. A
+// beginExpiryHold starts a period in which missing entries count as expired rather than removed. A
 // timer ends the hold of all of them together. If each hold started when its entry was found
 // missing, possibly near the end of the period, and ended at the next read, it would exceed the
 // drain bound.
-func (r *registry) beginLapseHold(now time.Time) {
-	hold := lapseHold(r.bounds())
-	r.lapsesUntil = now.Add(hold)
+func (r *registry) beginExpiryHold(now time.Time) {
+	hold := expiryHold(r.bounds())
+	r.expiryHoldUntil = now.Add(hold)
 	time.AfterFunc(hold, func() { r.fleet.EndLapses(r.clock.Now()) })
 }
 
 // remove removes an endpoint whose entry is missing, or holds it if the entry may merely have
 // expired.
 func (r *registry) remove(id string, now time.Time) {
-	if now.Before(r.lapsesUntil) {
-		r.fleet.Lapse(id, r.lapsesUntil)
+	if now.Before(r.expiryHoldUntil) {
+		r.fleet.Lapse(id, r.expiryHoldUntil)
 		return
 	}
 	r.fleet.Remove(id)
@@ -127,13 +128,13 @@
 	e, err := r.decode(record)
 	endpoint := e.endpoint
 	if err == nil && endpoint.StartedMs > now.Add(maxClockSkew).UnixMilli() {
-		err = eris.Errorf("endpoint entry claims a start in the future: %d", endpoint.StartedMs)
+		err = eris.Errorf("start time of endpoint is in the future: %d ms", endpoint.StartedMs)
 	}
 	if err != nil {
 		r.rejected.record(record, err)
-		// The newest record of the key describes no server. This is not an expiry, so the endpoint
-		// is not held; if it is alive, its next heartbeat restores it. The fleet still remembers
-		// that an id was seen draining, and requests in progress continue.
+		// The newest record of the key is invalid. This is not an expiry, so the endpoint is not
+		// held; if it is alive, its next heartbeat restores it. The fleet keeps the record that the
+		// id was draining, and requests in progress continue.
 		delete(r.entries, record.Key)
 		r.fleet.Remove(record.Key)
 		return
@@ -152,8 +153,8 @@
 // decoded again: for thousands of endpoints, decoding takes a considerable part of a small host's
 // processor. The value is copied, since the record's own value is a slice of the whole response.
 func (r *registry) decode(record *follow.Record) (entry, error) {
-	if known := r.entries[record.Key]; known.endpoint != nil && bytes.Equal(known.value, record.Value) {
-		return known, nil
+	if previous := r.entries[record.Key]; previous.endpoint != nil && bytes.Equal(previous.value, record.Value) {
+		return previous, nil
 	}
 	endpoint, err := platform.DecodeEndpoint(record.Key, record.Value)
 	return entry{bytes.Clone(record.Value), endpoint}, err
--- a/internal/gateway/registry_bench_test.go
+++ b/internal/gateway/registry_bench_test.go
@@ -30,12 +30,9 @@
 	return newRegistry(fleet.New(zerolog.Nop()), func() *routing.Config { return config }, noBounds, newRejected(zerolog.Nop()))
 }
 
-// The list of endpoints that requests read must not be rebuilt for each entry of the registry: with
-// 300 nodes and 3,000 endpoints, building and sorting it for each entry takes over a second of each
-// node's processor at a start.
-
-// TestOneRebuildPerRead checks that a read of the registry rebuilds the list once, and that
-// heartbeats do not rebuild it.
+// TestOneRebuildPerRead checks that a read of the registry rebuilds the list of endpoints once, and
+// that heartbeats do not rebuild it. With 300 nodes and 3,000 endpoints, building and sorting it
+// for each entry takes over a second of each node's processor at a start.
 func TestOneRebuildPerRead(t *testing.T) {
 	r := newLargeRegistry()
 	r.Apply(follow.Batch{Records: heartbeats(500, 1), Snapshot: true, ConfirmedAt: time.Now()})
--- a/internal/gateway/registry_late_test.go
+++ b/internal/gateway/registry_late_test.go
@@ -46,7 +46,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				f := follow.Follower{
 					Name: "registry", Topic: &lateTopic{}, Sink: r, Log: zerolog.Nop(),
-					Pause: func() time.Duration { return minLapseOutage + 10*time.Millisecond },
+					Pause: func() time.Duration { return minExpiryOutage + 10*time.Millisecond },
 				}
 				var wg sync.WaitGroup
 				wg.Go(func() { _ = f.Run(ctx) })
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -60,9 +60,9 @@
 	return ids
 }
 
-// entryOf returns an encoded endpoint entry. more is inserted before its closing brace.
-func entryOf(service, state, more string) string {
-	return fmt.Sprintf(`{"service":%q,"address":"10.0.0.1:80","zone":"north","version":"v1","slots":8,"state":%q,"cold-left-ms":0,"seq":1%s}`, service, state, more)
+// entryOf returns an encoded endpoint entry. extraFields is inserted before its closing brace.
+func entryOf(service, state, extraFields string) string {
+	return fmt.Sprintf(`{"service":%q,"address":"10.0.0.1:80","zone":"north","version":"v1","slots":8,"state":%q,"cold-left-ms":0,"seq":1%s}`, service, state, extraFields)
 }
 
 const (
@@ -107,9 +107,9 @@
 	test.Eq(t, 0, r.rejected.Load())
 }
 
-// TestUnreadableEntries checks that an invalid entry removes the endpoint of its key and no other.
-// A heartbeat restores a live endpoint, unless it was draining.
-func TestUnreadableEntries(t *testing.T) {
+// TestInvalidEndpointEntries checks that an invalid entry removes the endpoint of its key and no
+// other. A heartbeat restores a live endpoint, unless it was draining.
+func TestInvalidEndpointEntries(t *testing.T) {
 	for _, value := range []string{"\xff\xfe", "{", "{}", "null", entryOf("engines", "leaving", models), entryOf("", "ready", models)} {
 		r := newRegistryFixture()
 		r.configure(t, 1, engines)
@@ -130,18 +130,18 @@
 	}
 }
 
-// TestUnreadableEntryAfterOutage checks that after an outage missing entries are held, but invalid
+// TestInvalidEntryAfterOutage checks that after an outage missing entries are held, but invalid
 // ones are not.
-func TestUnreadableEntryAfterOutage(t *testing.T) {
+func TestInvalidEntryAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistryFixture()
 		r.configure(t, 1, engines)
 		for _, id := range []string{"e1", "e2"} {
 			r.put(id, entryOf("engines", "ready", models))
 		}
-		r.Apply(follow.Batch{Snapshot: true, Gap: minLapseOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1", Value: []byte("{")}}})
+		r.Apply(follow.Batch{Snapshot: true, Gap: minExpiryOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1", Value: []byte("{")}}})
 		test.Eq(t, "e2 ", r.ids("engines"))
-		time.Sleep(lapseHold(registryBounds()))
+		time.Sleep(expiryHold(registryBounds()))
 		r.Apply(follow.Batch{})
 		test.Eq(t, "", r.ids("engines"))
 	})
@@ -157,7 +157,7 @@
 			r.put(id, entryOf("engines", "ready", models))
 		}
 		returned := time.Now()
-		r.Apply(follow.Batch{Gap: minLapseOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1"}}})
+		r.Apply(follow.Batch{Gap: minExpiryOutage + 1, Failed: true, Records: []follow.Record{{Key: "e1"}}})
 		time.Sleep(1700 * time.Millisecond)
 		r.put("e2", "")
 		test.Eq(t, "e1 e2 ", r.ids("engines"), test.Sprint("both entries may return"))
@@ -166,30 +166,30 @@
 	})
 }
 
-// TestLapseHold checks that the hold respects each bound.
-func TestLapseHold(t *testing.T) {
+// TestExpiryHold checks that the hold respects each bound.
+func TestExpiryHold(t *testing.T) {
 	for _, tc := range []struct{ drain, stable, want time.Duration }{
 		{2 * time.Second, 3 * time.Second, 1900 * time.Millisecond},
 		{3 * time.Second, 4 * time.Second, reregistrationTime},
 		{time.Second, 3 * time.Second, 900 * time.Millisecond},
 		{3 * time.Second, 3 * time.Second, 1900 * time.Millisecond},
 	} {
-		test.Eq(t, tc.want, lapseHold(bootstrap.Bounds{Drain: tc.drain, StableWindow: tc.stable}))
+		test.Eq(t, tc.want, expiryHold(bootstrap.Bounds{Drain: tc.drain, StableWindow: tc.stable}))
 	}
 }
 
-// TestStartInTheFuture checks that an entry that claims a start far ahead of the clock is rejected,
+// TestStartInTheFuture checks that an entry whose start time is far ahead of the clock is rejected,
 // and that the server with its id is used again after its next heartbeat.
 func TestStartInTheFuture(t *testing.T) {
 	r := newRegistryFixture()
 	r.configure(t, 1, engines)
-	born := func(at time.Time) string { return fmt.Sprintf(`%s,"born":%d`, models, at.UnixMilli()) }
+	startedAt := func(at time.Time) string { return fmt.Sprintf(`%s,"born":%d`, models, at.UnixMilli()) }
 	now := time.Now()
-	r.put("e1", entryOf("engines", "ready", born(now)))
-	r.put("e1", entryOf("engines", "ready", born(now.Add(time.Hour))))
+	r.put("e1", entryOf("engines", "ready", startedAt(now)))
+	r.put("e1", entryOf("engines", "ready", startedAt(now.Add(time.Hour))))
 	test.Eq(t, "", r.ids("engines"))
-	r.put("e1", entryOf("engines", "ready", born(now)))
+	r.put("e1", entryOf("engines", "ready", startedAt(now)))
 	test.Eq(t, "e1 ", r.ids("engines"))
-	r.put("e2", entryOf("engines", "ready", born(now.Add(10*time.Second))))
+	r.put("e2", entryOf("engines", "ready", startedAt(now.Add(10*time.Second))))
 	test.Eq(t, "e1 e2 ", r.ids("engines"), test.Sprint("clocks may differ by some seconds"))
 }
--- a/internal/gateway/registry_timer_test.go
+++ b/internal/gateway/registry_timer_test.go
@@ -22,8 +22,8 @@
 			r.put(id, entryOf("engines", "ready", models))
 		}
 		returned := time.Now()
-		r.Apply(follow.Batch{Gap: minLapseOutage + 1, Failed: true})
-		hold := lapseHold(registryBounds())
+		r.Apply(follow.Batch{Gap: minExpiryOutage + 1, Failed: true})
+		hold := expiryHold(registryBounds())
 		time.Sleep(hold - time.Millisecond)
 		config := r.config
 		r.config = func() *routing.Config {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -11,8 +11,9 @@
 	"github.com/cherryward/cherryward/internal/bootstrap"
 )
 
-// reloadPause is the time between two checks of the boot file, which may change without a signal.
-const reloadPause = 2 * time.Second
+// reloadInterval is the time between two checks of the boot file, which may change without a
+// signal.
+const reloadInterval = 2 * time.Second
 
 // reload applies changes of the boot file until ctx is done: at once on SIGHUP, otherwise within
 // reloadPause. The listeners and the store's address are fixed at the start; a change of these is
@@ -21,7 +22,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	ticker := time.NewTicker(reloadPause)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// nodesWait is how long a read of the nodes' entries waits for a change.
+	// nodesWait is how long a read of the list of nodes waits for a change.
 	nodesWait = 10 * time.Second
 	// readerNodesWait replaces nodesWait at a node of a large system that reads for others, and
-	// maxNodesAge is the maximum age at which those accept its copy: twice the wait plus a margin.
-	// With the shorter maximum of the other topics, every node would find each copy too old and
-	// read the entries itself.
+	// maxNodesAge is the maximum age at which the other nodes accept its copy: twice the wait plus
+	// a margin. With the shorter maximum of the other topics, every node would find each copy too
+	// old and read the entries itself.
 	readerNodesWait = 5 * time.Second
 	maxNodesAge     = 12 * time.Second
 	// startupWindow is how long after its start a node expects others to start with it, as after a
-	// power loss. startupReadInterval is the time between two reads of the nodes' entries during
+	// power loss. startupReadInterval is the time between two reads of the list of nodes during
 	// that time: each new node ends the waiting read of every other.
 	startupWindow       = 4 * time.Second
 	startupReadInterval = 300 * time.Millisecond
@@ -46,7 +46,8 @@
 	PutIf(ctx context.Context, key string, value []byte, end int64) error
 }
 
-// roster holds the entries of all nodes, and publishes this node's entry.
+// roster is the list of nodes: the entries of all nodes in the topic of the nodes. It also writes
+// this node's entry.
 type roster struct {
 	node     string
 	clock    *clock.Clock // nil is the monotonic clock
@@ -218,8 +219,8 @@
 }
 
 // othersByDomain returns the names of all other listed nodes by failure domain. Callers must not
-// modify the result: it is computed once per change of the topic, since it is needed for each part
-// that may be freed.
+// modify the result: it is computed once per change of the topic, since the result is needed for
+// each part that may be freed.
 func (r *roster) othersByDomain() map[string][]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/roster_test.go
+++ b/internal/gateway/roster_test.go
@@ -70,16 +70,16 @@
 	}
 }
 
-// TestOwnEntryMissing checks that a node writes its entry if it is missing or differs.
-func TestOwnEntryMissing(t *testing.T) {
+// TestOwnEntryOutdated checks that a node writes its entry if it is missing or differs.
+func TestOwnEntryOutdated(t *testing.T) {
 	r, _ := rosterWith(t, "n1", 3)
-	test.True(t, r.ownEntryMissing(), test.Sprint("a different address is listed"))
+	test.True(t, r.ownEntryOutdated(), test.Sprint("a different address is listed"))
 	value, err := json.Marshal(r.own)
 	must.NoError(t, err)
 	r.Apply(follow.Batch{Records: []follow.Record{{Key: "n1", Value: value}}})
-	test.False(t, r.ownEntryMissing())
+	test.False(t, r.ownEntryOutdated())
 	r.Apply(follow.Batch{Records: []follow.Record{{Key: "n1"}}})
-	test.True(t, r.ownEntryMissing())
+	test.True(t, r.ownEntryOutdated())
 	test.Eq(t, 3, r.Nodes(), test.Sprint("it counts itself"))
 }
 
@@ -93,9 +93,9 @@
 		r.Apply(follow.Batch{Records: []follow.Record{{Key: "n0", Value: own}, {Key: "n1", Value: []byte(value)}}})
 		test.Eq(t, 3, r.Nodes())
 		test.Len(t, 3, *peers)
-		test.False(t, r.ownEntryMissing())
+		test.False(t, r.ownEntryOutdated())
 		r.Apply(follow.Batch{Records: []follow.Record{{Key: "n0", Value: []byte(value)}}})
-		test.True(t, r.ownEntryMissing())
+		test.True(t, r.ownEntryOutdated())
 		test.Eq(t, 3, r.Nodes(), test.Sprint("it counts itself"))
 	}
 }
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -9,9 +9,9 @@
 	"github.com/cherryward/cherryward/internal/senders"
 )
 
-// maxViewAge is the maximum age of the list of nodes with which a node sends to cold endpoints. The
-// list is up to 20 s old in normal operation, twice the wait of a read. The lists of two nodes are
-// at most maxViewAge apart, and differ only by what changed in between.
+// maxViewAge is the maximum age of the list of nodes that a node may use to decide whether it sends
+// to cold endpoints. The list is up to 20 s old in normal operation, twice the wait of a read. The
+// lists of two nodes are at most maxViewAge apart, and differ only by what changed in between.
 const maxViewAge = 25 * time.Second
 
 // members are the nodes that may send to endpoints whose total rate of requests is limited. Nodes
@@ -53,11 +53,11 @@
 	return r.view(domain, minSenders, maxViewAge)
 }
 
-// throttlers returns the nodes that may send to endpoints of a failure domain that state a rate
-// limit. The maximum age of the list is the time for which other nodes count this one: no node can
-// join while the store is unavailable, and with a shorter age no node would serve a service whose
-// endpoints all state limits.
-func (r *roster) throttlers(domain string, minSenders int) senders.View {
+// rateLimitedSenders returns the nodes that may send to endpoints of a failure domain that reported
+// a rate limit. The maximum age of the list is the time for which other nodes count this one: no
+// node can join while the store is unavailable, and with a shorter age no node would serve a
+// service whose endpoints all reported limits.
+func (r *roster) rateLimitedSenders(domain string, minSenders int) senders.View {
 	return r.view(domain, minSenders, leaseDuration)
 }
 
--- a/internal/gateway/senders_test.go
+++ b/internal/gateway/senders_test.go
@@ -16,8 +16,8 @@
 	"github.com/cherryward/cherryward/internal/routing"
 )
 
-// applyEntries applies the entries of the given number of nodes in three failure domains, read ago
-// earlier.
+// applyEntries applies the entries of the given number of nodes in three failure domains, with a
+// confirmation that is ago old.
 func applyEntries(t *testing.T, r *roster, nodes int, ago time.Duration) {
 	t.Helper()
 	batch := follow.Batch{Snapshot: true, ConfirmedAt: time.Now().Add(-ago)}
@@ -76,11 +76,9 @@
 	test.Eq(t, 1, n.maxColdRate(&routing.Service{MaxColdPerSecond: 0.2}))
 }
 
-// If endpoints of an evacuated failure domain become cold without a restart, no entry reports them
-// as cold. When the evacuation ends, all nodes would send to them at once.
-
 // TestColdAfterEvacuation checks that all endpoints of a failure domain count as cold when its
-// evacuation ends.
+// evacuation ends. If they became cold without a restart, no entry reports them as cold, and all
+// nodes would send to them at once.
 func TestColdAfterEvacuation(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	config := (&routing.Config{Services: []routing.Service{{Name: "s", ColdStart: 3 * time.Second}}}).Index()
@@ -98,16 +96,17 @@
 	test.False(t, members[1].Cold(now))
 }
 
-// TestThrottlersDuringOutage checks that nodes continue to send to rate-limited endpoints during a
-// store outage in which they send nothing to cold ones, for as long as other nodes count them.
-func TestThrottlersDuringOutage(t *testing.T) {
+// TestRateLimitedSendersDuringOutage checks that nodes continue to send to rate-limited endpoints
+// during a store outage in which they send nothing to cold ones, for as long as other nodes count
+// them.
+func TestRateLimitedSendersDuringOutage(t *testing.T) {
 	r := newSendersRoster(t, "n0")
 	applyEntries(t, r, 12, maxViewAge+time.Second)
 	test.SliceEmpty(t, r.senders("d0", 4).Nodes)
-	test.Len(t, 4, r.throttlers("d0", 4).Nodes)
+	test.Len(t, 4, r.rateLimitedSenders("d0", 4).Nodes)
 	applyEntries(t, r, 12, leaseDuration+time.Second)
-	test.SliceEmpty(t, r.throttlers("d0", 4).Nodes)
+	test.SliceEmpty(t, r.rateLimitedSenders("d0", 4).Nodes)
 	r = newSendersRoster(t, "other")
 	applyEntries(t, r, 12, 0)
-	test.SliceEmpty(t, r.throttlers("d0", 4).Nodes, test.Sprint("others don't count it"))
+	test.SliceEmpty(t, r.rateLimitedSenders("d0", 4).Nodes, test.Sprint("others don't count it"))
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -24,9 +24,9 @@
 	// maxHeaderBytes is the header size above which the HTTP server itself refuses a request. The
 	// configured limit is lower.
 	maxHeaderBytes = 64 << 10
-	// lingerTime is how long a stopping node still accepts new connections: the balancer checks
-	// readiness once per second and needs two failures.
-	lingerTime = 2500 * time.Millisecond
+	// callersShutdownDelay is how long a node that shuts down still accepts new connections: the
+	// balancer checks readiness once per second and needs two failures.
+	callersShutdownDelay = 2500 * time.Millisecond
 )
 
 // server is a listener with its HTTP server, run as a kernel service.
@@ -35,11 +35,11 @@
 	needs    []string
 	listener net.Listener
 	http     *http.Server
-	// leaving is set when the node starts to shut down.
-	leaving *atomic.Bool
-	// linger is how long the server accepts new requests after the shutdown starts.
-	linger time.Duration
-	log    zerolog.Logger
+	// shuttingDown is set when the node starts to shut down.
+	shuttingDown *atomic.Bool
+	// shutdownDelay is how long the server accepts new requests after the shutdown starts.
+	shutdownDelay time.Duration
+	log           zerolog.Logger
 }
 
 var (
@@ -50,16 +50,16 @@
 
 // listen opens a listener at addr and returns a server for it. It fails if the address cannot be
 // bound.
-func listen(name, addr string, handler http.Handler, leaving *atomic.Bool, log zerolog.Logger) (*server, error) {
+func listen(name, addr string, handler http.Handler, shuttingDown *atomic.Bool, log zerolog.Logger) (*server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for %s", name)
 	}
 	return &server{
-		name:     name,
-		listener: listener,
-		leaving:  leaving,
-		log:      log,
+		name:         name,
+		listener:     listener,
+		shuttingDown: shuttingDown,
+		log:          log,
 		http: &http.Server{
 			Handler:           handler,
 			ReadHeaderTimeout: headerTimeout,
@@ -91,22 +91,21 @@
 // Stop implements kernel.Stopper. New requests are accepted until the balancer has noticed the
 // shutdown; requests in progress may finish until ctx is done.
 func (s *server) Stop(ctx context.Context) error {
-	s.leaving.Store(true)
+	s.shuttingDown.Store(true)
 	s.log.Info().Str("event", "stopping").Str("server", s.name).Send()
-	retry.Sleep(ctx, s.linger)
+	retry.Sleep(ctx, s.shutdownDelay)
 	if err := s.http.Shutdown(ctx); err != nil {
-		// The grace period is over: remaining requests are cut off when the process exits, as if an
-		// operator had killed it.
+		// The grace period is over: remaining requests are aborted when the process exits.
 		s.log.Warn().Str("event", "requests_cut").Str("server", s.name).AnErr("error", err).Send()
 	}
 	return nil
 }
 
-// closeWhenLeaving asks callers, while the node shuts down, to use a new connection for their next
-// request.
-func closeWhenLeaving(leaving *atomic.Bool, next http.Handler) http.Handler {
+// closeWhenShuttingDown sets the Connection: close header while the node shuts down, so that
+// callers use a new connection for their next request.
+func closeWhenShuttingDown(shuttingDown *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if leaving.Load() {
+		if shuttingDown.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/internal/gateway/start_begin_test.go
+++ b/internal/gateway/start_begin_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(fmt.Sprint(bounds.VersionApplyLimit, bounds.StableWindow), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStarter(bounds)
+				s := newStartingNode(bounds)
 				started := time.Now()
 				s.readNewVersion()
 				p, ok := s.placer.Place(&forward.Query{
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -21,14 +21,14 @@
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
-// starter is a node that has just started and knows one engine, which has version 1.
-type starter struct {
+// startingNode is a node that has just started. Its fleet contains one engine, which has version 1.
+type startingNode struct {
 	state  *state
 	placer *placer.Placer
 }
 
-func newStarter(bounds bootstrap.Bounds) *starter {
-	s := &starter{state: newState(func() bootstrap.Bounds { return bounds }, zerolog.Nop())}
+func newStartingNode(bounds bootstrap.Bounds) *startingNode {
+	s := &startingNode{state: newState(func() bootstrap.Bounds { return bounds }, zerolog.Nop())}
 	engines := fleet.New(zerolog.Nop())
 	engines.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1", Weights: []fleet.Weights{{Model: model, Version: 1}}}, time.Now())
 	index := kvindex.NewIndex(nil, nil, zerolog.Nop())
@@ -43,13 +43,13 @@
 }
 
 // readNewVersion applies a first read of the store that finds version 2.
-func (s *starter) readNewVersion() {
+func (s *startingNode) readNewVersion() {
 	record := follow.Record{Key: "version/" + model, Value: fmt.Appendf(nil, `{"model":%q,"version":2}`, model)}
 	s.state.Apply(follow.Batch{Records: []follow.Record{record}, Snapshot: true, ConfirmedAt: time.Now()})
 }
 
 // canPlace reports whether a prompt is placed on the engine.
-func (s *starter) canPlace() bool {
+func (s *startingNode) canPlace() bool {
 	_, ok := s.placer.Place(&forward.Query{
 		Route:      &routing.Route{Priority: 1, Objective: time.Second},
 		Service:    &routing.Service{Name: "s", Engine: &routing.Engine{TokenBytes: 1}},
@@ -63,10 +63,10 @@
 //
 // It guards against a restarted node that places prompts on replaced weights beyond the bound on
 // new weights, on engines that other nodes no longer use. This happens if the age of a version
-// found at the start is a constant, counted from the read that found it. A constant (12 s less 2 s
-// for a run to begin, less the stable window of 3 s) is right for one set of bounds and an
-// immediate read only. With a bound of 15 s and a window of 4 s the node would continue for 6 s,
-// and a late first read would add its delay in any case.
+// found at the start is a constant, counted from the read that found it. A constant of 7 s fits a
+// limit of 12 s, of which a run may take 2 s to begin, and a stable window of 3 s. With a limit of
+// 15 s and a window of 4 s, the node would continue for 6 s, and a late first read would add its
+// delay.
 func TestStartWithReplacedWeights(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
 		{VersionApplyLimit: 10 * time.Second, StableWindow: 3 * time.Second},
@@ -77,7 +77,7 @@
 		for _, late := range []time.Duration{10 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second} {
 			t.Run(fmt.Sprint(bounds.VersionApplyLimit, bounds.StableWindow, late), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newStarter(bounds)
+					s := newStartingNode(bounds)
 					started := time.Now()
 					time.Sleep(late)
 					s.readNewVersion()
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -21,7 +21,7 @@
 // which both were known to be current.
 //
 // Guarantees: the configuration's version never decreases while the process runs. A node without a
-// configuration has no evacuations and accepts no requests.
+// configuration accepts no requests.
 type state struct {
 	log      zerolog.Logger
 	clock    *clock.Clock // nil is the monotonic clock
@@ -42,12 +42,13 @@
 // announcedVersion is a version of a model that the operators announced.
 type announcedVersion struct {
 	version int64
-	seen    time.Time // when this node first read it
-	// notBefore is the latest time at which the version is known not to have been announced yet.
+	readAt  time.Time // when this node first read it
+	// notBefore is the latest time at which the version is known not to have been announced yet, or
+	// assumedAnnounceTime for a version found by the first read.
 	notBefore time.Time
-	// timely is true if the version was read soon after its announcement: the state was known to be
-	// current shortly before.
-	timely bool
+	// readPromptly is true if the version was read soon after its announcement: the state had been
+	// known to be current less than maxFreshConfigAge before.
+	readPromptly bool
 }
 
 var (
@@ -68,7 +69,7 @@
 // been written.
 type observation struct {
 	at, notBefore time.Time
-	timely        bool
+	readPromptly  bool
 }
 
 // startMargin is how long before the end of the startup grace period the last prompts are placed on
@@ -79,8 +80,7 @@
 // assumedAnnounceTime returns the announcement time that is assumed for a version found by the
 // first read, since the version may have been announced at any earlier time. Engines with older
 // weights receive prompts until the startup grace period ends. The time is counted from the start
-// of the process, not from the read, and depends on the configured bounds: a constant would be
-// right for some deployments only.
+// of the process, not from the read, and depends on the configured bounds.
 func (s *state) assumedAnnounceTime() time.Time {
 	bounds := s.bounds()
 	return s.started.Add(bounds.StableWindow - startMargin - placer.ReplacedLimit(bounds.VersionApplyLimit))
@@ -99,10 +99,10 @@
 	obs := observation{at: s.clock.Now(), notBefore: s.assumedAnnounceTime()}
 	if before := s.confirmedAt.Load(); before != nil {
 		obs.notBefore = *before
-		obs.timely = b.ConfirmedAt.Sub(*before) < maxFreshConfigAge
+		obs.readPromptly = b.ConfirmedAt.Sub(*before) < maxFreshConfigAge
 	}
 	for _, change := range s.evacuations.apply(&b) {
-		s.log.Info().Str("event", "evacuation").Str("domain", change.domain).Bool("in_force", change.active).Int64("offset", change.offset).Send()
+		s.log.Info().Str("event", "evacuation").Str("domain", change.domain).Bool("in_force", change.evacuated).Int64("offset", change.offset).Send()
 	}
 	for i := range b.Records {
 		s.applyRecord(&b.Records[i], &obs)
@@ -135,14 +135,14 @@
 	}
 	s.config.Store(config)
 	s.log.Info().Str("event", "config").Int64("version", config.Version).Int64("offset", r.Offset).
-		Int("routes", len(config.Routes)).Int("accounts", len(config.Accounts)).Ints("ranks", ranks(config)).Send()
+		Int("routes", len(config.Routes)).Int("accounts", len(config.Accounts)).Ints("ranks", priorities(config)).Send()
 	if s.onConfig != nil {
 		s.onConfig()
 	}
 }
 
-// ranks returns the priorities of the client accounts that have one.
-func ranks(c *routing.Config) []int {
+// priorities returns the priorities of the client accounts that have one.
+func priorities(c *routing.Config) []int {
 	var list []int
 	for i := range c.Accounts {
 		if p := c.Accounts[i].Priority; p != nil {
@@ -159,17 +159,17 @@
 		return
 	}
 	s.mu.Lock()
-	named := s.versions[model]
-	newer := len(named) == 0 || version > named[len(named)-1].version
+	announced := s.versions[model]
+	newer := len(announced) == 0 || version > announced[len(announced)-1].version
 	if newer {
-		s.versions[model] = append(named, announcedVersion{version: version, seen: obs.at, notBefore: obs.notBefore, timely: obs.timely})
+		s.versions[model] = append(announced, announcedVersion{version: version, readAt: obs.at, notBefore: obs.notBefore, readPromptly: obs.readPromptly})
 	}
 	s.mu.Unlock()
 	if !newer {
 		return
 	}
 	s.log.Info().Str("event", "weights_named").Str("model", model).Int64("version", version).Int64("offset", r.Offset).
-		Int64("age_at_most_ms", obs.at.Sub(obs.notBefore).Milliseconds()).Bool("prompt", obs.timely).Send()
+		Int64("age_at_most_ms", obs.at.Sub(obs.notBefore).Milliseconds()).Bool("prompt", obs.readPromptly).Send()
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -187,17 +187,17 @@
 
 // Evacuated reports whether operators have evacuated a failure domain, so that its endpoints must
 // receive no requests.
-func (s *state) Evacuated(domain string) bool { return s.evacuations.inForce(domain) }
+func (s *state) Evacuated(domain string) bool { return s.evacuations.isEvacuated(domain) }
 
 // Wanted implements placer.Versions.
 func (s *state) Wanted(model string) (int64, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	named := s.versions[model]
-	if len(named) == 0 {
+	announced := s.versions[model]
+	if len(announced) == 0 {
 		return 0, time.Time{}
 	}
-	newest := named[len(named)-1]
+	newest := announced[len(announced)-1]
 	return newest.version, newest.notBefore
 }
 
@@ -206,9 +206,9 @@
 func (s *state) replaced(model string, version int64) (by announcedVersion, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, named := range s.versions[model] {
-		if named.version > version {
-			return named, true
+	for _, announced := range s.versions[model] {
+		if announced.version > version {
+			return announced, true
 		}
 	}
 	return announcedVersion{}, false
--- a/internal/gateway/suspended.go
+++ b/internal/gateway/suspended.go
@@ -13,17 +13,17 @@
 
 // watchSuspension logs each suspension of the host, until ctx is done.
 func (n *Node) watchSuspension(ctx context.Context) error {
-	known := n.clock.Suspended()
+	logged := n.clock.Suspended()
 	for ctx.Err() == nil {
 		retry.Sleep(ctx, suspensionCheckInterval)
 		now := n.clock.Suspended()
-		if now == known {
+		if now == logged {
 			continue
 		}
 		_, age := n.state.Config()
-		n.log.Warn().Str("event", "suspended").Dur("for_ms", now-known).Dur("in_all_ms", now).
+		n.log.Warn().Str("event", "suspended").Dur("for_ms", now-logged).Dur("in_all_ms", now).
 			Int64("config_age_ms", age.Milliseconds()).Bool("ready", n.ready()).Send()
-		known = now
+		logged = now
 	}
 	return nil
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -15,7 +15,7 @@
 	"github.com/cherryward/cherryward/internal/peerload"
 )
 
-// suspensions are the suspension times that the tests use.
+// suspensions are the durations of suspension with which the tests run.
 var suspensions = []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second, 30 * time.Second}
 
 // useHostClock makes a view use the clock of a simulated host, and returns the host.
@@ -43,8 +43,8 @@
 }
 
 // TestReferencesExpireDuringSuspension checks that parts of replaced weights are referenced for 9 s
-// after the node saw the replacement, and those of the wanted version with a configuration of up to
-// 11.8 s, suspension included. Other nodes free them after that.
+// after the node read the replacement, and those of the wanted version with a configuration of up
+// to 11.8 s, suspension included. Other nodes free them after that.
 func TestReferencesExpireDuringSuspension(t *testing.T) {
 	for _, d := range suspensions {
 		synctest.Test(t, func(t *testing.T) {
@@ -84,16 +84,16 @@
 	})
 }
 
-// TestLapseHoldEndsAfterSuspension checks that the hold of 1.9 s on an endpoint whose entry is
+// TestExpiryHoldEndsAfterSuspension checks that the hold of 1.9 s on an endpoint whose entry is
 // missing after an outage ends with the first read after a suspension.
-func TestLapseHoldEndsAfterSuspension(t *testing.T) {
+func TestExpiryHoldEndsAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistryFixture()
 		host := clocktest.New()
 		r.registry.clock = host.Clock
 		r.configure(t, 1, engines)
 		r.put("e1", entryOf("engines", "ready", models))
-		r.Apply(follow.Batch{Snapshot: true, Gap: minLapseOutage + 1, Failed: true})
+		r.Apply(follow.Batch{Snapshot: true, Gap: minExpiryOutage + 1, Failed: true})
 		must.Eq(t, "e1 ", r.ids("engines"))
 		host.Suspend(5 * time.Second)
 		r.Apply(follow.Batch{})
--- a/internal/gateway/sweep.go
+++ b/internal/gateway/sweep.go
@@ -21,20 +21,21 @@
 	// twice ends every node's waiting read.
 	silenceTimeout = 60 * time.Second
 	// sweepInterval is the time between two checks for nodes that are gone. Each check writes at
-	// most one entry: if failure domains are cut off from one another but not from the store, a
-	// sweeper makes at most 12 writes per minute, and the marked nodes as many.
+	// most one entry: if failure domains are disconnected from one another but not from the
+	// metadata store, a sweeper makes at most 12 writes per minute, and the marked nodes as many.
 	sweepInterval = 5 * time.Second
-	// sweepersPerGroup is the number of nodes that watch the same group of nodes, in case one has
-	// lost the store.
+	// sweepersPerGroup is the number of nodes that watch the same group of nodes, in case one
+	// cannot reach the metadata store.
 	sweepersPerGroup = 2
 )
 
 // sweeper removes the entries of nodes that are gone from the topic.
 //
-// An entry is marked first. If its node is alive and reads the topic, it writes the entry again; an
-// entry that stays marked for removalGrace is removed. Both writes are conditional on the newest
-// record that the sweeper has read. One of two concurrent sweepers therefore fails, and no entry
-// that was written meanwhile is removed. See lease for why the removal of a live node is harmless.
+// An entry is marked first: its Gone field is set. If its node is alive and reads the topic, it
+// writes the entry again; an entry that stays marked for removalGrace is removed. Both writes are
+// conditional on the newest record that the sweeper has read. One of two concurrent sweepers
+// therefore fails, and no entry that was written meanwhile is removed. See lease for why the
+// removal of a live node is harmless.
 type sweeper struct {
 	roster *roster
 	// alive reports whether a message of a node, or of any node of its failure domain if that is a
@@ -139,11 +140,11 @@
 // nextAction returns the operation to perform on an entry. The mark is itself a record, so
 // removalGrace is counted from it.
 func (s *sweeper) nextAction(l *listedEntry, now time.Time) action {
-	silent := now.Sub(s.lastSeen[l.name])
+	inactiveFor := now.Sub(s.lastSeen[l.name])
 	switch {
-	case l.Gone && silent >= s.roster.lease.grace:
+	case l.Gone && inactiveFor >= s.roster.lease.grace:
 		return removeEntry
-	case !l.Gone && silent >= silenceTimeout:
+	case !l.Gone && inactiveFor >= silenceTimeout:
 		return markEntry
 	}
 	return keepEntry
--- a/internal/gateway/sweep_test.go
+++ b/internal/gateway/sweep_test.go
@@ -18,15 +18,15 @@
 func maxRemovalTime() time.Duration { return silenceTimeout + removalGrace(0) + 6*sweepInterval }
 
 // TestReplacedNodesAreRemoved replaces nodes of small and large systems, one or ten in a row, by
-// nodes with other names and addresses. The replaced nodes must leave the count of all nodes, with
-// two writes for each, while live nodes stay.
+// nodes with other names and addresses. In the end no node may count the replaced nodes any longer,
+// after two writes for each, while live nodes stay listed.
 func TestReplacedNodesAreRemoved(t *testing.T) {
 	for _, tc := range []struct{ nodes, replaced int }{{7, 1}, {7, 10}, {30, 10}} {
 		t.Run(fmt.Sprint(tc.replaced, " of ", tc.nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newCluster()
 				s.startAll(t, tc.nodes)
-				writes := s.log.writes
+				writes := s.sharedTopic.writes
 				test.Eq(t, tc.nodes, writes)
 				for i := range tc.replaced {
 					s.stop(fmt.Sprint("n", i))
@@ -38,14 +38,14 @@
 				// one.
 				s.run(t, 2*maxRemovalTime()+time.Duration(tc.replaced)*sweepInterval)
 				s.requireCount(t, tc.nodes)
-				test.Eq(t, writes+3*tc.replaced, s.log.writes)
+				test.Eq(t, writes+3*tc.replaced, s.sharedTopic.writes)
 				for name, n := range s.nodes {
 					test.True(t, n.HoldsLease(), test.Sprint(name))
 				}
-				before := s.log.reads
+				before := s.sharedTopic.reads
 				s.run(t, 10*time.Minute)
-				test.Eq(t, writes+3*tc.replaced, s.log.writes, test.Sprint("no writes without changes"))
-				test.Between(t, 59*tc.nodes, s.log.reads-before, 61*tc.nodes)
+				test.Eq(t, writes+3*tc.replaced, s.sharedTopic.writes, test.Sprint("no writes without changes"))
+				test.Between(t, 59*tc.nodes, s.sharedTopic.reads-before, 61*tc.nodes)
 			})
 		})
 	}
@@ -66,13 +66,13 @@
 }
 
 // TestLiveNodeStaysListed freezes a node for less than silenceTimeout, restarts it, and disconnects
-// it from the other nodes but not from the store. It must never leave the count, and the
+// it from the other nodes but not from the store. It must be counted throughout, and the
 // disconnection may cost two writes per silenceTimeout.
 func TestLiveNodeStaysListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newCluster()
 		s.startAll(t, 7)
-		writes := s.log.writes
+		writes := s.sharedTopic.writes
 		n := s.nodes["n3"]
 		n.frozen = true
 		s.run(t, silenceTimeout/2)
@@ -82,7 +82,7 @@
 		s.run(t, silenceTimeout/2)
 		n = s.start("n3", 3, "d0")
 		s.run(t, 2*maxRemovalTime())
-		test.Eq(t, writes, s.log.writes)
+		test.Eq(t, writes, s.sharedTopic.writes)
 		n.silent = true
 		const cut = 10 * time.Minute
 		for range int(cut / time.Second) {
@@ -90,8 +90,8 @@
 			s.requireCount(t, 7)
 			test.True(t, n.HoldsLease())
 		}
-		test.LessEq(t, 2*int(cut/silenceTimeout), s.log.writes-writes)
-		test.Greater(t, writes, s.log.writes)
+		test.LessEq(t, 2*int(cut/silenceTimeout), s.sharedTopic.writes-writes)
+		test.Greater(t, writes, s.sharedTopic.writes)
 	})
 }
 
@@ -101,10 +101,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newCluster()
 		s.startAll(t, 2)
-		writes := s.log.writes
+		writes := s.sharedTopic.writes
 		s.nodes["n0"].silent = true
 		s.run(t, maxRemovalTime())
-		test.Eq(t, writes, s.log.writes)
+		test.Eq(t, writes, s.sharedTopic.writes)
 	})
 }
 
@@ -120,9 +120,9 @@
 		}
 		time.Sleep(silenceTimeout)
 		s.run(t, silenceTimeout-2*sweepInterval)
-		test.Eq(t, 3, s.log.writes)
+		test.Eq(t, 3, s.sharedTopic.writes)
 		s.run(t, 4*sweepInterval)
-		test.Greater(t, 3, s.log.writes)
+		test.Greater(t, 3, s.sharedTopic.writes)
 	})
 }
 
@@ -137,23 +137,23 @@
 		ctx, cancel := context.WithTimeout(t.Context(), silenceTimeout+3*sweepInterval)
 		defer cancel()
 		must.NoError(t, sweeper.run(ctx))
-		test.Eq(t, 3, s.log.writes)
+		test.Eq(t, 3, s.sharedTopic.writes)
 	})
 }
 
 // TestConcurrentSweeperWrites checks that one of two concurrent conditional writes fails, and that
 // a node that has written its entry meanwhile stays.
 func TestConcurrentSweeperWrites(t *testing.T) {
-	log := &memoryTopic{}
-	n := &simNode{log: log}
+	sharedTopic := &memoryTopic{}
+	n := &simNode{sharedTopic: sharedTopic}
 	must.NoError(t, n.Put(t.Context(), "a", []byte("{}")))
-	end := int64(len(log.records))
+	end := int64(len(sharedTopic.records))
 	must.NoError(t, n.PutIf(t.Context(), "a", []byte(`{"gone":true}`), end))
 	test.Error(t, n.PutIf(t.Context(), "a", []byte(`{"gone":true}`), end))
 	end++
 	must.NoError(t, n.Put(t.Context(), "a", []byte("{}")))
 	test.Error(t, n.PutIf(context.Background(), "a", nil, end))
-	test.Len(t, 1, log.newest())
+	test.Len(t, 1, sharedTopic.newest())
 }
 
 // TestNodeCount checks that the listed nodes are counted, or those whose messages arrived recently
--- a/internal/gateway/topic_test.go
+++ b/internal/gateway/topic_test.go
@@ -24,19 +24,19 @@
 	writes, reads int // successful calls
 }
 
-func (l *memoryTopic) put(key string, value []byte, end int64) error {
-	if end >= 0 && end != int64(len(l.records)) {
+func (t *memoryTopic) put(key string, value []byte, end int64) error {
+	if end >= 0 && end != int64(len(t.records)) {
 		return follow.ErrChanged
 	}
-	l.writes++
-	l.records = append(l.records, follow.Record{Key: key, Value: value, Offset: int64(len(l.records))})
+	t.writes++
+	t.records = append(t.records, follow.Record{Key: key, Value: value, Offset: int64(len(t.records))})
 	return nil
 }
 
 // newest returns the newest record of each key that is not removed.
-func (l *memoryTopic) newest() []follow.Record {
+func (t *memoryTopic) newest() []follow.Record {
 	newest := make(map[string]follow.Record)
-	for _, r := range l.records {
+	for _, r := range t.records {
 		newest[r.Key] = r
 	}
 	var list []follow.Record
@@ -53,8 +53,8 @@
 // other nodes nor receives any.
 type simNode struct {
 	*roster
-	log     *memoryTopic
-	sweeper *sweeper
+	sharedTopic *memoryTopic
+	sweeper     *sweeper
 
 	frozen, disconnected, silent bool
 
@@ -76,7 +76,7 @@
 	if n.disconnected {
 		return errDisconnected
 	}
-	return n.log.put(key, value, end)
+	return n.sharedTopic.put(key, value, end)
 }
 
 // read simulates a read that waits for a change. Its response proves the state at the time the read
@@ -89,14 +89,14 @@
 	if n.sent.IsZero() {
 		n.sent = time.Now()
 	}
-	end := int64(len(n.log.records))
+	end := int64(len(n.sharedTopic.records))
 	first := n.next < 0
 	if n.response == nil && (first || n.next < end || time.Since(n.sent) >= nodesWait) {
-		n.response = &follow.Batch{Snapshot: first, ConfirmedAt: n.sent, Next: end, Records: n.log.newest()}
+		n.response = &follow.Batch{Snapshot: first, ConfirmedAt: n.sent, Next: end, Records: n.sharedTopic.newest()}
 		if !first {
-			n.response.Records = n.log.records[n.next:]
+			n.response.Records = n.sharedTopic.records[n.next:]
 		}
-		n.log.reads++
+		n.sharedTopic.reads++
 	}
 	if n.frozen || n.response == nil {
 		return
@@ -105,7 +105,7 @@
 	n.next, n.response, n.sent = n.response.Next, nil, time.Now()
 }
 
-// step performs the node's work that is due now.
+// step performs the work whose time has come: reads, writing of the entry, sweep.
 func (n *simNode) step(ctx context.Context) {
 	n.read()
 	if n.frozen {
@@ -123,51 +123,53 @@
 
 // cluster is a set of simulated nodes that share a topic.
 type cluster struct {
-	log   *memoryTopic
-	nodes map[string]*simNode
-	order []*simNode // in the order of their start
+	sharedTopic *memoryTopic
+	nodes       map[string]*simNode
+	order       []*simNode // in the order of their start
 }
 
-func newCluster() *cluster { return &cluster{log: &memoryTopic{}, nodes: make(map[string]*simNode)} }
+func newCluster() *cluster {
+	return &cluster{sharedTopic: &memoryTopic{}, nodes: make(map[string]*simNode)}
+}
 
 // start starts a node with an address derived from number.
-func (s *cluster) start(name string, number int, domain string) *simNode {
-	n := &simNode{log: s.log, next: -1, sweepAt: time.Now().Add(sweepInterval)}
+func (c *cluster) start(name string, number int, domain string) *simNode {
+	n := &simNode{sharedTopic: c.sharedTopic, next: -1, sweepAt: time.Now().Add(sweepInterval)}
 	own := nodeEntry{Addr: fmt.Sprintf("10.0.0.%d:7700", 1+number), Domain: domain}
-	n.roster = newRoster(name, own, n, func([]peerload.Peer) {}, func(other string) bool { return s.connected(n, other) }, zerolog.Nop())
+	n.roster = newRoster(name, own, n, func([]peerload.Peer) {}, func(other string) bool { return c.connected(n, other) }, zerolog.Nop())
 	n.sweeper = &sweeper{
 		roster: n.roster,
 		alive: func(other, domain string, _ time.Duration) bool {
-			return s.connected(n, other) || s.connectedToDomain(n, domain)
+			return c.connected(n, other) || c.connectedToDomain(n, domain)
 		},
-		connected: func(time.Duration) bool { return s.connectedToAny(n) },
+		connected: func(time.Duration) bool { return c.connectedToAny(n) },
 	}
-	s.nodes[name] = n
-	s.order = append(s.order, n)
+	c.nodes[name] = n
+	c.order = append(c.order, n)
 	return n
 }
 
 // startAll starts the given number of nodes in three failure domains, and waits until all are
 // listed.
-func (s *cluster) startAll(t *testing.T, count int) {
+func (c *cluster) startAll(t *testing.T, count int) {
 	t.Helper()
 	for i := range count {
-		s.start(fmt.Sprint("n", i), i, fmt.Sprint("d", i%3))
+		c.start(fmt.Sprint("n", i), i, fmt.Sprint("d", i%3))
 	}
-	s.run(t, 2*nodesWait)
-	s.requireCount(t, count)
+	c.run(t, 2*nodesWait)
+	c.requireCount(t, count)
 }
 
 // stop stops a node permanently.
-func (s *cluster) stop(name string) { delete(s.nodes, name) }
+func (c *cluster) stop(name string) { delete(c.nodes, name) }
 
 // run simulates the passing of a time.
-func (s *cluster) run(t *testing.T, d time.Duration) {
+func (c *cluster) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	const step = 100 * time.Millisecond
 	for range int(d / step) {
-		for _, n := range s.order {
-			if s.nodes[n.node] == n {
+		for _, n := range c.order {
+			if c.nodes[n.node] == n {
 				n.step(t.Context())
 			}
 		}
@@ -176,34 +178,34 @@
 }
 
 // requireCount checks that every node counts the given number of nodes.
-func (s *cluster) requireCount(t *testing.T, count int) {
+func (c *cluster) requireCount(t *testing.T, count int) {
 	t.Helper()
-	for name, n := range s.nodes {
+	for name, n := range c.nodes {
 		must.Eq(t, count, n.Nodes(), must.Sprint(name))
 	}
 }
 
 // connected reports whether a node receives the messages of another one.
-func (s *cluster) connected(n *simNode, other string) bool {
-	peer := s.nodes[other]
+func (c *cluster) connected(n *simNode, other string) bool {
+	peer := c.nodes[other]
 	return peer != nil && peer != n && !n.silent && !peer.silent && !peer.frozen
 }
 
 // connectedToAny reports whether a node receives messages of any other.
-func (s *cluster) connectedToAny(n *simNode) bool {
-	for name := range s.nodes {
-		if s.connected(n, name) {
+func (c *cluster) connectedToAny(n *simNode) bool {
+	for name := range c.nodes {
+		if c.connected(n, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// connectedToDomain reports whether a node receives the messages of a reporter of another failure
-// domain, which only large systems have.
-func (s *cluster) connectedToDomain(n *simNode, domain string) bool {
-	for name, peer := range s.nodes {
-		if domain != n.own.Domain && peer.own.Domain == domain && !intervals.FullMesh(peer.Nodes()) && s.connected(n, name) {
+// connectedToDomain reports whether a node receives the messages of a representative of another
+// failure domain, which only large systems have.
+func (c *cluster) connectedToDomain(n *simNode, domain string) bool {
+	for name, peer := range c.nodes {
+		if domain != n.own.Domain && peer.own.Domain == domain && !intervals.FullMesh(peer.Nodes()) && c.connected(n, name) {
 			return true
 		}
 	}
--- a/internal/gateway/views_test.go
+++ b/internal/gateway/views_test.go
@@ -71,21 +71,22 @@
 
 func salt(version int64) string { return kvindex.Salt{Model: model, Version: version}.String() }
 
-// newLargeViews returns the views of a large system's nodes. The freer is alone in its failure
-// domain and is a standby, so that it frees early; the others share a second failure domain.
-func newLargeViews(t *testing.T) (freer view, others []view) {
+// newLargeViews returns the views of a large system's nodes. The freeing node is alone in its
+// failure domain and is a standby, so that it frees early; the others share a second failure
+// domain.
+func newLargeViews(t *testing.T) (freeingNode view, others []view) {
 	t.Helper()
 	for i := 0; ; i++ {
-		if freer, others = largeViews(t, fmt.Sprint("freer", i)); freer.node.Standby() {
-			return freer, others
+		if freeingNode, others = largeViews(t, fmt.Sprint("freer", i)); freeingNode.node.Standby() {
+			return freeingNode, others
 		}
 	}
 }
 
-// largeViews returns the views of a large system whose first node is the freer.
-func largeViews(t *testing.T, freer string) (view, []view) {
+// largeViews returns the views of a large system whose first node is the freeing node.
+func largeViews(t *testing.T, freeingNode string) (view, []view) {
 	t.Helper()
-	names := []string{freer}
+	names := []string{freeingNode}
 	for i := range 12 {
 		names = append(names, fmt.Sprint("n", i))
 	}
@@ -105,7 +106,7 @@
 	return others[0], others[1:]
 }
 
-// domainOf returns the failure domain of the node with an index; the freer has index 0.
+// domainOf returns the failure domain of the node with an index; the freeing node has index 0.
 func domainOf(node int) string { return fmt.Sprint("d", min(node, 1)) }
 
 // receiveDomain receives a node's report on its failure domain.
