--- a/internal/intervals/intervals.go
+++ b/internal/intervals/intervals.go
@@ -1,9 +1,10 @@
-// Package intervals computes how often a node reads the platform's services and sends messages to its
-// peers, depending on the number of nodes.
+// Package intervals computes how often a node reads the platform's services and sends messages to
+// its peers, depending on the number of nodes.
 //
-// In a system of up to MaxMeshNodes nodes, each node reads as often as is useful. In a larger one,
-// the load that each node causes grows with the number of nodes, so the rates are bounded for all
-// nodes together. All functions are pure.
+// In a system of up to MaxMeshNodes nodes, a small one, all nodes exchange reports directly (full
+// mesh), and each node reads as often as is useful. In a larger one, the load that each node causes
+// grows with the number of nodes, so the rates of all nodes together are limited, unless the
+// operators' bounds require more reads. All functions are pure.
 package intervals
 
 import "time"
@@ -17,10 +18,12 @@
 	// minRegistryInterval is the shortest time between two reads of the registry by a node. It
 	// applies in a small system.
 	minRegistryInterval = 400 * time.Millisecond
-	// maxRegistryReads is the number of reads of the registry per second by all nodes together.
+	// maxRegistryReads is the desired maximum number of reads of the registry per second by all
+	// nodes together. The drain bound may require more.
 	maxRegistryReads = 90
-	// registryShare is the fraction of the drain bound that may pass between two reads. The rest is
-	// for the read itself and one failed read.
+	// registryShare is the fraction of the drain bound that may pass between two reads; the rest is
+	// for the read itself and one failed read. The drain bound is the operators' limit on how long
+	// requests may still reach a removed endpoint.
 	registryShare = 0.35
 
 	// readerShare is the fraction of the drain bound between two reads of the registry by a node
@@ -32,27 +35,31 @@
 	// It applies in a small system. A completed read proves that the configuration was current when
 	// the read was sent, so the confirmation is up to twice as old as the wait.
 	minConfigWait = 900 * time.Millisecond
-	// maxConfigReads is the number of reads of the configuration per second by all nodes together.
+	// maxConfigReads is the desired maximum number of reads of the configuration per second by all
+	// nodes together. The revocation bound may require more.
 	maxConfigReads = 60
 	// configShare is the fraction of the revocation bound for which a read may wait: three waits,
-	// including a failed one, fit into the bound.
+	// including a failed one, fit into the bound. The revocation bound is the operators' limit on
+	// how long a revoked key may still be accepted.
 	configShare = 0.3
 
-	// eventsWait is how long a read of events waits, and eventsInterval the time between the start
-	// of two reads, if the holder lets all readers wait at the same time.
+	// eventsWait is how long a read of events waits, and eventsInterval the time between the starts
+	// of two reads, if the engine or store lets all readers wait at the same time.
 	eventsWait     = 800 * time.Millisecond
 	eventsInterval = 250 * time.Millisecond
-	// eventsShortWait is the shortest wait at which a read is not charged as a probe.
+	// eventsShortWait is the wait of a read if not all readers can wait at once. It is the shortest
+	// wait at which an engine or store does not count the read as a probe.
 	eventsShortWait = 200 * time.Millisecond
-	// eventsReaderShare is the fraction of a holder's slots for waiting readers that the nodes use.
+	// eventsReaderShare is the fraction of the slots for waiting readers of an engine or store that
+	// the nodes use.
 	eventsReaderShare = 0.8
 
-	// minDigestInterval is the shortest time between two messages to peers. It leaves time to count
-	// the request that caused the message.
+	// minDigestInterval is the shortest time between two digests, the load messages to peers. It
+	// leaves time to count the request that caused the message.
 	minDigestInterval = 15 * time.Millisecond
-	// maxDigestInterval is the longest time between two messages to peers.
+	// maxDigestInterval is the longest time between two digests.
 	maxDigestInterval = 150 * time.Millisecond
-	// maxDigestsReceived is the maximum number of messages that a node receives per second. Each
+	// maxDigestsReceived is the maximum number of digests that a node receives per second. Each
 	// takes about 40 microseconds of processor time.
 	maxDigestsReceived = 400
 
@@ -64,26 +71,27 @@
 	// MinMessageRate is the limit on the rate of these messages at the slowest link, in bytes per
 	// second. Faster links allow more.
 	MinMessageRate = minLinkRate / messageLinkDivisor
-	// answerLinkPercent is the part of its host's link, in percent, that a node uses for responses
+	// responseLinkPercent is the part of its host's link, in percent, that a node uses for responses
 	// to other nodes. Together with the messages this leaves half of the link for requests.
-	answerLinkPercent = 30
+	responseLinkPercent = 30
 	// MinAnswerRate is the limit on the rate of these responses at the slowest link, in bytes per
 	// second. Faster links allow more.
-	MinAnswerRate = minLinkRate / 100 * answerLinkPercent
+	MinAnswerRate = minLinkRate / 100 * responseLinkPercent
 
 	// minDomainInterval is the minimum time between two messages of a node to nodes of other
 	// failure domains about the weight versions that its own domain references at stores.
-	// maxDomainMessages limits the number of such messages per second.
+	// maxDomainMessages is the maximum number of such messages per second.
 	minDomainInterval = 500 * time.Millisecond
 	maxDomainMessages = 200
 
-	// maxFallbackReads is the number of reads of one topic per second by all nodes together while
-	// the store fails, and minFallbackInterval the shortest time between two reads of one node.
+	// maxFallbackReads is the maximum number of reads of one topic per second by all nodes together
+	// while the metadata store fails, and minFallbackInterval the shortest time between two reads
+	// of one node.
 	maxFallbackReads    = 20
 	minFallbackInterval = 2 * time.Second
 
-	// rosterInterval is the time between two reads of the nodes' addresses while nodes may be
-	// starting together. Each new address is a record that ends a waiting read.
+	// rosterInterval is the time between two reads of the list of nodes while nodes may be starting
+	// together. Each new entry is a record that ends a waiting read.
 	rosterInterval = 2 * time.Second
 )
 
@@ -101,7 +109,7 @@
 	return clamp(minConfigWait, intervalFor(nodes, maxConfigReads), fraction(revoke, configShare))
 }
 
-// RosterInterval returns the time between two reads of the nodes' addresses; 0 in a small system.
+// RosterInterval returns the time between two reads of the list of nodes; 0 in a small system.
 func RosterInterval(nodes int) time.Duration {
 	if FullMesh(nodes) {
 		return 0
@@ -109,9 +117,10 @@
 	return rosterInterval
 }
 
-// EventIntervals returns how long a read of a holder's events waits, and the time between the start
-// of two reads, for a holder that lets the given number of readers wait at once.
-func EventIntervals(nodes, readers int) (wait, pause time.Duration) {
+// EventIntervals returns how long a read of the events of an engine or store waits, and the time
+// between the starts of two reads, if the engine or store lets the given number of readers wait at
+// once.
+func EventIntervals(nodes, readers int) (wait, interval time.Duration) {
 	if nodes <= max(readers, 1) {
 		return eventsWait, eventsInterval
 	}
@@ -119,7 +128,7 @@
 	return eventsShortWait, time.Duration(float64(eventsShortWait) * float64(nodes) / slots)
 }
 
-// DigestIntervals returns the shortest and the longest time between two messages to peers.
+// DigestIntervals returns the shortest and the longest time between two digests.
 func DigestIntervals(peers int) (spacing, interval time.Duration) {
 	spacing = max(minDigestInterval, intervalFor(peers, maxDigestsReceived))
 	return spacing, max(maxDigestInterval, spacing)
@@ -139,7 +148,7 @@
 
 // AnswerRate returns the rate of responses to other nodes in bytes per second. link is the rate of
 // the link in bytes per second; 0 if unknown.
-func AnswerRate(link int) int { return max(link/100*answerLinkPercent, MinAnswerRate) }
+func AnswerRate(link int) int { return max(link/100*responseLinkPercent, MinAnswerRate) }
 
 // messageRate returns the rate of unsolicited messages to other nodes in bytes per second.
 func messageRate(link int) int { return max(link/messageLinkDivisor, MinMessageRate) }
@@ -150,8 +159,9 @@
 	return max(minDomainInterval, intervalFor(nodes, maxDomainMessages))
 }
 
-// FallbackInterval returns the time between two reads of a failing store by a node of a large
-// system; 0 in a small one. Without it, all nodes would read three topics several times per second.
+// FallbackInterval returns the time between two reads of a failing metadata store by a node of a
+// large system; 0 in a small one. Without it, all nodes would read three topics several times per
+// second.
 func FallbackInterval(nodes int) time.Duration {
 	if FullMesh(nodes) {
 		return 0
@@ -174,7 +184,7 @@
 	return time.Duration(float64(d) * share)
 }
 
-// clamp returns want limited to the range from lower to upper; lower has precedence.
-func clamp(lower, want, upper time.Duration) time.Duration {
-	return max(lower, min(want, upper))
+// clamp returns value limited to the range from lower to upper; lower has precedence.
+func clamp(lower, value, upper time.Duration) time.Duration {
+	return max(lower, min(value, upper))
 }
--- a/internal/intervals/intervals_test.go
+++ b/internal/intervals/intervals_test.go
@@ -53,7 +53,7 @@
 // minLinkRate is 10 Mbit/s in bytes per second.
 const minLinkRate = 1_250_000
 
-// TestReaderInterval checks that a read and a poll leave half of the drain bound.
+// TestReaderInterval checks that a read and a poll take at most half of the drain bound.
 func TestReaderInterval(t *testing.T) {
 	const poll = 400 * time.Millisecond
 	for _, bound := range []time.Duration{2 * time.Second, drain, 4 * time.Second} {
@@ -70,13 +70,13 @@
 	}
 }
 
-// TestEventReaderLimit checks that the number of readers that wait at a holder does not exceed its
-// limit.
+// TestEventReaderLimit checks that the number of readers that wait at an engine or store does not
+// exceed its limit.
 func TestEventReaderLimit(t *testing.T) {
 	for _, nodes := range []int{12, 13, 85, 1000} {
 		for _, readers := range []int{0, 1, 12, 100} {
-			wait, pause := intervals.EventIntervals(nodes, readers)
-			waiting := float64(nodes) * wait.Seconds() / max(pause, wait).Seconds()
+			wait, readInterval := intervals.EventIntervals(nodes, readers)
+			waiting := float64(nodes) * wait.Seconds() / max(readInterval, wait).Seconds()
 			test.LessEq(t, float64(max(readers, 1))+1e-9, waiting, test.Sprint(nodes, " nodes, ", readers, " readers"))
 		}
 	}
@@ -87,9 +87,9 @@
 	test.Eq(t, 400*time.Millisecond, intervals.RegistryInterval(7, 2*time.Second))
 	test.Eq(t, 900*time.Millisecond, intervals.ConfigWait(7, revoke))
 	test.Eq(t, 0, intervals.RosterInterval(7))
-	wait, pause := intervals.EventIntervals(7, 12)
+	wait, readInterval := intervals.EventIntervals(7, 12)
 	test.Eq(t, 800*time.Millisecond, wait)
-	test.Eq(t, 250*time.Millisecond, pause)
+	test.Eq(t, 250*time.Millisecond, readInterval)
 	spacing, interval := intervals.DigestIntervals(6)
 	test.Eq(t, 15*time.Millisecond, spacing)
 	test.Eq(t, 150*time.Millisecond, interval)
