--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
 // Package clock measures elapsed time on a host that may be suspended.
 //
 // The monotonic clock of Go's time package stops while a host is suspended. Anything whose age it
-// measures (a claim, a proof that keys are valid, a copy of the registry) would therefore be
-// trusted for longer than others rely on. The wall clock continues, but may be set.
+// measures (a claim, a proof that keys are valid, a copy of the registry) would therefore be used
+// after other nodes already consider it expired. The wall clock continues, but may be set.
 //
-// Guarantee: times of one Clock differ by the time that has passed, suspension included, whatever
-// the wall clock is set to. The first reading after a suspension includes it.
+// Guarantee: two readings of one Clock differ by the time that has passed between them, suspension
+// included, whatever the wall clock is set to. The first reading after a suspension includes it.
 //
 // Compare times of a Clock only with times of the same Clock: time.Since and time.Until are wrong
 // for them. Timers do not fire earlier because of a suspension; code that waits must read the clock
@@ -27,7 +27,7 @@
 }
 
 // System returns a clock of this host, based on CLOCK_BOOTTIME.
-func System() *Clock { return New(newSuspension().suspendedBy) }
+func System() *Clock { return New(newSuspension().suspendedUntil) }
 
 // Now returns the current time.
 func (c *Clock) Now() time.Time {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -45,18 +45,18 @@
 	}
 }
 
-// TestMeasurementTriggers checks that the first reading after the wall clock moved against the
-// monotonic clock, in either direction, takes a measurement, and that measureInterval triggers one
-// in any case.
+// TestMeasurementTriggers checks that the first reading after the wall clock changed relative to
+// the monotonic clock, in either direction, takes a measurement, and that measureInterval triggers
+// one in any case.
 func TestMeasurementTriggers(t *testing.T) {
 	s := newSuspension()
 	now := time.Now()
-	s.suspendedBy(now)
+	s.suspendedUntil(now)
 	measured := func(at time.Time) bool {
 		s.initial -= time.Second // makes the next measurement return a second more
-		initial := s.total.Load()
-		s.suspendedBy(at)
-		return s.total.Load() > initial
+		before := s.total.Load()
+		s.suspendedUntil(at)
+		return s.total.Load() > before
 	}
 	test.False(t, measured(now.Add(time.Millisecond)))
 	s.wallClockLead.Add(int64(2 * stepTolerance))
@@ -67,7 +67,7 @@
 	test.True(t, measured(now.Add(5*time.Millisecond+measureInterval)))
 }
 
-// BenchmarkNow measures a reading of the clock, of which each request takes about a dozen.
+// BenchmarkNow measures one reading of the clock; a request needs about twelve.
 func BenchmarkNow(b *testing.B) {
 	b.Run("time", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// stepTolerance is how far the wall clock may move against the monotonic clock before the time
-	// in suspension is measured again. The wall clock moves slightly all the time because it is
-	// disciplined.
+	// stepTolerance is how far the wall clock may change relative to the monotonic clock before the
+	// time in suspension is measured again. The wall clock moves slightly all the time because time
+	// synchronization adjusts its rate.
 	stepTolerance = time.Millisecond
 	// measureInterval is the time between two measurements while the wall clock indicates no
 	// suspension: it may have been set back by exactly the time in suspension.
@@ -24,15 +24,15 @@
 
 // suspension measures how long the host has been suspended, as the difference of CLOCK_BOOTTIME and
 // CLOCK_MONOTONIC. Reading each takes a system call, so both are read only if the wall clock, which
-// every reading of the monotonic clock includes at no cost, moved against it, and at each
-// measureInterval.
+// every reading of the monotonic clock includes at no cost, changed relative to it, or if
+// measureInterval has passed since the last measurement.
 type suspension struct {
 	start   time.Time
 	initial time.Duration // time in suspension at the start
 
 	total         atomic.Int64 // nanoseconds in suspension since the start, never decreases
 	lastMeasured  atomic.Int64 // monotonic nanoseconds from the start to the last measurement
-	wallClockLead atomic.Int64 // nanoseconds by which the wall clock led the monotonic clock then
+	wallClockLead atomic.Int64 // nanoseconds by which the wall clock led at the last measurement
 }
 
 func newSuspension() *suspension {
@@ -41,8 +41,8 @@
 	return s
 }
 
-// suspendedBy returns how long the host has been suspended up to a time of the monotonic clock.
-func (s *suspension) suspendedBy(now time.Time) time.Duration {
+// suspendedUntil returns how long the host has been suspended up to a time of the monotonic clock.
+func (s *suspension) suspendedUntil(now time.Time) time.Duration {
 	elapsed := now.Sub(s.start)
 	wallClockLead := now.UnixNano() - int64(elapsed)
 	moved := time.Duration(wallClockLead - s.wallClockLead.Load()).Abs()
