--- a/internal/kvindex/epoch_test.go
+++ b/internal/kvindex/epoch_test.go
@@ -7,14 +7,11 @@
 	"github.com/shoenig/test"
 )
 
-// Guards against a request answered from KV cache that was incomplete at its source: a store of
-// the same failure domain had been unreachable for 2.5 s and was back empty, other nodes sent
-// parts to it at once, and a node that had not seen the restart still referenced what the store had
-// kept before.
-
 // TestNoSavesAfterStoreRestart checks that nothing is sent to a restarted store before all nodes
 // have stopped referencing its former parts, for a node that confirmed the former epoch as late as
-// possible.
+// possible. Otherwise a request can be answered from incomplete KV cache: a store restarts empty,
+// other nodes send parts to it at once, and a node that has not seen the restart references its
+// former parts.
 func TestNoSavesAfterStoreRestart(t *testing.T) {
 	h, other := newStore(), newStore()
 	before := &Events{Epoch: 5, Next: 2, Changes: []Change{{Part: part, Tokens: 40}}, ConfirmedAt: now}
--- a/internal/kvindex/free.go
+++ b/internal/kvindex/free.go
@@ -12,7 +12,7 @@
 	freeInterval = time.Second
 	// freeBatch is the maximum number of parts freed by one call in a small system.
 	// largeSystemFreeBatch is the maximum in a large one, where every node receives an event for
-	// each freed part: with 22 stores these are 45 KB of events per second and node.
+	// each freed part: with 22 stores, up to 45 KB of events per second.
 	freeBatch            = 500
 	largeSystemFreeBatch = 40
 )
@@ -25,28 +25,28 @@
 }
 
 // Free frees outdated parts of all stores until ctx is done. Several nodes may free at the same
-// time: no node still uses a part that rule declares outdated. active reports whether this node
-// should free parts, slowly whether the system is large.
-func (x *Index) Free(ctx context.Context, rule SaltFilter, active, slowly func() bool) error {
+// time: no node still uses a part that filter reports as outdated. active reports whether this node
+// should free parts, isLargeSystem whether the system is large.
+func (x *Index) Free(ctx context.Context, filter SaltFilter, active, isLargeSystem func() bool) error {
 	for ctx.Err() == nil {
 		retry.Sleep(ctx, freeInterval)
 		if !active() {
 			continue
 		}
 		limit := freeBatch
-		if slowly() {
+		if isLargeSystem() {
 			limit = largeSystemFreeBatch
 		}
 		for _, store := range x.Stores() {
-			x.freeOutdated(ctx, store, rule, limit)
+			x.freeOutdated(ctx, store, filter, limit)
 		}
 	}
 	return nil
 }
 
 // freeOutdated frees up to limit outdated parts of one store.
-func (x *Index) freeOutdated(ctx context.Context, store *Holder, rule SaltFilter, limit int) {
-	parts, epoch := store.partsMatching(rule.Outdated)
+func (x *Index) freeOutdated(ctx context.Context, store *Holder, filter SaltFilter, limit int) {
+	parts, epoch := store.partsMatching(filter.Outdated)
 	if len(parts) == 0 || !store.Reachable() {
 		return
 	}
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -19,8 +19,8 @@
 	// requesting at the shorter interval.
 	minEventsBackoff = 500 * time.Millisecond
 	maxEventsBackoff = 8 * time.Second
-	// relayLifetime is how long a relayed update replaces requests to the holder. It lets two
-	// requests to the relaying node fail.
+	// relayLifetime is how long a relayed update is used instead of requests to the holder. It
+	// spans three relay request intervals.
 	relayLifetime = 900 * time.Millisecond
 )
 
@@ -31,9 +31,9 @@
 	// Pace returns how long a request to a holder waits for the first event, and the minimum time
 	// between the start of two requests. A pause makes events arrive in batches.
 	Pace func(h *Holder) (wait, pause time.Duration)
-	// ReceivesRelays reports whether other nodes request the stores' events and relay them to this one;
-	// nil means never. If they do, this node backs off exponentially from a store that fails,
-	// because a store that is starting can serve few readers at once.
+	// ReceivesRelays reports whether other nodes request the stores' events and relay them to this
+	// one; nil means never. If they do, this node backs off exponentially from a store that fails,
+	// because a store that is starting can serve few requests at once.
 	ReceivesRelays func() bool
 	// Clock timestamps responses and relayed updates. Nil is the monotonic clock.
 	Clock *clock.Clock
@@ -87,7 +87,8 @@
 }
 
 // Follow replaces the list of holders and requests their events until ctx is done. Holders that
-// are listed already, with the same id, start time and address, keep their state.
+// are listed already keep their state: engines with the same id, start time and address, stores with
+// the same address and capacity.
 func (x *Index) Follow(ctx context.Context, engines, stores []*Holder) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -108,7 +109,7 @@
 }
 
 // Replace replaces the list of holders without requesting their events, which the caller then
-// supplies. Holders that are listed already keep their state.
+// supplies. Holders that are listed already keep their state, as in Follow.
 func (x *Index) Replace(engines, stores []*Holder) {
 	old := x.view.Load()
 	next := &view{engines: make(map[string]*Holder)}
@@ -124,7 +125,8 @@
 	x.view.Store(next)
 }
 
-// existingStore returns the listed store with the same address and size as h, or h.
+// existingStore returns the listed store with the same address and capacity as h, or h if there is
+// none.
 func (x *Index) existingStore(stores []*Holder, h *Holder) *Holder {
 	for _, s := range stores {
 		if s.Addr == h.Addr && s.Tokens == h.Tokens {
--- a/internal/kvindex/index_test.go
+++ b/internal/kvindex/index_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := &countingSource{}
 		x := NewIndex(source, func(*Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
-		stores := siteStores()
+		stores := largeSystemStores()
 		x.Replace(nil, stores)
 		test.False(t, x.AllRelayed(time.Now()))
 		until := time.Now().Add(relayLifetime)
@@ -26,7 +26,7 @@
 			h.relayedUntil.Store(&until)
 		}
 		test.True(t, x.AllRelayed(time.Now()))
-		x.Follow(t.Context(), nil, siteStores())
+		x.Follow(t.Context(), nil, largeSystemStores())
 		time.Sleep(relayLifetime - time.Millisecond)
 		test.Eq(t, 0, source.count())
 	})
--- a/internal/kvindex/journal.go
+++ b/internal/kvindex/journal.go
@@ -17,7 +17,7 @@
 // journal holds the latest changes of a holder in one epoch. The zero value holds none.
 type journal struct {
 	started bool
-	first   int64 // number of the oldest change that changes is sure to include
+	first   int64 // first event number from which changes is complete
 	changes []Change
 }
 
@@ -61,9 +61,9 @@
 	Progress *snapshotProgress `json:"copied,omitempty"`
 }
 
-// isEmpty reports whether the node has no complete state of the store: none at all or an
+// lacksState reports whether the node has no complete state of the store: none at all or an
 // incomplete snapshot.
-func (p *Position) isEmpty() bool { return p.Epoch == 0 && p.Next == 0 }
+func (p *Position) lacksState() bool { return p.Epoch == 0 && p.Next == 0 }
 
 // Position returns the point up to which the holder's events have been received.
 func (h *Holder) Position() Position {
--- a/internal/kvindex/kvindex.go
+++ b/internal/kvindex/kvindex.go
@@ -1,9 +1,10 @@
 // Package kvindex records which parts of prompts are kept as KV cache, at which engines and stores.
 //
 // The record is built from events that arrive late and are sometimes lost, so it may list too much
-// or too little. Errors cost time only: an engine computes a part that it doesn't find. The one
-// exception is a store's part that is freed while it is fetched, which Free prevents by its rule
-// for outdated salts.
+// or too little. Errors cost time only: an engine computes a part that it doesn't find. There are
+// two exceptions: a store's part that is freed while it is fetched, which Free prevents by freeing
+// only parts that its SaltFilter reports as outdated; and a part that is fetched while it is being
+// saved again to a restarted store, which AcceptsSaves prevents by delaying such saves.
 package kvindex
 
 import (
@@ -67,7 +68,7 @@
 	Tokens        int // capacity of a store; 0 for an engine
 	// Readers is the number of requests for events that are pending at the holder; 0 if unknown.
 	Readers int
-	// relayedUntil is when relayed updates stop replacing requests; nil if there were none.
+	// relayedUntil is the time until which relayed updates replace requests; nil if there were none.
 	relayedUntil atomic.Pointer[time.Time]
 	// Late is the delay of this node's fetches from the holder beyond the expected time.
 	Late Lateness
@@ -110,7 +111,7 @@
 	return !h.unreachable
 }
 
-// relayRemaining returns how much longer relayed updates replace requests to the holder.
+// relayRemaining returns the time until relayed updates of the holder expire.
 func (h *Holder) relayRemaining(now time.Time) time.Duration {
 	until := h.relayedUntil.Load()
 	if until == nil {
@@ -136,8 +137,7 @@
 	pendingSaveLifetime = 30 * time.Second
 )
 
-// BeginSave reports whether a part should be sent to the store, and if so records it as being
-// saved.
+// BeginSave reports whether a part should be sent to the store, and if so records its save.
 func (h *Holder) BeginSave(p Part, tokens int, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,8 +172,7 @@
 	return h.Tokens - h.used
 }
 
-// CancelSave discards the record of a save because the request that was to send the part did not
-// run.
+// CancelSave discards the record of a save whose request did not run.
 func (h *Holder) CancelSave(p Part) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -195,7 +194,7 @@
 	if h.progress.Pages > 0 {
 		h.clearParts() // the holder sends its full state, and the relayed pages may be older
 	}
-	first := h.epoch == 0
+	firstResponse := h.epoch == 0
 	h.confirmEpoch(e, now)
 	if e.Epoch != h.epoch {
 		h.epoch = e.Epoch
@@ -207,7 +206,7 @@
 	h.recent.record(h.next, e)
 	h.next = e.Next
 	h.applyChanges(e.Changes)
-	if first && (e.Gap || len(h.parts) > 0) {
+	if firstResponse && (e.Gap || len(h.parts) > 0) {
 		h.savesAllowedAt = now
 	}
 }
@@ -238,6 +237,7 @@
 	h.progress = snapshotProgress{}
 }
 
+// set records the number of tokens of a part that the holder keeps; 0 removes the part.
 func (h *Holder) set(p Part, tokens int) {
 	before, known := h.parts[p]
 	h.used += tokens - before
@@ -266,9 +266,9 @@
 func (h *Holder) markUnreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	first := !h.unreachable
+	wasReachable := !h.unreachable
 	h.unreachable = true
-	return first
+	return wasReachable
 }
 
 // partsMatching returns the parts whose salts match, the largest first, and the epoch in which
--- a/internal/kvindex/kvindex_test.go
+++ b/internal/kvindex/kvindex_test.go
@@ -43,8 +43,8 @@
 	test.Eq(t, 1, h.nextEvent())
 }
 
-// TestSaveOverdue checks that a sent part is reported once no event has confirmed it for saveTimeout,
-// until one does.
+// TestSaveOverdue checks that a sent part is reported once no event has confirmed it for
+// saveTimeout, until one does.
 func TestSaveOverdue(t *testing.T) {
 	h, now := newStore(), time.Now()
 	test.False(t, h.SaveOverdue(part, now), test.Sprint("never sent"))
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestFirstContactKeepsSaves checks that a store's first response doesn't discard saves that were
+// TestFirstResponseKeepsSaves checks that a store's first response doesn't discard saves that were
 // started before it, while a restart does.
-func TestFirstContactKeepsSaves(t *testing.T) {
+func TestFirstResponseKeepsSaves(t *testing.T) {
 	h := newStore()
 	test.True(t, h.BeginSave(part, 40, now))
 	h.apply(&Events{Epoch: 7, Next: 1}, now)
@@ -134,8 +134,8 @@
 }
 
 // TestLargestOutdatedPartsComeFirst checks that the largest parts are freed first. Few parts are
-// freed per second, so otherwise stores stay full of replaced parts after new weights, for 5 s in
-// one case.
+// freed per second, so otherwise stores stay full of outdated parts for seconds after new weights
+// are loaded.
 func TestLargestOutdatedPartsComeFirst(t *testing.T) {
 	h := newStore()
 	var changes []Change
--- a/internal/kvindex/packed.go
+++ b/internal/kvindex/packed.go
@@ -14,25 +14,25 @@
 // the number of salts and the salts, then for each change the difference of its number to the
 // previous one, the index of its salt, the part's id and its tokens. Numbers are unsigned varints,
 // and strings are prefixed with their length. The prefix of an id is twice its length, plus one if
-// the id is hexadecimal and encoded as bytes. A change takes 12 bytes of a message, compared with
-// 18 with ids as text and 78 as JSON (300 changes with ids of 8 digits). The size matters because
-// each of 295 nodes receives an event for every saved part.
+// the id is hexadecimal and encoded as bytes. A change takes about 12 bytes; it would take 18
+// with ids as text, and 78 as JSON. The size matters because every node receives an event for every
+// saved part.
 type packedChanges []byte
 
 // packChanges encodes changes, which must be in ascending order of their numbers.
 func packChanges(changes []Change) packedChanges {
 	var data packedChanges
 	salts := make(map[string]uint64)
-	var names []string
+	var saltList []string
 	for _, c := range changes {
 		if _, known := salts[c.Part.Salt]; !known {
-			salts[c.Part.Salt] = uint64(len(names))
-			names = append(names, c.Part.Salt)
+			salts[c.Part.Salt] = uint64(len(saltList))
+			saltList = append(saltList, c.Part.Salt)
 		}
 	}
-	data = binary.AppendUvarint(data, uint64(len(names)))
-	for _, name := range names {
-		data = appendText(data, name)
+	data = binary.AppendUvarint(data, uint64(len(saltList)))
+	for _, salt := range saltList {
+		data = appendText(data, salt)
 	}
 	last := int64(0)
 	for _, c := range changes {
@@ -126,7 +126,7 @@
 		r.failed = true
 		return nil
 	}
-	taken := r.data[:n]
+	field := r.data[:n]
 	r.data = r.data[n:]
-	return taken
+	return field
 }
--- a/internal/kvindex/packed_test.go
+++ b/internal/kvindex/packed_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// siteChanges returns changes like those of a store in a large deployment.
-func siteChanges(n int) []Change {
+// largeSystemChanges returns changes like those of a store in a large system.
+func largeSystemChanges(n int) []Change {
 	list := make([]Change, n)
 	for i := range list {
 		list[i] = Change{Number: int64(7000 + i), Part: Part{Salt: []string{"3/daka510000/", "2/daka510000/"}[i%2], ID: fmt.Sprintf("%08x", i*2654435761%(1<<32))}, Tokens: i * 131 % 23_000}
@@ -21,14 +21,14 @@
 // TestPackedChangesRoundTrip checks that encoding is lossless and takes less than a third of the
 // bytes of JSON.
 func TestPackedChangesRoundTrip(t *testing.T) {
-	for _, want := range [][]Change{nil, siteChanges(1), siteChanges(300)} {
+	for _, want := range [][]Change{nil, largeSystemChanges(1), largeSystemChanges(300)} {
 		got, err := packChanges(want).unpack()
 		must.NoError(t, err)
 		test.Eq(t, want, got)
 	}
-	long, err := json.Marshal(siteChanges(300))
+	long, err := json.Marshal(largeSystemChanges(300))
 	must.NoError(t, err)
-	short, err := json.Marshal(packChanges(siteChanges(300)))
+	short, err := json.Marshal(packChanges(largeSystemChanges(300)))
 	must.NoError(t, err)
 	t.Logf("300 changes: %d bytes as JSON, %d packed", len(long), len(short))
 	test.Less(t, len(long)/3, len(short))
@@ -47,11 +47,11 @@
 // TestPackedChangesTruncated checks that truncated or invalid data is rejected, unless it ends
 // between two changes.
 func TestPackedChangesTruncated(t *testing.T) {
-	data := packChanges(siteChanges(3))
+	data := packChanges(largeSystemChanges(3))
 	for n := range len(data) {
 		got, err := data[:n].unpack()
 		if err == nil {
-			test.SliceContainsSubset(t, siteChanges(3), got, test.Sprint("complete changes before the cut"))
+			test.SliceContainsSubset(t, largeSystemChanges(3), got, test.Sprint("complete changes before the cut"))
 			test.Less(t, 3, len(got))
 		}
 	}
@@ -63,7 +63,7 @@
 
 // FuzzUnpack checks that any data yields an error or changes in ascending order and within bounds.
 func FuzzUnpack(f *testing.F) {
-	f.Add([]byte(packChanges(siteChanges(2))))
+	f.Add([]byte(packChanges(largeSystemChanges(2))))
 	f.Add([]byte{1, 0, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		changes, err := packedChanges(data).unpack()
@@ -78,10 +78,9 @@
 	})
 }
 
-// BenchmarkUnpack decodes 100 changes, packed and as JSON. Typical times are 9.8 µs and 161 µs;
-// 9.2 µs with ids as text.
+// BenchmarkUnpack decodes 100 changes, packed and as JSON.
 func BenchmarkUnpack(b *testing.B) {
-	changes := siteChanges(100)
+	changes := largeSystemChanges(100)
 	short := packChanges(changes)
 	long, err := json.Marshal(changes)
 	must.NoError(b, err)
--- a/internal/kvindex/peers.go
+++ b/internal/kvindex/peers.go
@@ -24,9 +24,10 @@
 	// relayRetryDelay is the time until another node is tried after a failed request. Meanwhile the
 	// stores are requested directly.
 	relayRetryDelay = time.Second
-	// maxChanges bounds the changes in a response, each of which takes at most changeBytes in a
-	// datagram. minChanges is the bound if the connection has no spare bandwidth: responses to
-	// other calls have priority, because events may arrive late.
+	// maxChanges bounds the changes in a response, each of which usually takes at most changeBytes
+	// in a datagram; ids and salts have no maximum length. minChanges is the bound if the
+	// connection has no spare bandwidth: responses to other calls have priority, because events may
+	// arrive late.
 	maxChanges  = 300
 	minChanges  = 20
 	changeBytes = 36
@@ -36,8 +37,8 @@
 	storeOverheadBytes = 100
 	// maxAgeMs bounds the ages in relayed updates, in ms. Older updates are of no use.
 	maxAgeMs = 3600_000
-	// maxResponses bounds the responses that are requested in a row: a full copy of 41 stores with
-	// 1,300 parts each takes 119.
+	// maxResponses bounds the responses that are requested in a row: the snapshots
+	// of 41 stores with 1,300 parts each take about 120.
 	maxResponses = 500
 )
 
@@ -58,7 +59,7 @@
 
 // relayResponse is the response to a request for relayed events.
 type relayResponse struct {
-	Events  []storeUpdate `json:"events"`
+	Updates []storeUpdate `json:"events"`
 	ClockMS int64         `json:"clock_ms"`
 	// More is true if the response had no room for all the pages that the requesting node lacks.
 	More bool `json:"more,omitempty"`
@@ -90,33 +91,33 @@
 
 // relayEvents returns the updates that this node has beyond the given positions: snapshots of the
 // stores for which the requester has no state, as far as there is room, and the changes at the
-// other stores. Every response covers those, because the requester polls a store directly if no
-// response mentions it. The response takes about spare bytes, but always has room for minChanges
-// changes.
+// other stores. A response covers as many of those as fit, because the requester requests a store's
+// events directly if no response includes it. It omits stores whose changes this node no longer
+// has. The response takes about spare bytes, but always has room for minChanges changes.
 func (x *Index) relayEvents(positions []Position, spare int) relayResponse {
 	response := relayResponse{ClockMS: x.ClockMS()}
 	room := min(spare, maxResponseBytes)
 	known := 0
 	for i := range positions {
-		if !positions[i].isEmpty() {
+		if !positions[i].lacksState() {
 			known++
 		}
 	}
 	limit := min(max(spare/changeBytes, minChanges), maxChanges)
-	taken := x.addPages(&response, positions, max(room-known*storeOverheadBytes, room/2))
-	if taken > 0 {
+	usedBytes := x.addPages(&response, positions, max(room-known*storeOverheadBytes, room/2))
+	if usedBytes > 0 {
 		limit = minChanges
 	}
-	x.addChanges(&response, positions, limit, maxResponseBytes-taken)
+	x.addChanges(&response, positions, limit, maxResponseBytes-usedBytes)
 	return response
 }
 
 // addPages adds snapshot pages of the stores for which the requester has no state, in up to room
-// bytes of the message. It returns the bytes taken.
-func (x *Index) addPages(response *relayResponse, positions []Position, room int) (taken int) {
+// bytes of the message. It returns the number of bytes used.
+func (x *Index) addPages(response *relayResponse, positions []Position, room int) (usedBytes int) {
 	for i := range positions {
 		store := x.store(positions[i].Addr)
-		if store == nil || !positions[i].isEmpty() {
+		if store == nil || !positions[i].lacksState() {
 			continue
 		}
 		s, ok := store.snapshot()
@@ -125,17 +126,17 @@
 		}
 		for number := s.nextPage(positions[i].Progress); number < len(s.pages); number++ {
 			needs := base64.StdEncoding.EncodedLen(len(s.pages[number])) + storeOverheadBytes
-			if taken+needs > room {
-				response.More = taken > 0
-				return taken
+			if usedBytes+needs > room {
+				response.More = usedBytes > 0
+				return usedBytes
 			}
-			taken += needs
+			usedBytes += needs
 			update := x.newStoreUpdate(store, s.epoch, s.next, s.pages[number])
 			update.Page = &Page{Number: number, Of: len(s.pages)}
-			response.Events = append(response.Events, update)
+			response.Updates = append(response.Updates, update)
 		}
 	}
-	return taken
+	return usedBytes
 }
 
 // addChanges adds the changes at the stores since the positions, up to limit changes in total, in
@@ -143,7 +144,7 @@
 func (x *Index) addChanges(response *relayResponse, positions []Position, limit, room int) {
 	for _, position := range positions {
 		store := x.store(position.Addr)
-		if store == nil || limit == 0 || room < storeOverheadBytes || position.isEmpty() {
+		if store == nil || limit == 0 || room < storeOverheadBytes || position.lacksState() {
 			continue
 		}
 		events, ok := store.Since(position, min(limit, (room-storeOverheadBytes)/changeBytes+1))
@@ -152,13 +153,13 @@
 		}
 		limit -= len(events.Changes)
 		room -= storeOverheadBytes + len(events.Changes)*changeBytes
-		response.Events = append(response.Events, x.newStoreUpdate(store, events.Epoch, events.Next, packChanges(events.Changes)))
+		response.Updates = append(response.Updates, x.newStoreUpdate(store, events.Epoch, events.Next, packChanges(events.Changes)))
 	}
 }
 
 // newStoreUpdate returns the update of a store for changes that end before event next.
 func (x *Index) newStoreUpdate(store *Holder, epoch, next int64, changes packedChanges) storeUpdate {
-	age, savesIn := store.updateAges(x.Clock.Now())
+	age, savesIn := store.sinceConfirmed(x.Clock.Now())
 	return storeUpdate{
 		Position: Position{Addr: store.Addr, Epoch: epoch, Next: next}, Changes: changes,
 		AgeMs: age.Milliseconds() + 1, SavesInMs: savesIn.Milliseconds(),
@@ -220,20 +221,20 @@
 		return false, err
 	}
 	until := p.Index.Clock.Now().Add(relayLifetime)
-	for i := range response.Events {
-		t := &response.Events[i]
-		store := p.Index.store(t.Addr)
+	for i := range response.Updates {
+		update := &response.Updates[i]
+		store := p.Index.store(update.Addr)
 		if store == nil {
 			continue
 		}
-		events, err := t.events()
+		events, err := update.events()
 		if err != nil {
-			return false, eris.Wrapf(err, "apply relayed update of store %s", t.Addr)
+			return false, eris.Wrapf(err, "apply relayed update of store %s", update.Addr)
 		}
-		// The clock reading is as old as the response. A reading that is behind makes fetches end
-		// early rather than late.
+		// The clock reading is older than the response. With a clock estimate that is behind,
+		// fetches end early rather than late.
 		events.ClockMS = response.ClockMS
-		events.ConfirmedAt = sentAt.Add(-time.Duration(t.AgeMs) * time.Millisecond)
+		events.ConfirmedAt = sentAt.Add(-time.Duration(update.AgeMs) * time.Millisecond)
 		p.Index.Apply(store, events)
 		store.relayedUntil.Store(&until)
 	}
@@ -241,15 +242,15 @@
 }
 
 // events decodes the update. It fails if the page number, an age or the changes are out of range.
-func (t *storeUpdate) events() (*Events, error) {
-	if t.Page != nil && (t.Page.Number < 0 || t.Page.Number >= t.Page.Of) {
-		return nil, eris.Errorf("decode relayed update: snapshot page %d of %d is out of range", t.Page.Number, t.Page.Of)
+func (u *storeUpdate) events() (*Events, error) {
+	if u.Page != nil && (u.Page.Number < 0 || u.Page.Number >= u.Page.Of) {
+		return nil, eris.Errorf("decode relayed update: snapshot page %d of %d is out of range", u.Page.Number, u.Page.Of)
 	}
-	if t.AgeMs < 0 || t.SavesInMs < 0 || max(t.AgeMs, t.SavesInMs) > maxAgeMs {
-		return nil, eris.Errorf("decode relayed update: ages of %d and %d ms are out of range", t.AgeMs, t.SavesInMs)
+	if u.AgeMs < 0 || u.SavesInMs < 0 || max(u.AgeMs, u.SavesInMs) > maxAgeMs {
+		return nil, eris.Errorf("decode relayed update: ages of %d and %d ms are out of range", u.AgeMs, u.SavesInMs)
 	}
-	changes, err := t.Changes.unpack()
-	return &Events{Epoch: t.Epoch, Next: t.Next, SnapshotPage: t.Page, Changes: changes, SavesIn: time.Duration(t.SavesInMs) * time.Millisecond}, err
+	changes, err := u.Changes.unpack()
+	return &Events{Epoch: u.Epoch, Next: u.Next, SnapshotPage: u.Page, Changes: changes, SavesIn: time.Duration(u.SavesInMs) * time.Millisecond}, err
 }
 
 // AllRelayed reports whether relayed updates of all stores are recent enough that none has to be
--- a/internal/kvindex/relay_expiry_test.go
+++ b/internal/kvindex/relay_expiry_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := &countingSource{}
 		x := NewIndex(source, func(*Holder) (time.Duration, time.Duration) { return time.Second, time.Second }, zerolog.Nop())
-		stores := siteStores()
+		stores := largeSystemStores()
 		relay := func(list []*Holder) {
 			until := time.Now().Add(relayLifetime)
 			for _, h := range list {
@@ -48,7 +48,7 @@
 	test.Eq(t, maxScanInterval, l.wake(now))
 	early, late := now.Add(200*time.Millisecond), now.Add(700*time.Millisecond)
 	for i, until := range []time.Time{early, late} {
-		h := siteStores()[i]
+		h := largeSystemStores()[i]
 		h.relayedUntil.Store(&until)
 		l.waiting[h] = make(chan struct{})
 	}
--- a/internal/kvindex/snapshot.go
+++ b/internal/kvindex/snapshot.go
@@ -7,19 +7,19 @@
 	// message holds two.
 	partsPerPage = 400
 	// maxSnapshotLag is the number of events by which a cached snapshot may be out of date. It is
-	// large enough that most nodes receive all pages of the same snapshot, which takes 0.1 s, and
-	// small enough that they receive the changes since then within a few seconds.
+	// large enough that most nodes receive all pages of the same snapshot, for which they need
+	// about 0.1 s, and small enough that they receive the changes since then within a few seconds.
 	maxSnapshotLag = 60
 )
 
-// snapshot is what a store kept before an event, in pages.
+// snapshot lists all parts that a store kept just before event next, split into pages.
 //
 // Pages are not compressed: ids are packed as bytes, so DEFLATE makes them no shorter, and on a
 // small host it takes longer than the request timeout of other nodes.
 type snapshot struct {
 	epoch int64
 	next  int64
-	pages []packedChanges // at least one; nil if there is no snapshot
+	pages []packedChanges // nil if there is no snapshot, else at least one
 }
 
 // Page is the position of a page in a snapshot. All pages together list everything that is kept.
@@ -44,8 +44,8 @@
 	if h.unreachable || !h.recent.started {
 		return snapshot{}, false
 	}
-	if t := h.cachedSnapshot; t.pages != nil && t.epoch == h.epoch && t.next >= max(h.recent.first, h.next-maxSnapshotLag) {
-		return t, true
+	if cached := h.cachedSnapshot; cached.pages != nil && cached.epoch == h.epoch && cached.next >= max(h.recent.first, h.next-maxSnapshotLag) {
+		return cached, true
 	}
 	parts := make([]Change, 0, len(h.parts))
 	for part, tokens := range h.parts {
@@ -65,11 +65,11 @@
 }
 
 // nextPage returns the number of the next page for a node with the given progress.
-func (s *snapshot) nextPage(c *snapshotProgress) int {
-	if c == nil || c.Epoch != s.epoch || c.Next != s.next || c.Pages < 0 || c.Pages >= len(s.pages) {
+func (s *snapshot) nextPage(progress *snapshotProgress) int {
+	if progress == nil || progress.Epoch != s.epoch || progress.Next != s.next || progress.Pages < 0 || progress.Pages >= len(s.pages) {
 		return 0
 	}
-	return c.Pages
+	return progress.Pages
 }
 
 // applyPage applies a page of a snapshot. The first page starts over, and after the last one the
--- a/internal/kvindex/snapshot_test.go
+++ b/internal/kvindex/snapshot_test.go
@@ -13,8 +13,8 @@
 	"github.com/cherryward/cherryward/internal/datagram"
 )
 
-// siteStores returns the stores of a large site, without any recorded state.
-func siteStores() []*Holder {
+// largeSystemStores returns the stores of a large system, without any recorded state.
+func largeSystemStores() []*Holder {
 	var stores []*Holder
 	for i := range 41 {
 		h := NewHolder(fmt.Sprint("store-", i), fmt.Sprintf("10.0.0.%d:1", i+1), "north")
@@ -24,9 +24,9 @@
 	return stores
 }
 
-// siteParts returns the events of a store that keeps the given number of parts, a third of which
-// have two events.
-func siteParts(store, parts int) *Events {
+// largeSystemEvents returns the events of a store that keeps the given number of parts, a third of
+// which have two events.
+func largeSystemEvents(store, parts int) *Events {
 	e := &Events{Epoch: int64(store + 7)}
 	for n := range parts + parts/3 {
 		at := n % parts
@@ -44,10 +44,10 @@
 	requester, _ := newTestNode(t, &countingSource{})
 	source := &countingSource{}
 	requester.Index.Source = source
-	reader.Index.view.Store(&view{stores: siteStores()})
-	requester.Index.view.Store(&view{stores: siteStores()})
+	reader.Index.view.Store(&view{stores: largeSystemStores()})
+	requester.Index.view.Store(&view{stores: largeSystemStores()})
 	for i, h := range reader.Index.Stores() {
-		h.apply(siteParts(i, 300+50*i), time.Now())
+		h.apply(largeSystemEvents(i, 300+50*i), time.Now())
 	}
 	responses := 0
 	for more := true; more; responses++ {
@@ -76,8 +76,8 @@
 func TestSnapshotOfEmptyStores(t *testing.T) {
 	reader, addr := newTestNode(t, &countingSource{})
 	requester, _ := newTestNode(t, &countingSource{})
-	reader.Index.view.Store(&view{stores: siteStores()})
-	requester.Index.view.Store(&view{stores: siteStores()})
+	reader.Index.view.Store(&view{stores: largeSystemStores()})
+	requester.Index.view.Store(&view{stores: largeSystemStores()})
 	must.NoError(t, requester.request(t.Context(), addr))
 	test.False(t, requester.Index.AllRelayed(time.Now()), test.Sprint("the other node has no state either"))
 	for i, h := range reader.Index.Stores() {
@@ -94,24 +94,24 @@
 // directly.
 func TestResponsesCoverStoresAsTheyStart(t *testing.T) {
 	reader, requester := NewIndex(nil, nil, zerolog.Nop()), NewIndex(nil, nil, zerolog.Nop())
-	reader.view.Store(&view{stores: siteStores()})
-	stores := siteStores()
+	reader.view.Store(&view{stores: largeSystemStores()})
+	stores := largeSystemStores()
 	requester.view.Store(&view{stores: stores})
 	for i, h := range reader.Stores() {
-		h.apply(siteParts(i, 300), time.Now())
+		h.apply(largeSystemEvents(i, 300), time.Now())
 		var positions []Position
 		for _, s := range stores {
 			positions = append(positions, s.Position())
 		}
 		response := reader.relayEvents(positions, datagram.MaxBytes)
-		must.Len(t, i+1, response.Events)
+		must.Len(t, i+1, response.Updates)
 		data, err := json.Marshal(response)
 		must.NoError(t, err)
 		test.Less(t, datagram.MaxBytes-200, len(data), test.Sprint("leaves room for the message envelope"))
-		for j := range response.Events {
-			e, err := response.Events[j].events()
+		for j := range response.Updates {
+			e, err := response.Updates[j].events()
 			must.NoError(t, err)
-			requester.Apply(requester.store(response.Events[j].Addr), e)
+			requester.Apply(requester.store(response.Updates[j].Addr), e)
 		}
 	}
 }
@@ -136,13 +136,13 @@
 func TestStoreTakesPrecedenceOverSnapshot(t *testing.T) {
 	for received := range 4 {
 		reader, requester := newStore(), newStore()
-		reader.apply(siteParts(1, 3*partsPerPage-9), time.Now())
+		reader.apply(largeSystemEvents(1, 3*partsPerPage-9), time.Now())
 		pages := snapshotPages(t, reader)
 		must.Len(t, 3, pages)
 		for _, e := range pages[:received] {
 			requester.apply(e, time.Now())
 		}
-		later := siteParts(1, 20)
+		later := largeSystemEvents(1, 20)
 		if received == len(pages) {
 			test.Eq(t, reader.parts, requester.parts)
 			test.Eq(t, reader.Position(), requester.Position())
@@ -166,7 +166,7 @@
 // of another snapshot starts over.
 func TestPagesOutOfSequence(t *testing.T) {
 	reader, requester := newStore(), newStore()
-	reader.apply(siteParts(1, 3*partsPerPage), time.Now())
+	reader.apply(largeSystemEvents(1, 3*partsPerPage), time.Now())
 	old := snapshotPages(t, reader)
 	reader.apply(&Events{Epoch: 8, Next: reader.next + maxSnapshotLag + 1}, time.Now())
 	s, _ := reader.snapshot()
@@ -182,7 +182,7 @@
 	test.Eq(t, 1, s.nextPage(requester.Position().Progress))
 	requester.apply(pages[1], time.Now())
 	position := requester.Position()
-	test.True(t, position.isEmpty())
+	test.True(t, position.lacksState())
 	requester.apply(pages[2], time.Now())
 	test.Eq(t, reader.Position(), requester.Position())
 	test.Eq(t, reader.parts, requester.parts)
@@ -220,7 +220,7 @@
 
 // TestInvalidPages checks that invalid pages are rejected.
 func TestInvalidPages(t *testing.T) {
-	good := packChanges(siteChanges(2))
+	good := packChanges(largeSystemChanges(2))
 	for _, update := range []storeUpdate{
 		{Page: &Page{Of: 1}},
 		{Changes: good[:len(good)-1], Page: &Page{Of: 1}},
@@ -240,7 +240,7 @@
 	var positions, fresh []Position
 	for i := range 500 {
 		h := NewHolder(fmt.Sprint("store-", i), fmt.Sprintf("10.0.%d.%d:1", i/250, i%250+1), "north")
-		h.apply(siteParts(i, 500), time.Now())
+		h.apply(largeSystemEvents(i, 500), time.Now())
 		stores = append(stores, h)
 		p := h.Position()
 		p.Next -= 9
@@ -250,7 +250,7 @@
 	x.view.Store(&view{stores: stores})
 	for _, list := range [][]Position{positions, fresh, append(positions[:250:250], fresh[250:]...)} {
 		response := x.relayEvents(list, datagram.MaxBytes)
-		test.SliceNotEmpty(t, response.Events)
+		test.SliceNotEmpty(t, response.Updates)
 		data, err := json.Marshal(response)
 		must.NoError(t, err)
 		test.Less(t, datagram.MaxBytes-200, len(data), test.Sprint("leaves room for the message envelope"))
@@ -259,7 +259,7 @@
 
 // FuzzPage decodes and applies arbitrary bytes as a page of a snapshot.
 func FuzzPage(f *testing.F) {
-	f.Add([]byte(packChanges(siteChanges(2))), 0, 1)
+	f.Add([]byte(packChanges(largeSystemChanges(2))), 0, 1)
 	f.Add([]byte{0, 0}, 1, 2)
 	f.Fuzz(func(t *testing.T, data []byte, number, of int) {
 		update := storeUpdate{Position: Position{Epoch: 3, Next: 4}, Changes: data, Page: &Page{Number: number, Of: of}}
