--- a/internal/peerload/aggregate.go
+++ b/internal/peerload/aggregate.go
@@ -12,15 +12,17 @@
 const (
 	// ownDigestHistory is the number of this node's latest digests whose loads are retained, to
 	// subtract them from a collector's aggregate. An aggregate includes digests up to
-	// DigestLifetime old and is itself used for as long, which at the minimum interval spans 107
-	// digests. Usually the included digest is only a few tens of ms old; if it is older than the
-	// history, the oldest retained digest is subtracted.
+	// DigestLifetime old and is itself used for as long, so at the minimum interval up to 107 newer
+	// digests can follow the included one. Fewer are retained because the included digest is
+	// usually only a few tens of ms old; if it is older than the history, the oldest retained
+	// digest is subtracted.
 	ownDigestHistory = 32
 	// coverageRatio is the fraction of the best collector's node count from which another
 	// collector counts as equally good. The newer of two such aggregates is used.
 	coverageRatio = 0.9
-	// maxSeen bounds the reported versions in one message, of about 45 bytes each.
-	maxSeen = 120
+	// maxEndpointsPerVersion is the maximum number of endpoints listed for one version in an
+	// aggregate, of about 45 bytes each.
+	maxEndpointsPerVersion = 120
 	// includedEntryBytes is the length of one entry in Aggregate.Included.
 	includedEntryBytes = 8
 )
@@ -35,8 +37,8 @@
 	// Nodes is the number of nodes whose digests are included.
 	Nodes int `json:"nodes"`
 	// Loads are the sums by endpoint: a key of 4 bytes, little-endian, followed by unsigned
-	// varints: running requests, tokens to read, tokens held, the total of the failure rates in
-	// percent, and the number of nodes that report failures.
+	// varints: running requests, pending prompt tokens, held tokens, the total of the failure rates
+	// in percent, and the number of nodes that report failures.
 	Loads []byte `json:"loads,omitempty"`
 	// DomainLoads are the sums of the loads that other failure domains report, as encoded by
 	// encodeCoarse.
@@ -50,7 +52,8 @@
 	Late []Late `json:"late,omitempty"`
 	// Orders are the order states of the nodes that give orders.
 	Orders []RelayedOrders `json:"orders,omitempty"`
-	// UnlistedWeights are the weight versions that nodes have seen.
+	// UnlistedWeights are weight versions that engines reported to nodes before the registry listed
+	// them.
 	UnlistedWeights []UnlistedWeights `json:"seen,omitempty"`
 	// Limits are the rate limits that endpoints of all failure domains recently reported to nodes.
 	Limits []Limit `json:"limits,omitempty"`
@@ -73,33 +76,33 @@
 	domains []string // other failure domains included
 	at      time.Time
 
-	// encoded is the aggregate itself. loads and starts are the collector's own loads, which it
-	// doesn't include, and own is this node's included digest, or nil.
+	// encoded is the aggregate as received; nil once decoded. loads and starts are the collector's
+	// own loads, which the aggregate doesn't include, and own is this node's included digest, or
+	// nil.
 	encoded *Aggregate
 	loads   []Load
 	starts  []StartTag
 	own     *ownDigest
 	// sums is the decoded result without this node's own loads. It is computed on first use: most
-	// aggregates are never used, and decoding each of them would cause most of a node's
-	// allocations.
+	// aggregates are never used, and decoding each of them would allocate much memory.
 	sums Sums
 }
 
 // loadSums returns the sums of the loads of the other nodes.
-func (c *receivedAggregate) loadSums() Sums {
-	if c.sums != nil {
-		return c.sums
+func (a *receivedAggregate) loadSums() Sums {
+	if a.sums != nil {
+		return a.sums
 	}
-	sums := make(Sums, (len(c.encoded.Loads)+len(c.encoded.DomainLoads))/minSumBytes)
-	err := sums.addEncoded(c.encoded.Loads)
-	if c.own != nil {
-		sums.subtract(c.own.loads, c.own.starts)
+	sums := make(Sums, (len(a.encoded.Loads)+len(a.encoded.DomainLoads))/minSumBytes)
+	err := sums.addEncoded(a.encoded.Loads)
+	if a.own != nil {
+		sums.subtract(a.own.loads, a.own.starts)
 	}
-	sums.add(c.loads, c.starts)
-	if err = errors.Join(err, sums.addCoarse(c.encoded.DomainLoads)); err != nil {
+	sums.add(a.loads, a.starts)
+	if err = errors.Join(err, sums.addCoarse(a.encoded.DomainLoads)); err != nil {
 		return Sums{} // unreachable: check rejects such digests
 	}
-	c.sums, c.encoded, c.own = sums, nil, nil
+	a.sums, a.encoded, a.own = sums, nil, nil
 	return sums
 }
 
@@ -132,54 +135,54 @@
 func (t *Table) Collect(now time.Time) *Aggregate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := &Aggregate{}
+	a := &Aggregate{}
 	sums := make(Sums)
 	for _, p := range t.peers {
 		d := &p.digest
-		c.addOrders(d, now.Sub(p.at))
+		a.addOrders(d, now.Sub(p.at))
 		if now.Sub(p.at) > DigestLifetime {
 			continue
 		}
-		c.Nodes++
+		a.Nodes++
 		sums.add(d.Loads, d.Starts)
-		c.Included = binary.LittleEndian.AppendUint32(c.Included, nodeKey(d.Node, d.Incarnation))
-		c.Included = binary.LittleEndian.AppendUint32(c.Included, uint32(d.Seq))
-		c.addUnlistedWeights(d.UnlistedWeights, now.Sub(p.at))
+		a.Included = binary.LittleEndian.AppendUint32(a.Included, nodeKey(d.Node, d.Incarnation))
+		a.Included = binary.LittleEndian.AppendUint32(a.Included, uint32(d.Seq))
+		a.addUnlistedWeights(d.UnlistedWeights, now.Sub(p.at))
 	}
-	c.Loads = sums.encode()
+	a.Loads = sums.encode()
 	domainLoads, domains := t.domainLoadSums(now)
-	c.DomainLoads, c.Domains = domainLoads.encodeCoarse(), domains
-	c.Limits = t.collectLimits(now)
+	a.DomainLoads, a.Domains = domainLoads.encodeCoarse(), domains
+	a.Limits = t.collectLimits(now)
 	for addr, ms := range t.directLate(now) {
-		c.Late = append(c.Late, Late{Addr: addr, MS: int(ms)})
+		a.Late = append(a.Late, Late{Addr: addr, MS: int(ms)})
 	}
-	return c
+	return a
 }
 
 // addOrders adds the order state of a digest that was received the given time ago. Digests older
-// than DigestLifetime count too, because other nodes wait longer than that for a silent claim
-// holder.
-func (c *Aggregate) addOrders(d *Digest, age time.Duration) {
+// than DigestLifetime count too, because other nodes treat the claim to give orders as held for
+// longer than that.
+func (a *Aggregate) addOrders(d *Digest, age time.Duration) {
 	o := RelayedOrders{Leads: d.Leads, AgeMs: age.Milliseconds()}
 	if left := d.ForMs - o.AgeMs; left > 0 {
 		o.Emptied, o.Loading, o.ForMs = d.Emptied, d.Loading, left
 	}
 	if o.Leads || o.ForMs > 0 {
-		c.Orders = append(c.Orders, o)
+		a.Orders = append(a.Orders, o)
 	}
 }
 
-// addUnlistedWeights adds the versions of a digest that was received the given time ago, once for each
-// endpoint and version.
-func (c *Aggregate) addUnlistedWeights(seen []UnlistedWeights, age time.Duration) {
-	for i := range seen {
-		s := &seen[i]
-		at := slices.IndexFunc(c.UnlistedWeights, func(o UnlistedWeights) bool { return o.Model == s.Model && o.Version == s.Version })
+// addUnlistedWeights adds the versions of a digest that was received the given time ago, once for
+// each endpoint and version.
+func (a *Aggregate) addUnlistedWeights(reported []UnlistedWeights, age time.Duration) {
+	for i := range reported {
+		s := &reported[i]
+		at := slices.IndexFunc(a.UnlistedWeights, func(o UnlistedWeights) bool { return o.Model == s.Model && o.Version == s.Version })
 		if at < 0 {
-			at = len(c.UnlistedWeights)
-			c.UnlistedWeights = append(c.UnlistedWeights, UnlistedWeights{Model: s.Model, Version: s.Version})
+			at = len(a.UnlistedWeights)
+			a.UnlistedWeights = append(a.UnlistedWeights, UnlistedWeights{Model: s.Model, Version: s.Version})
 		}
-		c.UnlistedWeights[at].merge(s, age)
+		a.UnlistedWeights[at].merge(s, age)
 	}
 }
 
@@ -194,7 +197,7 @@
 		ageMs := o.AgesMs[i] + age.Milliseconds()
 		at := slices.Index(s.Endpoints, id)
 		switch {
-		case at < 0 && len(s.Endpoints) < maxSeen:
+		case at < 0 && len(s.Endpoints) < maxEndpointsPerVersion:
 			s.Endpoints, s.StartedMs, s.AgesMs = append(s.Endpoints, id), append(s.StartedMs, o.StartedMs[i]), append(s.AgesMs, ageMs)
 		case at >= 0 && (o.StartedMs[i] > s.StartedMs[at] || o.StartedMs[i] == s.StartedMs[at] && ageMs < s.AgesMs[at]):
 			s.StartedMs[at], s.AgesMs[at] = o.StartedMs[i], ageMs
@@ -204,8 +207,8 @@
 
 // includes returns the sequence number of the node's included digest, and false if none is
 // included.
-func (c *Aggregate) includes(node uint32) (seq uint32, ok bool) {
-	for rest := c.Included; len(rest) >= includedEntryBytes; rest = rest[includedEntryBytes:] {
+func (a *Aggregate) includes(node uint32) (seq uint32, ok bool) {
+	for rest := a.Included; len(rest) >= includedEntryBytes; rest = rest[includedEntryBytes:] {
 		if binary.LittleEndian.Uint32(rest) == node {
 			return binary.LittleEndian.Uint32(rest[4:]), true
 		}
@@ -215,12 +218,12 @@
 
 // receiveAggregate returns the aggregate in a digest, or nil if the sender is no collector.
 func (t *Table) receiveAggregate(d *Digest, now time.Time) *receivedAggregate {
-	c := d.Aggregate
-	if c == nil {
+	a := d.Aggregate
+	if a == nil {
 		return nil
 	}
-	received := &receivedAggregate{nodes: c.Nodes, late: c.Late, orders: c.Orders, domains: c.Domains, at: now, encoded: c, loads: d.Loads, starts: d.Starts}
-	if seq, ok := c.includes(t.own); ok {
+	received := &receivedAggregate{nodes: a.Nodes, late: a.Late, orders: a.Orders, domains: a.Domains, at: now, encoded: a, loads: d.Loads, starts: d.Starts}
+	if seq, ok := a.includes(t.own); ok {
 		received.own = t.ownDigest(seq)
 	}
 	return received
@@ -245,16 +248,17 @@
 func (t *Table) AggregateAge(now time.Time) (age time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.bestAggregate(now)
-	if c == nil {
+	a := t.bestAggregate(now)
+	if a == nil {
 		return 0, false
 	}
-	return now.Sub(c.at), true
+	return now.Sub(a.at), true
 }
 
-// bestAggregate returns the aggregate to use, or nil if this node receives digests from more peers
-// directly. A collector prefers its own data even if an aggregate covers slightly more nodes. The
-// newest one is used of several aggregates that cover nearly as many nodes.
+// bestAggregate returns the aggregate to use, or nil if this node receives digests from clearly
+// more peers directly. A collector prefers its own data even if an aggregate covers slightly more
+// nodes. Of several aggregates that cover nearly as many nodes as the largest, the newest one is
+// used.
 func (t *Table) bestAggregate(now time.Time) *receivedAggregate {
 	direct, maxNodes := 0, 0
 	for _, p := range t.peers {
@@ -274,12 +278,12 @@
 	}
 	var best *receivedAggregate
 	for _, p := range t.peers {
-		c := p.aggregate
-		if c == nil || now.Sub(p.at) > DigestLifetime || float64(c.nodes) < coverageRatio*float64(maxNodes) {
+		a := p.aggregate
+		if a == nil || now.Sub(p.at) > DigestLifetime || float64(a.nodes) < coverageRatio*float64(maxNodes) {
 			continue
 		}
-		if best == nil || c.at.After(best.at) {
-			best = c
+		if best == nil || a.at.After(best.at) {
+			best = a
 		}
 	}
 	return best
--- a/internal/peerload/aggregate_test.go
+++ b/internal/peerload/aggregate_test.go
@@ -11,18 +11,17 @@
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
-// siteNodes and siteDomains are those of a large deployment.
+// The size of a simulated large system.
 const (
-	siteNodes, siteDomains = 295, 5
-	siteEngines            = 10
+	largeSystemNodes, largeSystemDomains = 295, 5
+	largeSystemEngines                   = 10
 )
 
 // TestReceivedMessageRate bounds the messages per second that nodes of large systems receive:
-// collectors receive as many as each node of a system of 12, most nodes far fewer. Without
-// collectors each of 295 nodes would receive about 400.
+// collectors receive as many as each node of a system of 12, most nodes far fewer.
 func TestReceivedMessageRate(t *testing.T) {
-	for _, tc := range []struct{ nodes, domains, most, mean int }{{85, 3, 450, 80}, {siteNodes, siteDomains, 450, 45}} {
-		runNetwork(t, tc.nodes, tc.domains, siteEngines, func(t *testing.T, w *network) {
+	for _, tc := range []struct{ nodes, domains, maxHighest, maxMean int }{{85, 3, 450, 80}, {largeSystemNodes, largeSystemDomains, 450, 45}} {
+		runNetwork(t, tc.nodes, tc.domains, largeSystemEngines, func(t *testing.T, w *network) {
 			const seconds = 2
 			before := 0
 			w.forEachLive(func(n *networkNode) { before += n.received; n.received = 0 })
@@ -36,8 +35,8 @@
 				highest = max(highest, n.received/seconds)
 			})
 			t.Logf("%d nodes: %d messages/s on average, %d at most", tc.nodes, sum/tc.nodes, highest)
-			test.LessEq(t, tc.most, highest)
-			test.LessEq(t, tc.mean, sum/tc.nodes)
+			test.LessEq(t, tc.maxHighest, highest)
+			test.LessEq(t, tc.maxMean, sum/tc.nodes)
 		})
 	}
 }
@@ -75,7 +74,7 @@
 // don't count its own twice, also after the loss of both collectors at once, of one collector, and
 // of collectors together with standby nodes.
 func TestLoadsAreAggregated(t *testing.T) {
-	runNetwork(t, 60, 3, siteEngines, func(t *testing.T, w *network) {
+	runNetwork(t, 60, 3, largeSystemEngines, func(t *testing.T, w *network) {
 		for round := range 3 {
 			w.forEachLive(func(n *networkNode) { n.startRequest(n.engineOf()) })
 			time.Sleep(500 * time.Millisecond)
@@ -97,7 +96,7 @@
 // TestOrdersReachAll checks that the orders of a node that is no collector reach all nodes of all
 // domains, and that these count its claim as held until it expires.
 func TestOrdersReachAll(t *testing.T) {
-	runNetwork(t, 60, 3, siteEngines, func(t *testing.T, w *network) {
+	runNetwork(t, 60, 3, largeSystemEngines, func(t *testing.T, w *network) {
 		holder := w.domain("d1")[9]
 		holder.mu.Lock()
 		holder.leads, holder.closed = true, []weights.Closed{{Endpoint: "x", Loads: true}, {Endpoint: "y"}}
@@ -168,7 +167,7 @@
 }
 
 // TestAggregateIsDecodedOnUse checks that an aggregate is decoded only when its loads are
-// used. Decoding each one on arrival caused 45 % of the bytes that a node of 295 allocated.
+// used. Decoding each one on arrival would cause about half of a node's allocations.
 func TestAggregateIsDecodedOnUse(t *testing.T) {
 	sums := make(Sums)
 	for i := range 204 {
--- a/internal/peerload/check.go
+++ b/internal/peerload/check.go
@@ -6,13 +6,13 @@
 	// maxCount bounds the counts in a digest. It is more than the tokens that any engine holds,
 	// and small enough that sums over all nodes are exact.
 	maxCount = 1 << 40
-	// maxLateMS bounds the reported lateness of fetches, which time out long before.
-	maxLateMS = 600_000
-	// maxClosedMS bounds how long one message may close engines.
-	maxClosedMS = 10_000
-	// maxAgeMS bounds the ages of reported versions and limits. Registry entries supersede
+	// maxLateMs bounds the reported lateness of fetches. A fetch times out long before that.
+	maxLateMs = 600_000
+	// maxClosedMs bounds how long one message may close engines.
+	maxClosedMs = 10_000
+	// maxAgeMs bounds the ages of reported versions and limits. Registry entries supersede
 	// reported versions within seconds.
-	maxAgeMS = 600_000
+	maxAgeMs = 600_000
 )
 
 // check returns an error if the digest holds values that no node sends. Invalid loads would make
@@ -21,7 +21,7 @@
 	if d.Node == "" {
 		return eris.New("check digest: node name is missing")
 	}
-	if d.ForMs < 0 || d.ForMs > maxClosedMS {
+	if d.ForMs < 0 || d.ForMs > maxClosedMs {
 		return eris.Errorf("check digest: closure of engines for %d ms is out of range", d.ForMs)
 	}
 	for _, l := range d.Loads {
@@ -31,7 +31,7 @@
 		}
 	}
 	for _, l := range d.Late {
-		if l.MS < 0 || l.MS > maxLateMS {
+		if l.MS < 0 || l.MS > maxLateMs {
 			return eris.Errorf("check digest: lateness of %d ms is out of range", l.MS)
 		}
 	}
@@ -46,40 +46,40 @@
 
 // check returns an error if the aggregate holds values that no collector sends. A nil aggregate is
 // valid.
-func (c *Aggregate) check() error {
-	if c == nil {
+func (a *Aggregate) check() error {
+	if a == nil {
 		return nil
 	}
-	if err := checkSums(c.Loads, sumFields); err != nil {
+	if err := checkSums(a.Loads, sumFields); err != nil {
 		return err
 	}
-	if err := checkSums(c.DomainLoads, coarseFields); err != nil {
+	if err := checkSums(a.DomainLoads, coarseFields); err != nil {
 		return err
 	}
-	if err := checkLimits(c.Limits); err != nil {
+	if err := checkLimits(a.Limits); err != nil {
 		return err
 	}
-	if c.Nodes < 0 || len(c.Included) != c.Nodes*includedEntryBytes {
-		return eris.Errorf("check aggregate: list of %d nodes has %d bytes", c.Nodes, len(c.Included))
+	if a.Nodes < 0 || len(a.Included) != a.Nodes*includedEntryBytes {
+		return eris.Errorf("check aggregate: list of %d nodes has %d bytes", a.Nodes, len(a.Included))
 	}
-	for _, l := range c.Late {
-		if l.MS < 0 || l.MS > maxLateMS {
+	for _, l := range a.Late {
+		if l.MS < 0 || l.MS > maxLateMs {
 			return eris.Errorf("check aggregate: lateness of %d ms is out of range", l.MS)
 		}
 	}
-	for i := range c.Orders {
-		o := &c.Orders[i]
-		if o.ForMs < 0 || o.ForMs > maxClosedMS || o.AgeMs < 0 {
+	for i := range a.Orders {
+		o := &a.Orders[i]
+		if o.ForMs < 0 || o.ForMs > maxClosedMs || o.AgeMs < 0 {
 			return eris.Errorf("check aggregate: closure of engines for %d ms at an age of %d ms is out of range", o.ForMs, o.AgeMs)
 		}
 	}
-	return checkUnlistedWeights(c.UnlistedWeights)
+	return checkUnlistedWeights(a.UnlistedWeights)
 }
 
 // checkUnlistedWeights checks each of the reported versions.
-func checkUnlistedWeights(seen []UnlistedWeights) error {
-	for i := range seen {
-		if err := seen[i].check(); err != nil {
+func checkUnlistedWeights(reported []UnlistedWeights) error {
+	for i := range reported {
+		if err := reported[i].check(); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 		return eris.Errorf("check digest: version %d is negative", s.Version)
 	}
 	for _, age := range s.AgesMs {
-		if age < 0 || age > maxAgeMS {
+		if age < 0 || age > maxAgeMs {
 			return eris.Errorf("check digest: version age of %d ms is out of range", age)
 		}
 	}
--- a/internal/peerload/check_test.go
+++ b/internal/peerload/check_test.go
@@ -46,9 +46,9 @@
 	test.NoError(t, d.check())
 }
 
-// FuzzTake checks that any data yields an error, or sums that are not negative and closures that
-// expire.
-func FuzzTake(f *testing.F) {
+// FuzzReceiveDigest checks that any data yields an error, or sums that are not negative and
+// closures that expire.
+func FuzzReceiveDigest(f *testing.F) {
 	for _, seed := range []string{`{"node":"n","incarnation":1,"seq":1,"loads":[["e",1,2,3,20]],"late":[{"addr":"a","ms":200}],"for_ms":800,"loading":["e"]}`, "{}", "null"} {
 		f.Add([]byte(seed))
 	}
@@ -61,7 +61,7 @@
 		for _, sum := range e.Table.Loads(now) {
 			test.True(t, sum.Running >= 0 && sum.PendingPromptTokens >= 0 && sum.HeldTokens >= 0 && sum.FailureRate() >= 0)
 		}
-		test.MapEmpty(t, e.Table.Closed(now.Add(maxClosedMS*time.Millisecond)))
+		test.MapEmpty(t, e.Table.Closed(now.Add(maxClosedMs*time.Millisecond)))
 		test.LessEq(t, 2, e.Table.Nodes())
 	})
 }
--- a/internal/peerload/domain.go
+++ b/internal/peerload/domain.go
@@ -14,21 +14,22 @@
 // domainMethod is the name of the notification that carries a DomainDigest.
 const domainMethod = "node.domain"
 
-// DomainDigest is the report of a representative on its whole failure domain. It is sent to the
-// nodes of a large system, which don't receive digests from every node.
+// DomainDigest is the report of a representative on its whole failure domain. It is sent to all
+// nodes of a large system, also those of the same domain, which don't receive digests from every
+// node.
 type DomainDigest struct {
 	Node        string `json:"node"` // the representative
 	Domain      string `json:"domain"`
 	Incarnation int64  `json:"incarnation"`
 	Seq         int64  `json:"seq"`
-	// References are the oldest versions whose parts any node of the domain still references at stores.
-	// Members identifies the nodes that confirmed this, including the representative.
+	// References are the oldest versions whose parts any node of the domain still references at
+	// stores. Members identifies the nodes that confirmed this, including the representative.
 	References []OldestReferenced `json:"names,omitempty"`
 	Members    Members            `json:"members"`
 }
 
-// Members identifies a set of nodes by the sum of the hashes of their names. A node count would
-// not notice that one node was replaced by another.
+// Members identifies a set of nodes by the sum of the hashes of their names. A node count would be
+// the same if one node was replaced by another.
 type Members uint64
 
 // MembersOf returns the identifier of a set of nodes, given their names in any order.
@@ -41,13 +42,13 @@
 }
 
 // Neighbours are the other nodes of this node's failure domain. Represents is true if this node
-// represents them.
+// represents them, that is, sends its failure domain's reports to other nodes.
 type Neighbours struct {
 	Others     []string
 	Represents bool
 }
 
-// domainWatermark is the oldest version that the nodes of a failure domain still name, and the
+// domainWatermark is the oldest version that the nodes of a failure domain still reference, and the
 // time at which it was first reported by this set of members.
 type domainWatermark struct {
 	oldest  int64
@@ -118,9 +119,9 @@
 	return active
 }
 
-// UnreferencedInDomainSince returns the time since which the nodes of another failure domain have
+// UnreferencedInDomainSince returns the time since which the nodes of a failure domain have
 // referenced only versions of a model newer than the given one. It returns false if the domain's
-// watermark is older or was confirmed by another set of members.
+// watermark isn't newer than version or was confirmed by another set of members.
 func (t *Table) UnreferencedInDomainSince(domain string, members Members, model string, version int64) (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +149,7 @@
 func (e *Exchange) sendDomainDigest(peers *recipients) (bytes int) {
 	now := e.config.Clock.Now()
 	all := len(peers.local) + len(peers.remote)
-	if len(peers.remote) == 0 || !e.representsDomain(now) || now.Sub(e.domainDigestSentAt) < intervals.DomainDigestInterval(all) {
+	if len(peers.remote) == 0 || !e.mayRepresentDomain(now) || now.Sub(e.domainDigestSentAt) < intervals.DomainDigestInterval(all) {
 		return 0
 	}
 	neighbours := e.config.Neighbours()
@@ -163,9 +164,9 @@
 	})
 }
 
-// DomainReferences returns the oldest version of each model that this node, given in own, or any of the
-// others still references at stores. Models for which one of the nodes has not reported a version are
-// left out.
+// DomainReferences returns the oldest version of each model that this node, given in own, or any of
+// the others still references at stores. Models for which one of the nodes has not reported a
+// version are left out.
 func (t *Table) DomainReferences(own []OldestReferenced, others []string) []OldestReferenced {
 	var references []OldestReferenced
 	for _, n := range own {
@@ -179,7 +180,7 @@
 	return references
 }
 
-// receiveDomainDigest handles a digest of another failure domain.
+// receiveDomainDigest handles a digest of a failure domain, which may be this node's own.
 func (e *Exchange) receiveDomainDigest(params json.RawMessage) (any, error) {
 	var d DomainDigest
 	if err := json.Unmarshal(params, &d); err != nil {
--- a/internal/peerload/domain_load.go
+++ b/internal/peerload/domain_load.go
@@ -19,8 +19,8 @@
 	domainLoadLifetime = 1500 * time.Millisecond
 )
 
-// DomainLoad is the load of a failure domain, which its collectors send to those of other domains:
-// what the nodes of the domain have in progress, at endpoints of any domain.
+// DomainLoad is the load of a failure domain, which its collectors send to the representatives of
+// other domains: what the nodes of the domain have in progress, at endpoints of any domain.
 type DomainLoad struct {
 	Node        string `json:"node"`
 	Domain      string `json:"domain"`
@@ -39,29 +39,30 @@
 	at   time.Time
 }
 
-// RecordDomainLoad records the load of another failure domain. Of two collectors, the one that covers
-// clearly more nodes takes precedence, else the newer message. It fails if the load is invalid.
-func (t *Table) RecordDomainLoad(o *DomainLoad, now time.Time) error {
-	sums := make(Sums, len(o.Loads)/minCoarseSumBytes)
-	if err := sums.addCoarse(o.Loads); err != nil {
+// RecordDomainLoad records the load of another failure domain. Of two collectors, the one that
+// covers clearly more nodes takes precedence, else the newer message. It fails if the load is
+// invalid.
+func (t *Table) RecordDomainLoad(received *DomainLoad, now time.Time) error {
+	sums := make(Sums, len(received.Loads)/minCoarseSumBytes)
+	if err := sums.addCoarse(received.Loads); err != nil {
 		return err
 	}
-	if o.Node == "" || o.Nodes < 0 {
-		return eris.Errorf("check domain load: node %q or its node count %d is invalid", o.Node, o.Nodes)
+	if received.Node == "" || received.Nodes < 0 {
+		return eris.Errorf("check domain load: node %q or its node count %d is invalid", received.Node, received.Nodes)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	latest, exists := t.domainLoads[o.Domain]
+	latest, exists := t.domainLoads[received.Domain]
 	if exists && now.Sub(latest.at) <= domainLoadLifetime {
 		last := &latest.load
-		if last.Node == o.Node && last.Incarnation == o.Incarnation && o.Seq <= last.Seq {
+		if last.Node == received.Node && last.Incarnation == received.Incarnation && received.Seq <= last.Seq {
 			return nil
 		}
-		if last.Node != o.Node && float64(o.Nodes) < coverageRatio*float64(last.Nodes) {
+		if last.Node != received.Node && float64(received.Nodes) < coverageRatio*float64(last.Nodes) {
 			return nil
 		}
 	}
-	t.domainLoads[o.Domain] = domainLoad{load: *o, sums: sums, at: now}
+	t.domainLoads[received.Domain] = domainLoad{load: *received, sums: sums, at: now}
 	return nil
 }
 
@@ -69,9 +70,9 @@
 // names of these domains.
 func (t *Table) domainLoadSums(now time.Time) (sums Sums, domains []string) {
 	sums = make(Sums)
-	for domain, o := range t.domainLoads {
-		if now.Sub(o.at) <= domainLoadLifetime {
-			sums.merge(o.sums)
+	for domain, received := range t.domainLoads {
+		if now.Sub(received.at) <= domainLoadLifetime {
+			sums.merge(received.sums)
 			domains = append(domains, domain)
 		}
 	}
@@ -80,12 +81,12 @@
 }
 
 // Domains returns the other failure domains whose nodes are included in Loads. Engines of all
-// others look idle, because nobody reports their load.
+// others look idle, because their load isn't reported.
 func (t *Table) Domains(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c := t.bestAggregate(now); c != nil {
-		return c.domains
+	if best := t.bestAggregate(now); best != nil {
+		return best.domains
 	}
 	_, domains := t.domainLoadSums(now)
 	return domains
@@ -113,27 +114,27 @@
 }
 
 // merge adds the given sums.
-func (s Sums) merge(o Sums) {
-	for key, sum := range o {
+func (s Sums) merge(other Sums) {
+	for key, sum := range other {
 		s[key] = s[key].plus(sum)
 	}
 }
 
-// sendDomainLoad sends the load of this failure domain to the collectors of the others, if this
-// node is a collector. It returns the bytes of all messages.
+// sendDomainLoad sends the load of this failure domain to the representatives of the others, if
+// this node may represent it. It returns the bytes of all messages.
 //
-// Plain services are left out: the nodes of all domains use the same few endpoints, and with loads
-// as old as these all of them would choose the same one.
+// Endpoints without weights are left out: the nodes of all domains use the same few endpoints, and
+// with loads as old as these all of them would choose the same one.
 func (e *Exchange) sendDomainLoad(peers *recipients, digest *Digest, members []*fleet.Member) (bytes int) {
 	now := e.config.Clock.Now()
-	if !e.representsDomain(now) || now.Sub(e.domainLoadSentAt) < remoteInterval {
+	if !e.mayRepresentDomain(now) || now.Sub(e.domainLoadSentAt) < remoteInterval {
 		return 0
 	}
 	e.domainLoadSentAt = now
 	sums, nodes := e.Table.directLoads(now)
 	sums.add(digest.Loads, digest.Starts)
 	sums.retain(engineKeys(members))
-	return e.config.Conn.Notify(peers.collectors(e.Table, now), domainLoadMethod, &DomainLoad{
+	return e.config.Conn.Notify(peers.representatives(e.Table, now), domainLoadMethod, &DomainLoad{
 		Node: e.config.Node, Domain: e.config.Domain, Incarnation: e.incarnation, Seq: e.seq,
 		Nodes: nodes, Loads: sums.encodeCoarse(), Limits: e.Table.domainLimits(digest.Limits, now),
 	})
@@ -141,14 +142,14 @@
 
 // receiveDomainLoad handles the load of another failure domain.
 func (e *Exchange) receiveDomainLoad(params json.RawMessage) (any, error) {
-	var o DomainLoad
-	if err := json.Unmarshal(params, &o); err != nil {
+	var load DomainLoad
+	if err := json.Unmarshal(params, &load); err != nil {
 		return nil, eris.Wrap(err, "decode domain load")
 	}
-	if err := checkLimits(o.Limits); err != nil {
+	if err := checkLimits(load.Limits); err != nil {
 		return nil, err
 	}
 	now := e.config.Clock.Now()
-	e.applyLimits(o.Limits, now)
-	return nil, e.Table.RecordDomainLoad(&o, now)
+	e.applyLimits(load.Limits, now)
+	return nil, e.Table.RecordDomainLoad(&load, now)
 }
--- a/internal/peerload/domain_load_test.go
+++ b/internal/peerload/domain_load_test.go
@@ -12,7 +12,7 @@
 // collectors.
 func TestLoadsOfOtherDomains(t *testing.T) {
 	const here, there = "i-0000000000", "i-0000000001"
-	runNetwork(t, 60, 3, siteEngines, func(t *testing.T, w *network) {
+	runNetwork(t, 60, 3, largeSystemEngines, func(t *testing.T, w *network) {
 		check := func(what string, want int) {
 			t.Helper()
 			for _, n := range w.domain("d0") {
@@ -45,7 +45,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		check("plain services", 0)
+		check("endpoints without weights", 0)
 	})
 }
 
--- a/internal/peerload/encode.go
+++ b/internal/peerload/encode.go
@@ -45,8 +45,8 @@
 }
 
 // encodeCoarse returns the sums for nodes of other failure domains, in 7 bytes for most endpoints:
-// a key in the format of encode, followed by unsigned varints: running requests, and tokens to
-// read and held in units of coarseTokenUnit. Failures are left out.
+// a key in the format of encode, followed by unsigned varints: running requests, and pending prompt
+// tokens and held tokens in units of coarseTokenUnit. Failures are left out.
 func (s Sums) encodeCoarse() []byte {
 	data := make([]byte, 0, len(s)*(minCoarseSumBytes+1))
 	for key, sum := range s {
@@ -72,15 +72,15 @@
 }
 
 // checkSums returns an error if encoded sums with the given number of fields are invalid.
-func checkSums(data []byte, numbers int) error {
-	return forEachSum(data, numbers, func(loadKey, *[sumFields]int) {})
+func checkSums(data []byte, fieldCount int) error {
+	return forEachSum(data, fieldCount, func(loadKey, *[sumFields]int) {})
 }
 
-// forEachSum calls f with each encoded sum, which have the given number of fields.
-func forEachSum(data []byte, numbers int, f func(key loadKey, fields *[sumFields]int)) error {
+// forEachSum calls f with each encoded sum, each of which has the given number of fields.
+func forEachSum(data []byte, fieldCount int, f func(key loadKey, fields *[sumFields]int)) error {
 	var fields [sumFields]int
 	for len(data) > 0 {
-		key, rest, err := decodeSum(data, fields[:numbers])
+		key, rest, err := decodeSum(data, fields[:fieldCount])
 		if err != nil {
 			return err
 		}
--- a/internal/peerload/encode_test.go
+++ b/internal/peerload/encode_test.go
@@ -24,8 +24,8 @@
 	test.SliceEmpty(t, Sums{keyOf("e", 0): {}}.encode(), test.Sprint("zero sums are left out"))
 }
 
-// FuzzCollected checks that any data yields an error or sums within the bounds of digests.
-func FuzzCollected(f *testing.F) {
+// FuzzSums checks that any data yields an error or sums within the bounds of digests.
+func FuzzSums(f *testing.F) {
 	f.Add(Sums{keyOf("e", 0): {Running: 3, PendingPromptTokens: 20_000, HeldTokens: 99_000}}.encode())
 	f.Add([]byte{1, 2, 3, 4, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/peerload/exchange.go
+++ b/internal/peerload/exchange.go
@@ -30,7 +30,8 @@
 	// referencesInterval is the interval between two messages with unchanged references, some of
 	// which may be lost.
 	referencesInterval = 500 * time.Millisecond
-	// requestDelay is the delay after RequestReport that lets the request which caused it be counted.
+	// requestDelay is the delay after RequestReport, so that the request that caused the call is
+	// already counted.
 	requestDelay = time.Millisecond
 	// collectorWarmUp is how long a node must have been collecting before it represents its
 	// failure domain. When all nodes start together, each of them collects until it receives the
@@ -65,7 +66,7 @@
 	// Late returns the holders whose fetches are late.
 	Late func() []Late
 	// Orders returns the engines that this node has closed to load weights, and whether it holds
-	// the claim to give orders.
+	// the claim to give orders, as in Digest.Leads.
 	Orders func() (closed []weights.Closed, leads bool)
 	// References returns the oldest versions whose parts this node still references at stores.
 	References func() []OldestReferenced
@@ -106,15 +107,15 @@
 	reportRequested chan struct{}
 
 	// The remaining fields are used by Run only.
-	seq              int64
-	role             Role
-	collectingSince  time.Time // when this node became a collector
-	remoteSentAt     time.Time // last message to remote nodes
-	localSentAt      time.Time // last message to all local nodes
-	domainLoadSentAt time.Time // last message with this failure domain's load
+	seq                int64
+	role               Role
+	collectingSince    time.Time // when this node became a collector
+	remoteDigestSentAt time.Time // last Digest to remote nodes
+	localSentAt        time.Time // last message to all local nodes
+	domainLoadSentAt   time.Time // last message with this failure domain's load
 	// domainDigestSentAt is the time of the last digest of this failure domain.
 	domainDigestSentAt time.Time
-	remoteActive       bool // the last message to remote nodes reported orders or loads
+	remoteDigestActive bool // the last Digest to remote nodes reported orders or loads
 	// sentReferences are the references last sent to peers, and referencesSentAt is when.
 	sentReferences   []OldestReferenced
 	referencesSentAt time.Time
@@ -142,18 +143,18 @@
 		}
 		spacing = max(spacing, intervals.SendPause(sent, e.config.LinkBytes))
 		retry.Sleep(ctx, spacing)
-		e.awaitRequest(ctx, interval-spacing)
+		e.awaitReportRequest(ctx, interval-spacing)
 		sent = e.send()
 	}
 	return nil
 }
 
-// awaitRequest returns after d or shortly after RequestReport. It returns at once if d is not positive,
-// without creating a timer: in a synctest bubble, a timer that fires on the goroutine that waits
-// for it shares one race context with other timers of the bubble, which crashes the race
-// detector's runtime (SIGSEGV or a failed epoch check).
-func (e *Exchange) awaitRequest(ctx context.Context, d time.Duration) {
+// awaitReportRequest returns after d or shortly after RequestReport, at once if d is not positive.
+func (e *Exchange) awaitReportRequest(ctx context.Context, d time.Duration) {
 	if d <= 0 {
+		// No timer is created: in a synctest bubble, a timer that fires on the goroutine that waits
+		// for it shares a race context with the bubble's other timers, which crashes the race
+		// detector's runtime (SIGSEGV or a failed epoch check).
 		return
 	}
 	timer := time.NewTimer(d)
@@ -186,7 +187,7 @@
 	e.seq++
 	members := e.config.Members()
 	digest := e.ordersDigest(members)
-	if len(peers.remote) > 0 && e.config.Clock.Since(e.remoteSentAt) >= remoteInterval {
+	if len(peers.remote) > 0 && e.config.Clock.Since(e.remoteDigestSentAt) >= remoteInterval {
 		bytes += e.sendRemote(peers, digest, members)
 	}
 	bytes += e.sendDomainDigest(peers)
@@ -226,9 +227,9 @@
 // IsCollector reports whether this node is a collector of its failure domain.
 func (e *Exchange) IsCollector() bool { return e.collecting.Load() }
 
-// representsDomain reports whether this node may represent its failure domain: it has been a
+// mayRepresentDomain reports whether this node may represent its failure domain: it has been a
 // collector for collectorWarmUp, or the domain has no collectors.
-func (e *Exchange) representsDomain(now time.Time) bool {
+func (e *Exchange) mayRepresentDomain(now time.Time) bool {
 	return e.config.Role == nil || e.role.Collects && now.Sub(e.collectingSince) >= collectorWarmUp
 }
 
@@ -239,8 +240,8 @@
 }
 
 // referencesToSend returns the oldest versions that this node still references, if they changed or
-// referencesInterval has passed, else nil. They hold until a newer message, so they needn't be in each
-// one.
+// referencesInterval has passed, else nil. They hold until a newer message, so they needn't be in
+// each one.
 func (e *Exchange) referencesToSend() []OldestReferenced {
 	references := e.config.References()
 	if slices.Equal(references, e.sentReferences) && e.config.Clock.Since(e.referencesSentAt) < referencesInterval {
@@ -250,26 +251,26 @@
 	return references
 }
 
-// sendRemote sends this node's orders to the collectors of other failure domains. If this domain
-// has no collectors, it also sends this node's load at engines there. After the last order and
-// load it sends one more message, which reports that there are none.
+// sendRemote sends this node's orders to the representatives of other failure domains. If this
+// domain has no collectors, it also sends this node's load at engines there. After the last order
+// and load it sends one more message, which reports that there are none.
 func (e *Exchange) sendRemote(peers *recipients, digest *Digest, members []*fleet.Member) (bytes int) {
 	remote := *digest
-	to := peers.collectors(e.Table, e.config.Clock.Now())
+	to := peers.representatives(e.Table, e.config.Clock.Now())
 	if e.config.Role == nil { // otherwise the collectors report it
 		remote.setLoads(remoteEngines(members, e.config.Domain), e.maxMessageBytes(len(to)), e.config.Clock.Now())
 	}
 	active := remote.Leads || len(remote.Loads) > 0
-	if active || e.remoteActive {
+	if active || e.remoteDigestActive {
 		bytes = e.config.Conn.Notify(to, digestMethod, &remote)
-		e.remoteSentAt = e.config.Clock.Now()
+		e.remoteDigestSentAt = e.config.Clock.Now()
 	}
-	e.remoteActive = active
+	e.remoteDigestActive = active
 	return bytes
 }
 
-// remoteEngines returns the engines of other failure domains. Plain services are left out: all
-// nodes use all of their endpoints, each a few at a time.
+// remoteEngines returns the engines of other failure domains. Endpoints without weights are left
+// out: all nodes use all of them, each a few at a time.
 func remoteEngines(members []*fleet.Member, domain string) []*fleet.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m *fleet.Member) bool {
 		at := m.Endpoint()
@@ -277,8 +278,8 @@
 	})
 }
 
-// ordersDigest returns a digest with the orders that this node gives and the weight versions
-// that it has seen.
+// ordersDigest returns a digest with the orders that this node gives and the weight versions that
+// engines reported to it.
 func (e *Exchange) ordersDigest(members []*fleet.Member) *Digest {
 	d := &Digest{Node: e.config.Node, Incarnation: e.incarnation, Seq: e.seq, UnlistedWeights: UnlistedWeightsOf(members, e.config.Clock.Now())}
 	var closed []weights.Closed
--- a/internal/peerload/limits.go
+++ b/internal/peerload/limits.go
@@ -34,8 +34,8 @@
 }
 
 // LimitsOf returns the limits that endpoints recently reported to this node directly. Limits
-// received from other nodes are left out, because two nodes could otherwise keep a wrong limit
-// alive.
+// received from other nodes are left out, because two nodes could otherwise keep reporting a wrong
+// limit to each other.
 func LimitsOf(members []*fleet.Member, now time.Time) []Limit {
 	var list []Limit
 	for _, m := range members {
@@ -92,8 +92,8 @@
 // collectLimits returns the limits that peers and other failure domains report.
 func (t *Table) collectLimits(now time.Time) []Limit {
 	list := t.peerLimits(now)
-	for _, o := range t.domainLoads {
-		list = append(list, ageLimits(o.load.Limits, now.Sub(o.at))...)
+	for _, d := range t.domainLoads {
+		list = append(list, ageLimits(d.load.Limits, now.Sub(d.at))...)
 	}
 	return newestLimits(list)
 }
@@ -134,7 +134,7 @@
 	}
 	for i := range limits {
 		l := &limits[i]
-		if l.Endpoint == "" || l.PerSecond < 0 || l.PerSecond > maxPerSecond || l.AgeMs < 0 || l.AgeMs > maxAgeMS {
+		if l.Endpoint == "" || l.PerSecond < 0 || l.PerSecond > maxPerSecond || l.AgeMs < 0 || l.AgeMs > maxAgeMs {
 			return eris.Errorf("check limits: limit %+v is out of range", *l)
 		}
 	}
--- a/internal/peerload/load.go
+++ b/internal/peerload/load.go
@@ -15,7 +15,8 @@
 	// minReportedFailureRate is the failure rate from which an endpoint's failures are reported to
 	// peers.
 	minReportedFailureRate = 0.2
-	percent                = 100
+	// percent converts a share to percent.
+	percent = 100
 	// loadBytes is the maximum length of an encoded load with an id of 20 bytes, token counts of
 	// seven digits and the tag of the endpoint's start.
 	loadBytes = 52
@@ -39,9 +40,9 @@
 	_ json.Unmarshaler = (*Load)(nil)
 )
 
-// MarshalJSON implements json.Marshaler. A load is encoded as the array [endpoint, running,
-// reading, holding, failures]: messages consist mostly of loads, and an object with field names is
-// twice as long.
+// MarshalJSON implements json.Marshaler. A load is encoded as the array [endpoint, running, pending
+// prompt tokens, held tokens, failures]: messages consist mostly of loads, and an object with field
+// names is twice as long.
 func (l Load) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{l.Endpoint, l.Running, l.PendingPromptTokens, l.HeldTokens, l.Failures})
 }
@@ -49,11 +50,11 @@
 // UnmarshalJSON implements json.Unmarshaler.
 func (l *Load) UnmarshalJSON(data []byte) error {
 	fields := []any{&l.Endpoint, &l.Running, &l.PendingPromptTokens, &l.HeldTokens, &l.Failures}
-	want := len(fields)
+	fieldCount := len(fields)
 	if err := json.Unmarshal(data, &fields); err != nil {
 		return err
 	}
-	if len(fields) != want {
+	if len(fields) != fieldCount {
 		return eris.Errorf("decode load: array has %d fields", len(fields))
 	}
 	return nil
@@ -86,7 +87,8 @@
 	start StartTag
 }
 
-// loadsOf returns this node's loads and observed failures, without endpoints that have neither.
+// loadsOf returns this node's loads and observed failures, without endpoints that have neither
+// requests, nor pending prompt tokens, nor failures to report.
 func loadsOf(members []*fleet.Member, now time.Time) []taggedLoad {
 	var loads []taggedLoad
 	for _, m := range members {
--- a/internal/peerload/network_test.go
+++ b/internal/peerload/network_test.go
@@ -18,8 +18,8 @@
 	"github.com/cherryward/cherryward/internal/weights"
 )
 
-// hop is the latency of a message between two nodes.
-const hop = time.Millisecond
+// messageLatency is the latency of a message between two nodes.
+const messageLatency = time.Millisecond
 
 // network delivers messages between nodes in virtual time.
 type network struct {
@@ -69,7 +69,7 @@
 	n.mu.Lock()
 	n.sent += len(peers)
 	n.mu.Unlock()
-	time.AfterFunc(hop, func() {
+	time.AfterFunc(messageLatency, func() {
 		for _, to := range peers {
 			n.net.at(to).receive(method, data)
 		}
--- a/internal/peerload/peerload.go
+++ b/internal/peerload/peerload.go
@@ -1,9 +1,9 @@
-// Package peerload exchanges load reports among the gateway nodes several times a second: what
-// each node has in progress at each endpoint.
+// Package peerload exchanges load reports among the gateway nodes several times a second: what each
+// node has in progress at each endpoint.
 //
-// Messages are JSON-RPC notifications, one per datagram, so a peer that is frozen, unreachable or
-// gone delays nobody. Only the quality of placement depends on them: the next message makes up for
-// a lost one, and reports older than DigestLifetime are not used.
+// Messages are JSON-RPC notifications, one per datagram, so a peer that is suspended, unreachable
+// or stopped delays no other node. Only the quality of placement depends on them: the next message
+// makes up for a lost one, and reports older than DigestLifetime are not used.
 package peerload
 
 // Digest is the report of one node.
@@ -18,7 +18,7 @@
 	Starts []StartTag `json:"starts,omitempty"`
 	// Late are the holders whose fetches are late.
 	Late []Late `json:"late,omitempty"`
-	// UnlistedWeights are weight versions that the node saw in responses or reports before the registry
+	// UnlistedWeights are weight versions that engines reported to the node before the registry
 	// listed them.
 	UnlistedWeights []UnlistedWeights `json:"seen,omitempty"`
 	// Limits are the rate limits that endpoints recently reported to the node.
@@ -28,7 +28,8 @@
 	Emptied []string `json:"emptied,omitempty"`
 	Loading []string `json:"loading,omitempty"`
 	ForMs   int64    `json:"for_ms,omitempty"`
-	// Leads is true if this node holds the claim to give orders.
+	// Leads is true if this node holds the claim to give orders: to coordinate the loading of
+	// weights and close engines for it.
 	Leads bool `json:"leads,omitempty"`
 	// References are the oldest versions whose parts this node still references at stores. They
 	// only rise, also across restarts of the node.
--- a/internal/peerload/peerload_test.go
+++ b/internal/peerload/peerload_test.go
@@ -43,8 +43,8 @@
 	test.Eq(t, 7, table.Loads(now).At("e", 0).Running, test.Sprint("a restarted"))
 }
 
-// TestNodesNeverShrink checks that a node that receives nothing doesn't take the others' shares.
-func TestNodesNeverShrink(t *testing.T) {
+// TestNodesNeverDecreases checks that a node that receives nothing doesn't take the others' shares.
+func TestNodesNeverDecreases(t *testing.T) {
 	table := NewTable()
 	test.Eq(t, 1, table.Nodes())
 	table.Record(digest("a", 1, 1, 0), now)
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestLedExpires(t *testing.T) {
+func TestClaimExpires(t *testing.T) {
 	table := NewTable()
 	d := digest("a", 1, 1, 0)
 	d.Leads = true
--- a/internal/peerload/receive.go
+++ b/internal/peerload/receive.go
@@ -11,15 +11,15 @@
 
 // applyUnlistedWeights applies the weight versions that engines reported to peers. Each entry
 // counts from the time of the engine's report, so that a late digest can't override a newer report.
-func (e *Exchange) applyUnlistedWeights(seen []UnlistedWeights, now time.Time) {
-	if len(seen) == 0 {
+func (e *Exchange) applyUnlistedWeights(reported []UnlistedWeights, now time.Time) {
+	if len(reported) == 0 {
 		return
 	}
 	member := e.memberLookup()
-	for i := range seen {
-		for at, id := range seen[i].Endpoints {
+	for i := range reported {
+		for at, id := range reported[i].Endpoints {
 			if m := member(id); m != nil {
-				m.RecordRelayedWeights(seen[i].statement(at, now))
+				m.RecordRelayedWeights(reported[i].report(at, now))
 			}
 		}
 	}
--- a/internal/peerload/recipients.go
+++ b/internal/peerload/recipients.go
@@ -16,8 +16,8 @@
 
 // recipients are the nodes that messages are sent to.
 type recipients struct {
-	// local are the nodes that receive this node's load: all nodes of a small system, else those
-	// of its failure domain.
+	// local are the nodes for which this node's load is intended: all nodes of a small system, else
+	// those of its failure domain.
 	local  []netip.AddrPort
 	remote []netip.AddrPort // the other nodes
 	// remoteByDomain holds the remote nodes with their names, by failure domain.
@@ -30,10 +30,10 @@
 	addr netip.AddrPort
 }
 
-// collectors returns the nodes of other failure domains that pass messages on within their domain:
-// the representatives of each domain, or all nodes of a domain without a recently active
-// representative.
-func (a *recipients) collectors(t *Table, now time.Time) []netip.AddrPort {
+// representatives returns the nodes of other failure domains that pass messages on within their
+// domain: the representatives of each domain, which are collectors there, or all nodes of a domain
+// without a recently active representative.
+func (a *recipients) representatives(t *Table, now time.Time) []netip.AddrPort {
 	if a.remoteByDomain == nil {
 		return a.remote
 	}
@@ -80,7 +80,8 @@
 	return peers == nil || len(peers.remote) == 0
 }
 
-// localCount returns the number of nodes that receive this node's load.
+// localCount returns the number of nodes for which this node's load is intended. In a large system,
+// most of them receive it only as part of an aggregate.
 func (e *Exchange) localCount() int {
 	if peers := e.peers.Load(); peers != nil {
 		return len(peers.local)
@@ -88,13 +89,13 @@
 	return 0
 }
 
-// digestAgeIntervals is the mean age of the peers' reported loads, in units of the minimum
-// interval between two messages: each sender delays its digest by up to one interval, and in a
-// large system a collector by another.
+// digestAgeIntervals is the estimated mean age of the peers' reported loads, in units of the
+// minimum interval between two messages. The sender and, in a large system, a collector delay a
+// load by up to one interval each; the third is a margin.
 const digestAgeIntervals = 3
 
-// ReportLag returns the number of nodes that report their load to this one, and the mean age of the
-// reported loads.
+// ReportLag returns the number of nodes for which this node's load is intended, whose loads this
+// node receives directly or in an aggregate, and the estimated mean age of these loads.
 func (e *Exchange) ReportLag() (nodes int, lag time.Duration) {
 	nodes = e.localCount()
 	spacing, _ := intervals.DigestIntervals(nodes)
--- a/internal/peerload/sum.go
+++ b/internal/peerload/sum.go
@@ -65,7 +65,7 @@
 }
 
 // loadKey identifies one start of an endpoint. Endpoints with equal keys would be counted as one,
-// which happens in one of 8,000 fleets of 1,000 endpoints.
+// which is very unlikely: it happens in one of 8,000 fleets of 1,000 endpoints.
 type loadKey uint32
 
 func keyOf(id string, start StartTag) loadKey {
@@ -87,17 +87,17 @@
 }
 
 // Loads returns the load that the peers report; the result must not be modified. It is based on a
-// collector's aggregate if that covers more nodes than send digests to this node directly, else on
-// these digests.
+// collector's aggregate if that covers more, or nearly as many, nodes as send digests to this node
+// directly, else on these digests.
 func (t *Table) Loads(now time.Time) Sums {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c := t.bestAggregate(now); c != nil {
-		return c.loadSums()
+	if best := t.bestAggregate(now); best != nil {
+		return best.loadSums()
 	}
 	sums, _ := t.directLoadsLocked(now)
-	outer, _ := t.domainLoadSums(now)
-	sums.merge(outer)
+	domainSums, _ := t.domainLoadSums(now)
+	sums.merge(domainSums)
 	return sums
 }
 
--- a/internal/peerload/table.go
+++ b/internal/peerload/table.go
@@ -8,8 +8,7 @@
 const (
 	// DigestLifetime is how long a digest is used. It tolerates the loss of a few messages.
 	DigestLifetime = 800 * time.Millisecond
-	// peerLifetime is how long a node counts as live, as one of those that share a budget, after
-	// its last digest.
+	// peerLifetime is how long a node counts as live after its last digest.
 	peerLifetime = 10 * time.Second
 	// minReporters is the number of peers that must report an endpoint's failures or a holder's
 	// lateness before it counts: a single peer may have a network problem of its own.
@@ -20,7 +19,8 @@
 type Table struct {
 	mu    sync.Mutex
 	peers map[string]peerState
-	// domains holds the latest digest of each other failure domain, by its name.
+	// domains holds the latest digest of each failure domain, by its name. This node's own domain is
+	// included if one of its representatives sends digests.
 	domains map[string]domainState
 	// domainLoads holds the latest load of each other failure domain, by its name.
 	domainLoads map[string]domainLoad
@@ -45,7 +45,8 @@
 	since  time.Time
 }
 
-// updateWatermarks applies the references in a node's latest digest to its watermarks, which only rise.
+// updateWatermarks applies the references in a node's latest digest to its watermarks, which only
+// rise.
 func updateWatermarks(watermarks map[string]versionWatermark, references []OldestReferenced, now time.Time) map[string]versionWatermark {
 	for _, n := range references {
 		if watermarks == nil {
@@ -77,7 +78,7 @@
 	// Only a digest of a new node can increase the count. Messages are too frequent to count the
 	// nodes at each one.
 	if !listed {
-		t.maxPeers = max(t.maxPeers, t.countPeers(now))
+		t.maxPeers = max(t.maxPeers, t.removeExpiredPeers(now))
 	}
 }
 
@@ -86,12 +87,12 @@
 func (t *Table) Late(now time.Time) map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.bestAggregate(now)
-	if c == nil {
+	best := t.bestAggregate(now)
+	if best == nil {
 		return t.directLate(now)
 	}
-	late := make(map[string]float64, len(c.late))
-	for _, l := range c.late {
+	late := make(map[string]float64, len(best.late))
+	for _, l := range best.late {
 		late[l.Addr] = float64(l.MS)
 	}
 	return late
@@ -179,22 +180,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.digest.Leads && now.Sub(p.at) < within || p.aggregate.led(now, within) {
+		if p.digest.Leads && now.Sub(p.at) < within || p.aggregate.claimHeld(now, within) {
 			return true
 		}
 	}
 	return false
 }
 
-// led reports whether the collector received a digest from a holder of the claim to give orders
-// within the given time.
-func (c *receivedAggregate) led(now time.Time, within time.Duration) bool {
-	if c == nil {
+// claimHeld reports whether the collector received a digest from a holder of the claim to give
+// orders within the given time.
+func (a *receivedAggregate) claimHeld(now time.Time, within time.Duration) bool {
+	if a == nil {
 		return false
 	}
-	for i := range c.orders {
-		o := &c.orders[i]
-		if o.Leads && now.Sub(c.at)+time.Duration(o.AgeMs)*time.Millisecond < within {
+	for i := range a.orders {
+		o := &a.orders[i]
+		if o.Leads && now.Sub(a.at)+time.Duration(o.AgeMs)*time.Millisecond < within {
 			return true
 		}
 	}
@@ -209,8 +210,7 @@
 	return known && now.Sub(p.at) < within
 }
 
-// ReceivedFromDomain reports whether a digest of the other failure domain arrived within the given
-// time.
+// ReceivedFromDomain reports whether a digest of the failure domain arrived within the given time.
 func (t *Table) ReceivedFromDomain(domain string, now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -218,8 +218,8 @@
 	return known && now.Sub(d.at) < within
 }
 
-// ReceivedFromOtherDomains reports whether a digest of any other failure domain arrived within the
-// given time.
+// ReceivedFromOtherDomains reports whether a digest of any failure domain arrived within the given
+// time. Digests of this node's own domain count too.
 func (t *Table) ReceivedFromOtherDomains(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -235,7 +235,7 @@
 func (t *Table) LiveNodes(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.countPeers(now) + 1
+	return t.removeExpiredPeers(now) + 1
 }
 
 // ReceivedFromAny reports whether a digest of any node arrived within the given time.
@@ -259,8 +259,9 @@
 	return t.maxPeers + 1
 }
 
-// countPeers returns the number of live peers, and discards the others.
-func (t *Table) countPeers(now time.Time) int {
+// removeExpiredPeers discards the peers that are no longer live, and returns the number of the
+// others.
+func (t *Table) removeExpiredPeers(now time.Time) int {
 	for name, p := range t.peers {
 		if now.Sub(p.at) > peerLifetime {
 			delete(t.peers, name)
--- a/internal/peerload/seen_test.go
+++ b/internal/peerload/unlisted_weights_test.go
@@ -21,28 +21,28 @@
 	return f, f.All()[0]
 }
 
-func statementOf(version int64, at time.Time) fleet.WeightsReport {
+func reportOf(version int64, at time.Time) fleet.WeightsReport {
 	return fleet.WeightsReport{Weights: fleet.Weights{Model: model, Version: version}, At: at}
 }
 
-// TestSeenAppliesToOneStart checks that a reported version applies only to the same start of the
-// engine, and that it counts from the time of the engine's report.
-func TestSeenAppliesToOneStart(t *testing.T) {
+// TestUnlistedWeightsApplyToOneStart checks that a reported version applies only to the same start
+// of the engine, and that it counts from the time of the engine's report.
+func TestUnlistedWeightsApplyToOneStart(t *testing.T) {
 	reporting, member := memberOf(t, 100, 1)
-	member.RecordWeights(statementOf(2, now))
+	member.RecordWeights(reportOf(2, now))
 	data, err := json.Marshal(UnlistedWeightsOf(reporting.All(), now.Add(time.Second)))
 	must.NoError(t, err)
 	var list []UnlistedWeights
 	must.NoError(t, json.Unmarshal(data, &list))
 	must.Len(t, 1, list)
-	report := list[0].statement(0, now.Add(time.Second))
+	report := list[0].report(0, now.Add(time.Second))
 	test.Eq(t, now, report.At)
 
 	_, same := memberOf(t, 100, 1)
 	same.RecordRelayedWeights(report)
 	test.Eq(t, 2, same.VersionOf(model))
 	_, newer := memberOf(t, 100, 1)
-	newer.RecordWeights(statementOf(3, now.Add(time.Second/2)))
+	newer.RecordWeights(reportOf(3, now.Add(time.Second/2)))
 	newer.RecordRelayedWeights(report)
 	test.Eq(t, 3, newer.VersionOf(model), test.Sprint("a newer report takes precedence"))
 	_, restarted := memberOf(t, 200, 1)
@@ -51,17 +51,18 @@
 }
 
 // TestRelayedVersionsAreNotReported checks that versions received from other nodes are not
-// reported. Otherwise nodes could keep a version alive that no engine reports any more.
+// reported. Otherwise nodes could keep reporting a version to each other that no engine reports any
+// more.
 func TestRelayedVersionsAreNotReported(t *testing.T) {
 	f, m := memberOf(t, 100, 1)
-	m.RecordRelayedWeights(statementOf(2, now))
+	m.RecordRelayedWeights(reportOf(2, now))
 	test.SliceEmpty(t, UnlistedWeightsOf(f.All(), now))
 }
 
-// TestSeenOfAnotherBuild checks that a report without starts and ages is accepted.
-func TestSeenOfAnotherBuild(t *testing.T) {
+// TestUnlistedWeightsOfAnotherBuild checks that a report without starts and ages is accepted.
+func TestUnlistedWeightsOfAnotherBuild(t *testing.T) {
 	_, m := memberOf(t, 100, 1)
 	s := UnlistedWeights{Model: model, Version: 2, Endpoints: []string{"e"}}
-	m.RecordRelayedWeights(s.statement(0, now))
+	m.RecordRelayedWeights(s.report(0, now))
 	test.Eq(t, 2, m.VersionOf(model))
 }
