--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,9 +1,11 @@
 // Package follow maintains a local copy of a compacted topic: it reads the newest record of each
 // key once, then the changes, and determines how current the copy is.
 //
-// Guarantees: records reach the sink in the order of their offsets, each at least once. ConfirmedAt
-// is a time at which the copy was certainly current. It is taken before a read is sent, never when
-// the response arrives, so that a delayed response or a frozen process can't make the copy seem
+// Guarantees: every retained record that can be decoded reaches the sink at least once, in the
+// order of the offsets. Records that are compacted before they are read don't reach it. ConfirmedAt
+// is a time at which the copy was certainly current, except that it is never before the start of
+// Run, even if the first page was already older. It is taken before a read is sent, never when the
+// response arrives, so that a delayed response or a suspended process can't make the copy seem
 // fresher than it is. A record that can't be decoded is skipped and doesn't stop the copy.
 package follow
 
@@ -45,8 +47,8 @@
 	// Rejected are the records that were skipped because they can't be decoded.
 	Rejected []Rejected
 	Next     int64 // offset of the next read
-	// Age is the maximum time between when the page was current and when the read was sent: 0 if
-	// the topic itself responded, more if another node's copy did.
+	// The page was current at most Age before the read was sent: 0 if the topic itself responded,
+	// more if another node's copy did.
 	Age time.Duration
 }
 
@@ -64,12 +66,13 @@
 	Records []Record
 	// Snapshot is true if Records holds all existing keys.
 	Snapshot bool
-	// ConfirmedAt is a time at which the copy was certainly current.
+	// ConfirmedAt is a time at which the copy was certainly current. It is never before the start
+	// of Run, however: if the first page has an Age, ConfirmedAt is the start.
 	ConfirmedAt time.Time
 	// Next is the offset after the newest record in the copy.
 	Next int64
-	// Gap is the time from the previous ConfirmedAt, or from the start, to ConfirmedAt. The topic may
-	// have been unreachable during it.
+	// Gap is the time from the previous ConfirmedAt, or from the start, to ConfirmedAt. The topic
+	// may have been unreachable during it.
 	Gap time.Duration
 	// Failed is true if a read failed since the previous batch. If it is false, a long Gap is a
 	// delay of this process.
@@ -137,7 +140,8 @@
 	return nil
 }
 
-// readOnce performs one read. started must be a time before the read is sent.
+// readOnce performs one read, and a snapshot read too if the offset was compacted. started must be
+// a time before the read is sent.
 func (f *Follower) readOnce(ctx context.Context, started time.Time) error {
 	snapshot := f.nextOffset == unknownOffset
 	var page Page
@@ -168,10 +172,10 @@
 // reportRejected passes the records to Reject that were not passed before. Records that are still
 // retained are read again with each snapshot.
 func (f *Follower) reportRejected(list []Rejected) {
-	limit := f.rejectedUpTo
+	firstUnreported := f.rejectedUpTo
 	for i := range list {
 		r := &list[i]
-		if r.Offset < limit || f.Reject == nil {
+		if r.Offset < firstUnreported || f.Reject == nil {
 			continue
 		}
 		f.Reject(&r.Record, r.Err)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -20,11 +20,11 @@
 type scriptedTopic struct {
 	delay time.Duration
 
-	mu        sync.Mutex
-	fail      bool
-	compacted bool
-	newest    int // calls of Newest
-	failures  int // calls of Read that failed
+	mu          sync.Mutex
+	fail        bool
+	compacted   bool
+	newestCount int // calls of Newest
+	failures    int // calls of Read that failed
 }
 
 // set sets whether reads fail and whether the history has been compacted.
@@ -34,11 +34,11 @@
 	t.fail, t.compacted = fail, compacted
 }
 
-// snapshotReads returns the number of calls of Newest.
-func (t *scriptedTopic) snapshotReads() int {
+// newestCalls returns the number of calls of Newest.
+func (t *scriptedTopic) newestCalls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.newest
+	return t.newestCount
 }
 
 var errDown = errors.New("down")
@@ -50,7 +50,7 @@
 	if t.fail {
 		return follow.Page{}, errDown
 	}
-	t.newest++
+	t.newestCount++
 	t.compacted = false
 	return follow.Page{Records: []follow.Record{{Key: "k", Value: []byte("v")}}, Next: 7}, nil
 }
@@ -120,13 +120,14 @@
 	})
 }
 
+// TestCompactionTriggersSnapshot checks that a snapshot is read if the next offset was compacted.
 func TestCompactionTriggersSnapshot(t *testing.T) {
 	topic := &scriptedTopic{}
 	runFollower(t, topic, func(s *recordingSink) {
 		time.Sleep(1500 * time.Millisecond)
 		topic.set(false, true)
 		time.Sleep(2 * time.Second)
-		test.Eq(t, 2, topic.snapshotReads())
+		test.Eq(t, 2, topic.newestCalls())
 		test.True(t, last(s.batches()).ConfirmedAt.After(s.batches()[0].ConfirmedAt))
 	})
 }
@@ -135,15 +136,15 @@
 // maximum, so that a recovered topic is noticed within that time, and that a successful read
 // resets it.
 func TestBackoffWhileTopicFails(t *testing.T) {
-	// offGrid keeps the outage from ending at the same instant as a retry, whose outcome would
+	// retryOffset keeps the outage from ending at the same instant as a retry, whose outcome would
 	// then depend on which goroutine runs first.
-	const offGrid = 50 * time.Millisecond
+	const retryOffset = 50 * time.Millisecond
 	topic := &scriptedTopic{}
 	runFollower(t, topic, func(s *recordingSink) {
 		time.Sleep(wait / 2)
 		for range 2 {
 			topic.set(true, false)
-			time.Sleep(10*time.Second + offGrid)
+			time.Sleep(10*time.Second + retryOffset)
 			before := len(s.batches())
 			topic.set(false, false)
 			time.Sleep(wait + 800*time.Millisecond)
@@ -154,6 +155,8 @@
 	})
 }
 
+// TestOutageIsReportedOnce checks that an outage appears as one long Gap, in the first batch after
+// it.
 func TestOutageIsReportedOnce(t *testing.T) {
 	topic := &scriptedTopic{}
 	runFollower(t, topic, func(s *recordingSink) {
