--- a/internal/forward/answer_once_test.go
+++ b/internal/forward/answer_once_test.go
@@ -12,14 +12,11 @@
 // TestAnswerOnce checks that a caller receives the answer of exactly one endpoint, or a stream that
 // is continued correctly.
 //
-// It guards against two failures. An engine broke off a stream, the request was resumed at a second
-// engine with the last event's id, and that engine's error response was written into the stream as
-// if it were events, followed by a regular end of stream. Or the first engine answered with an
-// error that was delivered to the caller, and the request was sent again all the same, so that the
-// second engine's events followed the error body. Both happened because the retry decision did not
-// consider whether part or all of an answer had already been delivered. In the log such a request
-// has the verdict "answered" for its first send and the cause "wrote more than the declared
-// Content-Length" at its end.
+// An error or another stream must not follow an answer that was delivered in part or in full. This
+// happens if the retry decision ignores what was delivered: a second engine's error response is
+// written into the stream that it was to resume, or its events follow the first engine's error. In
+// the log such a request has the verdict "answered" for its first send and the cause "wrote more
+// than the declared Content-Length" at its end.
 func TestAnswerOnce(t *testing.T) {
 	failing := modelserver.Faults{Status: http.StatusInternalServerError}
 	cut := modelserver.Faults{CutAfter: 2}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -14,12 +14,13 @@
 
 const (
 	// maxSends bounds the sends of one request that reach an endpoint, including refused ones.
-	// After a few refusals the service is taken to be at capacity, and the caller is told so.
+	// After a few refusals the service counts as being at capacity, and the caller gets an error that
+	// states this.
 	maxSends = 3
-	// maxUnreachableSends bounds the sends of one request that fail to connect. Each failure makes
-	// its endpoint avoided, but when many endpoints end at the same time, the next one selected may
-	// have ended, too.
-	maxUnreachableSends = 4
+	// maxConnectRetries bounds the retries of one request after sends that failed to connect. After
+	// such a failure the endpoint is avoided, but when many endpoints end at the same time, the next
+	// one selected may have ended, too.
+	maxConnectRetries = 4
 	// refusalBackoff is the time for which an endpoint that refused a request receives no others:
 	// about the time until one of its running requests ends.
 	refusalBackoff = 50 * time.Millisecond
@@ -53,18 +54,18 @@
 	budget := x.Budgets.ForService(x.service.Name)
 	budget.RecordRequest(x.Clock.Now())
 	query := &Query{Route: x.route, Service: x.service, Account: x.account, Attributes: &x.attrs, Age: x.age}
-	runs := 0
+	mayHaveRunCount := 0
 	for {
 		if refusal := x.quarantineRefusal(); refusal != nil {
-			return x.refusalOrFailure(ctx, runs, refusal)
+			return x.finalError(ctx, mayHaveRunCount, refusal)
 		}
 		placement, ok := x.place(ctx, query)
 		x.placement = &placement
 		if !ok {
-			return x.refusalOrFailure(ctx, runs, placementRefusal(&placement))
+			return x.finalError(ctx, mayHaveRunCount, placementRefusal(&placement))
 		}
 		if x.expired(ctx) {
-			return x.refusalOrFailure(ctx, runs, result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryAfterOtherNode)))
+			return x.finalError(ctx, mayHaveRunCount, result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryAfterOtherNode)))
 		}
 		x.outcome.Attempts++
 		v := x.attempt(ctx, query, &placement)
@@ -78,11 +79,11 @@
 		}
 		query.Tried = append(query.Tried, placement.Member.ID)
 		if v != notRun {
-			runs++
+			mayHaveRunCount++
 		}
 		x.sends.record(v == notRun && x.unreachable())
-		if x.expired(ctx) || !x.mayRetry(v, runs) || !x.sends.takeFromBudget(budget, x.Clock.Now()) {
-			return x.conclude(ctx, v, runs)
+		if x.expired(ctx) || !x.mayRetry(v, mayHaveRunCount) || !x.sends.takeFromBudget(budget, x.Clock.Now()) {
+			return x.conclude(ctx, v, mayHaveRunCount)
 		}
 		x.Log.Info().Str("event", "sent_again").Str("id", x.attrs.ID).Str("endpoint", placement.Member.ID).
 			Stringer("verdict", v).AnErr("cause", x.cause).Str("after_event", x.attrs.ResumeAfter).
@@ -90,10 +91,11 @@
 	}
 }
 
-// mayRetry reports whether the request may be sent to another endpoint. It may not once a complete
-// answer was delivered: the caller would read a second answer as part of the first.
-func (x *exchange) mayRetry(v verdict, runs int) bool {
-	if x.callerGone || x.sends.exhausted() || runs >= x.route.MaxAttempts {
+// mayRetry reports whether the request may be sent to another endpoint. It returns false if the
+// caller is gone, if a limit on sends is reached, or if a complete answer was delivered: the caller
+// would read a second answer as part of the first.
+func (x *exchange) mayRetry(v verdict, mayHaveRunCount int) bool {
+	if x.callerWriteFailed || x.sends.exhausted() || mayHaveRunCount >= x.route.MaxAttempts {
 		return false
 	}
 	switch v {
@@ -116,12 +118,12 @@
 
 // updateHealth updates the endpoint's health with the verdict on an attempt.
 func (x *exchange) updateHealth(p *Placement, v verdict) {
-	if x.callerGone || x.r.Context().Err() != nil || errors.Is(x.cause, errWithdrawn) {
+	if x.callerWriteFailed || x.r.Context().Err() != nil || errors.Is(x.cause, errWithdrawn) {
 		return // the caller left or this node withdrew the attempt: neither depends on the endpoint's health
 	}
 	now := x.Clock.Now()
 	health := &p.Member.Health
-	endpointEnded := v == notRun && (x.endpointReplaced || x.refused())
+	endpointEnded := v == notRun && (x.endpointReplaced || x.connectionRefused())
 	unreachable := v == notRun && x.unreachable()
 	if endpointEnded {
 		p.Member.MarkEnded(now)
@@ -143,31 +145,32 @@
 	return errors.As(x.cause, &failure) && failure.NotRun()
 }
 
-// refused reports whether the latest attempt's connection was refused, so that nothing listens at
+// connectionRefused reports whether the latest attempt's connection was refused, so that nothing listens at
 // the address.
-func (x *exchange) refused() bool {
+func (x *exchange) connectionRefused() bool {
 	var failure *upstream.Error
 	return errors.As(x.cause, &failure) && failure.ConnectionRefused()
 }
 
 // conclude returns the error for a request that is not sent again, or nil if an endpoint's own
 // error was delivered already.
-func (x *exchange) conclude(ctx context.Context, v verdict, runs int) *result.Error {
+func (x *exchange) conclude(ctx context.Context, v verdict, mayHaveRunCount int) *result.Error {
 	if v == errorDelivered {
 		return nil
 	}
-	return x.refusalOrFailure(ctx, runs, result.New(result.Overloaded, result.WithRetryAfter(retryAfterNoEndpoint)))
+	return x.finalError(ctx, mayHaveRunCount, result.New(result.Overloaded, result.WithRetryAfter(retryAfterNoEndpoint)))
 }
 
-// refusalOrFailure returns notRunErr if no endpoint ran the request, and otherwise an error that
-// does not promise that it has not run. A departed caller or an expired deadline takes precedence.
-func (x *exchange) refusalOrFailure(ctx context.Context, runs int, notRunErr *result.Error) *result.Error {
+// finalError returns notRunErr if no endpoint can have run the request, and otherwise an error with
+// run state may_have_run. If the caller has left or the deadline has passed, the error states that
+// instead.
+func (x *exchange) finalError(ctx context.Context, mayHaveRunCount int, notRunErr *result.Error) *result.Error {
 	switch {
-	case x.callerGone, x.r.Context().Err() != nil:
+	case x.callerWriteFailed, x.r.Context().Err() != nil:
 		return result.New(result.CallerGone)
-	case runs == 0 && x.expired(ctx):
+	case mayHaveRunCount == 0 && x.expired(ctx):
 		return result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryAfterOtherNode))
-	case runs == 0:
+	case mayHaveRunCount == 0:
 		return notRunErr
 	case x.expired(ctx):
 		return result.New(result.DeadlinePassed)
@@ -175,10 +178,10 @@
 	return result.New(result.EndpointBrokeOff, result.WithRunState(result.MayHaveRun))
 }
 
-// attempt sends the request once and returns the verdict. Afterwards x.cause is the reason this
-// attempt failed, or nil if its answer was delivered.
+// attempt sends the request once and returns the verdict. Afterwards x.cause is the reason
+// for which this attempt failed, or nil if its answer was delivered.
 func (x *exchange) attempt(ctx context.Context, q *Query, p *Placement) verdict {
-	x.cause, x.connectionLost, x.endpointReplaced = nil, false, false
+	x.cause, x.answerBroken, x.endpointReplaced = nil, false, false
 	p.Attempt.Remaining = x.Clock.Until(x.deadline())
 	p.Attempt.ResumeAfter = x.attrs.ResumeAfter
 	load := p.Member.Load
@@ -189,27 +192,27 @@
 	// slowness of the endpoint.
 	started, sent := time.Now(), x.Clock.Now()
 	ctx, markBegun := withdrawUnlessBegun(ctx, x.monotonicTime(p.BeginBy))
-	prefillDone := func() {
+	releasePrefill := func() {
 		if prefilling {
 			prefilling = false
 			load.FirstEvent(p.PrefillTokens)
 			markBegun()
 		}
 	}
-	defer prefillDone()
-	first := func() {
+	defer releasePrefill()
+	onFirstEvent := func() {
 		if prefilling && p.RecordFirstEvent != nil {
 			p.RecordFirstEvent(time.Since(started))
 		}
-		prefillDone()
+		releasePrefill()
 	}
 	answer, err := p.Member.Pool.Do(ctx, x.request(&p.Attempt), x.isOwn)
 	if err != nil {
-		return x.failedSend(ctx, err)
+		return x.sendFailureVerdict(ctx, err)
 	}
 	info := x.Dialect.ReadAnswer(answer.Header)
 	if !info.Events {
-		markBegun() // the first event of a plain answer is its end, which may be far away
+		markBegun() // a plain answer has no events, and its end may take long to arrive
 	}
 	x.recordVersion(answer.StatusCode, &info, p, sent)
 	x.recordSignals(answer.StatusCode, &info, p.Member, sent)
@@ -218,7 +221,7 @@
 	if !misdirected { // a misdirected answer may come from another endpoint
 		p.Member.RecordAnswer(x.Clock.Now(), x.service.ColdStart)
 	}
-	v := x.deliver(answer, &info, first)
+	v := x.deliver(answer, &info, onFirstEvent)
 	if v == mayHaveRun && errors.Is(context.Cause(ctx), errWithdrawn) {
 		x.cause = errWithdrawn
 	}
@@ -229,9 +232,8 @@
 }
 
 // withdrawUnlessBegun returns a context that is canceled with errWithdrawn at the given time unless
-// markBegun is called first. A zero time sets no limit. It guards against engines that have become
-// slow and begin a prompt on replaced weights seconds after the placement, past the operators'
-// limit.
+// markBegun is called first. A zero time sets no limit. Otherwise a slow engine could begin a
+// prompt on replaced weights seconds after the placement, past the operators' limit for old weights.
 func withdrawUnlessBegun(ctx context.Context, at time.Time) (_ context.Context, markBegun func()) {
 	if at.IsZero() {
 		return ctx, func() {}
@@ -254,7 +256,9 @@
 	}
 }
 
-func (x *exchange) failedSend(ctx context.Context, err error) verdict {
+// sendFailureVerdict sets x.cause for a send that ended without an answer, and returns the verdict on
+// it.
+func (x *exchange) sendFailureVerdict(ctx context.Context, err error) verdict {
 	x.cause = err
 	switch {
 	case x.unreachable():
@@ -262,7 +266,7 @@
 	case errors.Is(context.Cause(ctx), errWithdrawn):
 		x.cause = errWithdrawn
 	default:
-		x.recordLoss(err)
+		x.recordBrokenAnswer(err)
 	}
 	return mayHaveRun
 }
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// budgetShare is the part of the operators' retry budget that nodes use. The rest covers
-	// requests and retries that are counted in different windows at a window boundary.
+	// budgetShare is the part of the operators' retry budget that nodes use. The rest
+	// allows for a retry that is counted in the window after its request's.
 	budgetShare = 0.8
 	// minNodes is the smallest number of nodes among which the fixed part of the budget is divided,
 	// as some nodes may not be known yet.
@@ -19,20 +19,20 @@
 	// initialRetries is the initial balance of a new budget, so that a node's first requests can be
 	// retried after a refusal. It is small because a node may restart within a window.
 	initialRetries = 2
-	// uncountedReserve is the maximum balance of a node that the others may not count: one retry,
-	// so that what its own requests earn can be used.
+	// uncountedReserve is the maximum balance of a node that is possibly not counted by the others:
+	// one retry, so that what its own requests earn can be used.
 	uncountedReserve = 1
 )
 
 // Budgets limits the retries of this node, for each service.
 //
 // Guarantee: in any window, the retries of all nodes together are at most the operators' ratio of
-// the requests plus their slack, provided that there are no more nodes than each node knows of, or
-// than minNodes. Nodes whose share may also be used by others add one retry each, which the part
-// beyond budgetShare covers.
+// the requests plus their slack, provided that there are no more nodes than each node counts, or
+// than minNodes. Nodes that are possibly not counted by the others add one retry each, which the
+// part beyond budgetShare covers.
 type Budgets struct {
-	// Counted reports whether the other nodes count this node; nil means always. A node that they may
-	// not count has no share of the fixed part, since the others divide all of it.
+	// Counted reports whether the other nodes count this node; nil means always. A node that is
+	// possibly not counted has no share of the fixed part, since the others divide all of it.
 	Counted func() bool
 	// Clock times the deposits of the budgets. Nil means the monotonic clock.
 	Clock *clock.Clock
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -19,7 +19,7 @@
 	)
 	bounds := bootstrap.Bounds{RetryRatio: 0.2, RetrySlack: 52, RetryWindow: 10 * time.Second}
 	now := time.Now()
-	repeats := 0
+	retries := 0
 	for range nodes {
 		budget := forward.NewBudgets(bounds, func() int { return nodes }).ForService("s")
 		for range 10 * requests { // before the window: fill the reserve
@@ -28,23 +28,23 @@
 		for range requests {
 			budget.RecordRequest(now)
 			for budget.WithdrawRetry(now) {
-				repeats++
+				retries++
 			}
 		}
 	}
-	test.LessEq(t, bounds.RetryRatio*nodes*requests+bounds.RetrySlack, float64(repeats))
-	test.Greater(t, 0, repeats)
+	test.LessEq(t, bounds.RetryRatio*nodes*requests+bounds.RetrySlack, float64(retries))
+	test.Greater(t, 0, retries)
 }
 
 // retriesAfterRequest records one request and returns the number of retries that the budget then
 // allows.
 func retriesAfterRequest(budget *forward.Budget, now time.Time) int {
-	repeats := 0
+	retries := 0
 	budget.RecordRequest(now)
 	for budget.WithdrawRetry(now) {
-		repeats++
+		retries++
 	}
-	return repeats
+	return retries
 }
 
 // fill records enough requests to reach the maximum balance.
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestShareFollowsNodes checks that a node's share grows when there are fewer nodes, without
+// TestShareDependsOnNodes checks that a node's share grows when there are fewer nodes, without
 // granting retries that it has not earned, and shrinks at once when there are more.
-func TestShareFollowsNodes(t *testing.T) {
+func TestShareDependsOnNodes(t *testing.T) {
 	nodes := 40
 	now := time.Now()
 	budgets := forward.NewBudgets(bootstrap.Bounds{RetryRatio: 0.2, RetrySlack: 100}, func() int { return nodes })
@@ -90,37 +90,37 @@
 		join()
 		fill(all[len(all)-1].ForService("s"), now)
 	}
-	repeats, sent := 0, 0
+	retries, sent := 0, 0
 	for range replaced {
 		counted++
 		all = all[1:]
 		join()
 		for _, budgets := range all {
 			for range requests {
-				repeats += retriesAfterRequest(budgets.ForService("s"), now)
+				retries += retriesAfterRequest(budgets.ForService("s"), now)
 				sent++
 			}
 		}
 	}
-	test.LessEq(t, bounds.RetryRatio*float64(sent)+bounds.RetrySlack, float64(repeats))
+	test.LessEq(t, bounds.RetryRatio*float64(sent)+bounds.RetrySlack, float64(retries))
 }
 
-// TestUncountedNodeKeepsNoShare checks that a node that the others may not count can save up only
-// one retry, earned by its own requests.
-func TestUncountedNodeKeepsNoShare(t *testing.T) {
-	held := true
+// TestUncountedNodeSavesOneRetry checks that a node that is possibly not counted by the others can
+// save up only one retry, earned by its own requests.
+func TestUncountedNodeSavesOneRetry(t *testing.T) {
+	counted := true
 	now := time.Now()
 	budgets := forward.NewBudgets(bootstrap.Bounds{RetryRatio: 0.2, RetrySlack: 100}, func() int { return 8 })
-	budgets.Counted = func() bool { return held }
+	budgets.Counted = func() bool { return counted }
 	fill(budgets.ForService("s"), now)
-	held = false
+	counted = false
 	test.Eq(t, 1, retriesAfterRequest(budgets.ForService("s"), now))
-	repeats := 0
+	retries := 0
 	for range 50 {
-		repeats += retriesAfterRequest(budgets.ForService("s"), now)
+		retries += retriesAfterRequest(budgets.ForService("s"), now)
 	}
-	test.Eq(t, 7, repeats, test.Sprint("one in seven: the balance beyond one retry is lost"))
-	held = true
+	test.Eq(t, 7, retries, test.Sprint("one in seven: the balance beyond one retry is lost"))
+	counted = true
 	fill(budgets.ForService("s"), now)
 	test.Eq(t, 10, retriesAfterRequest(budgets.ForService("s"), now))
 }
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// deliver passes an endpoint's answer on to the caller and returns the verdict. first is called
-// once the first events of a stream, or a plain answer up to maxAnswerBytes, have been read; it may
-// be called more than once.
-func (x *exchange) deliver(answer *upstream.Answer, info *AnswerInfo, first func()) verdict {
+// deliver passes an endpoint's answer on to the caller and returns the verdict. onFirst
+// is called when the first events of a stream, or a plain answer up to maxAnswerBytes, have been
+// read, possibly several times.
+func (x *exchange) deliver(answer *upstream.Answer, info *AnswerInfo, onFirst func()) verdict {
 	if info.NotRun {
 		x.cause = eris.Errorf("endpoint refused the request with status %d", answer.StatusCode)
 		x.discardBody(answer)
@@ -48,7 +48,7 @@
 		return mayHaveRun
 	}
 	if success && info.Events && unencoded(answer) {
-		return x.deliverEvents(answer, first)
+		return x.deliverEvents(answer, onFirst)
 	}
 	if x.written {
 		// Events of another endpoint were delivered already: only events may follow.
@@ -56,7 +56,7 @@
 		x.cause = eris.Errorf("resumed stream was answered with status %d", answer.StatusCode)
 		return streamBroken
 	}
-	return x.deliverWhole(answer, first)
+	return x.deliverBuffered(answer, onFirst)
 }
 
 // unencoded reports whether an answer's body has no content encoding, so that event boundaries can
@@ -76,17 +76,17 @@
 	answer.Done()
 }
 
-// deliverWhole buffers an answer up to its end before delivering any of it. Answers longer than
-// maxAnswerBytes go to deliverLong.
-func (x *exchange) deliverWhole(answer *upstream.Answer, first func()) verdict {
+// deliverBuffered buffers the complete answer, then delivers it unless its status must be withheld.
+// Answers longer than maxAnswerBytes go to deliverLong.
+func (x *exchange) deliverBuffered(answer *upstream.Answer, onFirst func()) verdict {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
-	first()
+	onFirst()
 	if err == nil && len(body) == 0 && answer.Unframed() {
 		err = eris.New("connection closed after the response header")
 	}
 	if err != nil {
 		answer.Abort()
-		x.recordLoss(eris.Wrap(err, "read answer body"))
+		x.recordBrokenAnswer(eris.Wrap(err, "read answer body"))
 		return mayHaveRun
 	}
 	if x.withholds(answer.StatusCode) {
@@ -144,8 +144,8 @@
 	return x.retryable() && x.outcome.Attempts < min(x.route.MaxAttempts, maxSends)
 }
 
-// promisesNotRun reports whether callers take a status as proof that the request did not run. Only
-// an explicit statement of the endpoint is such a proof.
+// promisesNotRun reports whether callers take a status as proof that the request did not run. An
+// endpoint's status alone is no proof, so such an answer is not delivered.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/internal/forward/ended_test.go
+++ b/internal/forward/ended_test.go
@@ -28,15 +28,12 @@
 	return strings.TrimPrefix(backend.URL, "http://")
 }
 
-// The next two tests guard against a failure in which requests were still sent to endpoints that
-// had restarted under another id. All were refused, until the registry dropped the old id 3.6 s
-// later: the refusal by the new process was treated like that of an endpoint at capacity.
-
 // TestReplacedEndpointIsAvoided checks that an endpoint is avoided once another one answers at its
-// address.
+// address. A refusal by another process must not count as one for lack of capacity: requests would
+// be sent to the old id, and refused, until the registry drops it.
 func TestReplacedEndpointIsAvoided(t *testing.T) {
 	w := &testHandler{}
-	w.open(t, []string{liveEndpoint(t, "another"), liveEndpoint(t, "s1")})
+	w.start(t, []string{liveEndpoint(t, "another"), liveEndpoint(t, "s1")})
 	a := w.do(t, http.MethodPost, uploadPath, "x", nil)
 	test.Eq(t, http.StatusOK, a.status)
 	m := w.placer.members[0]
@@ -49,7 +46,7 @@
 // address.
 func TestEndedEndpointIsAvoided(t *testing.T) {
 	w := &testHandler{}
-	w.open(t, []string{endedEndpoint(t), liveEndpoint(t, "s1")})
+	w.start(t, []string{endedEndpoint(t), liveEndpoint(t, "s1")})
 	a := w.do(t, http.MethodPost, uploadPath, "x", nil)
 	test.Eq(t, http.StatusOK, a.status)
 	test.False(t, w.placer.members[0].Health.Usable(time.Now().Add(2*time.Second)))
--- a/internal/forward/endpoint_signals_test.go
+++ b/internal/forward/endpoint_signals_test.go
@@ -49,7 +49,7 @@
 	backend := httptest.NewServer(server.Handler())
 	defer backend.Close()
 	misdirected := &testHandler{}
-	misdirected.open(t, []string{strings.TrimPrefix(backend.URL, "http://")})
+	misdirected.start(t, []string{strings.TrimPrefix(backend.URL, "http://")})
 	a := misdirected.do(t, http.MethodGet, recordPath, "", nil)
 	test.NotEq(t, http.StatusOK, a.status)
 	signals := misdirected.placer.members[0].Signals
@@ -58,9 +58,9 @@
 	test.False(t, limited || draining)
 }
 
-// TestRefusalsAskForBackoff checks that a readable Retry-After in a refusal sets a backoff, and
+// TestRetryAfterSetsBackoff checks that a readable Retry-After in a refusal sets a backoff, and
 // that the backoff is capped.
-func TestRefusalsAskForBackoff(t *testing.T) {
+func TestRetryAfterSetsBackoff(t *testing.T) {
 	w := newTestHandler(t, "")
 	signals := w.placer.members[0].Signals
 	for _, after := range []string{"soon", "-3", "NaN", ""} {
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -21,7 +21,7 @@
 
 // deliverEvents forwards each complete event as it arrives. An incomplete event is not forwarded,
 // so that a resumed stream can start with it.
-func (x *exchange) deliverEvents(answer *upstream.Answer, first func()) verdict {
+func (x *exchange) deliverEvents(answer *upstream.Answer, onFirst func()) verdict {
 	d := &streamDelivery{
 		eventReader: &eventReader{body: answer.Body, unframed: answer.Unframed()},
 		unverified:  x.written || x.route.Resumable && x.position.lastID != "",
@@ -30,7 +30,7 @@
 	for {
 		events, err := d.next()
 		if len(events) > 0 {
-			first()
+			onFirst()
 			if !x.forwardEvents(answer, d, events) {
 				return x.abortStream(answer)
 			}
@@ -39,7 +39,7 @@
 			return x.finishEvents(answer, d)
 		}
 		if err != nil {
-			x.recordLoss(eris.Wrap(err, "read event stream"))
+			x.recordBrokenAnswer(eris.Wrap(err, "read event stream"))
 			return x.abortStream(answer)
 		}
 	}
@@ -76,7 +76,7 @@
 func (x *exchange) finishEvents(answer *upstream.Answer, d *streamDelivery) verdict {
 	rest := d.incomplete()
 	if d.unframed && (len(rest) > 0 || d.empty) {
-		x.recordLoss(eris.New("connection closed within an event"))
+		x.recordBrokenAnswer(eris.New("connection closed before the end of an event or before any event"))
 		return x.abortStream(answer)
 	}
 	if d.unverified && len(rest) > 0 {
@@ -107,7 +107,7 @@
 	}
 	if err != nil {
 		x.cause = eris.Wrap(err, "write to the caller")
-		x.callerGone = true
+		x.callerWriteFailed = true
 	}
 	return err == nil
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -21,7 +21,7 @@
 // and the time between the check and the send.
 const revocationMargin = 300 * time.Millisecond
 
-// Handler forwards requests. All fields must be set.
+// Handler forwards requests. All fields except Clock must be set.
 type Handler struct {
 	Dialect      Dialect
 	ConfigSource ConfigSource
@@ -80,12 +80,12 @@
 	placement         *Placement              // the latest one
 	cause             error                   // reason for which the latest attempt failed
 	cachedFingerprint *quarantine.Fingerprint // computed on first use
-	connectionLost    bool                    // the latest attempt's connection broke before the end of the answer
+	answerBroken      bool                    // the latest attempt ended without a complete answer
 	// endpointReplaced is true if another endpoint answered the latest attempt.
-	endpointReplaced bool
-	written          bool     // the header of the answer was written
-	position         position // in the caller's stream
-	callerGone       bool     // writing to the caller failed
+	endpointReplaced  bool
+	written           bool     // the header of the answer was written
+	position          position // in the caller's stream
+	callerWriteFailed bool     // writing to the caller failed
 }
 
 // ServeHTTP implements http.Handler.
@@ -130,6 +130,8 @@
 	return x.readBody()
 }
 
+// staleErrorOr returns NodeStale if the configuration is stale, and otherwise an error with the given
+// code.
 func staleErrorOr(stale bool, code result.Code) *result.Error {
 	if stale {
 		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
@@ -139,7 +141,7 @@
 
 // authenticate finds the client account of the request's key. If the operators' revocation bound
 // also holds during an outage of the store, a node whose configuration has not been confirmed
-// recently accepts no key; otherwise it accepts the keys that it knows.
+// recently accepts no key; otherwise it accepts the keys in its configuration.
 func (x *exchange) authenticate(stale bool, bounds *bootstrap.Bounds) *result.Error {
 	if !bounds.AcceptStaleKeys && x.configAge > bounds.Revoke-revocationMargin {
 		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -57,13 +57,13 @@
 	return c.Index()
 }
 
-// fixedState is a forward.ConfigSource with a fixed configuration and age.
-type fixedState struct {
+// fixedConfig is a forward.ConfigSource with a fixed configuration and age.
+type fixedConfig struct {
 	config *routing.Config
 	age    time.Duration
 }
 
-func (s *fixedState) Config() (*routing.Config, time.Duration) { return s.config, s.age }
+func (s *fixedConfig) Config() (*routing.Config, time.Duration) { return s.config, s.age }
 
 // orderedPlacer is a placer that selects the first endpoint not yet tried.
 type orderedPlacer struct {
@@ -91,7 +91,7 @@
 
 // testHandler is a handler in front of stub model servers.
 type testHandler struct {
-	state   *fixedState
+	state   *fixedConfig
 	bounds  bootstrap.Bounds
 	servers []*modelserver.Server
 	placer  *orderedPlacer
@@ -112,17 +112,17 @@
 		w.servers = append(w.servers, server)
 		addrs = append(addrs, strings.TrimPrefix(backend.URL, "http://"))
 	}
-	w.open(t, addrs)
+	w.start(t, addrs)
 	return w
 }
 
 func serverID(i int) string { return "s" + string(rune('0'+i)) }
 
-// open starts the handler in front of endpoints at the given addresses, which it tries in that
+// start starts the handler in front of endpoints at the given addresses, which it tries in that
 // order.
-func (w *testHandler) open(t testing.TB, addrs []string) {
+func (w *testHandler) start(t testing.TB, addrs []string) {
 	t.Helper()
-	w.state = &fixedState{config: config()}
+	w.state = &fixedConfig{config: config()}
 	f := fleet.New(zerolog.Nop())
 	for i, addr := range addrs {
 		f.Update(&fleet.Endpoint{ID: serverID(i), Service: "servers", Addr: addr}, time.Now())
@@ -175,13 +175,13 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// doUntil sends a request and cancels it when left is closed.
-func (w *testHandler) doUntil(t *testing.T, left <-chan struct{}, path string) {
+// doUntil sends a request and cancels it when callerLeft is closed.
+func (w *testHandler) doUntil(t *testing.T, callerLeft <-chan struct{}, path string) {
 	t.Helper()
 	req := w.request(t, http.MethodGet, path, "", nil)
 	ctx, cancel := context.WithCancel(req.Context())
 	go func() {
-		<-left
+		<-callerLeft
 		cancel()
 	}()
 	if resp, err := http.DefaultClient.Do(req.WithContext(ctx)); err == nil {
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -23,7 +23,8 @@
 )
 
 // place selects an endpoint. If none accepts the request now but one is predicted to soon, it waits
-// and tries again. It reports false as soon as the prediction exceeds the maximum wait.
+// and tries again. It reports false as soon as the prediction exceeds the rest of the
+// maximum wait, there is no prediction, or ctx ends.
 func (x *exchange) place(ctx context.Context, q *Query) (Placement, bool) {
 	for {
 		placement, ok := x.Placer.Place(q)
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -74,7 +74,7 @@
 }
 
 // TestAgeOfRetries checks that the age is the difference between a caller's deadline and
-// the route's longest one.
+// the route's longest one if the route's callers state equal initial deadlines.
 func TestAgeOfRetries(t *testing.T) {
 	var p AgeEstimator
 	now := time.Now()
@@ -83,16 +83,15 @@
 	test.Eq(t, 2*time.Second, p.Age("r", 10*time.Second, now))
 	test.Eq(t, 0, p.Age("other", 10*time.Second, now))
 	test.Eq(t, 0, p.Age("r", 0, now), test.Sprint("no deadline is stated"))
-	test.Eq(t, 0, p.Age("r", 10*time.Second, now.Add(maxLongestAge+time.Second)), test.Sprint("the longest deadline is too old"))
+	test.Eq(t, 0, p.Age("r", 10*time.Second, now.Add(deadlineRetention+time.Second)), test.Sprint("the longest deadline is too old"))
 }
 
-// The next test guards against a failure with callers that set between 85 and 100% of their class's
-// time as the deadline of their first try. Nearly all were taken for callers that had been refused
-// before: small prompts then took the capacity that large ones waited for, and prompts that came
-// too late were not refused.
-
 // TestAgeWithUnequalDeadlines checks that few first tries with unequal deadlines are taken for
 // retries, and that most retries that have lost more time than the spread are found.
+//
+// Callers may state between 85 and 100% of their class's time on their first try. If these counted
+// as retries, small prompts would take the capacity for which large ones wait, and prompts that
+// come too late would not be refused.
 func TestAgeWithUnequalDeadlines(t *testing.T) {
 	const full, lost = 10 * time.Second, 2500 * time.Millisecond
 	for _, spread := range []float64{0, 0.05, 0.15} {
--- a/internal/forward/property_test.go
+++ b/internal/forward/property_test.go
@@ -42,8 +42,8 @@
 
 func (s drawnStream) text() string { return strings.Join(s.events, "") }
 
-// eventsAfter returns the part of the stream eventsAfter the event with the given id, or all of it
-// if id is empty.
+// eventsAfter returns the part of the stream after the event with the given id, or all of it if id is
+// empty.
 func (s drawnStream) eventsAfter(t *rapid.T, id string) string {
 	if id == "" {
 		return s.text()
@@ -53,9 +53,9 @@
 	return strings.Join(s.events[n:], "")
 }
 
-// drawSecond generates the second endpoint's answer to the resumed request. A request that starts
-// at the beginning gets the true stream, since any other answer would also be valid there.
-func (s drawnStream) drawSecond(t *rapid.T) script {
+// drawSecondAnswer generates the second endpoint's answer to the resumed request. A request that starts
+// at the beginning gets the complete stream, since any other answer would also be valid there.
+func (s drawnStream) drawSecondAnswer(t *rapid.T) script {
 	kind := rapid.SampledFrom([]string{"right", "broken", "anew", "gap", "error", "plain", "refused", "text", "unnamed"}).Draw(t, "second")
 	cut := rapid.IntRange(0, len(s.text())).Draw(t, "second cut")
 	return script{answer: func(r *http.Request) string {
@@ -87,14 +87,14 @@
 }
 
 // TestCallerGetsAPrefix checks, for streams that break off at any byte and any answer of the second
-// endpoint, that the caller receives a prefix of the true stream, and a regular end only with all
+// endpoint, that the caller receives a prefix of the complete stream, and a regular end only with all
 // of it.
 func TestCallerGetsAPrefix(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawStream(rt)
 		want := s.text()
 		first := fixedAnswer(streamOf(want, rapid.IntRange(-1, len(want)).Draw(rt, "cut")))
-		w := newRawTestHandler(t, first, s.drawSecond(rt))
+		w := newRawTestHandler(t, first, s.drawSecondAnswer(rt))
 		got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
 		must.Eq(rt, http.StatusOK, got.status)
 		must.StrHasPrefix(rt, got.body, want)
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -22,24 +22,24 @@
 	return result.New(result.Quarantined, result.WithRetryAfter(x.Clock.Until(until)))
 }
 
-// recordLoss records that the latest attempt ended because its connection broke.
-func (x *exchange) recordLoss(cause error) { x.cause, x.connectionLost = cause, true }
+// recordBrokenAnswer records that the latest attempt ended without a complete answer.
+func (x *exchange) recordBrokenAnswer(cause error) { x.cause, x.answerBroken = cause, true }
 
 // updateQuarantine updates the quarantine with the latest attempt. If the caller left or its
-// deadline passed, this node closed the connection, which says nothing about the request.
+// deadline passed, this node closed the connection, so the request is not the cause.
 func (x *exchange) updateQuarantine(ctx context.Context, p *Placement, v verdict) {
 	switch {
-	case x.connectionLost && ctx.Err() == nil:
-		x.reportLostRun(p)
+	case x.answerBroken && ctx.Err() == nil:
+		x.reportBrokenAnswer(p)
 	case v == delivered && x.outcome.Status < http.StatusMultipleChoices && !x.Quarantine.Empty():
 		x.Quarantine.Clear(x.fingerprint())
 	}
 }
 
-// reportLostRun logs an attempt whose connection broke. If the endpoint has ended, the request may
-// be the cause and is reported to the quarantine; a broken stream from an endpoint that still runs
-// is not.
-func (x *exchange) reportLostRun(p *Placement) {
+// reportBrokenAnswer logs an attempt that ended without a complete answer. If the endpoint has ended,
+// the request may be the cause and is reported to the quarantine. If the endpoint is still running,
+// nothing is reported to the quarantine.
+func (x *exchange) reportBrokenAnswer(p *Placement) {
 	f := x.fingerprint()
 	ended := p.Member.Ended()
 	x.Log.Warn().Str("event", "run_lost").Str("id", x.attrs.ID).Str("endpoint", p.Member.ID).
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -18,7 +18,7 @@
 // exitPath is the path suffix of requests that make a server exit.
 const exitPath = "/ends"
 
-// newExitingTestHandler starts servers that exit on requests whose path ends with endsOn.
+// newExitingTestHandler starts servers that exit on requests whose path ends with exitPath.
 func newExitingTestHandler(t *testing.T, servers int) *testHandler {
 	t.Helper()
 	w := &testHandler{}
@@ -34,12 +34,12 @@
 		w.servers = append(w.servers, server)
 		addrs = append(addrs, strings.TrimPrefix(backend.URL, "http://"))
 	}
-	w.open(t, addrs)
+	w.start(t, addrs)
 	return w
 }
 
-// ran returns the number of servers that ran requests whose id has the given prefix.
-func (w *testHandler) ran(prefix string) (servers int) {
+// serversThatRan returns the number of servers that ran requests whose id has the given prefix.
+func (w *testHandler) serversThatRan(prefix string) (servers int) {
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
 			if strings.HasPrefix(r.Request, prefix) {
@@ -59,12 +59,9 @@
 // TestRequestThatEndsEndpoints checks that a request that makes engines exit reaches only a few of
 // them.
 //
-// It guards against a failure in which one prompt made each engine exit that began to run it, and
-// its caller retried at once under another id. The node sent it to another engine, kept no record
-// of it after answering, and sent it on to further engines and to those just restarted, so that
-// callers of all requests repeatedly found no engine for seconds. The log then shows the same
-// fingerprint for the runs lost with each engine, on all nodes and under many ids (event=run_lost,
-// ended=true: a new connection to the engine was refused).
+// Without the quarantine, a caller that retries under new ids would make one engine after the other
+// exit, until no engine is left for other requests. The log then shows the same fingerprint under
+// many ids (event=run_lost, ended=true: a new connection to the engine was refused).
 func TestRequestThatEndsEndpoints(t *testing.T) {
 	const (
 		servers = 8
@@ -76,12 +73,12 @@
 		resp, err := http.DefaultClient.Do(w.request(t, http.MethodPost, "/resume"+exitPath, "prompt", func(r *http.Request) { r.Header.Set("X-Attempt-Id", id) }))
 		must.NoError(t, err)
 		must.NoError(t, resp.Body.Close())
-		if w.ran(id) == 0 {
+		if w.serversThatRan(id) == 0 {
 			test.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 		}
 		w.removeEnded()
 	}
-	test.Eq(t, 3, w.ran("guilty-"))
+	test.Eq(t, 3, w.serversThatRan("guilty-"))
 	must.SliceNotEmpty(t, w.placer.members)
 	a := w.do(t, http.MethodPost, "/resume/other", "prompt", nil)
 	test.Eq(t, http.StatusOK, a.status)
--- a/internal/forward/raw_test.go
+++ b/internal/forward/raw_test.go
@@ -63,7 +63,7 @@
 		addrs = append(addrs, listen(t, s))
 	}
 	w := &testHandler{}
-	w.open(t, addrs)
+	w.start(t, addrs)
 	return w
 }
 
--- a/internal/forward/send_counts.go
+++ b/internal/forward/send_counts.go
@@ -20,12 +20,12 @@
 
 // exhausted reports whether the request was sent as often as allowed.
 func (s *sendCounts) exhausted() bool {
-	return s.reached >= maxSends || s.unreachable > maxUnreachableSends
+	return s.reached >= maxSends || s.unreachable > maxConnectRetries
 }
 
 // takeFromBudget withdraws a retry from the budget for the next send. None is needed if no send has
-// reached an endpoint yet, or if the last one withdrawn was for a send that did not reach one. It
-// reports false if the budget is exhausted.
+// reached an endpoint yet, or if the last retry withdrawn was not used, because its send failed to
+// connect. It reports true if the request may be sent, and false if the budget is exhausted.
 //
 // The budget limits what endpoints receive beyond the first delivery of each request. When many
 // endpoints end at once, sends that fail to connect must not use up the retries needed for refused
--- a/internal/forward/sse.go
+++ b/internal/forward/sse.go
@@ -37,8 +37,8 @@
 	consumed int // bytes of pending that were returned already
 }
 
-// next returns the complete events read next, and the error that ended reading, if any. The events
-// are valid until the next call.
+// next reads until at least one event is complete, and returns the complete events and the error that
+// ended reading, if any. The events are valid until the next call.
 func (r *eventReader) next() ([]byte, error) {
 	r.pending = append(r.pending[:0], r.pending[r.consumed:]...)
 	r.consumed = 0
@@ -137,14 +137,15 @@
 type position struct {
 	lastID string // id of the last event that had one
 	// endsWithoutID is set if an event without an id came after lastID: a stream resumed after
-	// lastID would repeat it.
+	// lastID would repeat it. It is also set for a plain answer, which can't be resumed.
 	endsWithoutID bool
-	// nonSequential is set if the ids do not number the events one by one.
+	// nonSequential is set if the ids do not number the events one by one, or if this is not known.
+	// Gaps between ids are then accepted.
 	nonSequential bool
 }
 
 // positionAt returns the position of a caller that has received the event with the given id, or
-// none if it is empty. Whether ids number the events one by one is not known then.
+// none if it is empty. With an id, gaps between ids are accepted.
 func positionAt(id string) position { return position{lastID: id, nonSequential: id != ""} }
 
 // advance records events that were sent to the caller.
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -9,7 +9,7 @@
 //     that visibly breaks off.
 //   - A key is accepted only if the configuration that contains it was current less than the
 //     revocation bound ago, unless the operators accept stale keys.
-//   - A request that will not be sent again is answered at once.
+//   - As soon as it is clear that a request will not be sent again, it is answered.
 //   - A request in quarantine, because endpoints repeatedly ended while running it, is not sent.
 package forward
 
@@ -54,8 +54,8 @@
 	Version     int64 // of the weights; 0 for any
 	Salt        string
 	Priority    *int
-	// Sources and Targets hold an address for each part, or an empty string: where its KV cache is
-	// fetched from, and where it is stored.
+	// Sources and Targets hold, for each part, the address from which its KV cache is fetched and the
+	// address at which it is stored, or an empty string.
 	Sources, Targets []string
 	// FetchUntil is the time, in ms on the engines' clock, after which a fetched KV cache is
 	// discarded; 0 for no limit.
@@ -79,8 +79,8 @@
 	LimitUnreadable bool
 	// Draining is true if the endpoint states that it is draining.
 	Draining bool
-	// RetryAfter is the time for which an endpoint that refuses the request wants no requests from
-	// this node; 0 if not stated.
+	// RetryAfter is the time for which an endpoint that refuses the request is to receive no requests
+	// from this node; 0 if not stated.
 	RetryAfter time.Duration
 	// Unreadable lists the headers about the endpoint that could not be decoded, as NAME: VALUE.
 	// They are treated as missing.
@@ -119,14 +119,14 @@
 	Age time.Duration
 }
 
-// returnedShare is the part of the objective that a caller's age must exceed for its try to count
-// as a retry. Callers state a deadline some ms short of their full time, because connecting took
-// that long.
-const returnedShare = 0.05
+// minRetryAgeShare is the part of the objective that a caller's age must exceed for its try to count
+// as a retry. On a first try, the stated time is a few ms shorter than the caller's full time,
+// because connecting took that long.
+const minRetryAgeShare = 0.05
 
 // IsRetry reports whether the caller was refused before, as estimated from its deadline.
 func (q *Query) IsRetry() bool {
-	return q.Age > time.Duration(returnedShare*float64(q.Route.Objective))
+	return q.Age > time.Duration(minRetryAgeShare*float64(q.Route.Objective))
 }
 
 // Placement is the selected endpoint and how to send the request to it.
@@ -134,8 +134,8 @@
 	Member *fleet.Member
 	// Attempt is complete except for Remaining and ResumeAfter.
 	Attempt Attempt
-	// PrefillTokens is the number of prompt tokens that the endpoint is expected to prefill. Cached and
-	// Fetched are those that it has in its cache or fetches from elsewhere.
+	// PrefillTokens is the number of prompt tokens that the endpoint is expected to prefill. Cached is
+	// the number that it has in its cache, Fetched the number that it fetches from elsewhere.
 	PrefillTokens, Cached, Fetched int
 	// MemoryTokens is the number of tokens that the request is expected to occupy in the endpoint's
 	// memory.
@@ -174,17 +174,17 @@
 	HeldUntil(f quarantine.Fingerprint) time.Time
 	// RecordEnd records that an endpoint ended while running a request, and reports whether the request
 	// is quarantined from now on.
-	RecordEnd(e quarantine.Ending) (held bool)
+	RecordEnd(e quarantine.Ending) (quarantined bool)
 	// Clear records that an endpoint completed a request, and reports whether the request was
 	// recorded before.
 	Clear(f quarantine.Fingerprint) (known bool)
 }
 
-// Fleet holds the endpoints.
+// Fleet records which endpoints are draining.
 type Fleet interface {
 	// MarkDraining records that an endpoint reported that it is draining, and reports whether that
 	// is new. The endpoint receives no further requests.
-	MarkDraining(m *fleet.Member, now time.Time) (news bool)
+	MarkDraining(m *fleet.Member, now time.Time) (isNew bool)
 }
 
 // Placer selects endpoints.
--- a/internal/forward/withdraw_plain_test.go
+++ b/internal/forward/withdraw_plain_test.go
@@ -36,7 +36,7 @@
 			}))
 			defer backend.Close()
 			w := &testHandler{}
-			w.open(t, []string{strings.TrimPrefix(backend.URL, "http://")})
+			w.start(t, []string{strings.TrimPrefix(backend.URL, "http://")})
 			w.placer.beginWithin = within
 			got := w.do(t, http.MethodPost, path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
@@ -54,7 +54,7 @@
 	backend := httptest.NewServer(good.Handler())
 	defer backend.Close()
 	w := &testHandler{}
-	w.open(t, []string{strings.TrimPrefix(silent.URL, "http://"), strings.TrimPrefix(backend.URL, "http://")})
+	w.start(t, []string{strings.TrimPrefix(silent.URL, "http://"), strings.TrimPrefix(backend.URL, "http://")})
 	w.placer.beginWithin = 100 * time.Millisecond
 	health := &w.placer.members[1].Health
 	now := time.Now()
