--- a/internal/calls/caller_deadline_test.go
+++ b/internal/calls/caller_deadline_test.go
@@ -26,21 +26,21 @@
 	executions int
 }
 
-func (l *fakeService) View() *config.View {
+func (s *fakeService) View() *config.View {
 	e := &pb.Endpoint{Name: "ledger-1", Url: "http://ledger-1", Service: "ledger"}
 	return config.NewView().With(config.Entry{Kind: config.KindEndpoint, Name: e.Name, Value: e, Revision: 1})
 }
 
-func (l *fakeService) HostLeaving(*pb.Endpoint) bool { return false }
-func (l *fakeService) Succeeded()                    {}
-func (l *fakeService) Retry() bool                   { return true }
+func (s *fakeService) HostLeaving(*pb.Endpoint) bool { return false }
+func (s *fakeService) Succeeded()                    {}
+func (s *fakeService) Retry() bool                   { return true }
 
 // RoundTrip implements http.RoundTripper. It counts the call as executed even if the caller's
 // context ends first.
-func (l *fakeService) RoundTrip(r *http.Request) (*http.Response, error) {
-	l.executions++
+func (s *fakeService) RoundTrip(r *http.Request) (*http.Response, error) {
+	s.executions++
 	select {
-	case <-time.After(l.duration):
+	case <-time.After(s.duration):
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("filed"))}, nil
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
@@ -48,32 +48,31 @@
 }
 
 // Run implements Prompts. It takes as long as the service.
-func (l *fakeService) Run(ctx context.Context, req *runs.Request, _ runs.Sink) (runs.Summary, error) {
-	l.executions++
+func (s *fakeService) Run(ctx context.Context, req *runs.Request, _ runs.Sink) (runs.Summary, error) {
+	s.executions++
 	select {
-	case <-time.After(l.duration):
+	case <-time.After(s.duration):
 		return runs.Summary{Finish: "length"}, nil
 	case <-ctx.Done():
 		return runs.Summary{}, ctx.Err()
 	}
 }
 
-// newExecutor returns a Service that executes tickets on l.
-func newExecutor(t *testing.T, l *fakeService) *Service {
-	s, err := New(sharedKey, l, zerolog.Nop())
+// newExecutor returns a Service that executes tickets on fake.
+func newExecutor(t *testing.T, fake *fakeService) *Service {
+	s, err := New(sharedKey, fake, zerolog.Nop())
 	must.NoError(t, err)
-	s.plain = newPlainClient(l, l, l)
-	s.plain.http.Transport = l
-	s.SetPrompts(l)
+	s.plain = newPlainClient(fake, fake, fake)
+	s.plain.http.Transport = fake
+	s.SetPrompts(fake)
 	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: "n1", Run: 1}))
 	must.NoError(t, err)
 	return s
 }
 
-// TestCallOutlivesItsCaller checks that a call continues after its caller's deadline, and that the
-// caller gets the answer by repeating the call with the same ticket, without a second execution. A
-// service that takes longer than the caller waits is enough for this case to arise.
-func TestCallOutlivesItsCaller(t *testing.T) {
+// TestCallContinuesPastDeadline checks that a call continues after its caller's deadline, and that the
+// caller gets the answer by repeating the call with the same ticket, without a second execution.
+func TestCallContinuesPastDeadline(t *testing.T) {
 	calls := map[string]TicketedCall{
 		"service": {Service: &ServiceCall{Service: "ledger", Method: http.MethodPost, Path: "/charges"}},
 		"prompt":  {Prompt: &runs.Request{Prompt: "pass or hold?"}},
@@ -81,16 +80,16 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := &fakeService{duration: 3 * time.Second}
-				s := newExecutor(t, l)
-				batch, err := s.Issue("mill", 1)
+				fake := &fakeService{duration: 3 * time.Second}
+				s := newExecutor(t, fake)
+				tickets, err := s.Issue("mill", 1)
 				must.NoError(t, err)
 				redeem := func(timeLeft time.Duration) *redeemResponse {
 					call.TimeLeft = timeLeft
 					if call.Service != nil {
 						call.Service.TimeLeft = timeLeft
 					}
-					resp, err := s.handleRedeem(t.Context(), peers.Identity{ID: "n2"}, &ticket.Call{Ticket: batch[0], Account: "mill", Request: encode(call)})
+					resp, err := s.handleRedeem(t.Context(), peers.Identity{ID: "n2"}, &ticket.Call{Ticket: tickets[0], Account: "mill", Request: encode(call)})
 					must.NoError(t, err)
 					return resp
 				}
@@ -100,7 +99,7 @@
 				second := redeem(time.Minute)
 				test.Nil(t, second.Error)
 				test.NotEq(t, "", string(second.Answer))
-				test.Eq(t, 1, l.executions)
+				test.Eq(t, 1, fake.executions)
 			})
 		})
 	}
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -2,7 +2,8 @@
 //
 // Guarantee: a call that is not declared idempotent is sent to at most one endpoint, once. With a
 // ticket this also holds if the caller repeats the call at any node. An error states not_run only
-// if no byte of the call reached an endpoint.
+// if no byte of the call reached an endpoint, or if the engine of a ticketed prompt stated that it did
+// not run the prompt.
 package calls
 
 import (
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestOldestHandoversEvicted checks that a node that has reached the limit of recorded handovers
-// evicts the oldest one for a new one.
+// TestOldestHandoversEvicted checks that a node at the limit of recorded handovers evicts the
+// oldest one when it records another.
 func TestOldestHandoversEvicted(t *testing.T) {
 	s, err := New(sharedKey, nil, zerolog.Nop())
 	must.NoError(t, err)
@@ -71,7 +71,7 @@
 }
 
 // TestExpiredAvoidEntriesRemoved checks that expired entries for unreachable endpoints are removed,
-// so that they hold no memory.
+// so that they do not use memory.
 func TestExpiredAvoidEntriesRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlainClient(nil, nil, nil)
--- a/internal/calls/handovers.go
+++ b/internal/calls/handovers.go
@@ -15,8 +15,8 @@
 const (
 	methodHandovers = "calls.moves" // safe to repeat
 
-	// maxHandovers bounds the recorded handovers. The oldest are evicted first; their tickets have
-	// expired long before.
+	// maxHandovers bounds the recorded handovers. The least recently used are evicted first; their
+	// tickets have usually expired.
 	maxHandovers = 1 << 14
 	// startupQueryPeers and lookupQueryPeers bound the number of nodes that are queried for
 	// handovers.
@@ -38,7 +38,7 @@
 }
 
 type handoversResponse struct {
-	Moves []handoverNotice `json:"moves,omitempty"`
+	Handovers []handoverNotice `json:"moves,omitempty"`
 	// Leaving is true if the answering node is leaving and accepts no handover.
 	Leaving bool `json:"leaving,omitempty"`
 }
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// queryHandover queries other nodes for the handover of a ticket's executor if this node knows no
-// live one.
+// queryHandover queries other nodes for the handover of a ticket's executor if this node has no
+// record of an executor that is alive.
 func (s *Service) queryHandover(ctx context.Context, text string) {
 	t, err := ticket.Parse(s.key, text)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// queryPeers records the handovers known to up to n other nodes and reports whether any of them
+// queryPeers queries up to n other nodes for handovers, records them, and reports whether any node
 // answered.
 func (s *Service) queryPeers(ctx context.Context, req *handoversRequest, n int) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
@@ -92,8 +92,8 @@
 	answered := false
 	for resp := range answers {
 		answered = true
-		for i := range resp.Moves {
-			s.recordHandover(&resp.Moves[i], false)
+		for i := range resp.Handovers {
+			s.recordHandover(&resp.Handovers[i], false)
 		}
 	}
 	return answered
@@ -133,7 +133,7 @@
 
 func (s *Service) handleHandovers(_ context.Context, _ peers.Identity, req *handoversRequest) (*handoversResponse, error) {
 	self, _ := s.cluster.Members().Lookup(s.cluster.Self().ID)
-	return &handoversResponse{Leaving: self.State == member.Leaving, Moves: s.handoversOf(req.Of)}, nil
+	return &handoversResponse{Leaving: self.State == member.Leaving, Handovers: s.handoversOf(req.Of)}, nil
 }
 
 // handoversOf returns the recorded handover of an incarnation, or all of them if of is nil.
--- a/internal/calls/plain.go
+++ b/internal/calls/plain.go
@@ -38,8 +38,9 @@
 	View() *config.View
 }
 
-// LeavingHosts reports endpoints on hosts that are leaving and get no new work.
+// LeavingHosts reports which hosts are leaving.
 type LeavingHosts interface {
+	// HostLeaving reports whether the endpoint's host is leaving and gets no new work.
 	HostLeaving(endpoint *pb.Endpoint) bool
 }
 
@@ -81,14 +82,15 @@
 }
 
 // callUntil calls a service until ctx ends. A call that did not reach an endpoint is sent to
-// another one; a call that may have run is repeated only if it is declared idempotent.
+// another one, and a call that may have run is repeated only if it is declared idempotent, both within
+// maxAttempts and the retry budget.
 func (p *plainClient) callUntil(ctx context.Context, call *ServiceCall) (*ServiceAnswer, error) {
 	endpoints := p.endpoints(call.Service)
 	if len(endpoints) == 0 {
 		return nil, p.noEndpointError(call.Service)
 	}
 	var err error
-	mayRun := false // whether any attempt may have run
+	mayHaveRun := false // whether any attempt may have run
 	for attempt, e := range endpoints[:min(len(endpoints), maxAttempts)] {
 		if attempt > 0 && !p.budget.Retry() {
 			break
@@ -102,12 +104,12 @@
 			return answer, nil
 		}
 		p.recordFailure(e, err)
-		mayRun = mayRun || result.From(err).RunState != result.NotRun
+		mayHaveRun = mayHaveRun || result.From(err).RunState != result.NotRun
 		if !mayRetry(ctx, e, call, err) {
 			break
 		}
 	}
-	if last := result.From(err); mayRun && last.RunState == result.NotRun {
+	if last := result.From(err); mayHaveRun && last.RunState == result.NotRun {
 		err = result.Wrap(err, last.Code, result.WithRunState(result.MayHaveRun))
 	}
 	return nil, err
@@ -124,16 +126,17 @@
 
 // endpoints returns the endpoints that accept the call, in the order in which to try them.
 func (p *plainClient) endpoints(service string) []*pb.Endpoint {
-	var live []*pb.Endpoint
+	var available []*pb.Endpoint
 	for _, e := range p.directory.View().Services(service) {
 		if !p.leaving.HostLeaving(e) {
-			live = append(live, e)
+			available = append(available, e)
 		}
 	}
-	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	return p.avoidedLast(live)
+	rand.Shuffle(len(available), func(i, j int) { available[i], available[j] = available[j], available[i] })
+	return p.avoidedLast(available)
 }
 
+// avoidedLast moves the endpoints that were unreachable in the last avoidDuration to the end.
 func (p *plainClient) avoidedLast(endpoints []*pb.Endpoint) []*pb.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +171,7 @@
 }
 
 // idempotent reports whether the operators declared the call idempotent, as "METHOD /path-prefix".
-// A path that a service may resolve to one without the prefix is not covered.
+// A path with dot segments does not count, since the service may resolve it to one without the prefix.
 func idempotent(e *pb.Endpoint, call *ServiceCall) bool {
 	if !hasNoDotSegments(call.Path) {
 		return false
--- a/internal/calls/redeem.go
+++ b/internal/calls/redeem.go
@@ -22,7 +22,7 @@
 }
 
 // Redeem executes a ticketed call at the ticket's executor, which may be another node. first states
-// that the caller has never sent the ticket before.
+// that the caller sends the ticket for the first time.
 func (s *Service) Redeem(ctx context.Context, account, text string, first bool, call *TicketedCall, fp ticket.Fingerprint) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.TimeLeft)
 	defer cancel()
@@ -35,7 +35,8 @@
 	return answer, nil
 }
 
-// runFunc returns a function that executes the call on this node, for a ticket of this process.
+// runFunc returns a function that executes the call on this node, for a ticket whose executor is this
+// process.
 func (s *Service) runFunc(call *TicketedCall) ticket.RunFunc {
 	return func(ctx context.Context) (ticket.Answer, error) {
 		answer, err := s.run(ctx, call)
@@ -49,7 +50,8 @@
 	}
 }
 
-// run executes the call until ctx ends, which may be after the first caller's deadline.
+// run executes the call until ctx ends, which may be after the deadline of the request that
+// started it.
 func (s *Service) run(ctx context.Context, call *TicketedCall) ([]byte, error) {
 	if call.Service != nil {
 		answer, err := s.plain.callUntil(ctx, call.Service)
@@ -106,6 +108,8 @@
 	return &redeemResponse{Answer: answer}, nil
 }
 
+// refusalResponse returns a response that carries a *ticket.Error, with its cause as text. Other errors
+// are returned unchanged.
 func refusalResponse(err error) (*redeemResponse, error) {
 	var refused *ticket.Error
 	if errors.As(err, &refused) {
@@ -129,9 +133,9 @@
 // one to which it handed them over.
 func (s *Service) lookup(in ticket.Incarnation) ticket.Presence {
 	s.mu.Lock()
-	to, moved := s.handovers.Get(in)
+	to, handedOver := s.handovers.Get(in)
 	s.mu.Unlock()
-	if moved {
+	if handedOver {
 		in = to
 	}
 	return s.presence(in)
@@ -146,7 +150,7 @@
 	case m.Incarnation != in.Run:
 		return ticket.Presence{Status: ticket.Gone}
 	case m.State == member.Dead:
-		return ticket.Presence{Addr: m.Addr} // it may be partitioned and still running
+		return ticket.Presence{Addr: m.Addr} // the node may be partitioned and still running
 	}
 	return ticket.Presence{Status: ticket.Alive, Addr: m.Addr}
 }
--- a/internal/calls/service.go
+++ b/internal/calls/service.go
@@ -32,20 +32,21 @@
 	methodAdopt          = "calls.adopt"  // safe to repeat
 	methodHandoverNotice = "calls.moved"  // safe to repeat
 
+	// ticketWindow and the next four configure the ticket executor; see ticket.Config.
 	ticketWindow         = 1 << 16
 	maxStoredAnswers     = 4096
 	maxStoredAnswerBytes = 32 << 20
 	answerRetention      = 15 * time.Minute
 	adoptedRetention     = time.Hour
 	// runExtension is the time for which a call continues after its caller's deadline. It lets a
-	// caller repeat a call that took longer than it waited, and bounds the resources held for a
-	// service that never answers.
+	// caller fetch the answer of a call that took longer by repeating the call, and bounds the
+	// resources held for a service that never answers.
 	runExtension  = time.Minute
 	ticketKeyInfo = "cherryward/ticket/v1"
 
 	handoverRetryInterval = 200 * time.Millisecond
-	// handoverTimeout bounds the attempts to reach the successor, which may be stopping itself. If
-	// none succeeds, the tickets end with this process.
+	// handoverTimeout bounds the attempts to reach the successor, which may be stopping, too. If all
+	// fail, the tickets become invalid when this process exits.
 	handoverTimeout     = 3 * time.Second
 	handoverCallTimeout = 2 * time.Second
 	// maxSuccessors bounds the nodes that are queried as possible successors.
@@ -152,7 +153,7 @@
 	return tickets, err
 }
 
-// Call calls a plain service without a ticket.
+// Call calls a plain service without a ticket, within call.TimeLeft.
 func (s *Service) Call(ctx context.Context, call *ServiceCall) (*ServiceAnswer, error) {
 	return s.plain.Call(ctx, call)
 }
@@ -162,7 +163,7 @@
 func (s *Service) Stop(ctx context.Context) error {
 	to, ok := s.successor(ctx)
 	if !ok {
-		return nil // no other node is left, so the tickets end with this one
+		return nil // no other node accepts the handover, so the tickets become invalid when this process exits
 	}
 	h, err := s.executor.Drain(ctx, ticket.Incarnation{Node: to.ID, Run: to.Incarnation})
 	if err != nil {
@@ -182,11 +183,13 @@
 	return nil
 }
 
-// sleepJittered sleeps for d on average. The jitter keeps nodes from acting in step.
+// sleepJittered sleeps for d on average. The jitter prevents nodes from acting at the same
+// time.
 func sleepJittered(ctx context.Context, d time.Duration) { retry.Sleep(ctx, d/2+rand.N(d)) }
 
-// successor selects the node that takes over the tickets. A drain is bound to one successor, so the
-// node must answer a query first: the member view may still list a dead node as alive.
+// successor selects the node that takes over the tickets. The successor can't be changed after
+// Drain, so a candidate must first answer a query: the member view may still list a dead node as
+// alive.
 func (s *Service) successor(ctx context.Context) (member.Member, bool) {
 	self := s.cluster.Self()
 	var nodes []rendezvous.Node
@@ -205,8 +208,8 @@
 	return member.Member{}, false
 }
 
-// acceptsHandover reports whether a node answers a query without side effects and is not leaving
-// itself.
+// acceptsHandover reports whether a node answers a query, which has no side effects, and is not
+// leaving.
 func (s *Service) acceptsHandover(ctx context.Context, m member.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -222,8 +225,8 @@
 	return err == nil
 }
 
-// announce notifies the other nodes of the handover. A node that misses the notice answers
-// may_have_run for these tickets once this process has exited.
+// announce notifies the other nodes of the handover. A node that misses the notice queries
+// other nodes when such a ticket is redeemed after this process has exited.
 func (s *Service) announce(ctx context.Context, h *ticket.Handover) {
 	req := &handoverNotice{To: h.To}
 	for _, l := range h.Ledgers {
