--- a/internal/framecheck/framecheck.go
+++ b/internal/framecheck/framecheck.go
@@ -3,8 +3,8 @@
 //
 // Guarantee: the tokens that Check lets through are those of one run on one weight version for one
 // client account, each once and in order. Frames of other runs or other engine incarnations are
-// dropped. A gap, another version, another account's cache salt, or text without tokens fails the
-// answer. Only an end frame with the matching token count completes it.
+// dropped. A gap, another version, another account's cache salt, or text without tokens makes the
+// answer invalid. The answer is complete only after an end frame with the matching token count.
 package framecheck
 
 import (
@@ -115,6 +115,7 @@
 	return true, nil
 }
 
+// frameError returns the error for an error frame.
 func frameError(f *enginewire.Frame) error {
 	if f.Error == nil {
 		return result.New(result.AnswerMalformed, result.WithField("error"))
--- a/internal/framecheck/framecheck_test.go
+++ b/internal/framecheck/framecheck_test.go
@@ -49,7 +49,7 @@
 		{"other version", func(f []enginewire.Frame) []enginewire.Frame { f[0].Version = "v2"; return f }, result.VersionMismatch},
 		{"other account", func(f []enginewire.Frame) []enginewire.Frame { f[0].CacheSalt = "x"; return f }, result.AnswerOfOtherRun},
 		{"text without a token", func(f []enginewire.Frame) []enginewire.Frame { f[1].Tokens = 0; return f }, result.AnswerMalformed},
-		{"text of fewer than none", func(f []enginewire.Frame) []enginewire.Frame { f[2].Tokens = -1; return f }, result.AnswerMalformed},
+		{"negative token count", func(f []enginewire.Frame) []enginewire.Frame { f[2].Tokens = -1; return f }, result.AnswerMalformed},
 		{"last text without a token", func(f []enginewire.Frame) []enginewire.Frame {
 			f[3].Tokens, f[4].OutputTokens = 0, 2
 			return f
@@ -70,9 +70,10 @@
 	must.False(t, checker.Complete())
 }
 
-// TestCheckDeliversEachTokenOfTheRunOnce checks with duplicated, foreign and lost frames that the
-// delivered text is always a prefix of the run's own text, that the answer is complete only with
-// all of it, and that it is complete if none of its own frames is lost.
+// TestCheckDeliversEachTokenOfTheRunOnce checks with duplicated and lost frames, and with
+// frames of other runs and incarnations, that the delivered text is always a prefix of the text of
+// the run, that the answer is complete only with all of it, and that it is complete if none of the
+// run's frames is lost.
 func TestCheckDeliversEachTokenOfTheRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := frames(6)
