--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,11 +17,11 @@
 const (
 	// maxHeaderBytes bounds the header of an answer.
 	maxHeaderBytes = 64 << 10
-	// maxForeignAnswers bounds the answers to other requests that are skipped before this request's
+	// maxSkippedAnswers bounds the answers to other requests that are skipped before this request's
 	// answer.
-	maxForeignAnswers = 2
-	// maxForeignBytes bounds the body of a skipped answer.
-	maxForeignBytes = 1 << 20
+	maxSkippedAnswers = 2
+	// maxSkippedBytes bounds the body of a skipped answer.
+	maxSkippedBytes = 1 << 20
 	// maxInlineBody is the largest body that is written before reading the answer. A larger one is
 	// written concurrently, since an endpoint may answer early and read the rest later.
 	maxInlineBody = 8 << 10
@@ -78,7 +78,7 @@
 	Body                 []byte
 }
 
-// Answer is the header of an answer, with its body as it arrives. Either Done or Abort must be
+// Answer is an answer whose header has been read and whose body is read from the connection. Either Done or Abort must be
 // called.
 type Answer struct {
 	*http.Response
@@ -158,23 +158,23 @@
 
 // receive reads answers until the one that belongs to this request.
 func (a *Answer) receive(req *Request, isOwn func(http.Header) bool) error {
-	for foreign := 0; ; {
+	for skipped := 0; ; {
 		resp, err := a.readHeader(req.Method)
 		if err != nil {
 			return err
 		}
 		if resp.StatusCode < http.StatusOK {
-			continue // 100 Continue and the like
+			continue // an interim response such as 100 Continue
 		}
 		if isOwn(resp.Header) {
 			a.accept(resp)
 			return nil
 		}
-		foreign++
-		if foreign > maxForeignAnswers {
+		skipped++
+		if skipped > maxSkippedAnswers {
 			return &Error{Stage: StageAnswer, Err: errors.New("received only answers to other requests")}
 		}
-		if err := discardForeign(resp); err != nil {
+		if err := skipBody(resp); err != nil {
 			return &Error{Stage: StageAnswer, Err: err}
 		}
 	}
@@ -187,21 +187,21 @@
 	a.Response = resp
 }
 
-// discardForeign reads and discards the body of an answer to another request. It fails if the
-// length is unknown or exceeds maxForeignBytes.
-func discardForeign(resp *http.Response) error {
+// skipBody reads and discards the body of an answer to another request. It fails if only the
+// closing of the connection marks the end of the body, or if the body has maxSkippedBytes or more.
+func skipBody(resp *http.Response) error {
 	if endsWithConnection(resp) {
 		return errors.New("answer to another request has no length")
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBytes))
-	if err == nil && n == maxForeignBytes {
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
+	if err == nil && n == maxSkippedBytes {
 		err = errors.New("answer to another request is too long")
 	}
 	return err
 }
 
 func (a *Answer) readHeader(method string) (*http.Response, error) {
-	a.conn.limit.remaining = maxHeaderBytes
+	a.conn.limited.remaining = maxHeaderBytes
 	if _, err := a.conn.reader.Peek(1); err != nil {
 		return nil, &Error{Stage: StageSend, Err: err}
 	}
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, &Error{Stage: StageAnswer, Err: err}
 	}
-	a.conn.limit.remaining = unlimited
+	a.conn.limited.remaining = unlimited
 	return resp, nil
 }
 
@@ -248,11 +248,11 @@
 }
 
 // reuseTimeout returns the time for which an idle connection may be reused: the endpoint's
-// Keep-Alive timeout less a margin for a request that is sent just before it ends, or
+// Keep-Alive timeout less a margin for a request that is sent shortly before the timeout, or
 // defaultIdleTimeout if it states none.
 func reuseTimeout(h http.Header) time.Duration {
 	const (
-		margin       = 0.7  // fraction of the stated time that is used
+		usedShare    = 0.7  // part of the stated time that is used
 		maxKeepAlive = 3600 // in seconds; a longer time would overflow
 	)
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
@@ -261,7 +261,7 @@
 			continue
 		}
 		if s, err := strconv.ParseFloat(value, 64); err == nil && !math.IsNaN(s) {
-			return time.Duration(max(min(s, maxKeepAlive), 0) * margin * float64(time.Second))
+			return time.Duration(max(min(s, maxKeepAlive), 0) * usedShare * float64(time.Second))
 		}
 	}
 	return defaultIdleTimeout
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -74,11 +74,11 @@
 	}{
 		{name: "read to its end", answer: withLength + "body", read: 5, dials: 1},
 		{name: "no body", answer: "HTTP/1.1 204 No Content\r\n\r\n", read: 1, dials: 1},
-		{name: "read in part, the rest has come", answer: withLength + "body", read: 2, dials: 2},
-		{name: "read in part, the rest has not come", answer: withLength + "bo", read: 2, dials: 2},
+		{name: "read in part, the rest has arrived", answer: withLength + "body", read: 2, dials: 2},
+		{name: "read in part, the rest has not arrived", answer: withLength + "bo", read: 2, dials: 2},
 		{name: "chunks read, but not the last", answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n", read: 2, dials: 2},
-		{name: "bytes behind the answer", answer: withLength + "body!", read: 5, dials: 2},
-		{name: "says that it closes", answer: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", read: 1, dials: 2},
+		{name: "bytes after the answer", answer: withLength + "body!", read: 5, dials: 2},
+		{name: "states Connection: close", answer: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", read: 1, dials: 2},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,8 +1,8 @@
 // Package upstream sends single requests to endpoints over HTTP/1.1 and reuses its connections.
 //
 // It is not a general HTTP client: nothing is ever sent twice, every failure states whether the
-// request can have reached the endpoint, and a connection that received bytes which belong to no
-// request is not reused.
+// request can have reached the endpoint, and a connection that received bytes that belong to no
+// answer is not reused.
 package upstream
 
 import (
@@ -50,8 +50,8 @@
 // Dials returns the number of connections opened so far.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// HasIdle reports whether an idle connection that may be reused at time now is kept. The endpoint may
-// have closed it since.
+// HasIdle reports whether the pool has an idle connection that may be reused at time now. The
+// endpoint may have closed it already.
 func (p *Pool) HasIdle(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +63,7 @@
 type conn struct {
 	net.Conn
 	reader        *bufio.Reader
-	limit         limitedReader
+	limited       limitedReader
 	reusableUntil time.Time // end of the time in which it may be reused
 }
 
@@ -101,8 +101,8 @@
 		return nil, err
 	}
 	c := &conn{Conn: nc}
-	c.limit.source = nc
-	c.reader = bufio.NewReaderSize(&c.limit, bufferBytes)
+	c.limited.source = nc
+	c.reader = bufio.NewReaderSize(&c.limited, bufferBytes)
 	return c, nil
 }
 
@@ -131,8 +131,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// CloseIdle closes the idle connections, and lets those in use be closed once their answers are
-// done.
+// CloseIdle closes the pool: the idle connections at once, and each connection in use when its answer
+// is done.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
