--- a/internal/runid/runid.go
+++ b/internal/runid/runid.go
@@ -1,6 +1,6 @@
 // Package runid creates and parses the ids of runs.
 //
-// Guarantee: any node can find from a run id the endpoint that holds the run, and Parse accepts an
+// Guarantee: any node can read from a run id which endpoint holds the run, and Parse accepts an
 // id only for the client account for which it was created: the id contains a truncated HMAC under
 // the nodes' shared key.
 package runid
@@ -30,7 +30,7 @@
 type ID struct {
 	// Endpoint is the name of the engine that holds the run.
 	Endpoint string
-	// Base is the number of the answer's tokens that came from earlier runs.
+	// Base is the number of tokens of the answer that earlier runs delivered.
 	Base int
 }
 
@@ -41,7 +41,7 @@
 	return strings.Join([]string{prefix, nonce, base, computeMAC(key, account, nonce, base, id.Endpoint), id.Endpoint}, separator)
 }
 
-// Nonce returns a random string that is unique across nodes and restarts.
+// Nonce returns a random string, long enough to be unique across nodes and restarts.
 func Nonce() string {
 	random := make([]byte, randomBytes)
 	rand.Read(random) // never returns an error, according to its documentation
@@ -86,8 +86,8 @@
 }
 
 // computeMAC returns the truncated HMAC over the account and the other parts of an id, in hex. The
-// account comes first and is the only part that may contain the separator, so its length is
-// included in the input.
+// account and the endpoint may contain the separator; the account's length is included so that the
+// parts are unambiguous.
 func computeMAC(key []byte, account string, fields ...string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(strconv.Itoa(len(account)) + separator + account + separator + strings.Join(fields, separator)))
