--- a/internal/endpoint/engine/engine.go
+++ b/internal/endpoint/engine/engine.go
@@ -1,8 +1,8 @@
 // Package engine is the client of the model engines' HTTP protocol. Only this package depends on
 // the wire format; other packages use its typed calls.
 //
-// Guarantee: the run state of an error of Start states whether the engine may have begun the run.
-// It is not_run only if no connection could be made or the engine itself said so.
+// Guarantee: the error of Start states whether the engine may have begun the run. Its run state is
+// not_run only if no connection could be made or the engine stated so.
 package engine
 
 import (
@@ -30,8 +30,8 @@
 	// which is used by each open run. Frames are short, and a long prompt is written without
 	// buffering.
 	transportBufferBytes = 1 << 10
-	headerJSON           = "application/json"
-	headerStream         = "text/event-stream"
+	mediaTypeJSON        = "application/json"
+	mediaTypeEventStream = "text/event-stream"
 	controlDeadline      = 10 * time.Second
 )
 
@@ -84,7 +84,7 @@
 }
 
 // WeightsClient is a client whose State omits the block ids, for callers that need only the loaded
-// weights: the block ids are most of the size of a state.
+// weights: block ids make up most of a state's size.
 type WeightsClient struct{ *Client }
 
 // State returns the engine's state without block ids.
@@ -104,8 +104,8 @@
 	return get[enginewire.Events](ctx, c, base+enginewire.PathEvents+query)
 }
 
-// Export makes the engine write blocks to a store host. It is safe to repeat only with new block
-// names.
+// Export makes the engine write blocks to a store host. It must not be repeated with the
+// same block names.
 func (c *Client) Export(ctx context.Context, base string, req *enginewire.TransferRequest) (*enginewire.TransferResponse, error) {
 	return post[enginewire.TransferResponse](ctx, c, base+enginewire.PathExport, req)
 }
@@ -141,7 +141,7 @@
 
 // call sends one request and decodes the JSON answer into out, which may be nil.
 func (c *Client) call(ctx context.Context, method, target string, body []byte, out any) error {
-	resp, err := c.do(ctx, method, target, headerJSON, body)
+	resp, err := c.do(ctx, method, target, mediaTypeJSON, body)
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 }
 
 func (c *Client) stream(ctx context.Context, method, target string, body []byte) (*Stream, error) {
-	resp, err := c.do(ctx, method, target, headerStream, body)
+	resp, err := c.do(ctx, method, target, mediaTypeEventStream, body)
 	if err != nil {
 		return nil, err
 	}
@@ -168,7 +168,7 @@
 	}
 	req.Header.Set("Accept", accept)
 	if body != nil {
-		req.Header.Set("Content-Type", headerJSON)
+		req.Header.Set("Content-Type", mediaTypeJSON)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -182,7 +182,7 @@
 }
 
 // transportError converts a transport error. Only a failed dial is known not to have reached the
-// engine: after it, the first byte of the request may have arrived.
+// engine: after any other error, a part of the request may have arrived.
 func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -191,7 +191,7 @@
 	return result.Wrap(err, result.EndpointBrokeOff)
 }
 
-// RefusedError is an error response of the engine.
+// RefusedError is an error response of the engine, with any status but 2xx.
 type RefusedError struct {
 	Status int
 	Reason enginewire.Error
@@ -211,6 +211,8 @@
 	return ""
 }
 
+// refusalError returns a RefusedError for the response, with run state not_run only if the engine
+// stated so.
 func refusalError(resp *http.Response) error {
 	refused := &RefusedError{Status: resp.StatusCode}
 	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxResponseBytes))
