--- a/internal/runs/broken_streams_test.go
+++ b/internal/runs/broken_streams_test.go
@@ -36,9 +36,9 @@
 type streamFault struct {
 	refused  error // returned instead of a stream
 	complete bool
-	frames   int // complete frames delivered
-	bytes    int // bytes delivered of the next frame
-	tail     string
+	frames   int    // complete frames delivered
+	bytes    int    // bytes delivered of the next frame
+	tail     string // sent after the break
 }
 
 // apply returns the part of a stream that is delivered.
@@ -113,10 +113,10 @@
 	return sink.received, err
 }
 
-// tails are texts that follow the break of a stream, with RUN in place of the run's id. None of
-// them is a frame that the run itself could send next, which would be indistinguishable from the
-// true answer.
-var tails = []string{
+// garbage holds texts sent after a stream broke off, with RUN in place of the run's id. None of them
+// is a frame that the run could send next, since that could not be distinguished from the correct
+// answer.
+var garbage = []string{
 	"",
 	"\n<html>502 Bad Gateway</html>\n",
 	"\ndata: {\"run\":\"RUN\"",
@@ -135,12 +135,12 @@
 		complete: rapid.IntRange(0, 9).Draw(t, "whole") == 0,
 		frames:   rapid.IntRange(0, 8).Draw(t, "frames"),
 		bytes:    rapid.SampledFrom([]int{0, 0, 1, 40, 80, 1000}).Draw(t, "bytes"),
-		tail:     rapid.SampledFrom(tails).Draw(t, "tail"),
+		tail:     rapid.SampledFrom(garbage).Draw(t, "tail"),
 	}
 }
 
 // TestCallerGetsAPrefix checks that wherever the streams of an answer break off, and whatever
-// follows the break, a caller receives a prefix of the true answer, and success only with all of
+// follows the break, a caller receives a prefix of the correct answer, and success only with all of
 // it.
 func TestCallerGetsAPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -154,7 +154,7 @@
 }
 
 // TestOnceNotRetriedAfterTokens checks that a request with Once is not started again after tokens
-// were delivered, even if the engine then claims that it has not run.
+// were delivered, even if the engine then states that it did not run.
 func TestOnceNotRetriedAfterTokens(t *testing.T) {
 	const notRun = "\ndata: {\"run\":\"RUN\",\"incarnation\":\"i\",\"kind\":\"error\",\"error\":{\"code\":\"leaving\",\"not_run\":true}}\n"
 	b := &faultyEngine{streams: []streamFault{{frames: 3, tail: notRun}}}
--- a/internal/runs/dispatcher.go
+++ b/internal/runs/dispatcher.go
@@ -28,8 +28,8 @@
 	Engines Engines
 	Placer  Placer
 	Budget  Budget
-	// VersionSelector selects another version for a request that no engine accepted on its own; if nil,
-	// the version is never changed.
+	// VersionSelector selects another version for a request that no engine accepted on its current
+	// version; if nil, the version is never changed.
 	VersionSelector VersionSelector
 	// Directory provides the engine of a run to resume.
 	Directory Directory
@@ -90,8 +90,8 @@
 	if p.req.Once && (e.RunState != result.NotRun || p.tokens > 0) {
 		return false
 	}
-	// A refusal by a leaving engine needs no retry budget: it says nothing about the load of other
-	// engines, and this engine is not tried again.
+	// A refusal by a leaving engine needs no retry budget: other engines may have capacity, and
+	// this engine is not tried again.
 	if engine.CodeOf(err) == enginewire.ErrLeaving {
 		return true
 	}
@@ -99,9 +99,9 @@
 }
 
 // useUnbudgetedMove reports whether an answer that has begun may continue on another engine without
-// using the retry budget, and counts the move. Two such moves are allowed, as two engines may fail
-// at once: the failed engine no longer does this work, so that moving it adds only the prefill.
-// Further moves use the budget.
+// using the retry budget, and counts the move. A move adds only the prefill, since the failed engine
+// no longer works on the answer. Two are allowed because two engines may fail at once. Further moves
+// use the budget.
 func (p *progress) useUnbudgetedMove() bool {
 	if p.tokens == 0 || p.moves == maxUnbudgetedMoves {
 		return false
@@ -110,7 +110,8 @@
 	return true
 }
 
-// isEndpointFault reports whether a failure may not occur on another endpoint.
+// isEndpointFault reports whether a failure may be specific to the endpoint, so that another one may
+// succeed.
 func isEndpointFault(code result.Code) bool {
 	switch code {
 	case result.EndpointUnreachable, result.EndpointBrokeOff, result.EndpointRefused,
@@ -120,8 +121,10 @@
 	return false
 }
 
-// finalError returns the error for the caller. If any attempt may have run, the error does not
-// state not_run, even if the last attempt was not run.
+// finalError returns the error for the caller. If ctx has ended, this is the cause of its end unless
+// err is DeadlineUnmeetable. If any attempt may have run, the error does not state not_run, even if
+// the last attempt was not run. If none may have run, a passed deadline or the caller's leaving is
+// stated as not_run.
 func (p *progress) finalError(ctx context.Context, err error) error {
 	if ctx.Err() != nil && !result.Is(err, result.DeadlineUnmeetable) {
 		err = context.Cause(ctx)
@@ -186,8 +189,8 @@
 // engineRun is one run on one engine.
 type engineRun struct {
 	d          *Dispatcher
-	p          *progress
-	grant      Grant // nil for a resumed run
+	p          *progress // of the answer
+	grant      Grant     // nil for a resumed run
 	baseURL    string
 	name       string
 	id         string
@@ -198,29 +201,30 @@
 }
 
 func (r *engineRun) request(now time.Time) *enginewire.RunRequest {
-	q := r.p.req
+	req := r.p.req
 	out := &enginewire.RunRequest{
 		Run:         r.id,
-		Model:       q.Model,
-		Version:     q.Version,
-		Adapter:     q.Adapter,
-		CacheSalt:   r.d.Salter.CacheSalt(q.Account),
-		Prompt:      q.Prompt,
-		PromptIDs:   q.PromptIDs,
+		Model:       req.Model,
+		Version:     req.Version,
+		Adapter:     req.Adapter,
+		CacheSalt:   r.d.Salter.CacheSalt(req.Account),
+		Prompt:      req.Prompt,
+		PromptIDs:   req.PromptIDs,
 		Continue:    r.p.text.String(),
-		MaxTokens:   q.MaxTokens - r.p.tokens,
-		Priority:    int(q.Class),
-		Temperature: q.Temperature,
-		Seed:        q.Seed,
+		MaxTokens:   req.MaxTokens - r.p.tokens,
+		Priority:    int(req.Class),
+		Temperature: req.Temperature,
+		Seed:        req.Seed,
 	}
-	if !q.RunsOn {
-		out.DeadlineMS = q.Deadline.Sub(now).Milliseconds()
+	if !req.RunsOn {
+		out.DeadlineMS = req.Deadline.Sub(now).Milliseconds()
 	}
 	return out
 }
 
 // run starts the run on the engine and reads its answer. An engine that sends no first frame within
-// firstFrameTimeout, or no further frame within stallTimeout, counts as broken off.
+// firstFrameTimeout, or no further frame within stallTimeout, is treated as if its stream
+// broke off.
 func (r *engineRun) run(ctx context.Context, firstFrameTimeout time.Duration) error {
 	r.startedAt = time.Now()
 	r.baseTokens = r.p.tokens
--- a/internal/runs/dispatcher_test.go
+++ b/internal/runs/dispatcher_test.go
@@ -23,43 +23,43 @@
 	placeWaits, silent bool
 }
 
-// scriptedEngine is a placer, engine and budget that plays attemptScripts in order and allows every
-// retry.
+// scriptedEngine is a placer, engine and budget that returns the scripted outcomes in order and
+// allows every retry.
 type scriptedEngine struct {
 	attempts  []attemptScript
 	current   attemptScript
 	succeeded int
 }
 
-func (f *scriptedEngine) Place(ctx context.Context, _ *Request, _ []string) (Grant, error) {
-	f.current, f.attempts = f.attempts[0], f.attempts[1:]
-	if f.current.placeWaits {
+func (e *scriptedEngine) Place(ctx context.Context, _ *Request, _ []string) (Grant, error) {
+	e.current, e.attempts = e.attempts[0], e.attempts[1:]
+	if e.current.placeWaits {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return f, f.current.place
+	return e, e.current.place
 }
 
-func (f *scriptedEngine) Start(ctx context.Context, _ string, _ *enginewire.RunRequest) (*engine.Stream, error) {
-	if f.current.silent {
+func (e *scriptedEngine) Start(ctx context.Context, _ string, _ *enginewire.RunRequest) (*engine.Stream, error) {
+	if e.current.silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return nil, f.current.start
+	return nil, e.current.start
 }
 
-func (f *scriptedEngine) Resume(context.Context, string, string, int) (*engine.Stream, error) {
+func (e *scriptedEngine) Resume(context.Context, string, string, int) (*engine.Stream, error) {
 	return nil, errors.New("no run to resume")
 }
 
-func (f *scriptedEngine) Cancel(context.Context, string, string) error { return nil }
-func (f *scriptedEngine) Endpoint() *pb.Endpoint                       { return &pb.Endpoint{Name: "engine-1"} }
-func (f *scriptedEngine) ImportedContext() (int, int64)                { return 0, 0 }
-func (f *scriptedEngine) FirstToken(RunReport)                         {}
-func (f *scriptedEngine) FirstFrameTimeout() time.Duration             { return time.Minute }
-func (f *scriptedEngine) Done(RunReport)                               {}
-func (f *scriptedEngine) Succeeded()                                   { f.succeeded++ }
-func (f *scriptedEngine) Retry() bool                                  { return true }
+func (e *scriptedEngine) Cancel(context.Context, string, string) error { return nil }
+func (e *scriptedEngine) Endpoint() *pb.Endpoint                       { return &pb.Endpoint{Name: "engine-1"} }
+func (e *scriptedEngine) ImportedContext() (int, int64)                { return 0, 0 }
+func (e *scriptedEngine) FirstToken(RunReport)                         {}
+func (e *scriptedEngine) FirstFrameTimeout() time.Duration             { return time.Minute }
+func (e *scriptedEngine) Done(RunReport)                               {}
+func (e *scriptedEngine) Succeeded()                                   { e.succeeded++ }
+func (e *scriptedEngine) Retry() bool                                  { return true }
 
 // TestNotRunOnlyIfNoAttemptBegan checks that an error states not_run only if no attempt can have
 // begun.
@@ -84,11 +84,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				salter, err := kvcache.NewSalter([]byte("0123456789abcdef0123456789abcdef"))
 				must.NoError(t, err)
-				f := &scriptedEngine{attempts: c.attempts}
-				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: f, Placer: f, Budget: f}
+				e := &scriptedEngine{attempts: c.attempts}
+				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: e, Placer: e, Budget: e}
 				_, err = d.Run(t.Context(), &Request{Account: "a", Prompt: "p", MaxTokens: 1, Deadline: time.Now().Add(time.Second)}, nil)
 				must.Eq(t, c.want, result.From(err).RunState, must.Sprint(err))
-				must.Zero(t, f.succeeded)
+				must.Zero(t, e.succeeded)
 			})
 		})
 	}
@@ -113,8 +113,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				salter, err := kvcache.NewSalter([]byte("0123456789abcdef0123456789abcdef"))
 				must.NoError(t, err)
-				f := &scriptedEngine{attempts: []attemptScript{c.attempt}}
-				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: f, Placer: f, Budget: f}
+				e := &scriptedEngine{attempts: []attemptScript{c.attempt}}
+				d := &Dispatcher{Key: []byte("key"), Salter: salter, Engines: e, Placer: e, Budget: e}
 				ctx, cancel := context.WithCancelCause(t.Context())
 				time.AfterFunc(end, func() { cancel(context.DeadlineExceeded) })
 				start := time.Now()
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -30,7 +30,7 @@
 
 // Request is one prompt to answer.
 type Request struct {
-	ID          string  // for logs and explanations
+	ID          string  // for logs
 	Account     string  // account id, which is never reused for another account
 	Weight      float64 // the account's share of a contended engine; 0 means 1
 	Model       string
@@ -79,12 +79,12 @@
 	Finish         string
 	Engines        int           // number of engine runs
 	Queued         time.Duration // time until the first engine was granted
-	FirstToken     time.Duration
+	FirstToken     time.Duration // time until the first token
 	ImportedTokens int
 	ImportedBytes  int64
 }
 
-// RunReport is what was observed of one run, reported to the owner of the endpoint's grant.
+// RunReport holds the observations of one run that are reported to its Grant.
 type RunReport struct {
 	Started      bool
 	Complete     bool
@@ -105,7 +105,7 @@
 	ImportedContext() (tokens int, bytes int64)
 	// FirstFrameTimeout is the longest time to wait for the engine's first frame.
 	FirstFrameTimeout() time.Duration
-	// FirstToken reports that the engine has sent its first token.
+	// FirstToken records that the engine has sent its first token.
 	FirstToken(RunReport)
 	// Done releases the grant and reports what was observed.
 	Done(RunReport)
@@ -125,7 +125,7 @@
 	Retry() bool
 }
 
-// Engines is the part of the engines' protocol that runs need.
+// Engines is the part of the engine protocol that this package uses.
 type Engines interface {
 	Start(ctx context.Context, base string, req *enginewire.RunRequest) (*engine.Stream, error)
 	Resume(ctx context.Context, base, run string, offset int) (*engine.Stream, error)
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -18,7 +18,7 @@
 
 var key = []byte("0123456789abcdef0123456789abcdef")
 
-// fixedPlacer grants its engines one after the other.
+// fixedPlacer grants its engines in order.
 type fixedPlacer struct {
 	urls              []string
 	firstFrameTimeout time.Duration
@@ -31,19 +31,19 @@
 	url string
 }
 
-func (l *fixedPlacer) Place(_ context.Context, _ *Request, tried []string) (Grant, error) {
-	if len(tried) == len(l.urls) {
+func (p *fixedPlacer) Place(_ context.Context, _ *Request, tried []string) (Grant, error) {
+	if len(tried) == len(p.urls) {
 		return nil, result.New(result.NoEndpoint)
 	}
-	return fixedGrant{l, l.urls[len(tried)]}, nil
+	return fixedGrant{p, p.urls[len(tried)]}, nil
 }
 
 func (g fixedGrant) Endpoint() *pb.Endpoint           { return &pb.Endpoint{Name: g.url, Url: g.url} }
 func (g fixedGrant) ImportedContext() (int, int64)    { return 0, 0 }
 func (g fixedGrant) FirstToken(RunReport)             {}
 func (g fixedGrant) FirstFrameTimeout() time.Duration { return g.firstFrameTimeout }
-func (g fixedGrant) Done(seen RunReport) {
-	g.fixedPlacer.observed = append(g.fixedPlacer.observed, seen)
+func (g fixedGrant) Done(report RunReport) {
+	g.fixedPlacer.observed = append(g.fixedPlacer.observed, report)
 }
 
 // unlimitedBudget allows every retry.
@@ -61,19 +61,19 @@
 	return nil
 }
 
-// testCluster is a dispatcher with stub engines.
-type testCluster struct {
+// testDispatcher is a dispatcher with stub engines.
+type testDispatcher struct {
 	placer  *fixedPlacer
 	engines []*enginestandin.Engine
 	*Dispatcher
 }
 
-// newTestCluster starts the given number of stub engines and a dispatcher that uses them.
-func newTestCluster(t *testing.T, engines int) *testCluster {
+// newTestDispatcher starts the given number of stub engines and a dispatcher that uses them.
+func newTestDispatcher(t *testing.T, engines int) *testDispatcher {
 	t.Helper()
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	w := &testCluster{placer: &fixedPlacer{firstFrameTimeout: time.Minute}}
+	w := &testDispatcher{placer: &fixedPlacer{firstFrameTimeout: time.Minute}}
 	for range engines {
 		e := enginestandin.New(enginestandin.Config{Loaded: []enginewire.Loaded{{Model: "m", Version: "v"}}, TimeScale: 1, DecodeStep: 2 * time.Millisecond})
 		server := httptest.NewServer(e.Handler())
@@ -90,7 +90,7 @@
 	return w
 }
 
-func (w *testCluster) runPrompt(t *testing.T, timeout time.Duration) (string, error) {
+func (w *testDispatcher) runPrompt(t *testing.T, timeout time.Duration) (string, error) {
 	t.Helper()
 	sink := &textSink{}
 	req := &Request{Account: "mill", Model: "m", Version: "v", Prompt: "pass or hold?", MaxTokens: 30, Deadline: time.Now().Add(timeout)}
@@ -104,13 +104,13 @@
 
 func TestRunStates(t *testing.T) {
 	t.Run("no engine was reached", func(t *testing.T) {
-		w := newTestCluster(t, 0)
+		w := newTestDispatcher(t, 0)
 		w.placer.urls = []string{"http://127.0.0.1:1", "http://127.0.0.1:1"}
 		_, err := w.runPrompt(t, time.Minute)
 		must.Eq(t, result.NotRun, result.From(err).RunState)
 	})
 	t.Run("refused by each engine", func(t *testing.T) {
-		w := newTestCluster(t, 2)
+		w := newTestDispatcher(t, 2)
 		for _, e := range w.engines {
 			setFaults(e, func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
 		}
@@ -118,14 +118,14 @@
 		must.Eq(t, result.NotRun, result.From(err).RunState)
 	})
 	t.Run("deadline passed after the request was sent", func(t *testing.T) {
-		w := newTestCluster(t, 1)
+		w := newTestDispatcher(t, 1)
 		setFaults(w.engines[0], func(f *enginestandin.Faults) { f.Frozen = true })
 		_, err := w.runPrompt(t, 200*time.Millisecond)
 		must.Eq(t, result.DeadlinePassed, result.From(err).Code)
 		must.Eq(t, result.MayHaveRun, result.From(err).RunState)
 	})
 	t.Run("refused after an attempt that may have run", func(t *testing.T) {
-		w := newTestCluster(t, 2)
+		w := newTestDispatcher(t, 2)
 		setFaults(w.engines[0], func(f *enginestandin.Faults) { f.FailEvery = 1 })
 		setFaults(w.engines[1], func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
 		_, err := w.runPrompt(t, time.Minute)
@@ -137,7 +137,7 @@
 // engine stops sending with its connections open, fails or truncates its stream, and that it equals
 // the answer of an undisturbed engine.
 func TestAnswerContinuesOnOtherEngine(t *testing.T) {
-	undisturbed, err := newTestCluster(t, 1).runPrompt(t, time.Minute)
+	undisturbed, err := newTestDispatcher(t, 1).runPrompt(t, time.Minute)
 	must.NoError(t, err)
 	cases := map[string]func(*enginestandin.Faults){
 		"frozen before the start": func(f *enginestandin.Faults) { f.Frozen = true },
@@ -147,7 +147,7 @@
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newTestCluster(t, 2)
+			w := newTestDispatcher(t, 2)
 			w.placer.firstFrameTimeout = 150 * time.Millisecond
 			setFaults(w.engines[0], fault)
 			got, err := w.runPrompt(t, time.Minute)
@@ -160,7 +160,7 @@
 // TestAllTokensWithoutEndFrameIsComplete checks that an answer with all requested tokens is
 // complete if only the end frame is lost.
 func TestAllTokensWithoutEndFrameIsComplete(t *testing.T) {
-	w := newTestCluster(t, 1)
+	w := newTestDispatcher(t, 1)
 	setFaults(w.engines[0], func(f *enginestandin.Faults) { f.TruncateAfter = 30 })
 	got, err := w.runPrompt(t, time.Minute)
 	must.NoError(t, err)
--- a/internal/runs/stream.go
+++ b/internal/runs/stream.go
@@ -26,7 +26,7 @@
 func (e *sinkError) Error() string { return "write answer to the caller: " + e.cause.Error() }
 func (e *sinkError) Unwrap() error { return e.cause }
 
-// resumeWhileBroken resumes a run on the same engine while only its stream is broken. It returns
+// resumeWhileBroken resumes a run on the same engine as long as only its stream breaks off. It returns
 // nil once the answer is complete, or the latest error if the run can't be resumed.
 func (r *engineRun) resumeWhileBroken(ctx context.Context, err error) error {
 	for resumes := 0; err != nil && r.mayResume(ctx, err, resumes); resumes++ {
@@ -118,7 +118,8 @@
 	return wrapSinkError(r.p.sink.Tokens(r.id, r.p.tokens, f.Text))
 }
 
-// notifyFirstToken notifies the grant; a resumed run has none.
+// notifyFirstToken notifies the grant of the first token. It does nothing for a resumed run, which has
+// no grant.
 func (r *engineRun) notifyFirstToken() {
 	if r.grant != nil {
 		r.grant.FirstToken(r.observed)
@@ -131,7 +132,8 @@
 	r.p.summary.Finish = f.Finish
 }
 
-// markComplete records that the answer is complete.
+// markComplete records that the answer is complete, with finish reason length, which an end frame
+// replaces.
 func (r *engineRun) markComplete() {
 	r.observed.Complete = true
 	r.p.summary.OutputTokens = r.p.tokens
@@ -154,9 +156,9 @@
 	return code == result.EndpointBrokeOff || code == result.AnswerTruncated || code == result.AnswerMalformed
 }
 
-// cancelInBackground cancels a run that will not be read further. It does not cancel a run whose
-// caller left a resumable stream: the caller may resume it at another node, and the engine drops it
-// after its hold time.
+// cancelInBackground cancels a run that will not be read further. It does not cancel a run that was
+// not started (not_run), or one whose caller left a resumable stream: the caller may resume it at
+// another node, and the engine drops it after its hold time.
 func (r *engineRun) cancelInBackground(ctx context.Context) {
 	var sink *sinkError
 	callerGone := errors.As(r.observed.Err, &sink) || errors.Is(r.observed.Err, context.Canceled)
--- a/internal/runs/version.go
+++ b/internal/runs/version.go
@@ -14,17 +14,18 @@
 const (
 	// maxVersionSwitches bounds how often one request is switched to another version.
 	maxVersionSwitches = 3
-	// drawBytes and drawTokens are the lengths of the prompt prefix that identifies a conversation
-	// when a version is drawn.
-	drawBytes  = 1024
-	drawTokens = 256
+	// prefixBytes and prefixTokens are the lengths of the prompt prefix that identifies a conversation
+	// when a version is selected.
+	prefixBytes  = 1024
+	prefixTokens = 256
 )
 
 // VersionSelector selects the weight version of a request.
 type VersionSelector interface {
-	// Reselect selects another version after no engine accepted the request on those refused. draw is
-	// the request's VersionDraw, in [0, 1). ok is false if there is none.
-	Reselect(ctx context.Context, model string, refused []string, draw float64) (version string, ok bool)
+	// Reselect selects another version after no engine accepted the request on the versions in
+	// refused. fraction is the request's VersionDraw, in [0, 1). ok is false if there is no other
+	// version.
+	Reselect(ctx context.Context, model string, refused []string, fraction float64) (version string, ok bool)
 }
 
 // SetVersion sets the weight version that serves the request, and the chain that depends on it.
@@ -42,14 +43,14 @@
 // begin with the same prefix.
 func (r *Request) VersionDraw() float64 {
 	h := sha256.New()
-	h.Write([]byte(r.Account + "\x00" + r.Prompt[:min(len(r.Prompt), drawBytes)]))
-	ids, _ := json.Marshal(r.PromptIDs[:min(len(r.PromptIDs), drawTokens)]) // numbers always encode
+	h.Write([]byte(r.Account + "\x00" + r.Prompt[:min(len(r.Prompt), prefixBytes)]))
+	ids, _ := json.Marshal(r.PromptIDs[:min(len(r.PromptIDs), prefixTokens)]) // numbers always encode
 	h.Write(ids)
 	return float64(binary.BigEndian.Uint64(h.Sum(nil))>>11) / math.Exp2(53)
 }
 
-// switchVersion switches a request to another version if no engine accepted it on its own, and
-// reports whether it did. This uses no retry budget, since the request has not run.
+// switchVersion switches a request to another version if no engine accepted it on its current
+// version, and reports whether it did. This uses no retry budget, since the request has not run.
 func (d *Dispatcher) switchVersion(ctx context.Context, p *progress, err error) bool {
 	e := result.From(err)
 	notAccepted := e.Code == result.NoEndpoint || e.Code == result.EndpointRefused
--- a/internal/runs/watchdog.go
+++ b/internal/runs/watchdog.go
@@ -15,8 +15,8 @@
 	resumeTimeout = 2 * time.Second
 )
 
-// watchdog cancels a stream on which no frames arrive: an engine that is paused or disconnected
-// closes no connection.
+// watchdog cancels a stream on which no frames arrive: the connection of a paused or
+// disconnected engine stays open, so that reads would block.
 type watchdog struct {
 	ctx     context.Context // of the stream
 	cancel  context.CancelFunc
@@ -43,8 +43,8 @@
 	w.cancel()
 }
 
-// wrapError replaces or wraps an error with the reason for which the stream was canceled: the end
-// of the request's context, or the stall.
+// wrapError replaces err by the cause of ctx's end if that canceled the stream, or wraps err if the
+// stream stalled.
 func (w *watchdog) wrapError(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
