--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -145,8 +145,8 @@
 	return errors.As(x.cause, &failure) && failure.NotRun()
 }
 
-// connectionRefused reports whether the latest attempt's connection was refused, so that nothing listens at
-// the address.
+// connectionRefused reports whether the latest attempt's connection was refused, so that nothing
+// listens at the address.
 func (x *exchange) connectionRefused() bool {
 	var failure *upstream.Error
 	return errors.As(x.cause, &failure) && failure.ConnectionRefused()
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -81,7 +81,7 @@
 func (x *exchange) deliverBuffered(answer *upstream.Answer, onFirst func()) verdict {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	onFirst()
-	if err == nil && len(body) == 0 && answer.Unframed() {
+	if err == nil && len(body) == 0 && answer.CloseDelimited() {
 		err = eris.New("connection closed after the response header")
 	}
 	if err != nil {
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -23,7 +23,7 @@
 // so that a resumed stream can start with it.
 func (x *exchange) deliverEvents(answer *upstream.Answer, onFirst func()) verdict {
 	d := &streamDelivery{
-		eventReader: &eventReader{body: answer.Body, unframed: answer.Unframed()},
+		eventReader: &eventReader{body: answer.Body, closeDelimited: answer.CloseDelimited()},
 		unverified:  x.written || x.route.Resumable && x.position.lastID != "",
 		empty:       true,
 	}
@@ -75,7 +75,7 @@
 // further events may be delivered.
 func (x *exchange) finishEvents(answer *upstream.Answer, d *streamDelivery) verdict {
 	rest := d.incomplete()
-	if d.unframed && (len(rest) > 0 || d.empty) {
+	if d.closeDelimited && (len(rest) > 0 || d.empty) {
 		x.recordBrokenAnswer(eris.New("connection closed before the end of an event or before any event"))
 		return x.abortStream(answer)
 	}
--- a/internal/forward/framing_test.go
+++ b/internal/forward/framing_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestCallerResumes checks that a stream which does not continue after the event whose id the
-// caller states is not delivered as the answer. Gaps are accepted here: the node has not seen the earlier ids,
-// so it is unknown whether they number the events one by one.
+// caller states is not delivered as the answer. Gaps are accepted here: the node has not seen the
+// earlier ids, so it is unknown whether they number the events one by one.
 func TestCallerResumes(t *testing.T) {
 	tests := []struct {
 		name, last    string
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestEventsThatBreakOff checks that a caller always has a prefix of the complete stream, and a regular
-// end of stream only with all of it, for every kind of line end and every answer of the second
-// endpoint.
+// TestEventsThatBreakOff checks that a caller always has a prefix of the complete stream, and a
+// regular end of stream only with all of it, for every kind of line end and every answer of the
+// second endpoint.
 func TestEventsThatBreakOff(t *testing.T) {
 	lf := events(1, streamSize)
 	crlf, cr := eventsWithLineEnd(1, streamSize, "\r\n"), eventsWithLineEnd(1, streamSize, "\r")
--- a/internal/forward/sse.go
+++ b/internal/forward/sse.go
@@ -30,11 +30,11 @@
 // eventReader splits a stream of server-sent events into complete events.
 type eventReader struct {
 	body io.Reader
-	// unframed is set if only the closing of the connection marks the end of the stream.
-	unframed bool
-	buffer   [readBytes]byte
-	pending  []byte
-	consumed int // bytes of pending that were returned already
+	// closeDelimited is set if only the closing of the connection marks the end of the stream.
+	closeDelimited bool
+	buffer         [readBytes]byte
+	pending        []byte
+	consumed       int // bytes of pending that were returned already
 }
 
 // next reads until at least one event is complete, and returns the complete events and the error that
@@ -45,7 +45,7 @@
 	for {
 		n, err := r.body.Read(r.buffer[:])
 		r.pending = append(r.pending, r.buffer[:n]...)
-		r.consumed = completeLength(r.pending, r.unframed || !errors.Is(err, io.EOF))
+		r.consumed = completeLength(r.pending, r.closeDelimited || !errors.Is(err, io.EOF))
 		switch {
 		case err != nil, r.consumed > 0:
 			return r.pending[:r.consumed], err
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -20,12 +20,12 @@
 	return n, err
 }
 
-// Unframed reports whether only the closing of the connection marks the end of the answer's body.
-func (a *Answer) Unframed() bool { return a.unframed }
+// CloseDelimited reports whether only the closing of the connection marks the end of the answer's body.
+func (a *Answer) CloseDelimited() bool { return a.closeDelimited }
 
-// endsWithConnection reports whether only the closing of the connection marks the end of resp's
+// isCloseDelimited reports whether only the closing of the connection marks the end of resp's
 // body. It is false for an answer without a body, as to HEAD.
-func endsWithConnection(resp *http.Response) bool {
+func isCloseDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -78,8 +78,8 @@
 	Body                 []byte
 }
 
-// Answer is an answer whose header has been read and whose body is read from the connection. Either Done or Abort must be
-// called.
+// Answer is an answer whose header has been read and whose body is read from the connection. Either
+// Done or Abort must be called.
 type Answer struct {
 	*http.Response
 	pool        *Pool
@@ -87,8 +87,8 @@
 	writeResult <-chan error // result of a concurrent write of the body; nil if there is none
 	detach      func() bool  // detaches the connection from the context; false if the context ended first
 	body        *trackedBody
-	// unframed is set if only the closing of the connection marks the end of the body.
-	unframed bool
+	// closeDelimited is set if only the closing of the connection marks the end of the body.
+	closeDelimited bool
 }
 
 // Do sends the request once and returns the header of its answer. isOwn reports from an answer's
@@ -182,7 +182,7 @@
 
 func (a *Answer) accept(resp *http.Response) {
 	a.body = &trackedBody{ReadCloser: resp.Body}
-	a.unframed = endsWithConnection(resp)
+	a.closeDelimited = isCloseDelimited(resp)
 	resp.Body = a.body
 	a.Response = resp
 }
@@ -190,7 +190,7 @@
 // skipBody reads and discards the body of an answer to another request. It fails if only the
 // closing of the connection marks the end of the body, or if the body has maxSkippedBytes or more.
 func skipBody(resp *http.Response) error {
-	if endsWithConnection(resp) {
+	if isCloseDelimited(resp) {
 		return errors.New("answer to another request has no length")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -131,7 +131,7 @@
 			}
 		})
 		a := get(t, p)
-		must.True(t, a.Unframed())
+		must.True(t, a.CloseDelimited())
 		part := make([]byte, len("part"))
 		_, err := io.ReadFull(a.Body, part)
 		must.NoError(t, err)
@@ -166,8 +166,8 @@
 	test.SliceEmpty(t, p.idle)
 }
 
-// TestUnframed checks which answers end only with the connection.
-func TestUnframed(t *testing.T) {
+// TestCloseDelimited checks for which answers only the closing of the connection marks the end.
+func TestCloseDelimited(t *testing.T) {
 	tests := []struct {
 		method, answer string
 		want           bool
@@ -184,7 +184,7 @@
 		p := startEndpoint(t, fixedAnswers(tc.answer))
 		a, err := p.Do(t.Context(), &Request{Method: tc.method, Target: "/", Host: "h"}, acceptAny)
 		must.NoError(t, err)
-		test.Eq(t, tc.want, a.Unframed(), test.Sprintf("%s %q", tc.method, tc.answer))
+		test.Eq(t, tc.want, a.CloseDelimited(), test.Sprintf("%s %q", tc.method, tc.answer))
 		a.Abort()
 	}
 }
