--- a/internal/endpoint/engine/decode.go
+++ b/internal/endpoint/engine/decode.go
@@ -74,9 +74,9 @@
 type rawString []byte
 
 // UnmarshalJSON implements json.Unmarshaler. As for a Go string, null leaves the value unchanged.
-func (q *rawString) UnmarshalJSON(data []byte) error {
+func (s *rawString) UnmarshalJSON(data []byte) error {
 	if data[0] == '"' {
-		*q = append((*q)[:0], data...)
+		*s = append((*s)[:0], data...)
 		return nil
 	}
 	if string(data) == "null" {
@@ -92,13 +92,13 @@
 }
 
 // decode returns the string in raw, which must be valid JSON or empty.
-func (r *cachedString) decode(raw rawString) string {
-	if bytes.Equal(raw, r.raw) {
-		return r.text
+func (c *cachedString) decode(raw rawString) string {
+	if bytes.Equal(raw, c.raw) {
+		return c.text
 	}
-	r.raw, r.text = append(r.raw[:0], raw...), ""
+	c.raw, c.text = append(c.raw[:0], raw...), ""
 	if len(raw) > 0 {
-		_ = json.Unmarshal(raw, &r.text) // can't fail: the JSON decoder has checked it
+		_ = json.Unmarshal(raw, &c.text) // can't fail: the JSON decoder has checked it
 	}
-	return r.text
+	return c.text
 }
--- a/internal/forward/alloc_test.go
+++ b/internal/forward/alloc_test.go
@@ -33,14 +33,14 @@
 		{streamPath, model, maxStreamAllocs},
 	}
 	for _, tc := range tests {
-		w := newTestHandler(t, tc.model)
+		h := newTestHandler(t, tc.model)
 		got := testing.AllocsPerRun(200, func() {
 			r := httptest.NewRequest(http.MethodGet, tc.path, nil)
 			r.Host = host
 			r.Header.Set("Authorization", "Bearer "+key)
 			r.Header.Set("X-Attempt-Id", "r1")
 			r.Header.Set("X-Deadline-Ms", "4000")
-			w.server.Config.Handler.ServeHTTP(&discardResponse{header: make(http.Header)}, r)
+			h.server.Config.Handler.ServeHTTP(&discardResponse{header: make(http.Header)}, r)
 		})
 		t.Logf("%s: %.0f allocations per request", tc.path, got)
 		must.LessEq(t, tc.maxAllocs, got)
--- a/internal/forward/answer_once_test.go
+++ b/internal/forward/answer_once_test.go
@@ -45,10 +45,10 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, model, model)
-			w.servers[0].SetFaults(tc.first)
-			w.servers[1].SetFaults(tc.second)
-			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
+			h := newTestHandler(t, model, model)
+			h.servers[0].SetFaults(tc.first)
+			h.servers[1].SetFaults(tc.second)
+			got := h.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, tc.status, got.status)
 			test.Eq(t, tc.complete, got.err == nil, test.Sprint(got.err))
 			if tc.status != http.StatusBadGateway {
@@ -77,10 +77,10 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, model, model)
-			w.servers[0].SetFaults(tc.first)
-			w.servers[1].SetFaults(tc.second)
-			got := w.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
+			h := newTestHandler(t, model, model)
+			h.servers[0].SetFaults(tc.first)
+			h.servers[1].SetFaults(tc.second)
+			got := h.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
 			test.Eq(t, tc.status, got.status)
 			test.Eq(t, tc.complete, got.err == nil, test.Sprint(got.err))
 			test.Eq(t, tc.body, got.body)
--- a/internal/forward/ended_test.go
+++ b/internal/forward/ended_test.go
@@ -32,23 +32,23 @@
 // address. A refusal by another process must not count as one for lack of capacity: requests would
 // be sent to the old id, and refused, until the registry drops it.
 func TestReplacedEndpointIsAvoided(t *testing.T) {
-	w := &testHandler{}
-	w.start(t, []string{liveEndpoint(t, "another"), liveEndpoint(t, "s1")})
-	a := w.do(t, http.MethodPost, uploadPath, "x", nil)
+	h := &testHandler{}
+	h.start(t, []string{liveEndpoint(t, "another"), liveEndpoint(t, "s1")})
+	a := h.do(t, http.MethodPost, uploadPath, "x", nil)
 	test.Eq(t, http.StatusOK, a.status)
-	m := w.placer.members[0]
+	m := h.placer.members[0]
 	test.False(t, m.Health.Usable(time.Now().Add(2*time.Second)))
 	test.True(t, m.Cold(time.Now()))
-	test.True(t, w.placer.members[1].Health.Usable(time.Now()), test.Sprint("the endpoint that answered"))
+	test.True(t, h.placer.members[1].Health.Usable(time.Now()), test.Sprint("the endpoint that answered"))
 }
 
 // TestEndedEndpointIsAvoided checks that an endpoint is avoided once nothing listens at its
 // address.
 func TestEndedEndpointIsAvoided(t *testing.T) {
-	w := &testHandler{}
-	w.start(t, []string{endedEndpoint(t), liveEndpoint(t, "s1")})
-	a := w.do(t, http.MethodPost, uploadPath, "x", nil)
+	h := &testHandler{}
+	h.start(t, []string{endedEndpoint(t), liveEndpoint(t, "s1")})
+	a := h.do(t, http.MethodPost, uploadPath, "x", nil)
 	test.Eq(t, http.StatusOK, a.status)
-	test.False(t, w.placer.members[0].Health.Usable(time.Now().Add(2*time.Second)))
-	test.True(t, w.placer.members[0].Cold(time.Now()))
+	test.False(t, h.placer.members[0].Health.Usable(time.Now().Add(2*time.Second)))
+	test.True(t, h.placer.members[0].Cold(time.Now()))
 }
--- a/internal/forward/endpoint_signals_test.go
+++ b/internal/forward/endpoint_signals_test.go
@@ -15,11 +15,11 @@
 // TestOnlySuccessRemovesLimit checks that only a success without a limit header removes a recorded
 // limit; an error, a refusal or an unreadable limit does not.
 func TestOnlySuccessRemovesLimit(t *testing.T) {
-	w := newTestHandler(t, "")
-	signals := w.placer.members[0].Signals
+	h := newTestHandler(t, "")
+	signals := h.placer.members[0].Signals
 	limitAfter := func(f modelserver.Faults) (limited bool) {
-		w.servers[0].SetFaults(f)
-		w.do(t, http.MethodGet, recordPath, "", nil)
+		h.servers[0].SetFaults(f)
+		h.do(t, http.MethodGet, recordPath, "", nil)
 		limit, known := signals.RateLimit()
 		return known && limit.InForce
 	}
@@ -36,11 +36,11 @@
 // TestSignalsOfOtherEndpointIgnored checks that a refusal by another endpoint at the same address
 // does not change the signals recorded for the expected one.
 func TestSignalsOfOtherEndpointIgnored(t *testing.T) {
-	w := newTestHandler(t, "", "")
-	w.servers[0].SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
-	m := w.placer.members[0]
-	w.placer.members = w.placer.members[:1]
-	w.do(t, http.MethodGet, recordPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", "r2") })
+	h := newTestHandler(t, "", "")
+	h.servers[0].SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
+	m := h.placer.members[0]
+	h.placer.members = h.placer.members[:1]
+	h.do(t, http.MethodGet, recordPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", "r2") })
 	_, draining := m.Signals.Draining()
 	test.True(t, draining)
 
@@ -61,16 +61,16 @@
 // TestRetryAfterSetsBackoff checks that a readable Retry-After in a refusal sets a backoff, and
 // that the backoff is capped.
 func TestRetryAfterSetsBackoff(t *testing.T) {
-	w := newTestHandler(t, "")
-	signals := w.placer.members[0].Signals
+	h := newTestHandler(t, "")
+	signals := h.placer.members[0].Signals
 	for _, after := range []string{"soon", "-3", "NaN", ""} {
-		w.servers[0].SetFaults(modelserver.Faults{Shed: true, Rest: after})
-		w.do(t, http.MethodGet, recordPath, "", nil)
+		h.servers[0].SetFaults(modelserver.Faults{Shed: true, Rest: after})
+		h.do(t, http.MethodGet, recordPath, "", nil)
 		_, backsOff := signals.Backoff(time.Now())
 		test.False(t, backsOff, test.Sprint(after))
 	}
-	w.servers[0].SetFaults(modelserver.Faults{Shed: true, Rest: "1e300"})
-	w.do(t, http.MethodGet, recordPath, "", nil)
+	h.servers[0].SetFaults(modelserver.Faults{Shed: true, Rest: "1e300"})
+	h.do(t, http.MethodGet, recordPath, "", nil)
 	_, backsOff := signals.Backoff(time.Now().Add(9 * time.Minute))
 	test.True(t, backsOff)
 	_, backsOff = signals.Backoff(time.Now().Add(11 * time.Minute))
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -25,8 +25,8 @@
 }
 
 func TestForwardsUnchanged(t *testing.T) {
-	w := newTestHandler(t, "")
-	got := w.do(t, http.MethodPost, uploadPath+"?x=%2f&y", "the body", func(r *http.Request) {
+	h := newTestHandler(t, "")
+	got := h.do(t, http.MethodPost, uploadPath+"?x=%2f&y", "the body", func(r *http.Request) {
 		r.Header.Set("X-Custom", "kept")
 		r.Header.Set("Connection", "X-Hop")
 		r.Header.Set("X-Hop", "dropped")
@@ -37,7 +37,7 @@
 	must.Eq(t, http.StatusOK, got.status)
 	test.Eq(t, "s0 answers r1", got.body)
 	test.Eq(t, "seal-s0", got.header.Get("X-Server-Seal"))
-	runs := w.servers[0].Runs()
+	runs := h.servers[0].Runs()
 	must.Len(t, 1, runs)
 	run := runs[0]
 	test.Eq(t, uploadPath+"?x=%2f&y", run.Target)
@@ -70,16 +70,16 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, "")
-			w.state.age = tc.age
+			h := newTestHandler(t, "")
+			h.state.age = tc.age
 			method := http.MethodGet
 			if tc.body != "" {
 				method = http.MethodPost
 			}
-			got := w.do(t, method, tc.path, tc.body, tc.change)
+			got := h.do(t, method, tc.path, tc.body, tc.change)
 			test.Eq(t, tc.status, got.status)
 			test.Eq(t, tc.status == http.StatusServiceUnavailable, got.header.Get("Retry-After") != "")
-			test.Len(t, 0, w.servers[0].Runs())
+			test.Len(t, 0, h.servers[0].Runs())
 		})
 	}
 }
@@ -87,19 +87,19 @@
 // TestStaleKeys checks that known keys are still accepted during an outage of the store if the
 // operators allow it, and that a request with an unknown key is answered 503, not 401.
 func TestStaleKeys(t *testing.T) {
-	w := newTestHandler(t, "")
-	w.bounds.AcceptStaleKeys = true
-	w.state.age = time.Minute
-	test.Eq(t, http.StatusOK, w.do(t, http.MethodGet, recordPath, "", nil).status)
+	h := newTestHandler(t, "")
+	h.bounds.AcceptStaleKeys = true
+	h.state.age = time.Minute
+	test.Eq(t, http.StatusOK, h.do(t, http.MethodGet, recordPath, "", nil).status)
 	unknown := func(r *http.Request) { r.Header.Set("Authorization", "Bearer other") }
-	test.Eq(t, http.StatusServiceUnavailable, w.do(t, http.MethodGet, recordPath, "", unknown).status)
-	test.Len(t, 1, w.servers[0].Runs())
+	test.Eq(t, http.StatusServiceUnavailable, h.do(t, http.MethodGet, recordPath, "", unknown).status)
+	test.Len(t, 1, h.servers[0].Runs())
 }
 
 func TestNoConfiguration(t *testing.T) {
-	w := newTestHandler(t, "")
-	w.state.config = nil
-	test.Eq(t, http.StatusServiceUnavailable, w.do(t, http.MethodGet, recordPath, "", nil).status)
+	h := newTestHandler(t, "")
+	h.state.config = nil
+	test.Eq(t, http.StatusServiceUnavailable, h.do(t, http.MethodGet, recordPath, "", nil).status)
 }
 
 // TestSentAgain checks after which failures of the first server a request is sent to the second
@@ -121,10 +121,10 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, "", "")
-			w.servers[0].SetFaults(tc.faults)
-			test.Eq(t, tc.status, w.do(t, http.MethodGet, tc.path, "", nil).status)
-			test.Len(t, tc.second, w.servers[1].Runs())
+			h := newTestHandler(t, "", "")
+			h.servers[0].SetFaults(tc.faults)
+			test.Eq(t, tc.status, h.do(t, http.MethodGet, tc.path, "", nil).status)
+			test.Len(t, tc.second, h.servers[1].Runs())
 		})
 	}
 }
@@ -132,21 +132,21 @@
 // TestAllRefuse checks that a request refused by all endpoints is answered with a status that
 // promises that it has not run.
 func TestAllRefuse(t *testing.T) {
-	w := newTestHandler(t, "", "")
-	for _, s := range w.servers {
+	h := newTestHandler(t, "", "")
+	for _, s := range h.servers {
 		s.SetFaults(modelserver.Faults{Shed: true})
 	}
-	got := w.do(t, http.MethodGet, uploadPath, "", nil)
+	got := h.do(t, http.MethodGet, uploadPath, "", nil)
 	test.Eq(t, http.StatusServiceUnavailable, got.status)
 	test.NotEq(t, "", got.header.Get("Retry-After"))
 }
 
 func TestForeignAnswers(t *testing.T) {
 	for _, faults := range []modelserver.Faults{{Foreign: true}, {Extra: true}} {
-		w := newTestHandler(t, "")
-		w.servers[0].SetFaults(faults)
+		h := newTestHandler(t, "")
+		h.servers[0].SetFaults(faults)
 		for i := range 3 {
-			got := w.do(t, http.MethodGet, uploadPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", fmt.Sprint("r", i)) })
+			got := h.do(t, http.MethodGet, uploadPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", fmt.Sprint("r", i)) })
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, fmt.Sprint("s0 answers r", i), got.body)
 		}
@@ -168,14 +168,14 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, model, model)
-			w.servers[0].SetFaults(tc.faults)
-			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
+			h := newTestHandler(t, model, model)
+			h.servers[0].SetFaults(tc.faults)
+			got := h.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, "seal-s0", got.header.Get("X-Server-Seal"))
 			test.Eq(t, tc.want, got.body)
 			test.Eq(t, tc.complete, got.err == nil)
-			runs := w.servers[1].Runs()
+			runs := h.servers[1].Runs()
 			must.Len(t, tc.second, runs)
 			if tc.second > 0 {
 				test.Eq(t, "2", runs[0].Header.Get("Last-Event-Id"))
@@ -185,15 +185,15 @@
 }
 
 func TestCallerLeaves(t *testing.T) {
-	w := newTestHandler(t, model)
-	w.servers[0].SetFaults(modelserver.Faults{Hang: true})
+	h := newTestHandler(t, model)
+	h.servers[0].SetFaults(modelserver.Faults{Hang: true})
 	left := make(chan struct{})
 	go func() {
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(w.servers[0].Runs()) == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(h.servers[0].Runs()) == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 		close(left)
 	}()
-	w.doUntil(t, left, streamPath)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].Left() == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
+	h.doUntil(t, left, streamPath)
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return h.servers[0].Left() == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 }
 
 // TestUnbegunAttemptWithdrawn checks that a request is withdrawn from an endpoint that has not
@@ -213,14 +213,14 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, model, model)
-			w.placer.beginWithin = tc.beginLimit
-			w.servers[0].SetFaults(tc.faults)
-			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
+			h := newTestHandler(t, model, model)
+			h.placer.beginWithin = tc.beginLimit
+			h.servers[0].SetFaults(tc.faults)
+			got := h.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, tc.status, got.status)
 			test.NoError(t, got.err)
-			test.Len(t, tc.second, w.servers[1].Runs())
-			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].Left() == 1 || !tc.faults.Hang }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
+			test.Len(t, tc.second, h.servers[1].Runs())
+			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return h.servers[0].Left() == 1 || !tc.faults.Hang }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 		})
 	}
 }
@@ -228,11 +228,11 @@
 // TestTimeout checks that a request is answered at the caller's deadline, with a status that does
 // not promise that it has not run.
 func TestTimeout(t *testing.T) {
-	w := newTestHandler(t, model)
-	w.servers[0].SetFaults(modelserver.Faults{Hang: true})
-	got := w.do(t, http.MethodGet, streamPath, "", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "50") })
+	h := newTestHandler(t, model)
+	h.servers[0].SetFaults(modelserver.Faults{Hang: true})
+	got := h.do(t, http.MethodGet, streamPath, "", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "50") })
 	test.Eq(t, http.StatusGatewayTimeout, got.status)
-	runs := w.servers[0].Runs()
+	runs := h.servers[0].Runs()
 	must.Len(t, 1, runs)
 	test.LessEq(t, 2, len(runs[0].Header.Get("X-Deadline-Ms")))
 }
--- a/internal/forward/framing_test.go
+++ b/internal/forward/framing_test.go
@@ -26,8 +26,8 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawTestHandler(t, fixedAnswer(streamOf(tc.first, -1)), fixedAnswer(streamOf(tc.second, -1)))
-			got := w.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", tc.last) })
+			h := newRawTestHandler(t, fixedAnswer(streamOf(tc.first, -1)), fixedAnswer(streamOf(tc.second, -1)))
+			got := h.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", tc.last) })
 			test.Eq(t, http.StatusOK, got.status)
 			test.NoError(t, got.err)
 			test.Eq(t, tc.body, got.body)
@@ -69,8 +69,8 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawTestHandler(t, fixedAnswer(tc.first), fixedAnswer(tc.second))
-			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
+			h := newRawTestHandler(t, fixedAnswer(tc.first), fixedAnswer(tc.second))
+			got := h.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, tc.body, got.body)
 			test.Eq(t, tc.complete, got.err == nil, test.Sprint(got.err))
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -103,41 +103,41 @@
 // front of them.
 func newTestHandler(t *testing.T, models ...string) *testHandler {
 	t.Helper()
-	w := &testHandler{}
+	h := &testHandler{}
 	var addrs []string
 	for i, model := range models {
 		server := modelserver.New(modelserver.Config{ID: serverID(i), Service: "servers", Model: model, Pieces: streamSize})
 		backend := httptest.NewServer(server.Handler())
 		t.Cleanup(backend.Close)
-		w.servers = append(w.servers, server)
+		h.servers = append(h.servers, server)
 		addrs = append(addrs, strings.TrimPrefix(backend.URL, "http://"))
 	}
-	w.start(t, addrs)
-	return w
+	h.start(t, addrs)
+	return h
 }
 
 func serverID(i int) string { return "s" + string(rune('0'+i)) }
 
 // start starts the handler in front of endpoints at the given addresses, which it tries in that
 // order.
-func (w *testHandler) start(t testing.TB, addrs []string) {
+func (h *testHandler) start(t testing.TB, addrs []string) {
 	t.Helper()
-	w.state = &fixedConfig{config: config()}
+	h.state = &fixedConfig{config: config()}
 	f := fleet.New(zerolog.Nop())
 	for i, addr := range addrs {
 		f.Update(&fleet.Endpoint{ID: serverID(i), Service: "servers", Addr: addr}, time.Now())
 	}
 	members := f.Members("servers")
 	slices.SortFunc(members, func(a, b *fleet.Member) int { return strings.Compare(a.ID, b.ID) })
-	w.placer = &orderedPlacer{members: members}
-	w.bounds = bootstrap.Bounds{Revoke: 5 * time.Second, ConfigApply: 2 * time.Second, RetryRatio: 10, RetrySlack: 1000}
-	w.handler = &forward.Handler{
-		Dialect: platform.Dialect{}, ConfigSource: w.state, Placer: w.placer, Budgets: forward.NewBudgets(w.bounds, func() int { return 1 }), AgeEstimator: &forward.AgeEstimator{},
+	h.placer = &orderedPlacer{members: members}
+	h.bounds = bootstrap.Bounds{Revoke: 5 * time.Second, ConfigApply: 2 * time.Second, RetryRatio: 10, RetrySlack: 1000}
+	h.handler = &forward.Handler{
+		Dialect: platform.Dialect{}, ConfigSource: h.state, Placer: h.placer, Budgets: forward.NewBudgets(h.bounds, func() int { return 1 }), AgeEstimator: &forward.AgeEstimator{},
 		Quarantine: quarantine.NewTable(time.Now), Fleet: f,
-		Bounds: func() bootstrap.Bounds { return w.bounds }, Recorder: &recordedOutcomes{}, Log: zerolog.Nop(),
+		Bounds: func() bootstrap.Bounds { return h.bounds }, Recorder: &recordedOutcomes{}, Log: zerolog.Nop(),
 	}
-	w.server = httptest.NewServer(w.handler)
-	t.Cleanup(w.server.Close)
+	h.server = httptest.NewServer(h.handler)
+	t.Cleanup(h.server.Close)
 }
 
 // response is the response that a caller received.
@@ -148,13 +148,13 @@
 	err    error // from reading the body
 }
 
-func (w *testHandler) request(t *testing.T, method, path, body string, change func(*http.Request)) *http.Request {
+func (h *testHandler) request(t *testing.T, method, path, body string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	var content io.Reader
 	if body != "" {
 		content = strings.NewReader(body)
 	}
-	req, err := http.NewRequestWithContext(t.Context(), method, w.server.URL+path, content)
+	req, err := http.NewRequestWithContext(t.Context(), method, h.server.URL+path, content)
 	must.NoError(t, err)
 	req.Host = host
 	req.Header.Set("Authorization", "Bearer "+key)
@@ -166,9 +166,9 @@
 	return req
 }
 
-func (w *testHandler) do(t *testing.T, method, path, body string, change func(*http.Request)) response {
+func (h *testHandler) do(t *testing.T, method, path, body string, change func(*http.Request)) response {
 	t.Helper()
-	resp, err := http.DefaultClient.Do(w.request(t, method, path, body, change))
+	resp, err := http.DefaultClient.Do(h.request(t, method, path, body, change))
 	must.NoError(t, err)
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
@@ -176,9 +176,9 @@
 }
 
 // doUntil sends a request and cancels it when callerLeft is closed.
-func (w *testHandler) doUntil(t *testing.T, callerLeft <-chan struct{}, path string) {
+func (h *testHandler) doUntil(t *testing.T, callerLeft <-chan struct{}, path string) {
 	t.Helper()
-	req := w.request(t, http.MethodGet, path, "", nil)
+	req := h.request(t, http.MethodGet, path, "", nil)
 	ctx, cancel := context.WithCancel(req.Context())
 	go func() {
 		<-callerLeft
--- a/internal/forward/plain_answer_test.go
+++ b/internal/forward/plain_answer_test.go
@@ -13,19 +13,19 @@
 // by one, and that an encoded stream, in which event boundaries can't be found, is delivered in
 // full or not at all.
 func TestEncodedStreams(t *testing.T) {
-	w := newRawTestHandler(t, script{answer: func(r *http.Request) string {
+	h := newRawTestHandler(t, script{answer: func(r *http.Request) string {
 		if r.Header.Get("Accept-Encoding") != "" {
 			return head(http.StatusInternalServerError, contentLength(0))
 		}
 		return streamOf(events(1, streamSize), -1)
 	}})
-	got := w.do(t, http.MethodPost, streamPath, "prompt", func(r *http.Request) { r.Header.Set("Accept-Encoding", "br") })
+	got := h.do(t, http.MethodPost, streamPath, "prompt", func(r *http.Request) { r.Header.Set("Accept-Encoding", "br") })
 	test.Eq(t, http.StatusOK, got.status)
 	test.Eq(t, events(1, streamSize), got.body)
 
 	encoded := head(http.StatusOK, eventStream+chunkedEncoding+"Content-Encoding: br\r\n") + chunk("\n\nid: ")
-	w = newRawTestHandler(t, fixedAnswer(encoded), fixedAnswer(encoded+chunk("x")+lastChunk))
-	got = w.do(t, http.MethodPost, resumePath, "prompt", nil)
+	h = newRawTestHandler(t, fixedAnswer(encoded), fixedAnswer(encoded+chunk("x")+lastChunk))
+	got = h.do(t, http.MethodPost, resumePath, "prompt", nil)
 	test.Eq(t, http.StatusOK, got.status)
 	test.Eq(t, "\n\nid: x", got.body)
 }
@@ -58,8 +58,8 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawTestHandler(t, fixedAnswer(tc.answer))
-			got := w.do(t, tc.method, uploadPath, "", nil)
+			h := newRawTestHandler(t, fixedAnswer(tc.answer))
+			got := h.do(t, tc.method, uploadPath, "", nil)
 			test.Eq(t, tc.status, got.status)
 			test.NoError(t, got.err)
 			if tc.method != http.MethodHead && tc.length != "" {
@@ -76,8 +76,8 @@
 // that the caller can see that it is incomplete.
 func TestLongAnswerThatBreaksOff(t *testing.T) {
 	part := strings.Repeat("x", tooLong)
-	w := newRawTestHandler(t, fixedAnswer(head(http.StatusOK, chunkedEncoding)+chunk(part)), fixedAnswer(streamOf(events(1, streamSize), -1)))
-	got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
+	h := newRawTestHandler(t, fixedAnswer(head(http.StatusOK, chunkedEncoding)+chunk(part)), fixedAnswer(streamOf(events(1, streamSize), -1)))
+	got := h.do(t, http.MethodPost, resumePath, "prompt", nil)
 	test.Eq(t, http.StatusOK, got.status)
 	test.Error(t, got.err)
 	test.True(t, got.body == part, test.Sprint(len(got.body)))
--- a/internal/forward/property_test.go
+++ b/internal/forward/property_test.go
@@ -94,8 +94,8 @@
 		s := drawStream(rt)
 		want := s.text()
 		first := fixedAnswer(streamOf(want, rapid.IntRange(-1, len(want)).Draw(rt, "cut")))
-		w := newRawTestHandler(t, first, s.drawSecondAnswer(rt))
-		got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
+		h := newRawTestHandler(t, first, s.drawSecondAnswer(rt))
+		got := h.do(t, http.MethodPost, resumePath, "prompt", nil)
 		must.Eq(rt, http.StatusOK, got.status)
 		must.StrHasPrefix(rt, got.body, want)
 		if got.err == nil {
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -21,7 +21,7 @@
 // newExitingTestHandler starts servers that exit on requests whose path ends with exitPath.
 func newExitingTestHandler(t *testing.T, servers int) *testHandler {
 	t.Helper()
-	w := &testHandler{}
+	h := &testHandler{}
 	var addrs []string
 	for i := range servers {
 		backend := httptest.NewUnstartedServer(nil)
@@ -31,16 +31,16 @@
 		backend.Config.Handler = server.Handler()
 		backend.Start()
 		t.Cleanup(backend.Close)
-		w.servers = append(w.servers, server)
+		h.servers = append(h.servers, server)
 		addrs = append(addrs, strings.TrimPrefix(backend.URL, "http://"))
 	}
-	w.start(t, addrs)
-	return w
+	h.start(t, addrs)
+	return h
 }
 
 // serversThatRan returns the number of servers that ran requests whose id has the given prefix.
-func (w *testHandler) serversThatRan(prefix string) (servers int) {
-	for _, s := range w.servers {
+func (h *testHandler) serversThatRan(prefix string) (servers int) {
+	for _, s := range h.servers {
 		for _, r := range s.Runs() {
 			if strings.HasPrefix(r.Request, prefix) {
 				servers++
@@ -52,8 +52,8 @@
 }
 
 // removeEnded removes the endpoints that have ended, as a registry does.
-func (w *testHandler) removeEnded() {
-	w.placer.members = slices.DeleteFunc(slices.Clone(w.placer.members), func(m *fleet.Member) bool { return m.Ended() })
+func (h *testHandler) removeEnded() {
+	h.placer.members = slices.DeleteFunc(slices.Clone(h.placer.members), func(m *fleet.Member) bool { return m.Ended() })
 }
 
 // TestRequestThatEndsEndpoints checks that a request that makes engines exit reaches only a few of
@@ -67,19 +67,19 @@
 		servers = 8
 		tries   = 12
 	)
-	w := newExitingTestHandler(t, servers)
+	h := newExitingTestHandler(t, servers)
 	for i := range tries {
 		id := fmt.Sprint("guilty-", i)
-		resp, err := http.DefaultClient.Do(w.request(t, http.MethodPost, "/resume"+exitPath, "prompt", func(r *http.Request) { r.Header.Set("X-Attempt-Id", id) }))
+		resp, err := http.DefaultClient.Do(h.request(t, http.MethodPost, "/resume"+exitPath, "prompt", func(r *http.Request) { r.Header.Set("X-Attempt-Id", id) }))
 		must.NoError(t, err)
 		must.NoError(t, resp.Body.Close())
-		if w.serversThatRan(id) == 0 {
+		if h.serversThatRan(id) == 0 {
 			test.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 		}
-		w.removeEnded()
+		h.removeEnded()
 	}
-	test.Eq(t, 3, w.serversThatRan("guilty-"))
-	must.SliceNotEmpty(t, w.placer.members)
-	a := w.do(t, http.MethodPost, "/resume/other", "prompt", nil)
+	test.Eq(t, 3, h.serversThatRan("guilty-"))
+	must.SliceNotEmpty(t, h.placer.members)
+	a := h.do(t, http.MethodPost, "/resume/other", "prompt", nil)
 	test.Eq(t, http.StatusOK, a.status)
 }
--- a/internal/forward/raw_test.go
+++ b/internal/forward/raw_test.go
@@ -62,9 +62,9 @@
 	for _, s := range scripts {
 		addrs = append(addrs, listen(t, s))
 	}
-	w := &testHandler{}
-	w.start(t, addrs)
-	return w
+	h := &testHandler{}
+	h.start(t, addrs)
+	return h
 }
 
 // listen serves a script on a local port and returns the address.
--- a/internal/forward/send_counts_test.go
+++ b/internal/forward/send_counts_test.go
@@ -11,8 +11,8 @@
 )
 
 // disableRetries sets a budget without retries.
-func (w *testHandler) disableRetries() {
-	w.handler.Budgets = forward.NewBudgets(bootstrap.Bounds{}, func() int { return 1 })
+func (h *testHandler) disableRetries() {
+	h.handler.Budgets = forward.NewBudgets(bootstrap.Bounds{}, func() int { return 1 })
 }
 
 // TestFailedConnectionsUseNoRetries checks that a retry after failed connections uses no
@@ -26,10 +26,10 @@
 			for range ended {
 				addrs = append(addrs, endedEndpoint(t))
 			}
-			w := &testHandler{}
-			w.start(t, append(addrs, liveEndpoint(t, serverID(ended))))
-			w.disableRetries()
-			a := w.do(t, http.MethodPost, path, "x", nil)
+			h := &testHandler{}
+			h.start(t, append(addrs, liveEndpoint(t, serverID(ended))))
+			h.disableRetries()
+			a := h.do(t, http.MethodPost, path, "x", nil)
 			want := http.StatusOK
 			if ended > 4 {
 				want = http.StatusServiceUnavailable
@@ -43,13 +43,13 @@
 // whatever the number of failed connections before it succeeds.
 func TestRefusedSendsUseRetries(t *testing.T) {
 	for _, budget := range []bool{false, true} {
-		w := &testHandler{}
+		h := &testHandler{}
 		other := liveEndpoint(t, "another")
-		w.start(t, []string{endedEndpoint(t), other, endedEndpoint(t), liveEndpoint(t, serverID(3))})
+		h.start(t, []string{endedEndpoint(t), other, endedEndpoint(t), liveEndpoint(t, serverID(3))})
 		if !budget {
-			w.disableRetries()
+			h.disableRetries()
 		}
-		a := w.do(t, http.MethodPost, uploadPath, "x", nil)
+		a := h.do(t, http.MethodPost, uploadPath, "x", nil)
 		test.Eq(t, budget, a.status == http.StatusOK, test.Sprint(a.status))
 	}
 }
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -31,12 +31,12 @@
 // at once and not sent.
 func TestDeadlineAfterASuspension(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second, 30 * time.Second} {
-		w := newTestHandler(t, model)
+		h := newTestHandler(t, model)
 		host := clocktest.New()
-		w.handler.Clock = host.Clock
-		w.handler.Placer = &suspendingPlacer{orderedPlacer: w.placer, host: host, d: d}
-		got := w.do(t, http.MethodPost, resumePath, "prompt", nil)
-		runs := w.servers[0].Runs()
+		h.handler.Clock = host.Clock
+		h.handler.Placer = &suspendingPlacer{orderedPlacer: h.placer, host: host, d: d}
+		got := h.do(t, http.MethodPost, resumePath, "prompt", nil)
+		runs := h.servers[0].Runs()
 		if d >= 4*time.Second {
 			test.Eq(t, http.StatusServiceUnavailable, got.status)
 			test.SliceEmpty(t, runs)
--- a/internal/forward/withdraw_plain_test.go
+++ b/internal/forward/withdraw_plain_test.go
@@ -35,10 +35,10 @@
 				}
 			}))
 			defer backend.Close()
-			w := &testHandler{}
-			w.start(t, []string{strings.TrimPrefix(backend.URL, "http://")})
-			w.placer.beginWithin = within
-			got := w.do(t, http.MethodPost, path, "prompt", nil)
+			h := &testHandler{}
+			h.start(t, []string{strings.TrimPrefix(backend.URL, "http://")})
+			h.placer.beginWithin = within
+			got := h.do(t, http.MethodPost, path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, "half whole", got.body)
 		})
@@ -53,15 +53,15 @@
 	good := modelserver.New(modelserver.Config{ID: serverID(1), Service: "servers"})
 	backend := httptest.NewServer(good.Handler())
 	defer backend.Close()
-	w := &testHandler{}
-	w.start(t, []string{strings.TrimPrefix(silent.URL, "http://"), strings.TrimPrefix(backend.URL, "http://")})
-	w.placer.beginWithin = 100 * time.Millisecond
-	health := &w.placer.members[1].Health
+	h := &testHandler{}
+	h.start(t, []string{strings.TrimPrefix(silent.URL, "http://"), strings.TrimPrefix(backend.URL, "http://")})
+	h.placer.beginWithin = 100 * time.Millisecond
+	health := &h.placer.members[1].Health
 	now := time.Now()
 	health.RecordFailure(now, false)
 	before := health.FailureRate(now)
-	got := w.do(t, http.MethodGet, recordPath, "", nil)
+	got := h.do(t, http.MethodGet, recordPath, "", nil)
 	must.Eq(t, http.StatusOK, got.status)
 	test.Less(t, before, health.FailureRate(now))
-	test.Eq(t, 0, w.placer.members[0].Health.FailureRate(now), test.Sprint("a withdrawal is no failure of the endpoint"))
+	test.Eq(t, 0, h.placer.members[0].Health.FailureRate(now), test.Sprint("a withdrawal is no failure of the endpoint"))
 }
--- a/internal/runs/broken_streams_test.go
+++ b/internal/runs/broken_streams_test.go
@@ -42,13 +42,13 @@
 }
 
 // apply returns the part of a stream that is delivered.
-func (b streamFault) apply(stream, run string) string {
-	if b.complete {
+func (f streamFault) apply(stream, run string) string {
+	if f.complete {
 		return stream
 	}
 	lines := strings.SplitAfter(stream, "\n\n")
-	n := min(b.frames, len(lines)-1)
-	return strings.Join(lines[:n], "") + lines[n][:min(b.bytes, len(lines[n]))] + strings.ReplaceAll(b.tail, "RUN", run)
+	n := min(f.frames, len(lines)-1)
+	return strings.Join(lines[:n], "") + lines[n][:min(f.bytes, len(lines[n]))] + strings.ReplaceAll(f.tail, "RUN", run)
 }
 
 // faultyEngine is an engine that answers completeText, one letter per token. Its first streams
@@ -61,40 +61,40 @@
 	starts  int
 }
 
-func (b *faultyEngine) Place(context.Context, *Request, []string) (Grant, error) { return b, nil }
+func (e *faultyEngine) Place(context.Context, *Request, []string) (Grant, error) { return e, nil }
 
-func (b *faultyEngine) Start(_ context.Context, _ string, req *enginewire.RunRequest) (*engine.Stream, error) {
-	b.starts++
-	b.bases[req.Run], b.salts[req.Run] = len(req.Continue), req.CacheSalt
-	return b.stream(req.Run, 0)
+func (e *faultyEngine) Start(_ context.Context, _ string, req *enginewire.RunRequest) (*engine.Stream, error) {
+	e.starts++
+	e.bases[req.Run], e.salts[req.Run] = len(req.Continue), req.CacheSalt
+	return e.stream(req.Run, 0)
 }
 
-func (b *faultyEngine) Resume(_ context.Context, _, run string, offset int) (*engine.Stream, error) {
-	return b.stream(run, offset)
+func (e *faultyEngine) Resume(_ context.Context, _, run string, offset int) (*engine.Stream, error) {
+	return e.stream(run, offset)
 }
 
-func (b *faultyEngine) stream(run string, from int) (*engine.Stream, error) {
+func (e *faultyEngine) stream(run string, from int) (*engine.Stream, error) {
 	fault := streamFault{complete: true}
-	if len(b.streams) > 0 {
-		fault, b.streams = b.streams[0], b.streams[1:]
+	if len(e.streams) > 0 {
+		fault, e.streams = e.streams[0], e.streams[1:]
 	}
 	if fault.refused != nil {
 		return nil, fault.refused
 	}
-	text := fault.apply(b.frames(run, from), run)
+	text := fault.apply(e.frames(run, from), run)
 	return engine.NewStream(io.NopCloser(iotest.OneByteReader(strings.NewReader(text)))), nil
 }
 
 // frames returns the complete stream of a run from a token offset on.
-func (b *faultyEngine) frames(run string, from int) string {
+func (e *faultyEngine) frames(run string, from int) string {
 	var text strings.Builder
 	add := func(f enginewire.Frame) {
 		f.Run, f.Incarnation = run, "i"
 		data, _ := json.Marshal(f) // frames always encode
 		text.WriteString("data: " + string(data) + "\n\n")
 	}
-	own := completeText[b.bases[run]:]
-	add(enginewire.Frame{Kind: enginewire.FrameStart, CacheSalt: b.salts[run]})
+	own := completeText[e.bases[run]:]
+	add(enginewire.Frame{Kind: enginewire.FrameStart, CacheSalt: e.salts[run]})
 	for i := from; i < len(own); i++ {
 		add(enginewire.Frame{Kind: enginewire.FrameTokens, Offset: i, Tokens: 1, Text: own[i : i+1]})
 	}
@@ -103,11 +103,11 @@
 }
 
 // run runs a request with the given token limit and returns the text that the caller received.
-func (b *faultyEngine) run(t must.T, maxTokens int, once bool) (string, error) {
-	b.bases, b.salts = make(map[string]int), make(map[string]string)
+func (e *faultyEngine) run(t must.T, maxTokens int, once bool) (string, error) {
+	e.bases, e.salts = make(map[string]int), make(map[string]string)
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	d := &Dispatcher{Key: key, Salter: salter, Engines: b, Placer: b, Budget: b}
+	d := &Dispatcher{Key: key, Salter: salter, Engines: e, Placer: e, Budget: e}
 	sink := &textSink{}
 	_, err = d.Run(context.Background(), &Request{Account: "a", Prompt: "p", MaxTokens: maxTokens, Deadline: time.Now().Add(time.Minute), Once: once}, sink)
 	return sink.received, err
@@ -144,8 +144,8 @@
 // it.
 func TestCallerGetsAPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &faultyEngine{streams: rapid.SliceOfN(rapid.Custom(drawStreamFault), 0, 12).Draw(t, "streams")}
-		got, err := b.run(t, rapid.IntRange(len(completeText), 9).Draw(t, "max"), false)
+		e := &faultyEngine{streams: rapid.SliceOfN(rapid.Custom(drawStreamFault), 0, 12).Draw(t, "streams")}
+		got, err := e.run(t, rapid.IntRange(len(completeText), 9).Draw(t, "max"), false)
 		must.StrHasPrefix(t, got, completeText)
 		if err == nil {
 			must.Eq(t, completeText, got)
@@ -157,9 +157,9 @@
 // were delivered, even if the engine then states that it did not run.
 func TestOnceNotRetriedAfterTokens(t *testing.T) {
 	const notRun = "\ndata: {\"run\":\"RUN\",\"incarnation\":\"i\",\"kind\":\"error\",\"error\":{\"code\":\"leaving\",\"not_run\":true}}\n"
-	b := &faultyEngine{streams: []streamFault{{frames: 3, tail: notRun}}}
-	got, err := b.run(t, len(completeText), true)
+	e := &faultyEngine{streams: []streamFault{{frames: 3, tail: notRun}}}
+	got, err := e.run(t, len(completeText), true)
 	must.Eq(t, "ab", got)
 	must.Eq(t, result.MayHaveRun, result.From(err).RunState)
-	must.Eq(t, 1, b.starts)
+	must.Eq(t, 1, e.starts)
 }
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	w := &testDispatcher{placer: &fixedPlacer{firstFrameTimeout: time.Minute}}
+	d := &testDispatcher{placer: &fixedPlacer{firstFrameTimeout: time.Minute}}
 	for range engines {
 		e := enginestandin.New(enginestandin.Config{Loaded: []enginewire.Loaded{{Model: "m", Version: "v"}}, TimeScale: 1, DecodeStep: 2 * time.Millisecond})
 		server := httptest.NewServer(e.Handler())
@@ -83,18 +83,18 @@
 			server.CloseClientConnections()
 			server.Close()
 		})
-		w.engines = append(w.engines, e)
-		w.placer.urls = append(w.placer.urls, server.URL)
+		d.engines = append(d.engines, e)
+		d.placer.urls = append(d.placer.urls, server.URL)
 	}
-	w.Dispatcher = &Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: w.placer, Budget: unlimitedBudget{}}
-	return w
+	d.Dispatcher = &Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: d.placer, Budget: unlimitedBudget{}}
+	return d
 }
 
-func (w *testDispatcher) runPrompt(t *testing.T, timeout time.Duration) (string, error) {
+func (d *testDispatcher) runPrompt(t *testing.T, timeout time.Duration) (string, error) {
 	t.Helper()
 	sink := &textSink{}
 	req := &Request{Account: "mill", Model: "m", Version: "v", Prompt: "pass or hold?", MaxTokens: 30, Deadline: time.Now().Add(timeout)}
-	_, err := w.Run(t.Context(), req, sink)
+	_, err := d.Run(t.Context(), req, sink)
 	return sink.received, err
 }
 
@@ -104,31 +104,31 @@
 
 func TestRunStates(t *testing.T) {
 	t.Run("no engine was reached", func(t *testing.T) {
-		w := newTestDispatcher(t, 0)
-		w.placer.urls = []string{"http://127.0.0.1:1", "http://127.0.0.1:1"}
-		_, err := w.runPrompt(t, time.Minute)
+		d := newTestDispatcher(t, 0)
+		d.placer.urls = []string{"http://127.0.0.1:1", "http://127.0.0.1:1"}
+		_, err := d.runPrompt(t, time.Minute)
 		must.Eq(t, result.NotRun, result.From(err).RunState)
 	})
 	t.Run("refused by each engine", func(t *testing.T) {
-		w := newTestDispatcher(t, 2)
-		for _, e := range w.engines {
+		d := newTestDispatcher(t, 2)
+		for _, e := range d.engines {
 			setFaults(e, func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
 		}
-		_, err := w.runPrompt(t, time.Minute)
+		_, err := d.runPrompt(t, time.Minute)
 		must.Eq(t, result.NotRun, result.From(err).RunState)
 	})
 	t.Run("deadline passed after the request was sent", func(t *testing.T) {
-		w := newTestDispatcher(t, 1)
-		setFaults(w.engines[0], func(f *enginestandin.Faults) { f.Frozen = true })
-		_, err := w.runPrompt(t, 200*time.Millisecond)
+		d := newTestDispatcher(t, 1)
+		setFaults(d.engines[0], func(f *enginestandin.Faults) { f.Frozen = true })
+		_, err := d.runPrompt(t, 200*time.Millisecond)
 		must.Eq(t, result.DeadlinePassed, result.From(err).Code)
 		must.Eq(t, result.MayHaveRun, result.From(err).RunState)
 	})
 	t.Run("refused after an attempt that may have run", func(t *testing.T) {
-		w := newTestDispatcher(t, 2)
-		setFaults(w.engines[0], func(f *enginestandin.Faults) { f.FailEvery = 1 })
-		setFaults(w.engines[1], func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
-		_, err := w.runPrompt(t, time.Minute)
+		d := newTestDispatcher(t, 2)
+		setFaults(d.engines[0], func(f *enginestandin.Faults) { f.FailEvery = 1 })
+		setFaults(d.engines[1], func(f *enginestandin.Faults) { f.RefuseOverloaded = true })
+		_, err := d.runPrompt(t, time.Minute)
 		must.Eq(t, result.MayHaveRun, result.From(err).RunState)
 	})
 }
@@ -147,10 +147,10 @@
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newTestDispatcher(t, 2)
-			w.placer.firstFrameTimeout = 150 * time.Millisecond
-			setFaults(w.engines[0], fault)
-			got, err := w.runPrompt(t, time.Minute)
+			d := newTestDispatcher(t, 2)
+			d.placer.firstFrameTimeout = 150 * time.Millisecond
+			setFaults(d.engines[0], fault)
+			got, err := d.runPrompt(t, time.Minute)
 			must.NoError(t, err)
 			must.Eq(t, undisturbed, got)
 		})
@@ -160,10 +160,10 @@
 // TestAllTokensWithoutEndFrameIsComplete checks that an answer with all requested tokens is
 // complete if only the end frame is lost.
 func TestAllTokensWithoutEndFrameIsComplete(t *testing.T) {
-	w := newTestDispatcher(t, 1)
-	setFaults(w.engines[0], func(f *enginestandin.Faults) { f.TruncateAfter = 30 })
-	got, err := w.runPrompt(t, time.Minute)
+	d := newTestDispatcher(t, 1)
+	setFaults(d.engines[0], func(f *enginestandin.Faults) { f.TruncateAfter = 30 })
+	got, err := d.runPrompt(t, time.Minute)
 	must.NoError(t, err)
 	must.Eq(t, 30*4, len(got))
-	must.True(t, w.placer.observed[0].Complete)
+	must.True(t, d.placer.observed[0].Complete)
 }
