--- a/internal/forward/answer_once_test.go
+++ b/internal/forward/answer_once_test.go
@@ -12,14 +12,11 @@
 // TestAnswerOnce checks that a caller receives the answer of exactly one endpoint, or a stream that
 // is continued correctly.
 //
-// It guards against two failures. An engine broke off a stream, the request was resumed at a second
-// engine with the last event's id, and that engine's error response was written into the stream as
-// if it were events, followed by a regular end of stream. Or the first engine answered with an
-// error that was delivered to the caller, and the request was sent again all the same, so that the
-// second engine's events followed the error body. Both happened because the retry decision did not
-// consider whether part or all of an answer had already been delivered. In the log such a request
-// has the verdict "answered" for its first send and the cause "wrote more than the declared
-// Content-Length" at its end.
+// An error or another stream must not follow an answer that was delivered in part or in full. This
+// happens if the retry decision ignores what was delivered: a second engine's error response is
+// written into the stream that it was to resume, or its events follow the first engine's error. In
+// the log such a request has the verdict "answered" for its first send and the cause "wrote more
+// than the declared Content-Length" at its end.
 func TestAnswerOnce(t *testing.T) {
 	failing := modelserver.Faults{Status: http.StatusInternalServerError}
 	cut := modelserver.Faults{CutAfter: 2}
@@ -48,10 +45,10 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, model, model)
-			w.servers[0].SetFaults(tc.first)
-			w.servers[1].SetFaults(tc.second)
-			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
+			h := newTestHandler(t, model, model)
+			h.servers[0].SetFaults(tc.first)
+			h.servers[1].SetFaults(tc.second)
+			got := h.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, tc.status, got.status)
 			test.Eq(t, tc.complete, got.err == nil, test.Sprint(got.err))
 			if tc.status != http.StatusBadGateway {
@@ -80,10 +77,10 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newTestHandler(t, model, model)
-			w.servers[0].SetFaults(tc.first)
-			w.servers[1].SetFaults(tc.second)
-			got := w.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
+			h := newTestHandler(t, model, model)
+			h.servers[0].SetFaults(tc.first)
+			h.servers[1].SetFaults(tc.second)
+			got := h.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
 			test.Eq(t, tc.status, got.status)
 			test.Eq(t, tc.complete, got.err == nil, test.Sprint(got.err))
 			test.Eq(t, tc.body, got.body)
--- a/internal/forward/framing_test.go
+++ b/internal/forward/framing_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test"
 )
 
-// TestCallerResumes checks that a stream which does not continue after the event named by the
-// caller is not taken as the answer. Gaps are accepted here: the node has not seen the earlier ids,
-// so it can't know whether they count events one by one.
+// TestCallerResumes checks that a stream which does not continue after the event whose id the
+// caller states is not delivered as the answer. Gaps are accepted here: the node has not seen the
+// earlier ids, so it is unknown whether they number the events one by one.
 func TestCallerResumes(t *testing.T) {
 	tests := []struct {
 		name, last    string
@@ -26,8 +26,8 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawTestHandler(t, fixedAnswer(streamOf(tc.first, -1)), fixedAnswer(streamOf(tc.second, -1)))
-			got := w.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", tc.last) })
+			h := newRawTestHandler(t, fixedAnswer(streamOf(tc.first, -1)), fixedAnswer(streamOf(tc.second, -1)))
+			got := h.do(t, http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", tc.last) })
 			test.Eq(t, http.StatusOK, got.status)
 			test.NoError(t, got.err)
 			test.Eq(t, tc.body, got.body)
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestEventsThatBreakOff checks that a caller always has a prefix of the true stream, and a regular
-// end of stream only with all of it, for every kind of line end and every answer of the second
-// endpoint.
+// TestEventsThatBreakOff checks that a caller always has a prefix of the complete stream, and a
+// regular end of stream only with all of it, for every kind of line end and every answer of the
+// second endpoint.
 func TestEventsThatBreakOff(t *testing.T) {
 	lf := events(1, streamSize)
 	crlf, cr := eventsWithLineEnd(1, streamSize, "\r\n"), eventsWithLineEnd(1, streamSize, "\r")
@@ -69,8 +69,8 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRawTestHandler(t, fixedAnswer(tc.first), fixedAnswer(tc.second))
-			got := w.do(t, http.MethodPost, tc.path, "prompt", nil)
+			h := newRawTestHandler(t, fixedAnswer(tc.first), fixedAnswer(tc.second))
+			got := h.do(t, http.MethodPost, tc.path, "prompt", nil)
 			test.Eq(t, http.StatusOK, got.status)
 			test.Eq(t, tc.body, got.body)
 			test.Eq(t, tc.complete, got.err == nil, test.Sprint(got.err))
--- a/internal/forward/send_counts_test.go
+++ b/internal/forward/send_counts_test.go
@@ -10,29 +10,26 @@
 	"github.com/cherryward/cherryward/internal/forward"
 )
 
-// noBudget sets a budget without retries.
-func (w *testHandler) noBudget() {
-	w.handler.Budgets = forward.NewBudgets(bootstrap.Bounds{}, func() int { return 1 })
+// disableRetries sets a budget without retries.
+func (h *testHandler) disableRetries() {
+	h.handler.Budgets = forward.NewBudgets(bootstrap.Bounds{}, func() int { return 1 })
 }
 
-// The next test guards against refusals when all endpoints of a failure domain end at once although
-// the others have capacity. Each failed connection to an ended endpoint used a retry of the node's
-// small budget, though nothing of the request had been sent; the budget was empty within a second,
-// and requests (10,164 in one case) failed after their first send.
-
-// TestFailedConnectionsTakeNoRetries checks that sending a request on after failed connections
-// takes no retry from the budget.
-func TestFailedConnectionsTakeNoRetries(t *testing.T) {
+// TestFailedConnectionsUseNoRetries checks that a retry after failed connections uses no
+// retry of the budget, since nothing of the request was sent. Otherwise the small budget is used up
+// when all endpoints of a failure domain end at once, and requests fail although other endpoints
+// have capacity.
+func TestFailedConnectionsUseNoRetries(t *testing.T) {
 	for _, path := range []string{recordPath, uploadPath, streamPath} {
 		for ended := range 6 {
 			var addrs []string
 			for range ended {
 				addrs = append(addrs, endedEndpoint(t))
 			}
-			w := &testHandler{}
-			w.open(t, append(addrs, liveEndpoint(t, serverID(ended))))
-			w.noBudget()
-			a := w.do(t, http.MethodPost, path, "x", nil)
+			h := &testHandler{}
+			h.start(t, append(addrs, liveEndpoint(t, serverID(ended))))
+			h.disableRetries()
+			a := h.do(t, http.MethodPost, path, "x", nil)
 			want := http.StatusOK
 			if ended > 4 {
 				want = http.StatusServiceUnavailable
@@ -42,17 +39,17 @@
 	}
 }
 
-// TestRefusedSendsTakeRetries checks that a send after a refusal takes one retry from the budget,
+// TestRefusedSendsUseRetries checks that a send after a refusal takes one retry from the budget,
 // whatever the number of failed connections before it succeeds.
-func TestRefusedSendsTakeRetries(t *testing.T) {
+func TestRefusedSendsUseRetries(t *testing.T) {
 	for _, budget := range []bool{false, true} {
-		w := &testHandler{}
+		h := &testHandler{}
 		other := liveEndpoint(t, "another")
-		w.open(t, []string{endedEndpoint(t), other, endedEndpoint(t), liveEndpoint(t, serverID(3))})
+		h.start(t, []string{endedEndpoint(t), other, endedEndpoint(t), liveEndpoint(t, serverID(3))})
 		if !budget {
-			w.noBudget()
+			h.disableRetries()
 		}
-		a := w.do(t, http.MethodPost, uploadPath, "x", nil)
+		a := h.do(t, http.MethodPost, uploadPath, "x", nil)
 		test.Eq(t, budget, a.status == http.StatusOK, test.Sprint(a.status))
 	}
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -74,11 +74,11 @@
 	}{
 		{name: "read to its end", answer: withLength + "body", read: 5, dials: 1},
 		{name: "no body", answer: "HTTP/1.1 204 No Content\r\n\r\n", read: 1, dials: 1},
-		{name: "read in part, the rest has come", answer: withLength + "body", read: 2, dials: 2},
-		{name: "read in part, the rest has not come", answer: withLength + "bo", read: 2, dials: 2},
+		{name: "read in part, the rest has arrived", answer: withLength + "body", read: 2, dials: 2},
+		{name: "read in part, the rest has not arrived", answer: withLength + "bo", read: 2, dials: 2},
 		{name: "chunks read, but not the last", answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n", read: 2, dials: 2},
-		{name: "bytes behind the answer", answer: withLength + "body!", read: 5, dials: 2},
-		{name: "says that it closes", answer: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", read: 1, dials: 2},
+		{name: "bytes after the answer", answer: withLength + "body!", read: 5, dials: 2},
+		{name: "states Connection: close", answer: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", read: 1, dials: 2},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -131,7 +131,7 @@
 			}
 		})
 		a := get(t, p)
-		must.True(t, a.Unframed())
+		must.True(t, a.CloseDelimited())
 		part := make([]byte, len("part"))
 		_, err := io.ReadFull(a.Body, part)
 		must.NoError(t, err)
@@ -166,8 +166,8 @@
 	test.SliceEmpty(t, p.idle)
 }
 
-// TestUnframed checks which answers end only with the connection.
-func TestUnframed(t *testing.T) {
+// TestCloseDelimited checks for which answers only the closing of the connection marks the end.
+func TestCloseDelimited(t *testing.T) {
 	tests := []struct {
 		method, answer string
 		want           bool
@@ -184,7 +184,7 @@
 		p := startEndpoint(t, fixedAnswers(tc.answer))
 		a, err := p.Do(t.Context(), &Request{Method: tc.method, Target: "/", Host: "h"}, acceptAny)
 		must.NoError(t, err)
-		test.Eq(t, tc.want, a.Unframed(), test.Sprintf("%s %q", tc.method, tc.answer))
+		test.Eq(t, tc.want, a.CloseDelimited(), test.Sprintf("%s %q", tc.method, tc.answer))
 		a.Abort()
 	}
 }
