--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -39,7 +39,7 @@
 			return x.finishEvents(answer, d)
 		}
 		if err != nil {
-			x.recordBrokenAnswer(eris.Wrap(err, "read event stream"))
+			x.recordBrokenAnswer(eris.Wrap(err, "read the stream"))
 			return x.abortStream(answer)
 		}
 	}
