--- a/internal/fleet/backoff.go
+++ b/internal/fleet/backoff.go
@@ -3,7 +3,7 @@
 import "time"
 
 // MaxBackoff is the longest backoff that a node honours. A longer one is cut to it, so that an endpoint
-// that reports a wrong backoff is not lost to its clients indefinitely.
+// that reports a wrong backoff is not excluded indefinitely.
 const MaxBackoff = 10 * time.Minute
 
 // Backoff is the period during which an endpoint accepts no requests from this node, as stated when it
@@ -20,12 +20,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := Backoff{Until: at.Add(min(d, MaxBackoff)), At: at}
-	before := s.backoff.Load()
-	if before != nil && before.Until.After(next.Until) {
-		next.Until = before.Until
+	previous := s.backoff.Load()
+	if previous != nil && previous.Until.After(next.Until) {
+		next.Until = previous.Until
 	}
 	s.backoff.Store(&next)
-	return before == nil || !at.Before(before.Until)
+	return previous == nil || !at.Before(previous.Until)
 }
 
 // Backoff returns the backoff in effect, or false if there is none.
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// coldAfterEnd is how long after an endpoint ended its id may belong to a new start that its entry does
-// not show yet: until the entry of the ended start has expired, and the new one is visible in a
+// coldAfterEnd is the time after an endpoint ended during which a new start may use its id without being
+// visible in the entry yet: until the entry of the ended start has expired, and the new one is visible in a
 // registry copy that is up to 2.5 s old.
 const coldAfterEnd = 6500 * time.Millisecond
 
@@ -30,27 +30,28 @@
 }
 
 // MarkEnded records that the endpoint ended: nothing listens at its address any more, or another
-// endpoint answers there. It gets no requests until its entry has expired. A process that answers
-// under its id before that is a new start; an entry seen after that was written by a new start and
-// states its cold period itself.
+// endpoint answers there. It gets no requests for ejectMax. A process that answers under its id
+// within coldAfterEnd is a new start; an entry seen after that was written by a new start and states its
+// cold period itself.
 func (m *Member) MarkEnded(now time.Time) {
-	m.down.Store(true)
+	m.ended.Store(true)
 	m.MarkCold(now.Add(coldAfterEnd))
 	m.Health.RecordEnd(now)
 }
 
-// RecordAnswer records an answer of the endpoint. If the endpoint had ended, it is a new start and is
-// marked as cold for coldStart, the cold period of its service's endpoints.
+// RecordAnswer records an answer of the endpoint. If the endpoint had ended, and the cold period set by
+// MarkEnded is not over, it is a new start and is marked as cold for coldStart, the cold period of its
+// service's endpoints.
 func (m *Member) RecordAnswer(now time.Time, coldStart time.Duration) {
-	if m.down.Swap(false) && m.Cold(now) {
+	if m.ended.Swap(false) && m.Cold(now) {
 		m.MarkCold(now.Add(coldStart))
 	}
 }
 
 // applyColdLeft applies the remaining cold period from an entry. The period runs from the time it was
 // first read: an entry with the same or a smaller value repeats the same period and is ignored.
-func (m *Member) applyColdLeft(before, e *Endpoint, now time.Time) {
-	if e.ColdLeft <= 0 || before != nil && before.ColdLeft >= e.ColdLeft {
+func (m *Member) applyColdLeft(previous, e *Endpoint, now time.Time) {
+	if e.ColdLeft <= 0 || previous != nil && previous.ColdLeft >= e.ColdLeft {
 		return
 	}
 	m.MarkCold(now.Add(e.ColdLeft))
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -35,14 +35,14 @@
 	test.False(t, m.Cold(at(6*time.Second)))
 }
 
-// TestColdAfterItWasDown checks that an endpoint that was down counts as cold from its first answer on:
+// TestColdAfterEnd checks that an endpoint that had ended counts as cold from its first answer on:
 // it has started again, though its entry does not show it yet.
-func TestColdAfterItWasDown(t *testing.T) {
+func TestColdAfterEnd(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	f.Update(coldEntry(100, 0), at(0))
 	m := onlyMember(t, f, "s")
 	m.RecordAnswer(at(0), 3*time.Second)
-	test.False(t, m.Cold(at(0)), test.Sprint("it was never down"))
+	test.False(t, m.Cold(at(0)), test.Sprint("it had not ended"))
 	m.MarkEnded(at(0))
 	test.True(t, m.Cold(at(5*time.Second)), test.Sprint("no information since it ended"))
 	m.RecordAnswer(at(6*time.Second), 3*time.Second)
@@ -51,8 +51,8 @@
 	test.False(t, m.Cold(at(9*time.Second)), test.Sprint("further answers do not extend the period"))
 }
 
-// TestColdEndsWithoutAnAnswer checks that an endpoint seen as ended counts as warm again once its entry
-// must have been rewritten. Otherwise a node whose connections were all refused during a network
+// TestColdEndsWithoutAnAnswer checks that an endpoint seen as ended no longer counts as cold once its
+// entry must have been rewritten. Otherwise a node whose connections were all refused during a network
 // partition would treat most endpoints of a service with a cold limit as cold until they answered, and
 // would never send them anything, because only other nodes were chosen as senders.
 func TestColdEndsWithoutAnAnswer(t *testing.T) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet holds the endpoints that a node may send requests to, and what this node has observed
 // of each.
 //
-// Guarantees: an endpoint that was seen or reported as draining is not selected again before it has
-// restarted, whatever older entries state later. A start of an endpoint is not selected again once a
+// Guarantees: an endpoint whose entry or answer reported that it drains is not selected again before
+// it has restarted, whatever older entries state later. A start of an endpoint is not selected again once a
 // later start under the same id has replaced it. Observations of one start are not applied to a later
 // one.
 package fleet
@@ -15,9 +15,9 @@
 	"github.com/rs/zerolog"
 )
 
-// startRetention is how long the newest start of an endpoint is remembered after its entry is gone, so
-// that a late entry of the same or an earlier start does not bring it back. Late entries are at most a
-// few heartbeats old.
+// startRetention is how long the record of an endpoint's newest start is kept after its entry is gone, so
+// that a late entry of the same or an earlier start does not add the endpoint again. Late entries
+// are at most a few heartbeats old.
 const startRetention = time.Minute
 
 // Endpoint is an endpoint's entry in the registry. It is immutable.
@@ -76,11 +76,11 @@
 
 // start is the latest start of an endpoint.
 type start struct {
-	startedMillis int64 // Unix milliseconds, 0 if not reported
-	draining      bool  // its entry or one of its answers said that it drains
-	lastSeen      time.Time
+	startedMs int64 // Unix milliseconds, 0 if not reported
+	draining  bool  // its entry or one of its answers reported that it drains
+	lastSeen  time.Time
 	// load counts this node's requests in flight at this start. It is kept while the entry is missing,
-	// because an endpoint that is back after a lapse still runs them.
+	// because an endpoint whose entry reappears after a lapse still runs them.
 	load *Load
 	// signals are the reports in its answers, kept for the same reason.
 	signals *Signals
@@ -100,7 +100,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, known := f.latest[e.ID]
-	e, current := f.reconcile(e, now)
+	e, current := f.recordStart(e, now)
 	if !current {
 		return
 	}
@@ -109,10 +109,10 @@
 	}
 	m := f.members[e.ID]
 	if m != nil && m.matches(e) {
-		before := m.Endpoint()
+		previous := m.Endpoint()
 		m.applyEntry(e, now)
-		m.keepUntil = time.Time{}
-		if before.Draining == e.Draining {
+		m.lapseEnds = time.Time{}
+		if previous.Draining == e.Draining {
 			return // heartbeat only; the view is unchanged
 		}
 	} else {
@@ -128,7 +128,7 @@
 func (f *Fleet) Outdated(e *Endpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	newest := f.latest[e.ID].startedMillis
+	newest := f.latest[e.ID].startedMs
 	if e.StartedMs >= newest {
 		return false
 	}
@@ -136,16 +136,16 @@
 	return true
 }
 
-// reconcile records the start of an entry and returns the entry, marked as draining if that start is
-// known to drain. It returns false if a later start is known; an entry without a start time counts as
-// earlier than any with one.
-func (f *Fleet) reconcile(e *Endpoint, now time.Time) (reconciled *Endpoint, current bool) {
+// recordStart records the start of an entry and returns the entry, marked as draining if that start has
+// reported that it drains. It returns false if a later start is known; an entry without a start time
+// counts as earlier than any with one.
+func (f *Fleet) recordStart(e *Endpoint, now time.Time) (marked *Endpoint, current bool) {
 	newest := f.latest[e.ID]
 	switch {
-	case e.StartedMs < newest.startedMillis:
+	case e.StartedMs < newest.startedMs:
 		return e, false
-	case e.StartedMs > newest.startedMillis:
-		newest = start{startedMillis: e.StartedMs}
+	case e.StartedMs > newest.startedMs:
+		newest = start{startedMs: e.StartedMs}
 	}
 	newest.draining = newest.draining || e.Draining
 	newest.lastSeen = now
@@ -159,16 +159,16 @@
 	return e.drained(), true
 }
 
-// replace installs a member for the entry in place of before, which may be nil. Requests in flight at
-// the previous member continue.
-func (f *Fleet) replace(before *Member, e *Endpoint, now time.Time) {
+// replace installs a member for the entry in place of previous, which may be nil. Requests in flight
+// at the previous member continue.
+func (f *Fleet) replace(previous *Member, e *Endpoint, now time.Time) {
 	m := newMember(e, now)
-	if before != nil {
-		if before.StartedMs == e.StartedMs {
-			m = before.moved(e, now)
+	if previous != nil {
+		if previous.StartedMs == e.StartedMs {
+			m = previous.moved(e, now)
 		}
-		before.Pool.CloseIdle()
-		f.clearAddr(before)
+		previous.Pool.CloseIdle()
+		f.clearAddr(previous)
 	}
 	m.Load, m.Signals = f.latest[e.ID].load, f.latest[e.ID].signals
 	f.members[e.ID] = m
@@ -179,12 +179,12 @@
 // ended, though its entry remains for some heartbeats. The old member is not removed, because a late
 // entry of an endpoint that ended earlier can look the same.
 func (f *Fleet) markAddressReused(e *Endpoint, now time.Time) {
-	before := f.byAddr[e.Addr]
-	if before == nil || f.members[before.ID] != before {
+	previous := f.byAddr[e.Addr]
+	if previous == nil || f.members[previous.ID] != previous {
 		return
 	}
-	before.MarkEnded(now)
-	f.log.Info().Str("event", "endpoint_succeeded").Str("endpoint", before.ID).Str("by", e.ID).Str("addr", e.Addr).Send()
+	previous.MarkEnded(now)
+	f.log.Info().Str("event", "endpoint_succeeded").Str("endpoint", previous.ID).Str("by", e.ID).Str("addr", e.Addr).Send()
 }
 
 // MarkDraining records that an endpoint reported in an answer to this node that it drains. It counts as
@@ -197,8 +197,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, known := f.latest[m.ID]
-	if !known || s.startedMillis != m.StartedMs {
-		return true // replaced by a later start, which has not reported draining
+	if !known || s.startedMs != m.StartedMs {
+		return true // the start was removed, or replaced by a later one, which has not reported draining
 	}
 	s.draining = true
 	f.latest[m.ID] = s
@@ -234,7 +234,7 @@
 	f.log.Info().Str("event", "endpoint_gone").Str("endpoint", m.ID).Str("service", m.Service).Send()
 }
 
-// Missing returns the known endpoints that are not in ids.
+// Missing returns the ids of the known endpoints that are not in ids.
 func (f *Fleet) Missing(ids map[string]bool) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -254,7 +254,7 @@
 	defer f.mu.Unlock()
 	f.endLapses(now)
 	for _, m := range f.members {
-		if m.keepUntil.IsZero() {
+		if m.lapseEnds.IsZero() {
 			m.expireEstimate(now)
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestEndedEndpointIsAvoided checks that an endpoint that ended during a request gets no further ones
-// until its entry has expired, 3 s to 4 s later.
+// for 3 s.
 func TestEndedEndpointIsAvoided(t *testing.T) {
 	var h fleet.Health
 	h.RecordEnd(at(0))
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -17,7 +17,7 @@
 	// failureDecay is the weight of the newest outcome in the failure rate, which covers about ten
 	// outcomes.
 	failureDecay = 0.12
-	// ejectRate is the failure rate from which an endpoint is ejected. Services in normal operation
+	// ejectRate is the failure rate above which an endpoint is ejected. Services in normal operation
 	// answer up to 14% of requests with errors of their own.
 	ejectRate = 0.35
 	// failureHalfLife is the time in which the failure rate halves without new outcomes: an ejected
@@ -31,7 +31,7 @@
 	mu                  sync.Mutex
 	rate                decay.Average             // failure rate
 	consecutiveFailures int                       // consecutive connection failures
-	ejected             atomic.Pointer[time.Time] // end of the ejection; written under mu; nil if never ejected
+	ejectedUntil        atomic.Pointer[time.Time] // end of the ejection; written under mu; nil if never ejected
 }
 
 // RecordSuccess records a successful answer.
@@ -62,7 +62,7 @@
 	return usable
 }
 
-// RecordEnd records that the endpoint ended and ejects it until its entry is gone. Waiting for a
+// RecordEnd records that the endpoint ended and ejects it for ejectMax. Waiting for a
 // refused connection instead would use up one of the few send attempts of each request.
 func (h *Health) RecordEnd(now time.Time) {
 	h.mu.Lock()
@@ -70,24 +70,24 @@
 	h.eject(now, ejectMax)
 }
 
-// RecordRefusal records that the endpoint refused a request, and ejects it for pause.
-func (h *Health) RecordRefusal(now time.Time, pause time.Duration) {
+// RecordRefusal records that the endpoint refused a request, and ejects it for the given time.
+func (h *Health) RecordRefusal(now time.Time, ejection time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.eject(now, pause)
+	h.eject(now, ejection)
 }
 
 func (h *Health) eject(now time.Time, d time.Duration) {
 	until := now.Add(d)
-	if before := h.ejected.Load(); before == nil || until.After(*before) {
-		h.ejected.Store(&until)
+	if previous := h.ejectedUntil.Load(); previous == nil || until.After(*previous) {
+		h.ejectedUntil.Store(&until)
 	}
 }
 
 // Usable reports whether the endpoint may get requests. It takes no lock, because every request calls
 // it for every endpoint.
 func (h *Health) Usable(now time.Time) bool {
-	until := h.ejected.Load()
+	until := h.ejectedUntil.Load()
 	return until == nil || !now.Before(*until)
 }
 
--- a/internal/fleet/lapse.go
+++ b/internal/fleet/lapse.go
@@ -3,19 +3,19 @@
 import "time"
 
 // Lapse schedules the removal of an endpoint whose entry may only have expired because of a registry
-// outage. It is removed at the given time unless its entry is back by then, or immediately if it was
-// draining.
+// outage. It is removed at the given time unless its entry has reappeared by then, or immediately if
+// it was draining.
 func (f *Fleet) Lapse(id string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, known := f.members[id]
 	switch {
-	case !known || !m.keepUntil.IsZero():
+	case !known || !m.lapseEnds.IsZero():
 	case m.Endpoint().Draining:
 		f.removeMember(m)
 		f.rebuild()
 	default:
-		m.keepUntil = until
+		m.lapseEnds = until
 		f.log.Info().Str("event", "endpoint_lapsed").Str("endpoint", id).Send()
 	}
 }
@@ -30,7 +30,7 @@
 func (f *Fleet) endLapses(now time.Time) {
 	changed := false
 	for _, m := range f.members {
-		if !m.keepUntil.IsZero() && !now.Before(m.keepUntil) {
+		if !m.lapseEnds.IsZero() && !now.Before(m.lapseEnds) {
 			f.removeMember(m)
 			changed = true
 		}
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -27,12 +27,12 @@
 	// Signals are the reports in answers of this start of the endpoint, whatever its address.
 	Signals *Signals
 
-	cold atomic.Pointer[time.Time] // end of the cold period; nil if it was never cold
-	down atomic.Bool               // the endpoint was seen to have ended and has not answered since
+	cold  atomic.Pointer[time.Time] // end of the cold period; nil if it was never cold
+	ended atomic.Bool               // the endpoint was seen to have ended and has not answered since
 
 	endedCheck singleflight.Group // deduplicates concurrent Ended calls
 	entry      atomic.Pointer[Endpoint]
-	keepUntil  time.Time // removal time while the entry is missing; guarded by Fleet.mu; zero while listed
+	lapseEnds  time.Time // when to remove an endpoint whose entry is missing; guarded by Fleet.mu; zero while listed
 
 	mu             sync.Mutex
 	estimate       atomic.Pointer[weightsEstimate] // written under mu; nil while the entry applies
@@ -83,8 +83,9 @@
 // once.
 const endedCheckTimeout = 300 * time.Millisecond
 
-// Ended reports whether the endpoint's address refuses connections. All its runs break off at once when
-// it ends, so concurrent calls share one connection attempt.
+// Ended checks whether the endpoint ended, by a connection attempt: it reports whether the endpoint's
+// address refuses connections. All runs of an endpoint fail at the same time when it ends, so concurrent
+// calls share one attempt.
 func (m *Member) Ended() bool {
 	ended, _, _ := m.endedCheck.Do("", func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), endedCheckTimeout)
--- a/internal/fleet/ratelimit.go
+++ b/internal/fleet/ratelimit.go
@@ -25,41 +25,42 @@
 func (s *Signals) SetLimit(perSecond float64, at time.Time) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.limit.Load()
-	if before != nil && at.Before(before.At) {
+	previous := s.limit.Load()
+	if previous != nil && at.Before(previous.At) {
 		return false
 	}
 	s.limit.Store(&RateLimit{PerSecond: perSecond, InForce: true, At: at, Direct: true})
-	return before == nil || !before.InForce || before.PerSecond != perSecond
+	return previous == nil || !previous.InForce || previous.PerSecond != perSecond
 }
 
-// ClearLimit records an answer without a limit, to a request sent at sent and answered at at. It
-// reports whether this ended a limit. An answer to a request that was sent before the limit was
-// reported is ignored.
-func (s *Signals) ClearLimit(sent, at time.Time) (ended bool) {
+// ClearLimit records an answer without a limit, to a request sent at sentAt and answered at
+// answeredAt. It reports whether this ended a limit. An answer to a request that was sent
+// before the limit was reported is ignored.
+func (s *Signals) ClearLimit(sentAt, answeredAt time.Time) (ended bool) {
 	if s.limit.Load() == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.limit.Load()
-	if sent.Before(before.At) {
+	previous := s.limit.Load()
+	if sentAt.Before(previous.At) {
 		return false
 	}
-	s.limit.Store(&RateLimit{At: at, Direct: true})
-	return before.InForce
+	s.limit.Store(&RateLimit{At: answeredAt, Direct: true})
+	return previous.InForce
 }
 
 // RecordRelayedLimit records a limit, or the end of one, relayed by another node. It is ignored
-// unless it is newer than the last report. It reports whether the limit in force changed.
+// unless it is newer than the last report; the end of a limit is also ignored if no limit was reported.
+// It reports whether the limit in force changed.
 func (s *Signals) RecordRelayedLimit(l RateLimit) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.limit.Load()
+	previous := s.limit.Load()
 	switch {
-	case before == nil && !l.InForce, before != nil && !l.At.After(before.At):
+	case previous == nil && !l.InForce, previous != nil && !l.At.After(previous.At):
 		return false
 	}
 	s.limit.Store(&l)
-	return before == nil || before.InForce != l.InForce || l.InForce && before.PerSecond != l.PerSecond
+	return previous == nil || previous.InForce != l.InForce || l.InForce && previous.PerSecond != l.PerSecond
 }
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -66,7 +66,7 @@
 	test.Eq(t, 1, m.Load.Running())
 }
 
-// TestOutdatedEntriesAfterRestart checks that entries of a replaced start do not bring it back, even
+// TestOutdatedEntriesAfterRestart checks that entries of a replaced start do not add it again, even
 // after both starts have been removed.
 func TestOutdatedEntriesAfterRestart(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
@@ -162,10 +162,10 @@
 	onlyMember(t, f, "other")
 }
 
-// TestAddressTaken checks that an endpoint is avoided as soon as another one has its address, and that
-// the other one is used. Without this, requests went to the endpoints of a failure domain that had come
-// back until the old entries expired 3.6 s later.
-func TestAddressTaken(t *testing.T) {
+// TestAddressReused checks that an endpoint is avoided as soon as another one has its address, and that
+// the other one is used. Otherwise requests would go to the old endpoints of a restarted failure domain
+// until their entries expire, 3.6 s later.
+func TestAddressReused(t *testing.T) {
 	f := fleet.New(zerolog.Nop())
 	f.Update(entryStartedAt(0, 1), at(0))
 	next := entryStartedAt(0, 1)
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -20,8 +20,8 @@
 // Unreadable records headers of an answer that could not be parsed, and reports whether they differ
 // from the last such headers.
 func (s *Signals) Unreadable(headers string) (changed bool) {
-	before := s.unreadable.Swap(&headers)
-	return before == nil || *before != headers
+	previous := s.unreadable.Swap(&headers)
+	return previous == nil || *previous != headers
 }
 
 // MarkDraining records that this start drains, which cannot be undone. It reports whether this was the
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// view is an immutable snapshot of the usable endpoints. Requests read it without a lock.
+// view is an immutable snapshot of the endpoints that accept requests. Requests read it without a lock.
 type view struct {
 	byService map[string][]*Member
 }
--- a/internal/fleet/weights.go
+++ b/internal/fleet/weights.go
@@ -7,13 +7,13 @@
 
 const (
 	// maxEntryAge is the maximum age of the newest registry entry known to a node: a heartbeat interval
-	// of 1.2 s plus a registry copy that is up to 2.5 s old. A report older than this yields to the
-	// entry.
+	// of 1.2 s plus a registry copy that is up to 2.5 s old. The entry takes precedence over a
+	// report older than this.
 	maxEntryAge = 4 * time.Second
 	// guessTTL is how long a guessed version is kept without an answer that confirms it. By then the
 	// endpoint's next heartbeat has been read.
 	guessTTL = 2 * time.Second
-	// refreshAfter is the age from which a report is replaced by a newer one with the same content.
+	// A report is replaced by one with the same content only if that one is at least refreshAfter newer.
 	refreshAfter = 500 * time.Millisecond
 )
 
@@ -57,8 +57,9 @@
 
 // RecordWeights records the weights that the endpoint reported to this node. The newest report
 // applies even if it names an older version, since a delayed order, or one undone by a crash, can
-// bring older weights back. Reports by another start of the endpoint are discarded, and so are
-// answers to requests that were sent before the entry announced newer weights.
+// make the endpoint load older weights. Reports by another start of the endpoint are discarded, and so are
+// answers to requests that were sent before the entry announced newer weights,
+// unless there is an estimate for the model.
 func (m *Member) RecordWeights(s WeightsReport) { m.recordReport(s, true) }
 
 // RecordRelayedWeights records weights that the endpoint reported to another node.
@@ -114,21 +115,21 @@
 
 // applyEntry stores a newer entry of the same start. It discards the estimate if the entry names the
 // estimated version or an older version than the previous entry did, or if the entry's version changed
-// and the estimate is older or a guess.
+// and the estimate names an older version or is a guess.
 func (m *Member) applyEntry(e *Endpoint, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := m.Endpoint()
+	previous := m.Endpoint()
 	m.entry.Store(e)
-	m.applyColdLeft(before, e, now)
-	if !slices.Equal(before.Weights, e.Weights) {
+	m.applyColdLeft(previous, e, now)
+	if !slices.Equal(previous.Weights, e.Weights) {
 		m.weightsChanged = now
 	}
 	est := m.estimate.Load()
 	if est == nil {
 		return
 	}
-	listed, last := e.VersionOf(est.Model), before.VersionOf(est.Model)
+	listed, last := e.VersionOf(est.Model), previous.VersionOf(est.Model)
 	changed := listed != last
 	if listed == est.Version || listed < last || changed && (est.guess || listed > est.Version) {
 		m.estimate.Store(nil)
