--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -2,13 +2,13 @@
 // limit.
 //
 // Only a few nodes send to such an endpoint. They are selected by rendezvous hashing over a member list
-// that all nodes read from the same source, and each sends only its share per window. This needs no
+// that all nodes read from the same source, and each sends only its quota per window. This needs no
 // communication between nodes, so it works for any number of nodes, with lost messages, and for nodes
 // that are partitioned or have just started. A node that is not selected sends nothing to the endpoint.
 //
 // If an endpoint has not reported anything for a long time, because its senders are gone or have no
 // clients, the nodes take turns in sending a trial request, one per turn across all nodes. Otherwise a
-// node that sends nothing would never learn that a limit has ended.
+// node that sends nothing would never receive the end of a limit.
 //
 // Guarantee: nodes whose member lists yield at most two sets of senders for an endpoint, as during a
 // membership change, send it at most 1.5 times its limit plus 5 requests in any 4 s. A single set stays
@@ -25,8 +25,8 @@
 )
 
 const (
-	// staleAfter is the age of an endpoint's last report from which nodes send trial requests in turn.
-	// For endpoints whose window is long, it is staleWindows windows instead.
+	// Nodes send trial requests in turn once an endpoint's last report is older than staleAfter, or
+	// than staleWindows windows if that is longer.
 	staleAfter   = 10 * time.Second
 	staleWindows = 2
 	// trialTurn is the length of a node's turn. Only its first half is used, so that the trial requests
@@ -87,13 +87,13 @@
 	if e.PerSecond >= minUnlimitedRate {
 		return nil, 0
 	}
-	share := ShareOf(e.PerSecond)
+	quota := ShareOf(e.PerSecond)
 	l.table.Node, l.table.View = l.Node, l.View
-	r := l.table.Record(e.ID, e.Domain, share.senderCount(), share.Window, now)
-	if quota := share.forRank(r.Rank, r.Senders); quota > 0 {
-		return r, waitTime(r.Sent, quota, share.Window, now)
+	r := l.table.Record(e.ID, e.Domain, quota.senderCount(), quota.Window, now)
+	if own := quota.ofRank(r.Rank, r.Senders); own > 0 {
+		return r, waitTime(r.Sent, own, quota.Window, now)
 	}
-	if e.ReportAge > max(staleAfter, staleWindows*share.Window) && len(r.Sent) == 0 && l.hasTurn(e.ID, r.Nodes, now) {
+	if e.ReportAge > max(staleAfter, staleWindows*quota.Window) && len(r.Sent) == 0 && l.hasTurn(e.ID, r.Nodes, now) {
 		return r, 0
 	}
 	return r, Never
--- a/internal/throttle/limiter_test.go
+++ b/internal/throttle/limiter_test.go
@@ -10,24 +10,24 @@
 	"github.com/cherryward/cherryward/internal/senders"
 )
 
-// TestSharesAreWithinTheBound checks that two sets of senders with their trial requests stay within the
+// TestQuotasAreWithinBound checks that two sets of senders with their trial requests stay within the
 // bound, and that one set stays within the limit.
-func TestSharesAreWithinTheBound(t *testing.T) {
+func TestQuotasAreWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(0, minUnlimitedRate).Draw(t, "per second")
 		s := ShareOf(perSecond)
 		test.LessEq(t, boundRatio*perSecond*boundWindow.Seconds()+boundSlack, float64(concurrentSets*(s.Total+trialRequests)))
-		test.GreaterEq(t, window, s.Window)
+		test.GreaterEq(t, sendWindow, s.Window)
 		if perSecond > 1/maxWindow.Seconds() {
 			test.LessEq(t, perSecond*1.0001, s.PerSecond())
 		}
 		count := rapid.IntRange(1, maxSenders).Draw(t, "senders")
 		sum := 0
 		for rank := range count {
-			sum += s.forRank(rank, count)
+			sum += s.ofRank(rank, count)
 		}
 		test.Eq(t, s.Total, sum)
-		test.Zero(t, s.forRank(-1, count))
+		test.Zero(t, s.ofRank(-1, count))
 	})
 }
 
@@ -42,16 +42,16 @@
 	e := &Endpoint{ID: "e", PerSecond: 1}
 	now := time.Now()
 	var sent []time.Duration
-	for at := time.Duration(0); at < 2*window; at += 10 * time.Millisecond {
+	for at := time.Duration(0); at < 2*sendWindow; at += 10 * time.Millisecond {
 		if l.Take(e, now.Add(at)) {
 			sent = append(sent, at)
 		}
 	}
 	test.Len(t, 8, sent)
 	for i := range sent[1:] {
-		test.GreaterEq(t, window/8, sent[i+1]-sent[i])
+		test.GreaterEq(t, sendWindow/8, sent[i+1]-sent[i])
 	}
-	test.Positive(t, l.Wait(e, now.Add(2*window-10*time.Millisecond)))
+	test.Positive(t, l.Wait(e, now.Add(2*sendWindow-10*time.Millisecond)))
 	test.True(t, l.Take(&Endpoint{ID: "f", PerSecond: 1}, now), test.Sprint("another endpoint"))
 }
 
--- a/internal/throttle/network_test.go
+++ b/internal/throttle/network_test.go
@@ -14,8 +14,7 @@
 	"github.com/cherryward/cherryward/internal/throttle"
 )
 
-// These tests simulate a network of nodes under load. Without throttling, endpoints with a limit of 2.8
-// requests per second got 37 in 4 s.
+// These tests simulate a network of nodes under load.
 
 const (
 	limited    = 3 // endpoints that report a limit
@@ -23,8 +22,7 @@
 	duration   = 12 * time.Second
 	tick       = 5 * time.Millisecond
 	answerTime = 60 * time.Millisecond
-	// informedFor is the minimum time since a node learnt the limit from an answer for its requests to
-	// count.
+	// Requests of a node count once informedFor has passed since it received the limit in an answer.
 	informedFor = 500 * time.Millisecond
 	// maxDelay is the maximum network delay of a request.
 	maxDelay    = 300 * time.Millisecond
@@ -58,10 +56,10 @@
 	limiter    *throttle.Limiter
 	restarts   int
 	limits     [limited]knownLimit
-	informedAt [limited]time.Duration // when it first learnt the limit from an answer; 0 for never
+	informedAt [limited]time.Duration // when it first received the limit in an answer; 0 for never
 }
 
-// knownLimit is a node's information on an endpoint's limit.
+// knownLimit is the limit of an endpoint that a node last received.
 type knownLimit struct {
 	perSecond float64
 	reported  bool
@@ -69,7 +67,7 @@
 }
 
 // newNetwork returns a network of size nodes, of which the given share joins during the simulation.
-// Each node reads about the new members at a different time.
+// Each node reads the entries of the new members at a different time.
 func newNetwork(seed uint64, size int, joining float64) *network {
 	n := &network{random: rand.New(rand.NewPCG(seed, 1)), pending: make(map[time.Duration][]answer), start: time.Unix(1_700_000_000, 0)}
 	n.limit = func(int, time.Duration) (float64, bool) { return 2.8, true }
@@ -133,7 +131,7 @@
 	delete(n.pending, at)
 }
 
-// restart restarts a node, which loses all information on limits. Answers to its earlier requests are
+// restart restarts a node, which loses all received limits. Answers to its earlier requests are
 // dropped.
 func (n *network) restart(m *node) {
 	m.limiter = &throttle.Limiter{Node: m.Name, View: func(string, int) senders.View { return m.View }}
@@ -165,7 +163,7 @@
 )
 
 // TestLimitHoldsAtAnySize checks that the requests to an endpoint stay within the bound under high load
-// while a third of the nodes join and half of the others have not read about them yet.
+// while a third of the nodes join and half of the others have not read their entries yet.
 func TestLimitHoldsAtAnySize(t *testing.T) {
 	for _, size := range sizes {
 		for seed, joining := range []float64{0, 0.33} {
@@ -177,7 +175,7 @@
 }
 
 // TestLimitHoldsWhileNodesRestart checks the bound while nodes restart one after the other and lose the
-// known limits.
+// received limits.
 func TestLimitHoldsWhileNodesRestart(t *testing.T) {
 	for _, size := range sizes[:3] {
 		n := newNetwork(7, size, 0.33)
