--- a/internal/slowstart/limiter_test.go
+++ b/internal/slowstart/limiter_test.go
@@ -10,8 +10,8 @@
 	"github.com/cherryward/cherryward/internal/slowstart"
 )
 
-// TestShares checks that two sets of senders keep within the bound, and that one set uses most of half
-// of it.
+// TestShares checks that two sets of senders keep within the bound, and that one set uses half
+// of it, rounded down to a multiple of the number of senders.
 func TestShares(t *testing.T) {
 	for _, tc := range []struct {
 		maxPerSecond int
--- a/internal/slowstart/network_test.go
+++ b/internal/slowstart/network_test.go
@@ -13,9 +13,8 @@
 )
 
 // These tests simulate nodes that send to the endpoints of a failure domain that has restarted. Without
-// a limit across nodes, single endpoints got 34 to 40 requests per second of an allowed 32: the
-// registry marked them as cold, but no node limited its sends, and each node's sends were reported to
-// the others only 0.4 s later.
+// a limit across nodes, an endpoint would get more requests than its bound: nodes see each other's sends
+// only 0.4 s later, so no node can keep to a common limit by counting them.
 
 const (
 	maxPerSecond  = 32 // maximum requests per second at a cold endpoint
@@ -32,14 +31,14 @@
 	nodes     []*node
 	endpoints []*slowstart.Endpoint
 	sent      map[string][]time.Duration // send times by endpoint
-	refused   int                        // prompts that no cold endpoint could take
+	refused   int                        // prompts that their node could send to no cold endpoint
 	placed    int
 }
 
 type node struct{ limiter *slowstart.Limiter }
 
 // newNetwork returns a network of the given number of nodes, of which the given share joins during the
-// simulation. Each node reads about the new members at a different time.
+// simulation. Each node reads the entries of the new members at a different time.
 func newNetwork(seed uint64, nodes int, joining float64) *network {
 	n := &network{random: rand.New(rand.NewPCG(seed, 1)), sent: make(map[string][]time.Duration)}
 	for i := range coldEndpoints {
@@ -102,7 +101,7 @@
 
 // TestBoundHolds checks that the requests to a cold endpoint stay within the bound, at all sizes and
 // under three times the usual load, while a third of the nodes join and half of the others have not
-// read about them yet.
+// read their entries yet.
 func TestBoundHolds(t *testing.T) {
 	for _, size := range []int{7, 71, 295, 1000} {
 		for seed, joining := range []float64{0, 0.33} {
