--- a/internal/senders/senders.go
+++ b/internal/senders/senders.go
@@ -14,8 +14,8 @@
 	"github.com/cherryward/cherryward/coord/rendezvous"
 )
 
-// maxTracked is the number of tracked endpoints from which those without sends in their window are
-// removed.
+// maxTracked is the number of tracked endpoints at which those without sends in their window are removed
+// before another one is added.
 const maxTracked = 4096
 
 // View is a node's list of the nodes that may send to an endpoint.
@@ -49,8 +49,8 @@
 	window     time.Duration
 }
 
-// Record returns the record of an endpoint. Its rank is that among the given number of senders by the
-// latest view, and Sent holds the sends in the window that ends now.
+// Record returns the record of an endpoint. Its rank is this node's rank among count senders, selected
+// from the latest view, and Sent holds the sends in the window that ends now.
 func (t *Table) Record(id, domain string, count int, window time.Duration, now time.Time) *Record {
 	view := t.View(domain, count)
 	r := t.records[id]
@@ -73,9 +73,9 @@
 		t.records = make(map[string]*Record)
 	}
 	if len(t.records) >= maxTracked {
-		for known, old := range t.records {
+		for other, old := range t.records {
 			if old.expire(now); len(old.Sent) == 0 {
-				delete(t.records, known)
+				delete(t.records, other)
 			}
 		}
 	}
--- a/internal/senders/senderstest/views.go
+++ b/internal/senders/senderstest/views.go
@@ -16,7 +16,7 @@
 }
 
 // Members returns size nodes. The given share of them has just joined; half of the others, at random,
-// have not read about that yet. With a share of 0 all have the same list.
+// have not read their entries yet. With a share of 0 all have the same list.
 func Members(random *rand.Rand, size int, joining float64) []*Member {
 	var old, all []string
 	for i := range size {
