--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -24,22 +24,22 @@
 // completed.
 type report struct {
 	Endings []Ending `json:"endings,omitempty"`
-	// Served are requests that an endpoint has completed successfully.
-	Served []Fingerprint `json:"served,omitempty"`
+	// Completed are requests that an endpoint completed successfully.
+	Completed []Fingerprint `json:"served,omitempty"`
 	// Recorded is true if the endings caused a hold whose record has been written.
 	Recorded bool `json:"recorded,omitempty"`
 }
 
 // messages splits the report into messages that fit into datagrams.
-func (n *report) messages() iter.Seq[report] {
+func (r *report) messages() iter.Seq[report] {
 	return func(yield func(report) bool) {
-		for endings := range slices.Chunk(n.Endings, maxReportEntries) {
-			if !yield(report{Endings: endings, Recorded: n.Recorded}) {
+		for endings := range slices.Chunk(r.Endings, maxReportEntries) {
+			if !yield(report{Endings: endings, Recorded: r.Recorded}) {
 				return
 			}
 		}
-		for served := range slices.Chunk(n.Served, maxReportEntries) {
-			if !yield(report{Served: served}) {
+		for completed := range slices.Chunk(r.Completed, maxReportEntries) {
+			if !yield(report{Completed: completed}) {
 				return
 			}
 		}
@@ -48,14 +48,14 @@
 
 // decodeReport decodes a message. It fails if any part of the message is invalid.
 func decodeReport(params json.RawMessage) (report, error) {
-	var n report
-	if err := json.Unmarshal(params, &n); err != nil {
+	var r report
+	if err := json.Unmarshal(params, &r); err != nil {
 		return report{}, eris.Wrap(err, "decode endings")
 	}
-	if len(n.Endings)+len(n.Served) > maxReportEntries {
-		return report{}, eris.Errorf("decode endings: %d entries exceed the maximum", len(n.Endings)+len(n.Served))
+	if len(r.Endings)+len(r.Completed) > maxReportEntries {
+		return report{}, eris.Errorf("decode endings: %d entries exceed the maximum", len(r.Endings)+len(r.Completed))
 	}
-	for _, e := range n.Endings {
+	for _, e := range r.Endings {
 		if e.Endpoint == "" || len(e.Endpoint) > maxEndpointBytes {
 			return report{}, eris.Errorf("decode endings: endpoint identifier is empty or too long: %d bytes", len(e.Endpoint))
 		}
@@ -63,8 +63,8 @@
 			return report{}, errNoFingerprint
 		}
 	}
-	if slices.Contains(n.Served, Fingerprint{}) {
+	if slices.Contains(r.Completed, Fingerprint{}) {
 		return report{}, errNoFingerprint
 	}
-	return n, nil
+	return r, nil
 }
--- a/internal/quarantine/network_test.go
+++ b/internal/quarantine/network_test.go
@@ -72,58 +72,59 @@
 }
 
 // deliver returns the node that a message reaches, or nil if the message is lost.
-func (w *network) deliver(from *node, addr netip.AddrPort, bytes int) *node {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.messages++
-	w.bytes += bytes
-	to := w.nodes[addr]
+func (nw *network) deliver(from *node, addr netip.AddrPort, bytes int) *node {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	nw.messages++
+	nw.bytes += bytes
+	to := nw.nodes[addr]
 	if to == nil || from.disconnected || to.disconnected {
 		return nil
 	}
 	route := from.name + " " + to.name
-	w.sent[route]++
-	if w.draw(fmt.Sprint(route, w.sent[route])) < w.loss {
+	nw.sent[route]++
+	if nw.random(fmt.Sprint(route, nw.sent[route])) < nw.loss {
 		return nil
 	}
 	return to
 }
 
-// draw returns a pseudo-random number from 0 to 1 that is determined by the seed and the text.
-func (w *network) draw(text string) float64 {
-	return float64(xxhash.Sum64String(fmt.Sprint(w.seed, text))) / math.MaxUint64
+// random returns a pseudo-random number from 0 to 1 that is determined by the seed and the text.
+func (nw *network) random(text string) float64 {
+	return float64(xxhash.Sum64String(fmt.Sprint(nw.seed, text))) / math.MaxUint64
 }
 
-func (w *network) Put(_ context.Context, key string, value []byte) error {
-	w.mu.Lock()
-	if w.down {
-		w.mu.Unlock()
+func (nw *network) Put(_ context.Context, key string, value []byte) error {
+	nw.mu.Lock()
+	if nw.down {
+		nw.mu.Unlock()
 		return context.DeadlineExceeded
 	}
-	w.writes++
-	w.records[key] = value
-	nodes := maps.Clone(w.nodes)
-	w.mu.Unlock()
+	nw.writes++
+	nw.records[key] = value
+	nodes := maps.Clone(nw.nodes)
+	nw.mu.Unlock()
 	for _, n := range nodes {
-		w.afterReadDelay(n.name+key, func() { must.NoError(w.t, n.Apply(&follow.Record{Key: key, Value: value})) })
+		nw.afterReadDelay(n.name+key, func() { must.NoError(nw.t, n.Apply(&follow.Record{Key: key, Value: value})) })
 	}
 	return nil
 }
 
-// afterReadDelay calls apply when a node next reads the topic. The delay is determined by which.
-func (w *network) afterReadDelay(which string, apply func()) {
-	if w.maxReadDelay == 0 {
+// afterReadDelay calls apply when a node next reads the topic. readID identifies the read and
+// determines the delay.
+func (nw *network) afterReadDelay(readID string, apply func()) {
+	if nw.maxReadDelay == 0 {
 		apply()
 		return
 	}
-	time.AfterFunc(time.Duration(w.draw(which)*float64(w.maxReadDelay)), apply)
+	time.AfterFunc(time.Duration(nw.random(readID)*float64(nw.maxReadDelay)), apply)
 }
 
-func (w *network) peersOf(own string) map[string]netip.AddrPort {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (nw *network) peersOf(own string) map[string]netip.AddrPort {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
 	peers := make(map[string]netip.AddrPort)
-	for addr, n := range w.nodes {
+	for addr, n := range nw.nodes {
 		if n.name != own {
 			peers[n.name] = addr
 		}
@@ -136,49 +137,49 @@
 }
 
 // start starts or restarts a node, which reads the topic. It stops at the end of the test.
-func (w *network) start(i int) *node {
-	n := &node{net: w, name: fmt.Sprint("n", i), addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7700)}
+func (nw *network) start(i int) *node {
+	n := &node{net: nw, name: fmt.Sprint("n", i), addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7700)}
 	n.Service = New(Config{
-		Node: n.name, Conn: n, Topic: w, Now: time.Now, Log: zerolog.Nop(),
-		Peers: func() map[string]netip.AddrPort { return w.peersOf(n.name) },
+		Node: n.name, Conn: n, Topic: nw, Now: time.Now, Log: zerolog.Nop(),
+		Peers: func() map[string]netip.AddrPort { return nw.peersOf(n.name) },
 	})
-	w.mu.Lock()
-	w.nodes[n.addr] = n
-	records := maps.Clone(w.records)
-	nodes := maps.Clone(w.nodes)
-	w.mu.Unlock()
+	nw.mu.Lock()
+	nw.nodes[n.addr] = n
+	records := maps.Clone(nw.records)
+	nodes := maps.Clone(nw.nodes)
+	nw.mu.Unlock()
 	for key, value := range records {
-		must.NoError(w.t, n.Apply(&follow.Record{Key: key, Value: value}))
+		must.NoError(nw.t, n.Apply(&follow.Record{Key: key, Value: value}))
 	}
 	for _, other := range nodes {
 		other.PeersChanged()
 	}
-	ctx, stop := context.WithCancel(w.t.Context())
+	ctx, stop := context.WithCancel(nw.t.Context())
 	n.stop = stop
 	go func() { _ = n.Run(ctx) }() // it always returns nil
 	return n
 }
 
 // kill stops a node and removes it from the network.
-func (w *network) kill(n *node) {
+func (nw *network) kill(n *node) {
 	n.stop()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.nodes, n.addr)
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	delete(nw.nodes, n.addr)
 }
 
-func (w *network) startAll(count int) (nodes []*node) {
+func (nw *network) startAll(count int) (nodes []*node) {
 	for i := range count {
-		nodes = append(nodes, w.start(i))
+		nodes = append(nodes, nw.start(i))
 	}
 	return nodes
 }
 
 // writeCount returns the number of writes to the topic.
-func (w *network) writeCount() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.writes
+func (nw *network) writeCount() int {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	return nw.writes
 }
 
 // holdingNodes returns the number of nodes that hold a request.
--- a/internal/quarantine/propagation_test.go
+++ b/internal/quarantine/propagation_test.go
@@ -13,8 +13,8 @@
 // TestHoldReachesEveryNode checks how fast a hold reaches all nodes. Three nodes each see one endpoint
 // end during a request, while messages are lost, one node can only read the topic, and one restarts.
 // All connected nodes must hold the request within the shortest liveness timeout, 3 s, and half of them
-// within a second; the disconnected one holds it after its next poll of the topic. Each record ends all
-// readers' waits, so few records may be written, though the nodes read them late.
+// within a second; the disconnected one holds it after its next poll of the topic. Each record wakes
+// all readers, so only few may be written.
 func TestHoldReachesEveryNode(t *testing.T) {
 	const (
 		livenessTimeout = 3 * time.Second
@@ -29,12 +29,12 @@
 		bytes, written := 0, 0
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newNetwork(t, seed)
-				w.loss = 0.03
+				nw := newNetwork(t, seed)
+				nw.loss = 0.03
 				if size > coordinators {
-					w.maxReadDelay = pollInterval
+					nw.maxReadDelay = pollInterval
 				}
-				nodes := w.startAll(size)
+				nodes := nw.startAll(size)
 				f := print(fmt.Sprint("guilty-", seed))
 				disconnected, others := nodes[size-1], nodes[:size-1]
 				disconnected.disconnected = true
@@ -43,8 +43,8 @@
 					if i == 1 {
 						time.Sleep(tick)
 						synctest.Wait()
-						w.kill(nodes[i])
-						nodes[i] = w.start(i)
+						nw.kill(nodes[i])
+						nodes[i] = nw.start(i)
 					}
 				}
 				start := time.Now()
@@ -56,12 +56,12 @@
 				}
 				half, all = append(half, timeUntil(size/2)), append(all, timeUntil(size-1))
 				test.Eq(t, size-1, holdingNodes(others, f), test.Sprint(size, seed))
-				w.mu.Lock()
-				bytes += w.bytes
-				w.mu.Unlock()
+				nw.mu.Lock()
+				bytes += nw.bytes
+				nw.mu.Unlock()
 				time.Sleep(time.Until(start.Add(livenessTimeout + pollInterval)))
 				test.False(t, disconnected.HeldUntil(f).IsZero())
-				written += w.writeCount()
+				written += nw.writeCount()
 			})
 		}
 		t.Logf("%d nodes: half hold within %v, all within %v; %d bytes per node", size, slices.Max(half), slices.Max(all), bytes/seeds/size)
--- a/internal/quarantine/send.go
+++ b/internal/quarantine/send.go
@@ -9,28 +9,29 @@
 )
 
 // sendReports sends the given reports to the coordinators of each request, together with the known
-// endings if the peers have changed. It returns true if the reports are to be sent again.
+// endings if the peers have changed. It returns true if there was any report, as reports
+// are sent repeatedly.
 func (s *Service) sendReports(reports []outgoingReport, peers map[string]netip.AddrPort) (more bool) {
 	if s.lastPeers != nil && !maps.Equal(peers, s.lastPeers) {
 		reports = append(reports, s.knownEndings()...)
 	}
 	s.lastPeers = peers
 	byNode := make(map[string]*report)
-	for _, t := range reports {
-		for _, node := range s.coordinators(t.Fingerprint, peers) {
+	for _, o := range reports {
+		for _, node := range s.coordinators(o.Fingerprint, peers) {
 			if node == s.config.Node {
 				continue
 			}
-			n := byNode[node]
-			if n == nil {
-				n = &report{}
-				byNode[node] = n
+			r := byNode[node]
+			if r == nil {
+				r = &report{}
+				byNode[node] = r
 			}
-			n.add(t)
+			r.add(o)
 		}
 	}
-	for node, n := range byNode {
-		for m := range n.messages() {
+	for node, r := range byNode {
+		for m := range r.messages() {
 			s.config.Conn.Notify([]netip.AddrPort{peers[node]}, endingsMethod, m)
 		}
 	}
@@ -42,12 +43,13 @@
 	now := s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outgoing = slices.DeleteFunc(s.outgoing, func(t outgoingReport) bool { return now.Sub(t.since) > resendFor })
+	s.outgoing = slices.DeleteFunc(s.outgoing, func(o outgoingReport) bool { return now.Sub(o.since) > resendFor })
 	return slices.Clone(s.outgoing)
 }
 
-// knownEndings returns the latest endings of requests that are not held, for nodes that have joined. A
-// node that has just started sees endings before it has the addresses of its peers.
+// knownEndings returns the latest endings of requests that are not held, for nodes that have joined.
+// They are also needed on a node that has just started: it may see endings before it has the addresses
+// of its peers.
 func (s *Service) knownEndings() []outgoingReport {
 	var list []outgoingReport
 	all := s.Endings()
@@ -57,12 +59,12 @@
 	return list
 }
 
-func (n *report) add(t outgoingReport) {
-	if t.Endpoint == "" {
-		n.Served = append(n.Served, t.Fingerprint)
+func (r *report) add(o outgoingReport) {
+	if o.Endpoint == "" {
+		r.Completed = append(r.Completed, o.Fingerprint)
 		return
 	}
-	n.Endings = append(n.Endings, t.Ending)
+	r.Endings = append(r.Endings, o.Ending)
 }
 
 // coordinators returns the nodes that a request's endings are reported to, in the order in which they
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -22,8 +22,8 @@
 	// repeated, because messages may be lost.
 	resendInterval = 250 * time.Millisecond
 	resendFor      = 700 * time.Millisecond
-	// maxOutgoing limits the reports that are sent repeatedly at one time. It covers the runs that a
-	// node loses when several endpoints end.
+	// maxOutgoing limits the reports that are sent repeatedly at one time. It is enough for the
+	// runs that a node loses when several endpoints end at once.
 	maxOutgoing = 256
 	// recordInterval is the delay of each coordinator after the previous one in recording a hold, and
 	// the time between two attempts.
@@ -80,7 +80,7 @@
 	since time.Time
 }
 
-// New returns a service that receives reports through c.Conn once that runs.
+// New returns a service that receives reports once c.Conn runs.
 func New(c Config) *Service {
 	s := &Service{Table: NewTable(c.Now), config: c, wakeup: make(chan struct{}, 1)}
 	c.Conn.Handle(endingsMethod, s.handleReport)
@@ -90,13 +90,13 @@
 // RecordEnd records an ending that this node saw, and reports it to other nodes. It returns true if the
 // request becomes held.
 func (s *Service) RecordEnd(e Ending) (held bool) {
-	held = s.recordEnding(e)
+	held = s.applyEnding(e)
 	s.enqueue(outgoingReport{Ending: e})
 	return held
 }
 
-// Clear removes what is known about a request, because an endpoint completed it for this node, and
-// reports that to other nodes. It returns false, and sends nothing, if nothing was known.
+// Clear removes a request from the table, because an endpoint completed it for this node, and reports
+// that to other nodes. It returns false, and sends nothing, if the request was not in the table.
 func (s *Service) Clear(f Fingerprint) (known bool) {
 	known, recorded := s.remove(f)
 	if !known {
@@ -111,7 +111,8 @@
 	return true
 }
 
-func (s *Service) recordEnding(e Ending) (held bool) {
+// applyEnding adds an ending to the table, and logs the hold if the request becomes held.
+func (s *Service) applyEnding(e Ending) (held bool) {
 	held = s.Table.RecordEnd(e)
 	if held {
 		s.config.Log.Warn().Str("event", "request_held").Stringer("fingerprint", e.Fingerprint).
@@ -121,10 +122,10 @@
 	return held
 }
 
-func (s *Service) enqueue(t outgoingReport) {
-	t.since = s.config.Now()
+func (s *Service) enqueue(o outgoingReport) {
+	o.since = s.config.Now()
 	s.mu.Lock()
-	s.outgoing = append(s.outgoing, t)
+	s.outgoing = append(s.outgoing, o)
 	if excess := len(s.outgoing) - maxOutgoing; excess > 0 {
 		s.outgoing = slices.Delete(s.outgoing, 0, excess)
 	}
@@ -141,17 +142,17 @@
 
 // handleReport applies a report from a peer.
 func (s *Service) handleReport(params json.RawMessage) (any, error) {
-	n, err := decodeReport(params)
+	r, err := decodeReport(params)
 	if err != nil {
 		return nil, err
 	}
-	for _, e := range n.Endings {
-		s.recordEnding(e)
-		if n.Recorded {
-			s.Recorded(e.Fingerprint)
+	for _, e := range r.Endings {
+		s.applyEnding(e)
+		if r.Recorded {
+			s.MarkRecorded(e.Fingerprint)
 		}
 	}
-	for _, f := range n.Served {
+	for _, f := range r.Completed {
 		s.Table.Clear(f)
 	}
 	return nil, nil
@@ -201,7 +202,7 @@
 }
 
 // step sends pending reports and writes pending records once. It returns true if it must be called
-// again soon.
+// again after resendInterval.
 func (s *Service) step(ctx context.Context) (more bool) {
 	s.rebroadcast()
 	reports := s.pendingReports()
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -16,16 +16,16 @@
 
 // TestEndingsSeenByThreeNodes checks that a request is held by all nodes within one second after three
 // nodes each saw one endpoint end, with a tenth of the messages lost, and that few nodes write a
-// record. A second write can occur if the next coordinator in turn learns of the record late because of
-// a lost message.
+// record. A second write can occur if the next coordinator in turn receives the record late because
+// of a lost message.
 func TestEndingsSeenByThreeNodes(t *testing.T) {
 	const bound = time.Second // well within the liveness timeout of 3 s
 	for _, size := range []int{3, 7, 82, 295} {
 		for seed := range uint64(5) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newNetwork(t, seed)
-				w.loss = 0.1
-				nodes := w.startAll(size)
+				nw := newNetwork(t, seed)
+				nw.loss = 0.1
+				nodes := nw.startAll(size)
 				f := print("guilty")
 				for i := range 3 {
 					nodes[(i*7)%size].RecordEnd(Ending{f, fmt.Sprint("e", i)})
@@ -33,8 +33,8 @@
 				time.Sleep(bound)
 				synctest.Wait()
 				test.Eq(t, size, holdingNodes(nodes, f), test.Sprint(size, seed))
-				test.LessEq(t, int(bound/recordInterval)+1, w.writeCount())
-				test.LessEq(t, 3*coordinators*4+2*w.writeCount()*size, w.messages) // each writer sends to all nodes twice
+				test.LessEq(t, int(bound/recordInterval)+1, nw.writeCount())
+				test.LessEq(t, 3*coordinators*4+2*nw.writeCount()*size, nw.messages) // each writer sends to all nodes twice
 			})
 		}
 	}
@@ -44,38 +44,38 @@
 // unavailable, and record it afterwards.
 func TestTopicOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(t, 1)
-		w.down = true
-		nodes := w.startAll(6)
+		nw := newNetwork(t, 1)
+		nw.down = true
+		nodes := nw.startAll(6)
 		f := print("guilty")
 		for i := range 3 {
 			nodes[i].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(10 * time.Second)
 		test.Eq(t, 6, holdingNodes(nodes, f))
-		w.mu.Lock()
-		w.down = false
-		w.mu.Unlock()
+		nw.mu.Lock()
+		nw.down = false
+		nw.mu.Unlock()
 		time.Sleep(2 * recordInterval)
 		synctest.Wait()
-		test.MapLen(t, 1, w.records)
-		test.LessEq(t, len(nodes), w.writeCount()) // at most once per node
+		test.MapLen(t, 1, nw.records)
+		test.LessEq(t, len(nodes), nw.writeCount()) // at most once per node
 	})
 }
 
-// TestRestartedNodesKnowHolds checks that endings reported before a restart count: a node that reported
+// TestHoldsSurviveRestarts checks that endings reported before a restart count: a node that reported
 // the first ending restarts, loses it and sees the third, and all nodes hold the request. After a
-// restart of all nodes the hold is known from its record.
-func TestRestartedNodesKnowHolds(t *testing.T) {
+// restart of all nodes the hold is read from its record.
+func TestHoldsSurviveRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(t, 1)
-		nodes := w.startAll(3)
+		nw := newNetwork(t, 1)
+		nodes := nw.startAll(3)
 		f := print("guilty")
 		nodes[2].RecordEnd(Ending{f, "e0"})
 		nodes[1].RecordEnd(Ending{f, "e1"})
 		time.Sleep(2 * resendFor)
-		w.kill(nodes[2])
-		nodes[2] = w.start(2)
+		nw.kill(nodes[2])
+		nodes[2] = nw.start(2)
 		time.Sleep(resendInterval)
 		synctest.Wait()
 		test.Eq(t, 0, holdingNodes(nodes, f))
@@ -84,9 +84,9 @@
 		synctest.Wait()
 		test.Eq(t, 3, holdingNodes(nodes, f))
 		for _, n := range nodes {
-			w.kill(n)
+			nw.kill(n)
 		}
-		nodes = w.startAll(3)
+		nodes = nw.startAll(3)
 		test.Eq(t, 3, holdingNodes(nodes, f))
 	})
 }
@@ -95,13 +95,13 @@
 // when other nodes join.
 func TestEndingsBeforePeersAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(t, 1)
-		nodes := w.startAll(1)
+		nw := newNetwork(t, 1)
+		nodes := nw.startAll(1)
 		f := print("guilty")
 		nodes[0].RecordEnd(Ending{f, "e0"})
 		nodes[0].RecordEnd(Ending{f, "e1"})
 		time.Sleep(2 * resendFor)
-		nodes = append(nodes, w.start(1), w.start(2))
+		nodes = append(nodes, nw.start(1), nw.start(2))
 		time.Sleep(resendInterval)
 		synctest.Wait()
 		nodes[1].RecordEnd(Ending{f, "e2"})
@@ -116,8 +116,8 @@
 // one that made the endpoints end.
 func TestSuccessAtAnotherNodeClears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(t, 1)
-		nodes := w.startAll(4)
+		nw := newNetwork(t, 1)
+		nodes := nw.startAll(4)
 		f := print("popular")
 		for round, endpoints := range [][]string{{"e0", "e1"}, {"e2", "e3", "e4"}} {
 			for i, e := range endpoints {
@@ -132,8 +132,8 @@
 				test.True(t, n.Empty())
 			}
 		}
-		test.MapLen(t, 1, w.records)
-		for _, value := range w.records {
+		test.MapLen(t, 1, nw.records)
+		for _, value := range nw.records {
 			test.SliceEmpty(t, value)
 		}
 	})
@@ -142,18 +142,18 @@
 // TestExpiredRecordsAreRemoved checks that one node removes the record of a hold that ended long ago.
 func TestExpiredRecordsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(t, 1)
-		nodes := w.startAll(5)
+		nw := newNetwork(t, 1)
+		nodes := nw.startAll(5)
 		f := print("guilty")
 		for i := range 3 {
 			nodes[0].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(firstHold + retention - time.Minute)
-		test.Eq(t, 1, w.writeCount())
+		test.Eq(t, 1, nw.writeCount())
 		time.Sleep(3 * time.Minute)
 		synctest.Wait()
-		test.Eq(t, 2, w.writeCount())
-		test.SliceEmpty(t, w.records[keyOf(f)])
+		test.Eq(t, 2, nw.writeCount())
+		test.SliceEmpty(t, nw.records[keyOf(f)])
 		for _, n := range nodes {
 			test.True(t, n.Empty())
 		}
@@ -164,8 +164,8 @@
 // holds the recorded requests.
 func TestPartitionedNodeReadsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(t, 1)
-		nodes := w.startAll(4)
+		nw := newNetwork(t, 1)
+		nodes := nw.startAll(4)
 		f := print("guilty")
 		nodes[0].disconnected = true
 		for i := range 3 {
@@ -200,12 +200,12 @@
 	f.Add([]byte(`{"endings":[{"fingerprint":"00112233445566778899aabbccddeeff","endpoint":""}]}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n, err := decodeReport(data)
+		r, err := decodeReport(data)
 		if err != nil {
 			return
 		}
-		must.LessEq(t, maxReportEntries, len(n.Endings)+len(n.Served))
-		for m := range n.messages() {
+		must.LessEq(t, maxReportEntries, len(r.Endings)+len(r.Completed))
+		for m := range r.messages() {
 			encoded, err := json.Marshal(m)
 			must.NoError(t, err)
 			_, err = decodeReport(encoded)
@@ -218,19 +218,19 @@
 // records it again, and that its endings are counted from zero.
 func TestRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(t, 1)
-		nodes := w.startAll(4)
+		nw := newNetwork(t, 1)
+		nodes := nw.startAll(4)
 		f := print("guilty")
 		for i := range 3 {
 			nodes[i].RecordEnd(Ending{f, fmt.Sprint("e", i)})
 		}
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 4, holdingNodes(nodes, f))
-		must.NoError(t, Release(t.Context(), w, f))
+		must.NoError(t, Release(t.Context(), nw, f))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		test.Eq(t, 0, holdingNodes(nodes, f))
-		test.Eq(t, 2, w.writeCount())
+		test.Eq(t, 2, nw.writeCount())
 		test.False(t, nodes[0].RecordEnd(Ending{f, "e4"}))
 	})
 }
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -9,7 +9,7 @@
 )
 
 // recordHolds writes missing records of holds to the topic if it is this node's turn, and reports
-// whether any is left.
+// whether this node must try again.
 func (s *Service) recordHolds(ctx context.Context, peers map[string]netip.AddrPort) (more bool) {
 	now := s.config.Now()
 	for _, h := range s.Holds() {
@@ -20,15 +20,15 @@
 		if rank < 0 {
 			continue
 		}
-		if now.Sub(h.Since) < time.Duration(rank)*recordInterval || now.Sub(s.lastFailure) < recordInterval || !s.record(ctx, &h) {
+		if now.Sub(h.Since) < time.Duration(rank)*recordInterval || now.Sub(s.lastFailure) < recordInterval || !s.writeRecord(ctx, &h) {
 			more = true
 		}
 	}
 	return more
 }
 
-// record writes the record of a held request, and reports whether that succeeded.
-func (s *Service) record(ctx context.Context, h *Hold) bool {
+// writeRecord writes the record of a held request, and reports whether that succeeded.
+func (s *Service) writeRecord(ctx context.Context, h *Hold) bool {
 	value, err := h.encode(s.config.Node)
 	if err == nil {
 		err = s.put(ctx, h.Fingerprint, value)
@@ -37,7 +37,7 @@
 		s.lastFailure = s.config.Now()
 		return false
 	}
-	s.Recorded(h.Fingerprint)
+	s.MarkRecorded(h.Fingerprint)
 	s.broadcast(h)
 	s.toRebroadcast = append(s.toRebroadcast, *h)
 	return true
@@ -52,12 +52,12 @@
 }
 
 // broadcast sends a recorded hold to all nodes. In a large system, nodes that read the topic through
-// others would otherwise learn of it some seconds later, and the next coordinators would write another
+// others would otherwise receive it some seconds later, and the next coordinators would write another
 // record.
 func (s *Service) broadcast(h *Hold) {
 	peers := slices.Collect(maps.Values(s.config.Peers()))
-	n := report{Endings: h.endings(), Recorded: true}
-	for m := range n.messages() {
+	r := report{Endings: h.endings(), Recorded: true}
+	for m := range r.messages() {
 		s.config.Conn.Notify(peers, endingsMethod, m)
 	}
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -11,22 +11,22 @@
 
 const (
 	// holdThreshold is the number of endpoints that must end during a request for it to be held. Up to
-	// a dozen other requests run next to it at each endpoint; it is rare that one of them is retried on
-	// the next two endpoints that end as well.
+	// a dozen other requests run next to it at each endpoint; it is rare that one of these is also retried
+	// on the next two endpoints that end.
 	holdThreshold = 3
 	// firstHold is the initial duration of a hold, and maxHold the maximum. Each further endpoint that
 	// ends during the request after a hold doubles the duration.
 	firstHold = 10 * time.Minute
 	maxHold   = 4 * time.Hour
-	// retention is how long endings count after the newest one, and how long a hold is kept after its
-	// end.
+	// retention is the time after the newest ending of a request for which its endings count, and the
+	// time for which a hold is kept after its end.
 	retention = time.Hour
-	// maxSuspects and maxHeld limit the number of table entries, of about 150 bytes each.
-	maxSuspects = 4096
-	maxHeld     = 1024
+	// maxCandidates and maxHeld limit the number of table entries, of about 150 bytes each.
+	maxCandidates = 4096
+	maxHeld       = 1024
 )
 
-// Ending records that an endpoint ended while it had a request.
+// Ending records that an endpoint ended while it ran a request.
 type Ending struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	// Endpoint identifies one start of an endpoint.
@@ -37,7 +37,7 @@
 type Hold struct {
 	Fingerprint Fingerprint
 	Endpoints   []string  // starts of endpoints that ended during the request
-	Since       time.Time // when the hold began or became known at this node
+	Since       time.Time // when the hold began at this node: when it was caused or received
 	Until       time.Time
 	Recorded    bool   // whether the hold is recorded on the platform
 	Node        string // node that recorded it; empty if not known
@@ -48,20 +48,20 @@
 	now     func() time.Time
 	entries atomic.Int64 // number of entries
 
-	mu       sync.Mutex
-	suspects *simplelru.LRU[Fingerprint, *suspect]
-	held     *simplelru.LRU[Fingerprint, *Hold]
+	mu         sync.Mutex
+	candidates *simplelru.LRU[Fingerprint, *candidate]
+	held       *simplelru.LRU[Fingerprint, *Hold]
 }
 
-// suspect is a request with fewer endings than the threshold.
-type suspect struct {
+// candidate is a request with fewer endings than holdThreshold.
+type candidate struct {
 	endpoints []string
 	newest    time.Time
 }
 
 // NewTable returns an empty table that uses now as its clock.
 func NewTable(now func() time.Time) *Table {
-	suspects, err := simplelru.NewLRU[Fingerprint, *suspect](maxSuspects, nil)
+	candidates, err := simplelru.NewLRU[Fingerprint, *candidate](maxCandidates, nil)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return &Table{now: now, suspects: suspects, held: held}
+	return &Table{now: now, candidates: candidates, held: held}
 }
 
 // Empty reports whether the table has no entries. If so, callers need not compute fingerprints.
@@ -96,10 +96,10 @@
 	if h, known := t.held.Get(e.Fingerprint); known {
 		return h.prolong(e.Endpoint, now)
 	}
-	s, known := t.suspects.Get(e.Fingerprint)
+	s, known := t.candidates.Get(e.Fingerprint)
 	if !known {
-		s = &suspect{}
-		t.suspects.Add(e.Fingerprint, s)
+		s = &candidate{}
+		t.candidates.Add(e.Fingerprint, s)
 	}
 	if now.Sub(s.newest) > retention {
 		s.endpoints = nil
@@ -111,7 +111,7 @@
 	if len(s.endpoints) < holdThreshold {
 		return false
 	}
-	t.suspects.Remove(e.Fingerprint)
+	t.candidates.Remove(e.Fingerprint)
 	t.held.Add(e.Fingerprint, &Hold{Fingerprint: e.Fingerprint, Endpoints: s.endpoints, Since: now, Until: now.Add(firstHold)})
 	return true
 }
@@ -141,12 +141,12 @@
 	if before, known := t.held.Peek(h.Fingerprint); known && before.Until.After(h.Until) {
 		h.Until = before.Until
 	}
-	t.suspects.Remove(h.Fingerprint)
+	t.candidates.Remove(h.Fingerprint)
 	t.held.Add(h.Fingerprint, &h)
 }
 
 // Clear removes a request from the table, because an endpoint completed it, and reports whether it was
-// there.
+// in the table.
 func (t *Table) Clear(f Fingerprint) bool {
 	known, _ := t.remove(f)
 	return known
@@ -161,11 +161,11 @@
 		t.held.Remove(f)
 		return true, h.Recorded
 	}
-	return t.suspects.Remove(f), false
+	return t.candidates.Remove(f), false
 }
 
-// Recorded marks a hold as recorded on the platform.
-func (t *Table) Recorded(f Fingerprint) {
+// MarkRecorded marks a hold as recorded on the platform.
+func (t *Table) MarkRecorded(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h, known := t.held.Peek(f); known {
@@ -177,8 +177,8 @@
 func (t *Table) Endings() (list []Ending) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, f := range t.suspects.Keys() {
-		s, _ := t.suspects.Peek(f)
+	for _, f := range t.candidates.Keys() {
+		s, _ := t.candidates.Peek(f)
 		for _, endpoint := range s.endpoints {
 			list = append(list, Ending{f, endpoint})
 		}
@@ -212,7 +212,7 @@
 func (t *Table) SuspectCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.suspects.Len()
+	return t.candidates.Len()
 }
 
 // endings returns the endings that caused the hold.
@@ -227,4 +227,4 @@
 func (h *Hold) Expired(now time.Time) bool { return now.Sub(h.Until) > retention }
 
 // updateCount updates the number of entries. The caller must hold t.mu.
-func (t *Table) updateCount() { t.entries.Store(int64(t.suspects.Len() + t.held.Len())) }
+func (t *Table) updateCount() { t.entries.Store(int64(t.candidates.Len() + t.held.Len())) }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestServedRequestsAreCleared(t *testing.T) {
+func TestCompletedRequestsAreCleared(t *testing.T) {
 	table := NewTable(newClock().now)
 	f := print("a")
 	test.False(t, table.Clear(f))
@@ -90,13 +90,13 @@
 // do not evict a held request.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable(newClock().now)
-	guilty := print("guilty")
-	must.True(t, recordEndings(table, guilty, "e1", "e2", "e3"))
-	for i := range 3 * maxSuspects {
+	crashing := print("guilty")
+	must.True(t, recordEndings(table, crashing, "e1", "e2", "e3"))
+	for i := range 3 * maxCandidates {
 		table.RecordEnd(Ending{print(fmt.Sprint(i)), "e4"})
 	}
-	test.Eq(t, maxSuspects+1, int(table.entries.Load()))
-	test.False(t, table.HeldUntil(guilty).IsZero())
+	test.Eq(t, maxCandidates+1, int(table.entries.Load()))
+	test.False(t, table.HeldUntil(crashing).IsZero())
 	for i := range 2 * maxHeld {
 		recordEndings(table, print(fmt.Sprint("held-", i)), "e1", "e2", "e3")
 	}
