--- a/internal/rollout/board.go
+++ b/internal/rollout/board.go
@@ -54,8 +54,8 @@
 	Engines []string `json:"e"` // at most maxHolders entries
 }
 
-// board collects the reports on models at the node that owns each model's key. Its state is soft: while
-// nodes disagree on the owner, a model has two boards. It is safe for concurrent use.
+// board collects the reports on models at the node that owns each model's key. Its state is not stored.
+// While nodes disagree on the owner, a model has two boards. It is safe for concurrent use.
 type board struct {
 	mu     sync.Mutex
 	models map[string]*modelBoard
@@ -73,7 +73,7 @@
 
 func newBoard() *board { return &board{models: make(map[string]*modelBoard)} }
 
-// Report records a report and returns the standing of its engine.
+// Report records a report and returns the reply to it.
 func (b *board) Report(now time.Time, view *config.View, r Report) Standing {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +83,7 @@
 		b.models[r.Model] = m
 	}
 	m.reports[r.Engine] = entry{Report: r, at: now}
-	f, ok := b.fleet(now, view, r.Model)
+	f, ok := b.combine(now, view, r.Model)
 	if !ok {
 		return Standing{Model: r.Model, Stage: Gathering}
 	}
@@ -95,20 +95,20 @@
 func (b *board) Holders(now time.Time, view *config.View, model string) (holders []Holders, complete bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f, complete := b.fleet(now, view, model)
+	f, complete := b.combine(now, view, model)
 	return f.holders(), complete
 }
 
-// fleet combines the reports on a model with the configuration. It returns false if the model does not
-// exist any more, or if reports are still being collected.
-func (b *board) fleet(now time.Time, view *config.View, model string) (fleet, bool) {
+// combine combines the reports on a model with the configuration. It returns false if the model does not
+// exist any more, if there is no report on it, or if reports are still being collected.
+func (b *board) combine(now time.Time, view *config.View, model string) (modelEngines, bool) {
 	m := b.models[model]
 	target, ok := targetOf(view, model)
 	if !ok || m == nil {
 		delete(b.models, model)
-		return fleet{}, false
+		return modelEngines{}, false
 	}
-	f := fleet{target: target}
+	f := modelEngines{target: target}
 	f.model, _ = view.Model(model)
 	f.size = len(view.Engines(model))
 	for name, e := range m.reports {
--- a/internal/rollout/capacity.go
+++ b/internal/rollout/capacity.go
@@ -43,9 +43,9 @@
 	})
 }
 
-// canSpare reports whether one of the engines in service may be taken out. states holds the states of
-// all engines of the model, nil for an engine that does not answer. It is a pure function.
-func canSpare(model *pb.Model, t Target, states []*enginewire.State) bool {
+// canTakeOut reports whether one of the engines in service may be taken out of service. states holds the
+// states of all engines of the model, nil for an engine that does not answer. It is a pure function.
+func canTakeOut(model *pb.Model, t Target, states []*enginewire.State) bool {
 	serving := 0
 	for _, state := range states {
 		if serves(t, state) {
--- a/internal/rollout/claims.go
+++ b/internal/rollout/claims.go
@@ -27,7 +27,7 @@
 	// does not check fencing tokens.
 	orderTimeout     = 2 * time.Second
 	uncheckedTimeout = time.Second
-	// settleTime is how long after its timeout an order may still take effect.
+	// settleTime is the time after an order's timeout during which the order may still take effect.
 	settleTime = 2 * time.Second
 	// claimGrace is the delay before a claim that expired without a release can be acquired again.
 	claimGrace = settleTime
@@ -88,18 +88,18 @@
 	})
 }
 
-// lease is a claim that is acquired when first needed and released later.
-type lease struct {
+// lazyClaim is a claim that is acquired when first needed and released later.
+type lazyClaim struct {
 	claim  *claim.Claim
 	obtain func(ctx context.Context) (*claim.Claim, error)
 }
 
-// held reports whether the claim is valid for long enough for another order.
-func (l *lease) held() bool { return l.claim != nil && l.claim.Valid(orderTimeout) }
+// valid reports whether the claim is valid for long enough for another order.
+func (l *lazyClaim) valid() bool { return l.claim != nil && l.claim.Valid(orderTimeout) }
 
-// acquire acquires the claim unless it is held.
-func (l *lease) acquire(ctx context.Context) error {
-	if l.held() {
+// acquire acquires the claim unless it is valid.
+func (l *lazyClaim) acquire(ctx context.Context) error {
+	if l.valid() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
@@ -111,7 +111,7 @@
 
 // release releases the claim in the background, so that an outage of the log blocks nothing. It makes
 // at least one attempt, and repeats it until the claim has expired or ctx is done.
-func (l *lease) release(ctx context.Context, wg *sync.WaitGroup) {
+func (l *lazyClaim) release(ctx context.Context, wg *sync.WaitGroup) {
 	c := l.claim
 	l.claim = nil
 	if c == nil || !c.Valid(0) {
--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -27,14 +27,14 @@
 	View() *config.View
 }
 
-// Owner is the local owner of engines, which grants runs on them.
+// Owner is the local owner of engines. A run starts on an engine only after its owner has granted it.
 type Owner interface {
 	// Runs returns the number of runs that an engine completed or failed on a version since it was
 	// first seen to hold it, or the zero value if it does not hold the version.
 	Runs(endpoint, model, version string) owner.Tally
 	// Observe records the state of an engine.
 	Observe(endpoint string, state *enginewire.State)
-	// Withhold stops grants for one model on an engine until it is called with an empty model.
+	// Withhold stops grants for one model on an engine. An empty model allows grants for all models again.
 	Withhold(endpoint, model string)
 }
 
@@ -63,43 +63,43 @@
 	log         zerolog.Logger
 }
 
-// lastReport is the latest report on one model, with its answer.
+// lastReport is the latest report on one model, with the reply to it.
 type lastReport struct {
 	at         time.Time
 	boardOwner string
 	report     Report
-	standing   Standing
+	reply      Standing
 }
 
-// reportAll reports on all models of the engine and returns their standings. state is nil if the engine
+// reportAll reports on all models of the engine and returns the replies. state is nil if the engine
 // does not answer.
 func (w *worker) reportAll(ctx context.Context, endpoint *pb.Endpoint, want DesiredState, state *enginewire.State) map[string]Standing {
-	standings := make(map[string]Standing, len(want.Targets))
+	replies := make(map[string]Standing, len(want.Targets))
 	for _, t := range want.Targets {
 		r := w.report(endpoint, t, state)
 		last := w.lastReport[t.Model]
 		boardOwner := w.reporter.BoardOwner(t.Model)
 		since := time.Since(last.at)
 		if since < minReportInterval || (since < reportInterval && last.unchanged(r, boardOwner, t)) {
-			standings[t.Model] = last.standing
+			replies[t.Model] = last.reply
 			continue
 		}
 		next := lastReport{at: time.Now(), boardOwner: boardOwner, report: r}
-		standing, err := w.reporter.Report(ctx, r)
+		reply, err := w.reporter.Report(ctx, r)
 		if err == nil {
-			next.standing = standing
-			standings[t.Model] = standing
+			next.reply = reply
+			replies[t.Model] = reply
 		}
 		w.lastReport[t.Model] = next
 	}
-	return standings
+	return replies
 }
 
 // unchanged reports whether a report contains nothing new for the board, and the board has nothing
 // pending for the engine.
 func (t lastReport) unchanged(r Report, boardOwner string, target Target) bool {
 	_, has := r.holding(target.Version)
-	settled := t.standing.Stage == Settled && (has || target.Version == "")
+	settled := t.reply.Stage == Settled && (has || target.Version == "")
 	return settled && boardOwner == t.boardOwner && slices.EqualFunc(t.report.Holdings, r.Holdings, sameHolding) && t.report.Down == r.Down
 }
 
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -9,11 +9,12 @@
 //   - At most [MaxLoads] loads run through the weight store, over the whole system.
 //   - A rollout takes an engine out of service only while the share of the model's engines that stays in
 //     service is at least the model's minimum, according to the states that the engines report.
-//   - One engine takes a new version first. The others follow if its first runs succeed. Otherwise the
-//     model is changed back to the previous version, by a configuration change that yields to any
-//     operator's change.
+//   - One engine loads a new version first. The others load it if its first runs succeed. Otherwise the
+//     model is changed back to the previous version by a configuration change; a later change by an
+//     operator takes precedence over it.
 //
-// While the log is unavailable, no new steps start and running ones continue. The state of a rollout
-// that nodes exchange (board) is soft: it determines the order in which engines take a version and
-// distributes requests over versions. Of the guarantees, only that order depends on it.
+// While the log is unavailable, no new steps start and running ones continue. Nodes exchange the state
+// of a rollout through the model's board; it is not stored. It determines the order in which engines
+// load a version, and the distribution of requests over versions. Of the guarantees, only the one on the
+// first engine depends on it.
 package rollout
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -17,10 +17,10 @@
 	eventRefused     = "order_refused"
 	eventUncertain   = "order_uncertain"
 	eventNoClaim     = "claim_unavailable"
-	eventNoSpare     = "rollout_waits_for_capacity"
+	eventNoCapacity  = "rollout_waits_for_capacity"
 	eventStage       = "rollout_stage"
-	eventUndone      = "rollout_undone"
-	eventNotUndone   = "rollout_not_undone"
+	eventReverted    = "rollout_undone"
+	eventNotReverted = "rollout_not_undone"
 )
 
 // Counters count the actions of this node since its start. They are safe for concurrent use.
--- a/internal/rollout/fakenode_test.go
+++ b/internal/rollout/fakenode_test.go
@@ -27,31 +27,31 @@
 }
 
 // View implements ConfigSource for the nodes.
-func (b *simulation) View() *config.View {
-	view := b.config.View()
+func (sim *simulation) View() *config.View {
+	view := sim.config.View()
 	item, ok := view.Item(config.KindModel, "m")
-	if !b.ignoreMinAvailable || !ok {
+	if !sim.ignoreMinAvailable || !ok {
 		return view
 	}
 	model := &pb.Model{Name: "m", Version: item.Value.(*pb.Model).GetVersion(), RolloutMinAvailable: 0.01}
 	return view.With(config.Entry{Revision: view.Applied(), Kind: config.KindModel, Name: "m", Value: model})
 }
 
-func (b *simulation) leaving(e *pb.Endpoint) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.leavingHosts[e.GetName()]
+func (sim *simulation) leaving(e *pb.Endpoint) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.leavingHosts[e.GetName()]
 }
 
 // node starts a node that works on the given engines, with claims in the given log.
-func (b *simulation) node(name string, log *logtest.Log, engines ...string) *node {
-	n := &node{simulation: b, board: b.board, tallies: make(map[string]owner.Tally)}
+func (sim *simulation) node(name string, log *logtest.Log, engines ...string) *node {
+	n := &node{simulation: sim, board: sim.board, tallies: make(map[string]owner.Tally)}
 	claimer, err := newClaimer(name, &claimLog{log: log})
-	must.NoError(b.t, err)
-	n.core = &core{claimer: claimer, configSource: b, engines: b, owner: n, reporter: n, leaving: b.leaving, configFresh: func() bool { return true }, counters: &Counters{}, log: zerolog.Nop()}
-	k := &supervisor{board: b.board, configSource: b.config, proposer: b.config, configFresh: n.configFresh, ownsBoard: func(string) bool { return true }, counters: n.counters, log: n.core.log, lastLogged: make(map[string]Progress)}
+	must.NoError(sim.t, err)
+	n.core = &core{claimer: claimer, configSource: sim, engines: sim, owner: n, reporter: n, leaving: sim.leaving, configFresh: func() bool { return true }, counters: &Counters{}, log: zerolog.Nop()}
+	k := &supervisor{board: sim.board, configSource: sim.config, proposer: sim.config, configFresh: n.configFresh, ownsBoard: func(string) bool { return true }, counters: n.counters, log: n.core.log, lastLogged: make(map[string]Progress)}
 	var ctx context.Context
-	ctx, n.stop = context.WithCancel(b.t.Context())
+	ctx, n.stop = context.WithCancel(sim.t.Context())
 	for _, e := range engines {
 		n.done.Go(func() { newWorker(n.core, e).run(ctx) })
 	}
@@ -115,7 +115,7 @@
 			delete(n.tallies, endpoint+v)
 		} else if _, ok := n.tallies[endpoint+v]; !ok {
 			n.tallies[endpoint+v] = owner.Tally{Since: time.Now()}
-			if n.assumeProven {
+			if n.assumeAccepted {
 				n.tallies[endpoint+v] = owner.Tally{Since: time.Now(), Completed: acceptRuns}
 			}
 		}
@@ -131,7 +131,7 @@
 func (n *node) BoardOwner(string) string { return "keeper" }
 
 func (n *node) Report(_ context.Context, r Report) (Standing, error) {
-	standing := n.board.Report(time.Now(), n.View(), r)
-	standing.Turn = standing.Turn || n.allTurns
-	return standing, nil
+	reply := n.board.Report(time.Now(), n.View(), r)
+	reply.Turn = reply.Turn || n.allTurns
+	return reply, nil
 }
--- a/internal/rollout/fakes_test.go
+++ b/internal/rollout/fakes_test.go
@@ -47,14 +47,14 @@
 	leavingHosts       map[string]bool // engines on hosts that are leaving
 	allTurns           bool            // the board gives every engine a turn
 	ignoreMinAvailable bool            // nodes ignore the model's minimum share
-	assumeProven       bool            // versions are reported as proven before their first run
+	assumeAccepted     bool            // versions are reported as accepted before their first run
 	observed           trace
 }
 
 // trace holds the observations that the invariants are checked on.
 type trace struct {
 	maxLoads, minServing int           // maximum concurrent loads, minimum engines in service
-	maxUnproven          int           // maximum number of engines with v2 before it was proven
+	maxUnaccepted        int           // maximum number of engines with v2 before it was accepted
 	completed            int           // completed runs on v2
 	failing              int           // runs on a failing version
 	lastOrder            time.Duration // time from the start to the last order
@@ -68,17 +68,17 @@
 }
 
 func newSimulation(t *testing.T, s setup) *simulation {
-	b := &simulation{
+	sim := &simulation{
 		t: t, log: &logtest.Log{Delay: 5 * time.Millisecond}, config: configtest.New(), board: newBoard(),
 		engines: make(map[string]*standin.Engine), size: s.engines, failing: make(map[string]bool), leavingHosts: make(map[string]bool), observed: trace{minServing: s.engines},
 	}
 	for _, v := range []string{"v1", "v2", "v3"} {
-		b.put(&pb.ModelVersion{Name: config.VersionName("m", v), Model: "m", Version: v})
+		sim.put(&pb.ModelVersion{Name: config.VersionName("m", v), Model: "m", Version: v})
 	}
-	b.put(&pb.Model{Name: "m", Version: "v1", RolloutMinAvailable: s.share})
+	sim.put(&pb.Model{Name: "m", Version: "v1", RolloutMinAvailable: s.share})
 	loaded := []enginewire.Loaded{{Model: "m", Version: "v1"}}
 	for _, a := range s.adapters {
-		b.put(&pb.Adapter{Name: a, Model: "m"})
+		sim.put(&pb.Adapter{Name: a, Model: "m"})
 		loaded = append(loaded, enginewire.Loaded{Model: "m", Version: "v1", Adapter: a})
 	}
 	weights := standin.NewWeightStore(standin.WeightConfig{TimeScale: 1})
@@ -86,32 +86,32 @@
 		name := fmt.Sprintf("e%d", i)
 		e := standin.New(standin.Config{Loaded: loaded, Weights: weights, CheckFencing: s.fencing})
 		t.Cleanup(e.Close)
-		b.engines[name] = e
-		b.put(&pb.Endpoint{Name: name, Kind: pb.EndpointKind_ENDPOINT_KIND_ENGINE, Url: urlOf(name), FailureDomain: string(rune('a' + i%3)), Models: []string{"m"}, ChecksFencing: s.fencing})
+		sim.engines[name] = e
+		sim.put(&pb.Endpoint{Name: name, Kind: pb.EndpointKind_ENDPOINT_KIND_ENGINE, Url: urlOf(name), FailureDomain: string(rune('a' + i%3)), Models: []string{"m"}, ChecksFencing: s.fencing})
 	}
-	return b
+	return sim
 }
 
 // put writes an object as an operator does.
-func (b *simulation) put(v config.Value) {
-	item, _ := b.config.View().Item(config.KindOf(v), v.GetName())
+func (sim *simulation) put(v config.Value) {
+	item, _ := sim.config.View().Item(config.KindOf(v), v.GetName())
 	value, err := config.Encode(v)
-	must.NoError(b.t, err)
-	_, err = b.config.Propose(b.t.Context(), config.Change{ID: fmt.Sprint(v.GetName(), item.Revision, time.Now()), Kind: config.KindOf(v), Name: v.GetName(), BasedOn: item.Revision, Value: value})
-	must.NoError(b.t, err)
+	must.NoError(sim.t, err)
+	_, err = sim.config.Propose(sim.t.Context(), config.Change{ID: fmt.Sprint(v.GetName(), item.Revision, time.Now()), Kind: config.KindOf(v), Name: v.GetName(), BasedOn: item.Revision, Value: value})
+	must.NoError(sim.t, err)
 }
 
 // setVersion requests a version as an operator does.
-func (b *simulation) setVersion(version string) {
-	model, _ := b.config.View().Model("m")
-	b.put(&pb.Model{Name: "m", Version: version, RolloutMinAvailable: model.GetRolloutMinAvailable()})
+func (sim *simulation) setVersion(version string) {
+	model, _ := sim.config.View().Model("m")
+	sim.put(&pb.Model{Name: "m", Version: version, RolloutMinAvailable: model.GetRolloutMinAvailable()})
 }
 
 // urlOf returns an engine's URL. The engine's number is part of the port.
 func urlOf(name string) string { return "http://127.0.0.1:100" + strings.TrimPrefix(name, "e") }
 
-func (b *simulation) call(method, base, path string, body []byte) (*httptest.ResponseRecorder, error) {
-	e := b.engines["e"+strings.TrimPrefix(base, urlOf("e"))]
+func (sim *simulation) call(method, base, path string, body []byte) (*httptest.ResponseRecorder, error) {
+	e := sim.engines["e"+strings.TrimPrefix(base, urlOf("e"))]
 	rec := httptest.NewRecorder()
 	e.Handler().ServeHTTP(rec, httptest.NewRequest(method, path, bytes.NewReader(body)))
 	if rec.Code == http.StatusOK {
@@ -123,8 +123,8 @@
 }
 
 // State implements Engines.
-func (b *simulation) State(_ context.Context, base string) (*enginewire.State, error) {
-	rec, err := b.call(http.MethodGet, base, enginewire.PathState, nil)
+func (sim *simulation) State(_ context.Context, base string) (*enginewire.State, error) {
+	rec, err := sim.call(http.MethodGet, base, enginewire.PathState, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -133,13 +133,13 @@
 }
 
 // Order implements Engines. A delayed order takes effect even after its sender has timed out.
-func (b *simulation) Order(ctx context.Context, base string, order *enginewire.Order) error {
-	b.mu.Lock()
-	b.ordersSent++
-	b.observed.lastOrder = time.Since(b.startedAt).Round(100 * time.Millisecond)
-	lost, delay := b.loseEvery > 0 && b.ordersSent%b.loseEvery == 0, b.delay
-	dropped := lost && b.ordersSent%2 == 0
-	b.mu.Unlock()
+func (sim *simulation) Order(ctx context.Context, base string, order *enginewire.Order) error {
+	sim.mu.Lock()
+	sim.ordersSent++
+	sim.observed.lastOrder = time.Since(sim.startedAt).Round(100 * time.Millisecond)
+	lost, delay := sim.loseEvery > 0 && sim.ordersSent%sim.loseEvery == 0, sim.delay
+	dropped := lost && sim.ordersSent%2 == 0
+	sim.mu.Unlock()
 	body, _ := json.Marshal(order)
 	done := make(chan error, 1)
 	go func() {
@@ -148,7 +148,7 @@
 			done <- errLost
 			return
 		}
-		_, err := b.call(http.MethodPost, base, enginewire.PathOrders, body)
+		_, err := sim.call(http.MethodPost, base, enginewire.PathOrders, body)
 		done <- err
 	}()
 	select {
@@ -163,17 +163,17 @@
 }
 
 // watch samples the engines until ctx ends.
-func (b *simulation) watch(ctx context.Context) {
+func (sim *simulation) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		var now sample
-		for name := range b.engines {
-			state, _ := b.State(ctx, urlOf(name))
+		for name := range sim.engines {
+			state, _ := sim.State(ctx, urlOf(name))
 			now.add(state)
-			if !b.leaving(&pb.Endpoint{Name: name}) && serves(Target{Model: "m", Eligible: []string{"v1", "v2", "v3"}}, state) {
+			if !sim.leaving(&pb.Endpoint{Name: name}) && serves(Target{Model: "m", Eligible: []string{"v1", "v2", "v3"}}, state) {
 				now.serving++
 			}
 		}
-		b.locked(func() { b.observed.record(now) })
+		sim.locked(func() { sim.observed.record(now) })
 		time.Sleep(100 * time.Millisecond)
 	}
 }
@@ -196,16 +196,16 @@
 	t.maxLoads = max(t.maxLoads, now.loading)
 	t.minServing = min(t.minServing, now.serving)
 	if t.completed < acceptRuns {
-		t.maxUnproven = max(t.maxUnproven, now.withV2)
+		t.maxUnaccepted = max(t.maxUnaccepted, now.withV2)
 	}
 }
 
 // mismatched returns the engines that are not in the desired state.
-func (b *simulation) mismatched() (names []string) {
-	for name := range b.engines {
-		state, _ := b.State(context.Background(), urlOf(name))
-		endpoint, _ := b.config.View().Endpoint(name)
-		if !b.leavingHosts[name] && len(Plan(Desired(b.config.View(), endpoint), state.Loaded)) > 0 {
+func (sim *simulation) mismatched() (names []string) {
+	for name := range sim.engines {
+		state, _ := sim.State(context.Background(), urlOf(name))
+		endpoint, _ := sim.config.View().Endpoint(name)
+		if !sim.leavingHosts[name] && len(Plan(Desired(sim.config.View(), endpoint), state.Loaded)) > 0 {
 			names = append(names, name)
 		}
 	}
@@ -213,9 +213,9 @@
 }
 
 // holderCount returns the number of engines that hold or load a version.
-func (b *simulation) holderCount(version string) (n int) {
-	for name := range b.engines {
-		state, _ := b.State(context.Background(), urlOf(name))
+func (sim *simulation) holderCount(version string) (n int) {
+	for name := range sim.engines {
+		state, _ := sim.State(context.Background(), urlOf(name))
 		for _, l := range state.Loaded {
 			if l.Version == version && l.Adapter == "" {
 				n++
@@ -226,18 +226,18 @@
 }
 
 // orders returns the number of orders sent.
-func (b *simulation) orders() (n int) {
-	b.locked(func() { n = b.ordersSent })
+func (sim *simulation) orders() (n int) {
+	sim.locked(func() { n = sim.ordersSent })
 	return n
 }
 
-func (b *simulation) locked(f func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (sim *simulation) locked(f func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	f()
 }
 
-func (b *simulation) engineNames(from, to int) (names []string) {
+func (sim *simulation) engineNames(from, to int) (names []string) {
 	for i := from; i < to; i++ {
 		names = append(names, fmt.Sprintf("e%d", i))
 	}
--- a/internal/rollout/faults_test.go
+++ b/internal/rollout/faults_test.go
@@ -25,7 +25,7 @@
 	// shared makes all nodes work on all engines instead of on half of them each.
 	shared bool
 	// before is called before the rollout, and during while it runs.
-	before, during func(b *simulation)
+	before, during func(sim *simulation)
 	// separateBoards gives each node its own board. separateLogs gives each node its own log, so that
 	// claims are not mutually exclusive.
 	separateBoards, separateLogs bool
@@ -37,62 +37,62 @@
 }
 
 // run runs a scenario for its duration and returns the violated invariants.
-func (s *scenario) run(t *testing.T) (b *simulation, violations []string) {
-	b = newSimulation(t, s.setup)
+func (s *scenario) run(t *testing.T) (sim *simulation, violations []string) {
+	sim = newSimulation(t, s.setup)
 	if s.before != nil {
-		s.before(b)
+		s.before(sim)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	half := s.engines / 2
-	sets := [][]string{b.engineNames(0, half), b.engineNames(half, s.engines)}
+	sets := [][]string{sim.engineNames(0, half), sim.engineNames(half, s.engines)}
 	for i, set := range sets {
-		log := b.log
+		log := sim.log
 		if s.separateLogs {
-			log = &logtest.Log{Delay: b.log.Delay}
+			log = &logtest.Log{Delay: sim.log.Delay}
 		}
 		if s.separateBoards {
-			b.board = newBoard()
+			sim.board = newBoard()
 		}
 		if s.shared {
-			set = b.engineNames(0, s.engines)
+			set = sim.engineNames(0, s.engines)
 		}
-		b.nodes = append(b.nodes, b.node(fmt.Sprint("node-", i), log, set...))
+		sim.nodes = append(sim.nodes, sim.node(fmt.Sprint("node-", i), log, set...))
 	}
 	var watching sync.WaitGroup
-	watching.Go(func() { b.watch(ctx) })
+	watching.Go(func() { sim.watch(ctx) })
 	time.Sleep(5 * time.Second)
-	b.locked(func() { b.startedAt = time.Now() })
-	b.setVersion("v2")
+	sim.locked(func() { sim.startedAt = time.Now() })
+	sim.setVersion("v2")
 	if s.during != nil {
-		s.during(b)
+		s.during(sim)
 	}
-	time.Sleep(s.duration - time.Since(b.startedAt))
+	time.Sleep(s.duration - time.Since(sim.startedAt))
 	cancel()
 	watching.Wait()
-	violations = b.violations(s)
-	for _, n := range b.nodes {
+	violations = sim.violations(s)
+	for _, n := range sim.nodes {
 		n.stop()
 		n.done.Wait()
 	}
 	time.Sleep(slotTTL) // wait for unreleased claims to expire
-	return b, violations
+	return sim, violations
 }
 
 // violations checks the invariants and returns those that are violated.
-func (b *simulation) violations(s *scenario) (out []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (sim *simulation) violations(s *scenario) (out []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	add := func(bad bool, format string, args ...any) {
 		if bad {
 			out = append(out, fmt.Sprintf(format, args...))
 		}
 	}
-	model, _ := b.config.View().Model("m")
-	need := minAvailable(model, b.size)
-	add(b.observed.maxLoads > 2, "%d loads at once", b.observed.maxLoads)
-	add(b.observed.minServing < need && !s.withdrawn, "%d engines in service, want %d", b.observed.minServing, need)
-	add(b.observed.maxUnproven > 1, "%d engines with an unproven version", b.observed.maxUnproven)
-	add(len(b.mismatched()) > 0, "unwanted weights: %v", b.mismatched())
+	model, _ := sim.config.View().Model("m")
+	need := minAvailable(model, sim.size)
+	add(sim.observed.maxLoads > 2, "%d loads at once", sim.observed.maxLoads)
+	add(sim.observed.minServing < need && !s.withdrawn, "%d engines in service, want %d", sim.observed.minServing, need)
+	add(sim.observed.maxUnaccepted > 1, "%d engines with an unproven version", sim.observed.maxUnaccepted)
+	add(len(sim.mismatched()) > 0, "unwanted weights: %v", sim.mismatched())
 	add(model.GetVersion() != s.version, "model has version %s", model.GetVersion())
 	return out
 }
@@ -101,11 +101,11 @@
 	nine := setup{engines: 9, share: 0.7}
 	fencing := nine
 	fencing.fencing = true
-	loseSome := func(b *simulation) { b.loseEvery = 3 }
-	late := func(b *simulation) { // longer than an order, its settle time and the engine's claim
-		b.locked(func() { b.delay = 15 * time.Second })
+	loseSome := func(sim *simulation) { sim.loseEvery = 3 }
+	late := func(sim *simulation) { // longer than an order, its settle time and the engine's claim
+		sim.locked(func() { sim.delay = 15 * time.Second })
 		time.Sleep(20 * time.Second)
-		b.locked(func() { b.delay = 0 })
+		sim.locked(func() { sim.delay = 0 })
 	}
 	const short, long = 30 * time.Second, 60 * time.Second
 	return []scenario{
@@ -115,55 +115,55 @@
 		{name: "orders lost, fencing", setup: fencing, before: loseSome, duration: long, version: "v2"},
 		{name: "orders late", setup: nine, during: late, duration: long, version: "v2"},
 		{name: "orders late, fencing", setup: fencing, during: late, duration: long, version: "v2"},
-		{name: "appends lost", setup: nine, before: func(b *simulation) { b.log.LoseAnswers(20) }, duration: long, version: "v2"},
+		{name: "appends lost", setup: nine, before: func(sim *simulation) { sim.log.LoseAnswers(20) }, duration: long, version: "v2"},
 		{name: "two holders", setup: nine, shared: true, duration: short, version: "v2"},
 		{name: "two holders, fencing", setup: fencing, shared: true, duration: short, version: "v2"},
 		{name: "two holders, two boards", setup: nine, shared: true, separateBoards: true, duration: short, version: "v2"},
-		{name: "board gives all engines a turn", setup: setup{engines: 9, share: 0.85}, before: func(b *simulation) { b.allTurns = true }, duration: long, version: "v2"},
-		{name: "owners change", setup: nine, duration: 2 * long, version: "v2", during: func(b *simulation) {
+		{name: "board gives all engines a turn", setup: setup{engines: 9, share: 0.85}, before: func(sim *simulation) { sim.allTurns = true }, duration: long, version: "v2"},
+		{name: "owners change", setup: nine, duration: 2 * long, version: "v2", during: func(sim *simulation) {
 			time.Sleep(6 * time.Second)
 			for i := range 6 {
-				for _, n := range b.nodes {
+				for _, n := range sim.nodes {
 					n.stop()
 				}
-				b.nodes = append(b.nodes, b.node(fmt.Sprint("new-", i), b.log, b.engineNames(0, 9)...))
+				sim.nodes = append(sim.nodes, sim.node(fmt.Sprint("new-", i), sim.log, sim.engineNames(0, 9)...))
 				time.Sleep(1700 * time.Millisecond)
 			}
 		}},
-		{name: "engines restart", setup: nine, duration: long, version: "v2", during: func(b *simulation) {
-			for _, name := range b.engineNames(0, 9) {
+		{name: "engines restart", setup: nine, duration: long, version: "v2", during: func(sim *simulation) {
+			for _, name := range sim.engineNames(0, 9) {
 				time.Sleep(700 * time.Millisecond)
-				b.engines[name].Restart()
+				sim.engines[name].Restart()
 			}
 		}},
-		{name: "operator changes again", setup: nine, duration: long, version: "v3", during: func(b *simulation) {
+		{name: "operator changes again", setup: nine, duration: long, version: "v3", during: func(sim *simulation) {
 			time.Sleep(6 * time.Second)
-			b.setVersion("v3")
+			sim.setVersion("v3")
 		}},
-		{name: "hosts leave", setup: nine, duration: long, version: "v2", before: func(b *simulation) {
-			b.leavingHosts["e7"], b.leavingHosts["e8"] = true, true
-		}, during: func(b *simulation) {
+		{name: "hosts leave", setup: nine, duration: long, version: "v2", before: func(sim *simulation) {
+			sim.leavingHosts["e7"], sim.leavingHosts["e8"] = true, true
+		}, during: func(sim *simulation) {
 			time.Sleep(20 * time.Second)
-			must.Zero(b.t, b.holderCount("v2")) // seven of nine remain, so none can be taken out of service
-			b.locked(func() { clear(b.leavingHosts) })
+			must.Zero(sim.t, sim.holderCount("v2")) // seven of nine remain, so none can be taken out of service
+			sim.locked(func() { clear(sim.leavingHosts) })
 		}},
-		{name: "canary fails", setup: nine, duration: short, version: "v1", before: func(b *simulation) { b.failing["v2"] = true }},
-		{name: "withdrawn", setup: nine, withdrawn: true, duration: long, version: "v1", during: func(b *simulation) {
+		{name: "canary fails", setup: nine, duration: short, version: "v1", before: func(sim *simulation) { sim.failing["v2"] = true }},
+		{name: "withdrawn", setup: nine, withdrawn: true, duration: long, version: "v1", during: func(sim *simulation) {
 			time.Sleep(6 * time.Second)
-			b.setVersion("v1")
-			b.put(&pb.ModelVersion{Name: config.VersionName("m", "v2"), Model: "m", Version: "v2", Withdrawn: true})
+			sim.setVersion("v1")
+			sim.put(&pb.ModelVersion{Name: config.VersionName("m", "v2"), Model: "m", Version: "v2", Withdrawn: true})
 			time.Sleep(idleInterval + time.Second)
-			must.Zero(b.t, b.holderCount("v2"))
+			must.Zero(sim.t, sim.holderCount("v2"))
 		}},
-		{name: "log down", setup: nine, duration: long, version: "v2", during: func(b *simulation) {
+		{name: "log down", setup: nine, duration: long, version: "v2", during: func(sim *simulation) {
 			time.Sleep(6 * time.Second)
-			b.log.SetDown(true)
-			time.Sleep(acquireTimeout + 2*time.Second) // steps under claims already held continue
-			given := b.orders()
+			sim.log.SetDown(true)
+			time.Sleep(acquireTimeout + 2*time.Second) // steps whose claims were already acquired continue
+			given := sim.orders()
 			time.Sleep(20 * time.Second)
-			must.Eq(b.t, given, b.orders())
-			must.Positive(b.t, b.holderCount("v1"))
-			b.log.SetDown(false)
+			must.Eq(sim.t, given, sim.orders())
+			must.Positive(sim.t, sim.holderCount("v1"))
+			sim.log.SetDown(false)
 		}},
 	}
 }
@@ -172,9 +172,9 @@
 	for _, s := range scenarios() {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b, violations := s.run(t)
+				sim, violations := s.run(t)
 				must.SliceEmpty(t, violations, must.Sprint(violations))
-				t.Logf("max loads %d, min serving %d, appends %d, orders %d, done after %v", b.observed.maxLoads, b.observed.minServing, b.log.Traffic().Appends, b.ordersSent, b.observed.lastOrder)
+				t.Logf("max loads %d, min serving %d, appends %d, orders %d, done after %v", sim.observed.maxLoads, sim.observed.minServing, sim.log.Traffic().Appends, sim.ordersSent, sim.observed.lastOrder)
 			})
 		})
 	}
@@ -185,9 +185,9 @@
 	nine := setup{engines: 9, share: 0.9}
 	variants := []scenario{
 		{name: "at once", setup: setup{engines: 9, share: 0.1}, shared: true, separateBoards: true, separateLogs: true},
-		{name: "in service", setup: nine, before: func(b *simulation) { b.ignoreMinAvailable = true }},
-		{name: "unproven", setup: nine, before: func(b *simulation) { b.assumeProven = true }},
-		{name: "unwanted weights", setup: nine, before: func(b *simulation) { b.loseEvery, b.delay = 1, 3*time.Second }},
+		{name: "in service", setup: nine, before: func(sim *simulation) { sim.ignoreMinAvailable = true }},
+		{name: "unproven", setup: nine, before: func(sim *simulation) { sim.assumeAccepted = true }},
+		{name: "unwanted weights", setup: nine, before: func(sim *simulation) { sim.loseEvery, sim.delay = 1, 3*time.Second }},
 	}
 	for _, s := range variants {
 		s.duration, s.version = 20*time.Second, "v2"
@@ -224,24 +224,24 @@
 	for _, fencing := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			s := scenario{setup: setup{engines: 3, fencing: fencing}, duration: 20 * time.Second}
-			b := newSimulation(t, s.setup)
-			n := b.node("node", b.log, b.engineNames(0, 3)...)
-			b.setVersion("v2")
+			sim := newSimulation(t, s.setup)
+			n := sim.node("node", sim.log, sim.engineNames(0, 3)...)
+			sim.setVersion("v2")
 			time.Sleep(s.duration)
-			must.SliceEmpty(t, b.mismatched())
+			must.SliceEmpty(t, sim.mismatched())
 			for _, o := range []enginewire.Order{
 				{Kind: enginewire.OrderUnload, Model: "m", Version: "v2"},
 				{Kind: enginewire.OrderLoad, Model: "m", Version: "v1"},
 			} {
 				o.Token = 1
-				err := b.Order(t.Context(), urlOf("e0"), &o)
+				err := sim.Order(t.Context(), urlOf("e0"), &o)
 				must.Eq(t, fencing, err != nil)
 			}
-			must.Eq(t, fencing, len(b.mismatched()) == 0)
+			must.Eq(t, fencing, len(sim.mismatched()) == 0)
 			time.Sleep(idleInterval + time.Second)
-			must.Zero(t, b.holderCount("v1"))
+			must.Zero(t, sim.holderCount("v1"))
 			time.Sleep(2 * time.Second)
-			must.SliceEmpty(t, b.mismatched())
+			must.SliceEmpty(t, sim.mismatched())
 			n.stop()
 			n.done.Wait()
 			time.Sleep(slotTTL)
@@ -255,29 +255,29 @@
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 0))
 			s := scenario{setup: setup{engines: 9, share: 0.7, fencing: seed%2 == 0}, shared: true, separateBoards: seed%4 < 2, duration: 2 * time.Minute, version: "v2"}
-			s.during = func(b *simulation) {
+			s.during = func(sim *simulation) {
 				for range 10 {
 					time.Sleep(time.Duration(rng.Int64N(int64(4 * time.Second))))
 					switch rng.IntN(5) {
 					case 0:
-						b.engines[fmt.Sprint("e", rng.IntN(9))].Restart()
+						sim.engines[fmt.Sprint("e", rng.IntN(9))].Restart()
 					case 1:
-						b.locked(func() { b.loseEvery = rng.IntN(4) })
+						sim.locked(func() { sim.loseEvery = rng.IntN(4) })
 					case 2:
-						b.log.LoseAnswers(rng.IntN(4))
+						sim.log.LoseAnswers(rng.IntN(4))
 					case 3:
-						b.log.SetDown(rng.IntN(2) == 0)
+						sim.log.SetDown(rng.IntN(2) == 0)
 					case 4:
 						s.version = fmt.Sprint("v", 1+rng.IntN(3))
-						b.setVersion(s.version)
+						sim.setVersion(s.version)
 					}
 				}
-				b.log.SetDown(false)
-				b.locked(func() { b.loseEvery = 0 })
+				sim.log.SetDown(false)
+				sim.locked(func() { sim.loseEvery = 0 })
 			}
-			b, violations := s.run(t)
+			sim, violations := s.run(t)
 			must.SliceEmpty(t, violations, must.Sprint(seed, violations))
-			t.Logf("seed %d: max loads %d, min serving %d, appends %d, orders %d", seed, b.observed.maxLoads, b.observed.minServing, b.log.Traffic().Appends, b.ordersSent)
+			t.Logf("seed %d: max loads %d, min serving %d, appends %d, orders %d", seed, sim.observed.maxLoads, sim.observed.minServing, sim.log.Traffic().Appends, sim.ordersSent)
 		})
 	}
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -17,9 +17,9 @@
 	until   time.Time
 }
 
-func (w *worker) unload(ctx context.Context, r snapshot, weights Weights) {
+func (w *worker) unload(ctx context.Context, s snapshot, weights Weights) {
 	w.event(eventUnload, weights).Send()
-	w.order(ctx, r.endpoint, enginewire.OrderUnload, weights)
+	w.order(ctx, s.endpoint, enginewire.OrderUnload, weights)
 }
 
 // order sends one order under the engine's claim.
@@ -68,7 +68,8 @@
 	}
 }
 
-// orderPending reports whether an order has not taken effect, but still may.
+// orderPending reports whether an order has not taken effect, but still may. Otherwise it clears
+// pendingOrder.
 func (w *worker) orderPending(loaded []enginewire.Loaded) bool {
 	if w.pendingOrder.until.IsZero() {
 		return false
--- a/internal/rollout/undo.go
+++ b/internal/rollout/revert.go
@@ -12,13 +12,13 @@
 	"github.com/cherryward/cherryward/internal/config"
 )
 
-const undoTimeout = 10 * time.Second
+const revertTimeout = 10 * time.Second
 
-// undoChange returns the change that reverts a model to its previous version. The change is based on
+// revertChange returns the change that reverts a model to its previous version. The change is based on
 // the revision that started the rollout, so that a later change of the model by an operator takes
 // precedence. Its id is derived from that revision, so that two nodes which revert the same rollout
 // write one change. It returns false if there is nothing to revert or no previous version.
-func undoChange(view *config.View, f fleet) (config.Change, bool) {
+func revertChange(view *config.View, f modelEngines) (config.Change, bool) {
 	previous, ok := f.previous()
 	item, found := view.Item(config.KindModel, f.target.Model)
 	model, typed := item.Value.(*pb.Model)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -108,28 +108,28 @@
 	must.False(t, ok)
 }
 
-// TestUndoChange checks the change that reverts a rollout, alone and against a concurrent change by an
+// TestRevertChange checks the change that reverts a rollout, alone and against a concurrent change by an
 // operator.
-func TestUndoChange(t *testing.T) {
+func TestRevertChange(t *testing.T) {
 	log := configtest.New()
-	b := &simulation{t: t, config: log}
+	sim := &simulation{t: t, config: log}
 	for _, v := range []string{"v1", "v2", "v3"} {
-		b.put(&pb.ModelVersion{Name: config.VersionName("m", v), Model: "m", Version: v})
+		sim.put(&pb.ModelVersion{Name: config.VersionName("m", v), Model: "m", Version: v})
 	}
-	b.put(&pb.Model{Name: "m", Version: "v1", MaxContextTokens: 7})
-	b.setVersion("v2")
-	b.put(&pb.ModelVersion{Name: "m@v4", Model: "m", Version: "v4"}) // does not change the model
+	sim.put(&pb.Model{Name: "m", Version: "v1", MaxContextTokens: 7})
+	sim.setVersion("v2")
+	sim.put(&pb.ModelVersion{Name: "m@v4", Model: "m", Version: "v4"}) // does not change the model
 	seen := log.View()
-	f := fleet{size: 3}
+	f := modelEngines{size: 3}
 	f.target, _ = targetOf(seen, "m")
 	for i, held := range []Holding{{Version: "v2", Failed: failRuns}, {Version: "v1"}, {Version: "v1"}} {
 		f.engines = append(f.engines, Report{Model: "m", Engine: fmt.Sprint(i), Holdings: []Holding{held}})
 	}
 	must.Eq(t, Failed, f.stage())
 	must.Eq(t, []Holders{{Version: "v1", Count: 2, Engines: []string{"1", "2"}}}, f.holders())
-	change, ok := undoChange(seen, f)
+	change, ok := revertChange(seen, f)
 	must.True(t, ok)
-	again, _ := undoChange(seen, f)
+	again, _ := revertChange(seen, f)
 	must.Eq(t, change, again)
 	for range 2 { // from two nodes
 		_, err := log.Propose(t.Context(), change)
@@ -138,14 +138,14 @@
 	back, _ := log.View().Model("m")
 	must.Eq(t, "v1", back.GetVersion())
 
-	b.setVersion("v2")
-	change, ok = undoChange(log.View(), f)
+	sim.setVersion("v2")
+	change, ok = revertChange(log.View(), f)
 	must.True(t, ok)
-	b.setVersion("v3")
+	sim.setVersion("v3")
 	_, err := log.Propose(t.Context(), change)
 	must.True(t, result.Is(err, result.RevisionConflict))
 	model, _ := log.View().Model("m")
 	must.Eq(t, "v3", model.GetVersion())
-	_, ok = undoChange(log.View(), f)
+	_, ok = revertChange(log.View(), f)
 	must.False(t, ok)
 }
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -111,7 +111,7 @@
 		log:          s.core.log,
 		lastLogged:   make(map[string]Progress),
 	}
-	s.VersionSelector = newVersions(sync, s.holders)
+	s.VersionSelector = newVersionSelector(sync, s.holders)
 	peers.Handle(s.cluster.Server, methodReport, s.serveReport)
 	peers.Handle(s.cluster.Server, methodHolders, s.serveHolders)
 	return nil
@@ -165,7 +165,7 @@
 // Progress returns the progress of the models whose boards this node owns.
 func (s *Service) Progress() []Progress {
 	var all []Progress
-	for _, f := range s.board.fleets(time.Now(), s.core.configSource.View()) {
+	for _, f := range s.board.combineAll(time.Now(), s.core.configSource.View()) {
 		if s.supervisor.ownsBoard(f.target.Model) {
 			all = append(all, f.progress())
 		}
@@ -206,8 +206,8 @@
 }
 
 func (s *Service) serveReport(_ context.Context, _ peers.Identity, r *Report) (*Standing, error) {
-	standing := s.board.Report(time.Now(), s.core.configSource.View(), *r)
-	return &standing, nil
+	reply := s.board.Report(time.Now(), s.core.configSource.View(), *r)
+	return &reply, nil
 }
 
 func (s *Service) serveHolders(_ context.Context, _ peers.Identity, r *holdersRequest) (*holdersResponse, error) {
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -13,11 +13,11 @@
 // The stages.
 const (
 	Gathering Stage = iota // reports are still being collected
-	Settled                // every engine that answers holds the requested version
+	Settled                // every engine that answers holds or loads the requested version, or none is requested
 	Loading                // no engine serves another version: all load the requested one
-	Canary                 // one engine takes the version, and its first runs are monitored
-	Spreading              // the version is accepted: the other engines follow
-	Failed                 // the first runs failed: no further engine changes version
+	Canary                 // one engine loads the version, and its first runs are monitored
+	Spreading              // the version is accepted, or several engines hold or load it: the others follow
+	Failed                 // the first runs failed; no further engine loads the version
 )
 
 var stageNames = [...]string{"gathering", "settled", "loading", "canary", "spreading", "failed"}
@@ -26,7 +26,7 @@
 func (s Stage) String() string { return stageNames[s] }
 
 const (
-	// acceptRuns is the number of runs that a new version must complete before other engines follow.
+	// acceptRuns is the number of runs that a new version must complete before other engines load it.
 	acceptRuns = 5
 	// A version fails after failRuns failed runs, if they are at least failShare of all runs.
 	failRuns  = 3
@@ -39,8 +39,8 @@
 	maxTurns = MaxLoads + 1
 )
 
-// fleet holds the engines of one model, sorted by failure domain and name.
-type fleet struct {
+// modelEngines holds the engines of one model, sorted by failure domain and name.
+type modelEngines struct {
 	model   *pb.Model
 	target  Target
 	size    int // number of engines configured
@@ -57,17 +57,18 @@
 }
 
 // serving reports whether the engine accepts new runs on any eligible version.
-func (f fleet) serving(r Report) bool {
+func (f modelEngines) serving(r Report) bool {
 	return !r.Down && slices.ContainsFunc(r.Holdings, func(h Holding) bool {
 		return !h.Loading && slices.Contains(f.target.Eligible, h.Version)
 	})
 }
 
-// stage determines the stage of the rollout. It is a pure function.
-func (f fleet) stage() Stage {
+// stage determines the stage of the rollout. A rollout can fail only while at most half of the engines
+// hold or load the requested version. It is a pure function.
+func (f modelEngines) stage() Stage {
 	var with, without, servingOther int
 	var sum Holding
-	proven := false
+	accepted := false
 	for _, r := range f.engines {
 		h, ok := r.holding(f.target.Version)
 		switch {
@@ -75,7 +76,7 @@
 			with++
 			sum.Completed += h.Completed
 			sum.Failed += h.Failed
-			proven = proven || !h.Loading && h.Age >= idleAcceptTime && h.Failed == 0
+			accepted = accepted || !h.Loading && h.Age >= idleAcceptTime && h.Failed == 0
 		case !r.Down:
 			without++
 		}
@@ -88,21 +89,21 @@
 		return Settled
 	case servingOther == 0:
 		return Loading
-	case failedRuns(sum) && 2*with <= f.size:
+	case hasFailed(sum) && 2*with <= f.size:
 		return Failed
-	case with > 1 || proven || sum.Completed >= acceptRuns:
+	case with > 1 || accepted || sum.Completed >= acceptRuns:
 		return Spreading
 	}
 	return Canary
 }
 
-func failedRuns(h Holding) bool {
+func hasFailed(h Holding) bool {
 	return h.Failed >= failRuns && float64(h.Failed) >= failShare*float64(h.Failed+h.Completed)
 }
 
 // turns returns the engines that may load the requested version now: first those that serve nothing,
 // then one failure domain after the other.
-func (f fleet) turns() []string {
+func (f modelEngines) turns() []string {
 	var idle, busy []string
 	with, serving := 0, 0
 	for _, r := range f.engines {
@@ -121,8 +122,8 @@
 			idle = append(idle, r.Engine)
 		}
 	}
-	spare := max(serving-minAvailable(f.model, f.size), 0)
-	turns := append(idle, busy[:min(len(busy), spare)]...)
+	maxTakenOut := max(serving-minAvailable(f.model, f.size), 0)
+	turns := append(idle, busy[:min(len(busy), maxTakenOut)]...)
 	switch f.stage() {
 	case Loading, Spreading:
 		return turns[:min(len(turns), maxTurns)]
@@ -134,7 +135,7 @@
 
 // holders returns the versions that serve new runs. A failed version is left out: the stage is Failed
 // only while another version serves.
-func (f fleet) holders() []Holders {
+func (f modelEngines) holders() []Holders {
 	failed := f.stage() == Failed
 	var out []Holders
 	for _, version := range f.target.Eligible {
@@ -161,7 +162,7 @@
 
 // previous returns the version, other than the requested one, that most engines hold, or false if there
 // is none.
-func (f fleet) previous() (string, bool) {
+func (f modelEngines) previous() (string, bool) {
 	best := Holders{}
 	for _, h := range f.holders() {
 		if h.Version != f.target.Version && h.Count > best.Count {
--- a/internal/rollout/supervisor.go
+++ b/internal/rollout/supervisor.go
@@ -38,7 +38,7 @@
 // check logs progress and reverts failed rollouts. What fails is retried by the next call.
 func (s *supervisor) check(ctx context.Context) {
 	view := s.configSource.View()
-	for _, f := range s.board.fleets(time.Now(), view) {
+	for _, f := range s.board.combineAll(time.Now(), view) {
 		if !s.ownsBoard(f.target.Model) {
 			continue
 		}
@@ -46,7 +46,7 @@
 		if f.stage() != Failed || !s.configFresh() {
 			continue
 		}
-		if change, ok := undoChange(view, f); ok {
+		if change, ok := revertChange(view, f); ok {
 			s.revert(ctx, f, change)
 		}
 	}
@@ -61,34 +61,34 @@
 		Str("stage", p.Stage.String()).Int("holding", p.Holding).Int("engines", p.Engines).Send()
 }
 
-func (s *supervisor) revert(ctx context.Context, f fleet, change config.Change) {
-	ctx, cancel := context.WithTimeout(ctx, undoTimeout)
+func (s *supervisor) revert(ctx context.Context, f modelEngines, change config.Change) {
+	ctx, cancel := context.WithTimeout(ctx, revertTimeout)
 	defer cancel()
 	outcome, err := s.proposer.Propose(ctx, change)
 	event := s.log.Warn().Str("model", f.target.Model).Str("failed_version", f.target.Version).Str("change_id", change.ID)
 	if err != nil {
-		event.Str("event", eventNotUndone).Int("code", int(result.From(err).Code)).Err(err).Send()
+		event.Str("event", eventNotReverted).Int("code", int(result.From(err).Code)).Err(err).Send()
 		return
 	}
 	s.counters.Undone.Add(1)
-	event.Str("event", eventUndone).Int64("revision", outcome.Revision).Send()
+	event.Str("event", eventReverted).Int64("revision", outcome.Revision).Send()
 }
 
-// fleets returns the models for which the board has enough reports, sorted by name.
-func (b *board) fleets(now time.Time, view *config.View) []fleet {
+// combineAll returns the engines of the models for which the board has enough reports, sorted by name.
+func (b *board) combineAll(now time.Time, view *config.View) []modelEngines {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var known []fleet
+	var known []modelEngines
 	for name := range b.models {
-		if f, ok := b.fleet(now, view, name); ok {
+		if f, ok := b.combine(now, view, name); ok {
 			known = append(known, f)
 		}
 	}
-	slices.SortFunc(known, func(a, b fleet) int { return strings.Compare(a.target.Model, b.target.Model) })
+	slices.SortFunc(known, func(a, b modelEngines) int { return strings.Compare(a.target.Model, b.target.Model) })
 	return known
 }
 
-func (f fleet) progress() Progress {
+func (f modelEngines) progress() Progress {
 	p := Progress{Model: f.target.Model, Version: f.target.Version, Stage: f.stage(), Engines: f.size}
 	for _, r := range f.engines {
 		if _, ok := r.holding(f.target.Version); ok {
--- a/internal/rollout/swap.go
+++ b/internal/rollout/swap.go
@@ -13,18 +13,20 @@
 // maxParallelReads is the maximum number of engines read concurrently before a swap.
 const maxParallelReads = 16
 
-// spareRetryInterval is the time between two checks whether the engine can be taken out of service.
-const spareRetryInterval = 2 * time.Second
+// takeOutRetryInterval is the time between two checks whether the engine can be taken out of service.
+const takeOutRetryInterval = 2 * time.Second
 
-// mayReplace reports whether the engine may give up weights that serve. It first acquires the load
-// slot, so that the engine is not out of service while it waits for one, and then the model's claim,
-// which ensures that no other worker takes an engine of the model out of service at the same time.
-func (w *worker) mayReplace(ctx context.Context, r snapshot, model string) bool {
-	if w.spareConfirmed && w.swapModel == model && w.model.held() {
+// prepareReplace prepares an engine for unloading weights that serve, and returns true if they may be
+// unloaded now. It acquires the load slot first, so that the engine is not out of service while it waits
+// for one, then the model's claim, so that no other worker takes an engine of the model out of service
+// at the same time, and then the engine's claim. If enough other engines are in service, it stops
+// starting runs of the model on the engine.
+func (w *worker) prepareReplace(ctx context.Context, s snapshot, model string) bool {
+	if w.takeOutConfirmed && w.swapModel == model && w.model.valid() {
 		return true // the swap has started with other weights of the model
 	}
-	w.spareConfirmed = false
-	if !r.standings[model].Turn || time.Now().Before(w.notBefore) {
+	w.takeOutConfirmed = false
+	if !s.replies[model].Turn || time.Now().Before(w.notBefore) {
 		return false
 	}
 	if err := w.slot.acquire(ctx); err != nil {
@@ -43,38 +45,38 @@
 		w.logNoClaim(endpointPrefix+w.name, err)
 		return false
 	}
-	if !w.checkSpare(ctx, r, model) {
+	if !w.checkTakeOut(ctx, s, model) {
 		return false
 	}
 	w.drain(ctx, model)
-	w.spareConfirmed = w.model.held() && w.endpoint.held() && w.slot.claim.Valid(slotMargin)
-	return w.spareConfirmed
+	w.takeOutConfirmed = w.model.valid() && w.endpoint.valid() && w.slot.claim.Valid(slotMargin)
+	return w.takeOutConfirmed
 }
 
-// checkSpare reads the state of the model's engines and reports whether this one can be taken out of
+// checkTakeOut reads the state of the model's engines and reports whether this one can be taken out of
 // service.
-func (w *worker) checkSpare(ctx context.Context, r snapshot, name string) bool {
+func (w *worker) checkTakeOut(ctx context.Context, s snapshot, name string) bool {
 	view := w.configSource.View()
 	model, ok := view.Model(name)
-	target, known := Desired(view, r.endpoint).target(name)
+	target, known := Desired(view, s.endpoint).target(name)
 	if !ok || !known || !w.configFresh() {
 		return false
 	}
-	states := w.readFleet(ctx, view, name)
-	if r.standings[name].Stage == Canary && anyHasTarget(target, states) {
-		return false // there is a canary that has not been reported to the board yet
+	states := w.readEngines(ctx, view, name)
+	if s.replies[name].Stage == Canary && anyHasTarget(target, states) {
+		return false // another engine holds or loads the version, but the board has no report of that yet
 	}
-	ok = canSpare(model, target, states)
+	ok = canTakeOut(model, target, states)
 	if !ok {
-		w.notBefore = time.Now().Add(spareRetryInterval)
-		w.log.Info().Str("event", eventNoSpare).Str("model", name).Send()
+		w.notBefore = time.Now().Add(takeOutRetryInterval)
+		w.log.Info().Str("event", eventNoCapacity).Str("model", name).Send()
 	}
 	return ok
 }
 
-// readFleet reads the states of all engines of a model. The state is nil for an engine that does not
+// readEngines reads the states of all engines of a model. The state is nil for an engine that does not
 // answer or whose host is leaving.
-func (w *worker) readFleet(ctx context.Context, view *config.View, model string) []*enginewire.State {
+func (w *worker) readEngines(ctx context.Context, view *config.View, model string) []*enginewire.State {
 	endpoints := view.Engines(model)
 	states := make([]*enginewire.State, len(endpoints))
 	semaphore := make(chan struct{}, maxParallelReads)
@@ -92,8 +94,8 @@
 	return states
 }
 
-// drain stops grants for the model on this engine, and waits until runs granted before have reached the
-// engine.
+// drain stops starting runs of the model on this engine, and waits until runs granted before have reached
+// the engine.
 func (w *worker) drain(ctx context.Context, model string) {
 	w.owner.Withhold(w.name, model)
 	retry.Sleep(ctx, drainPause)
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -77,7 +77,7 @@
 	once        sync.Once
 }
 
-func newVersions(configSource ConfigSource, fetch func(context.Context, string) (*holdersResponse, error)) *VersionSelector {
+func newVersionSelector(configSource ConfigSource, fetch func(context.Context, string) (*holdersResponse, error)) *VersionSelector {
 	return &VersionSelector{configSource: configSource, fetch: fetch, models: make(map[string]*cachedHolders)}
 }
 
@@ -87,7 +87,8 @@
 	return ServingVersion(view, model, v.holders(ctx, view, model), draw)
 }
 
-// Holding returns the engines known to hold a version, or nil if this node has no recent information.
+// Holding returns the engines that hold a version according to the last answer of the board, or nil if
+// that answer is older than maxHoldersAge.
 func (v *VersionSelector) Holding(model, version string) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -105,8 +106,8 @@
 
 // Reselect selects another version after no engine accepted the request on the refused versions. It
 // first refreshes the holders. It prefers other versions that have holders, then the eligible version
-// written last that was not refused, and then any version that has holders. It returns false if there
-// is none.
+// with the latest configuration revision that was not refused, and then any version that has holders. It
+// returns false if there is none.
 func (v *VersionSelector) Reselect(ctx context.Context, model string, refused []string, draw float64) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
@@ -125,8 +126,8 @@
 	return version, ok && len(holders) > 0
 }
 
-// latestExcept returns the eligible version of a model that was written last and is not among refused,
-// or false if there is none.
+// latestExcept returns the eligible version of a model with the latest configuration revision that is
+// not among refused, or false if there is none.
 func latestExcept(view *config.View, model string, refused []string) (string, bool) {
 	var newest config.Item
 	var found string
@@ -192,8 +193,8 @@
 	return rolloutInterval
 }
 
-// refresh fetches the holders from the board. An answer from a board that is still incomplete does not
-// replace an earlier answer.
+// refresh fetches the holders from the board. An incomplete answer does not replace an earlier
+// answer younger than maxHoldersAge; an empty answer replaces nothing.
 func (v *VersionSelector) refresh(ctx context.Context, model string, c *cachedHolders) {
 	answer, err := v.fetch(ctx, model)
 	v.mu.Lock()
--- a/internal/rollout/worker.go
+++ b/internal/rollout/worker.go
@@ -18,14 +18,14 @@
 const (
 	// busyInterval is the time between two reads of an engine that is changing.
 	busyInterval = 100 * time.Millisecond
-	// waitInterval is the same for an engine that waits for its turn.
+	// waitInterval is the time between two reads of an engine that waits for its turn.
 	waitInterval = 500 * time.Millisecond
-	// idleInterval is the same for an engine in the desired state.
+	// idleInterval is the time between two reads of an engine in the desired state.
 	idleInterval = 2 * time.Second
 	readTimeout  = 2 * time.Second
 	// finishTimeout limits the wait for a load when another node becomes the engine's owner.
 	finishTimeout = 5 * time.Second
-	// drainPause is the time for runs to start that were granted before grants stopped.
+	// drainPause is the time allowed for runs to start that were granted before grants stopped.
 	drainPause = 250 * time.Millisecond
 )
 
@@ -41,13 +41,13 @@
 type worker struct {
 	*core
 	name     string
-	endpoint lease // for sending orders to the engine
-	slot     lease // for loading
-	model    lease // for taking the engine out of service
+	endpoint lazyClaim // for sending orders to the engine
+	slot     lazyClaim // for loading
+	model    lazyClaim // for taking the engine out of service
 	// swapModel is the model for which the model claim is held.
 	swapModel string
-	// spareConfirmed is set once enough other engines were found to be in service under that claim.
-	spareConfirmed bool
+	// takeOutConfirmed is set once enough other engines were found to be in service under that claim.
+	takeOutConfirmed bool
 	// loading is set if a load may be in progress, according to the last read or order.
 	loading bool
 	// notBefore is the time of the next attempt after too few engines were in service.
@@ -116,19 +116,19 @@
 	}
 	w.loading = isLoading(state.Loaded)
 	w.owner.Observe(w.name, state)
-	standings := w.reportAll(ctx, endpoint, want, state)
+	replies := w.reportAll(ctx, endpoint, want, state)
 	actions := Plan(want, state.Loaded)
 	if len(actions) == 0 {
 		w.releaseClaims(ctx)
-		return idleWait(standings)
+		return idleWait(replies)
 	}
-	return w.takeStep(ctx, snapshot{endpoint: endpoint, state: state, standings: standings}, actions)
+	return w.takeStep(ctx, snapshot{endpoint: endpoint, state: state, replies: replies}, actions)
 }
 
 // idleWait returns the time until the next read of an engine in the desired state. It is short while a
 // rollout of one of its models is in progress.
-func idleWait(standings map[string]Standing) time.Duration {
-	for _, s := range standings {
+func idleWait(replies map[string]Standing) time.Duration {
+	for _, s := range replies {
 		if s.Stage != Settled {
 			return waitInterval
 		}
@@ -138,9 +138,9 @@
 
 // snapshot is the state read in one pass.
 type snapshot struct {
-	endpoint  *pb.Endpoint
-	state     *enginewire.State
-	standings map[string]Standing // by model name
+	endpoint *pb.Endpoint
+	state    *enginewire.State
+	replies  map[string]Standing // by model name
 }
 
 func (w *worker) read(ctx context.Context, endpoint *pb.Endpoint) (*enginewire.State, error) {
@@ -150,33 +150,34 @@
 }
 
 // takeStep performs the first action that is possible now, and returns the time until the next pass.
-func (w *worker) takeStep(ctx context.Context, r snapshot, actions []Action) time.Duration {
-	if w.orderPending(r.state.Loaded) {
+func (w *worker) takeStep(ctx context.Context, s snapshot, actions []Action) time.Duration {
+	if w.orderPending(s.state.Loaded) {
 		return busyInterval
 	}
 	if w.model.claim != nil && !swapPending(actions, w.swapModel) {
-		w.spareConfirmed = false
-		w.model.release(ctx, &w.releases) // the other workers see that this engine has the new version
+		w.takeOutConfirmed = false
+		// The engine has the new version, so other workers may take theirs out of service.
+		w.model.release(ctx, &w.releases)
 		w.owner.Withhold(w.name, "")
 	}
 	for _, a := range actions {
 		switch a.Step {
 		case Unload:
-			w.unload(ctx, r, a.Weights)
+			w.unload(ctx, s, a.Weights)
 			return busyInterval
 		case Await:
-			return w.await(ctx, r, a.Weights)
+			return w.await(ctx, s, a.Weights)
 		case Load:
-			if isLoading(r.state.Loaded) || !w.mayLoad(r, a.Weights) {
+			if isLoading(s.state.Loaded) || !w.mayLoad(s, a.Weights) {
 				continue
 			}
-			w.load(ctx, r, a.Weights)
+			w.load(ctx, s, a.Weights)
 			return busyInterval
 		case Replace:
-			if isLoading(r.state.Loaded) || !w.mayReplace(ctx, r, a.Weights.Model) {
+			if isLoading(s.state.Loaded) || !w.prepareReplace(ctx, s, a.Weights.Model) {
 				continue
 			}
-			w.unload(ctx, r, a.Weights)
+			w.unload(ctx, s, a.Weights)
 			return busyInterval
 		}
 	}
@@ -194,22 +195,22 @@
 
 // await monitors a load, and cancels it before its slot expires. A load that another slot holder
 // started is left to that holder.
-func (w *worker) await(ctx context.Context, r snapshot, weights Weights) time.Duration {
+func (w *worker) await(ctx context.Context, s snapshot, weights Weights) time.Duration {
 	if w.slot.claim != nil && !w.slot.claim.Valid(slotMargin) {
 		w.event(eventLoadTooLong, weights).Send()
-		w.unload(ctx, r, weights)
+		w.unload(ctx, s, weights)
 		w.slot.claim = nil // left to expire
 	}
 	return busyInterval
 }
 
-// mayLoad reports whether the engine may load weights: it is its turn, or it has already given up
+// mayLoad reports whether the engine may load weights: it is its turn, or it has already unloaded
 // others for them. Adapters may always be loaded.
-func (w *worker) mayLoad(r snapshot, weights Weights) bool {
-	return weights.Adapter != "" || w.swapModel == weights.Model && w.slot.held() || r.standings[weights.Model].Turn
+func (w *worker) mayLoad(s snapshot, weights Weights) bool {
+	return weights.Adapter != "" || w.swapModel == weights.Model && w.slot.valid() || s.replies[weights.Model].Turn
 }
 
-func (w *worker) load(ctx context.Context, r snapshot, weights Weights) {
+func (w *worker) load(ctx context.Context, s snapshot, weights Weights) {
 	if err := w.slot.acquire(ctx); err != nil {
 		w.logNoClaim(slotResource, err)
 		return
@@ -219,24 +220,24 @@
 		return
 	}
 	w.event(eventLoad, weights).Int64("slot", w.slot.claim.Token()).Send()
-	w.order(ctx, r.endpoint, enginewire.OrderLoad, weights)
+	w.order(ctx, s.endpoint, enginewire.OrderLoad, weights)
 }
 
-// releaseClaims releases the claims. While an order may still take effect the claims are left to expire
-// instead, so that the grace period protects the next holder. The slot of a load in progress is left to
-// expire, too.
+// releaseClaims releases the claims, and lets the engine's owner grant runs again. While an order
+// may still take effect, the claims are left to expire instead, so that the grace period protects the
+// next holder. The slot of a load in progress is left to expire, too.
 func (w *worker) releaseClaims(ctx context.Context) {
 	uncertain := time.Now().Before(w.pendingOrder.until)
 	if w.loading {
 		w.slot.claim = nil
 	}
-	for _, l := range []*lease{&w.model, &w.slot, &w.endpoint} {
+	for _, l := range []*lazyClaim{&w.model, &w.slot, &w.endpoint} {
 		if uncertain {
 			l.claim = nil
 			continue
 		}
 		l.release(ctx, &w.releases)
 	}
-	w.swapModel, w.spareConfirmed = "", false
+	w.swapModel, w.takeOutConfirmed = "", false
 	w.owner.Withhold(w.name, "")
 }
