--- a/api/wire/enginewire/enginewire.go
+++ b/api/wire/enginewire/enginewire.go
@@ -36,10 +36,10 @@
 	Model       string  `json:"model"`
 	Version     string  `json:"version"` // weight version that must serve the run
 	Adapter     string  `json:"adapter,omitempty"`
-	CacheSalt   string  `json:"cache_salt"` // root of the engine's block ids: one per client account
+	CacheSalt   string  `json:"cache_salt"` // hashed into all block ids; each client account has its own
 	Prompt      string  `json:"prompt,omitempty"`
-	PromptIDs   []int   `json:"prompt_ids,omitempty"`
-	Continue    string  `json:"continue,omitempty"` // output of an interrupted run to continue from
+	PromptIDs   []int   `json:"prompt_ids,omitempty"` // token ids, instead of Prompt
+	Continue    string  `json:"continue,omitempty"`   // output of an interrupted run to continue from
 	MaxTokens   int     `json:"max_tokens"`
 	Priority    int     `json:"priority,omitempty"` // 0 is the highest priority
 	Temperature float64 `json:"temperature,omitempty"`
@@ -55,7 +55,7 @@
 	Bytes    int64  `json:"bytes"`
 }
 
-// Frame is one event of a run's stream. Seq numbers the frames of the run from 0 without gaps;
+// Frame is one server-sent event of a run. Seq numbers the frames of the run from 0 without gaps;
 // Offset is the number of output tokens before this frame.
 type Frame struct {
 	Run          string    `json:"run"`
@@ -66,9 +66,9 @@
 	Tokens       int       `json:"tokens,omitempty"`
 	Text         string    `json:"text,omitempty"`
 	Version      string    `json:"version,omitempty"`       // start: weight version in use
-	CacheSalt    string    `json:"cache_salt,omitempty"`    // start: echoed
-	Model        string    `json:"model,omitempty"`         // start: echoed
-	Adapter      string    `json:"adapter,omitempty"`       // start: echoed
+	CacheSalt    string    `json:"cache_salt,omitempty"`    // start: as in the request
+	Model        string    `json:"model,omitempty"`         // start: as in the request
+	Adapter      string    `json:"adapter,omitempty"`       // start: as in the request
 	PromptTokens int       `json:"prompt_tokens,omitempty"` // start
 	CachedTokens int       `json:"cached_tokens,omitempty"` // start: prompt tokens found in the cache
 	Blocks       []Block   `json:"blocks,omitempty"`        // end: complete blocks of prompt and output in memory
@@ -110,9 +110,9 @@
 	Removed bool   `json:"removed,omitempty"`
 }
 
-// Events is the response to a read of the cache events after the sequence number since. The
-// first event has Seq 1, so a reader starts with since 0. Next is the value of since for the
-// next read; events were lost if Next-since exceeds the number of events.
+// Events is the response to a read of the cache events after the sequence number in the
+// query parameter "since". The first event has Seq 1, so a reader starts with 0. Next is the value
+// of "since" for the next read; events were lost if Next minus "since" exceeds the number of events.
 type Events struct {
 	Incarnation string    `json:"incarnation"`
 	Events      []KVEvent `json:"events"`
@@ -162,7 +162,7 @@
 	WaitingTokens int     `json:"waiting_tokens"` // prompt tokens not yet computed
 	CacheUsed     float64 `json:"cache_used"`     // fraction of cache memory in use, 0 to 1
 	AgeMS         int64   `json:"age_ms"`         // age of the report
-	Role          string  `json:"role,omitempty"` // current role, not delayed
+	Role          string  `json:"role,omitempty"` // unlike the other fields, always current
 }
 
 // OrderKind is the kind of an order.
@@ -186,7 +186,7 @@
 	Role    string    `json:"role,omitempty"` // "serving" or "leaving"
 }
 
-// Loaded is a model, weight version and adapter in the engine's memory.
+// Loaded is a model, weight version and adapter that is loaded, or being loaded if Loading is true.
 type Loaded struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -203,8 +203,8 @@
 	KVLayout    string   `json:"kv_layout"`
 	BlockTokens int      `json:"block_tokens"`
 	BlockBytes  int64    `json:"block_bytes"`
-	Blocks      []string `json:"blocks"`    // ids of the blocks in memory
-	EventSeq    uint64   `json:"event_seq"` // sequence number of the last event reflected in Blocks
-	HighToken   int64    `json:"high_token"`
+	Blocks      []string `json:"blocks"`     // ids of the blocks in memory
+	EventSeq    uint64   `json:"event_seq"`  // sequence number of the last event reflected in Blocks
+	HighToken   int64    `json:"high_token"` // highest fencing token received
 	MaxRunning  int      `json:"max_running"`
 }
--- a/api/wire/hostwire/hostwire.go
+++ b/api/wire/hostwire/hostwire.go
@@ -11,7 +11,7 @@
 // Tag returns the entity tag of a version of the list.
 func Tag(version int64) string { return strconv.Quote(strconv.FormatInt(version, 10)) }
 
-// State is the last state of a host that the platform observed.
+// State is the state in which the platform last observed a host.
 type State string
 
 // The states of a host. Hosts that were shut down are not listed.
@@ -20,7 +20,7 @@
 	Leaving State = "leaving"
 )
 
-// Host is one entry: a node of the system or the host of an endpoint.
+// Host is a host that runs a node of cherryward or an endpoint.
 type Host struct {
 	ID     string `json:"id"`
 	Addr   string `json:"addr"` // ip:port; for a node, of its peer listener
--- a/api/wire/logwire/logwire.go
+++ b/api/wire/logwire/logwire.go
@@ -5,7 +5,8 @@
 // POST {stream}/records appends, GET {stream}/records?from=N&max=M&wait_ms=W reads.
 const PathStreams = "/v1/streams/"
 
-// AppendRequest appends one record.
+// AppendRequest appends one record. If the connection is lost before the response arrives, the
+// record may or may not have been appended.
 type AppendRequest struct {
 	Data []byte `json:"data"`
 }
@@ -30,7 +31,7 @@
 }
 
 // Error is the body of an error response. Code is "rate" (too many appends), "unavailable"
-// (outage) or "too_large". After a lost connection the effect of the call is unknown.
+// (outage) or "too_large".
 type Error struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
--- a/api/wire/storewire/storewire.go
+++ b/api/wire/storewire/storewire.go
@@ -4,9 +4,12 @@
 
 // Paths of the store's HTTP resources.
 const (
-	PathBlocks    = "/v1/blocks"    // GET ?after=NAME&limit=N lists; {name}: PUT once, GET, DELETE
-	PathManifests = "/v1/manifests" // GET ?after=KEY&limit=N lists; {key}: PUT if absent, GET, DELETE ?block=NAME
-	PathUsage     = "/v1/usage"     // GET
+	// GET ?after=NAME&limit=N lists; {name}: PUT once, GET, DELETE.
+	PathBlocks = "/v1/blocks"
+	// GET ?after=KEY&limit=N lists; {key}: PUT if absent, GET, DELETE. DELETE ?block=NAME deletes the
+	// manifest only if it refers to block NAME.
+	PathManifests = "/v1/manifests"
+	PathUsage     = "/v1/usage" // GET
 )
 
 // HeaderChecksum is the header that holds the hex SHA-256 of a block's bytes.
@@ -37,7 +40,7 @@
 type Manifest struct {
 	Key      string `json:"key"`    // fingerprint of the prefix up to the end of the block
 	Parent   string `json:"parent"` // key of the preceding block, empty for the first
-	Index    int    `json:"index"`  // position in the chain, from 0
+	Index    int    `json:"index"`  // number of blocks before it in the prefix
 	Name     string `json:"name"`   // the store's write-once block name
 	Block    string `json:"block"`  // the engine's block id
 	EndToken int    `json:"end_token"`
@@ -50,14 +53,14 @@
 	Layout   string `json:"layout"`
 }
 
-// BlockList is a page of blocks in order of name.
+// BlockList is a page of blocks in order of name. Generation changes when the host restarts.
 type BlockList struct {
 	Generation string      `json:"generation"`
 	Blocks     []BlockInfo `json:"blocks"`
 	More       bool        `json:"more"`
 }
 
-// ManifestList is a page of manifests in order of key.
+// ManifestList is a page of manifests in order of key. Generation changes when the host restarts.
 type ManifestList struct {
 	Generation string     `json:"generation"`
 	Manifests  []Manifest `json:"manifests"`
