--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -19,7 +19,7 @@
 	defaultPrefillRate = 5000 // tokens per second, used until a rate is measured
 	indexBlocks        = 1 << 16
 	defaultLinkRate    = 100 << 20 // bytes per second, if the configuration sets none
-	// pollLimit is the time after its entry node's last poll at which a request is
+	// pollLimit is how long an entry node may go without polling before its request is
 	// canceled.
 	pollLimit = 3 * GrantPoll
 )
@@ -35,26 +35,26 @@
 	wake  chan struct{} // signals watchTicks that the state has changed
 
 	mu       sync.Mutex
-	state    *enginestate.Engine
+	queue    *enginestate.Engine // queued and running requests, and estimates
 	pending  map[string]*pendingGrant
-	reported *enginewire.State // nil until the engine's state has been read
+	reported *enginewire.State // nil until the engine's state has been read, and after a restart until it is read again
 	load     enginewire.Load
 	lastUsed time.Time
-	// lastModel is the model of the run that ended last.
+	// lastModel is the model of the most recently finished run.
 	lastModel string
-	// tallies count the runs on each weight version that the engine has loaded.
-	tallies       map[weightsKey]*Tally
-	withheldModel string // model whose grants are suspended; empty for none
+	// runCounts holds the counts of runs on each weight version that the engine has loaded.
+	runCounts      map[weightsKey]*Tally
+	suspendedModel string // model whose grants are suspended; empty for none
 }
 
-// pendingGrant is a queued request for a grant, or a decided one that its entry node
-// has not yet fetched.
+// pendingGrant is a request for a grant. It is kept until its entry node has fetched
+// the decision.
 type pendingGrant struct {
 	model          string
 	done           chan struct{} // closed when the request is decided
 	decided        bool
-	err            error // reason why a decided request was not granted, else nil
-	lastPoll       time.Time
+	err            error     // reason why a decided request was not granted, else nil
+	lastPoll       time.Time // last call of the entry node for this grant
 	cancelImport   context.CancelFunc
 	importedTokens int
 	importedBytes  int64
@@ -66,7 +66,7 @@
 		name:     name,
 		index:    kvcache.NewEngineIndex(indexBlocks),
 		wake:     make(chan struct{}, 1),
-		state:    enginestate.New(now, cfg),
+		queue:    enginestate.New(now, cfg),
 		pending:  make(map[string]*pendingGrant),
 		lastUsed: now,
 	}
@@ -79,7 +79,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastUsed = now
-	est := e.state.Estimate(now, e.request(now, "", p, tokens, cached.Tokens))
+	est := e.queue.Estimate(now, e.newRequest(now, "", p, tokens, cached.Tokens))
 	out := placement.Engine{
 		Endpoint:     e.name,
 		Status:       placement.Known,
@@ -95,7 +95,7 @@
 	if !est.Learned {
 		out.PrefillRate = 0
 	}
-	if !est.InRotation || !e.serves(p) {
+	if !est.InRotation || !e.canServe(p) {
 		out.Status = placement.Paused
 	}
 	if e.reported != nil {
@@ -106,7 +106,7 @@
 	return out
 }
 
-func (e *engine) request(now time.Time, grant string, p *Prompt, tokens, cached int) enginestate.Request {
+func (e *engine) newRequest(now time.Time, grant string, p *Prompt, tokens, cached int) enginestate.Request {
 	r := enginestate.Request{Run: grant, Model: p.Model, PromptTokens: tokens, CachedTokens: min(cached, tokens)}
 	r.Account = fairqueue.Account{ID: p.Account, Weight: 1}
 	if p.TimeLeft > 0 {
@@ -116,7 +116,7 @@
 }
 
 // layout returns the engine's KV layout and incarnation. ok is false until the
-// engine's state has been read.
+// engine's state has been read, and after a restart until it is read again.
 func (e *engine) layout() (layout, incarnation string, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,7 +133,7 @@
 	defer e.mu.Unlock()
 	r := minimalRequest
 	r.Model = model
-	est := e.state.Estimate(now, r)
+	est := e.queue.Estimate(now, r)
 	if !est.Learned {
 		return 0
 	}
@@ -143,15 +143,15 @@
 // minimalRequest is used for estimates that depend only on the engine.
 var minimalRequest = enginestate.Request{PromptTokens: 1, Account: fairqueue.Account{Weight: 1}}
 
-// setState updates engine and index from the engine's full state.
-func (e *engine) setState(s *enginewire.State) {
+// setReported sets the reported state and the index from the engine's full state.
+func (e *engine) setReported(s *enginewire.State) {
 	e.index.Resync(s.Incarnation, s.EventSeq, s.Blocks)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reported = s
 	e.reported.Blocks = nil // they are in the index
 	if s.MaxRunning > 0 {
-		e.state.SetMaxRunning(s.MaxRunning)
+		e.queue.SetMaxRunning(s.MaxRunning)
 	}
 }
 
@@ -160,7 +160,7 @@
 func (e *engine) setLeaving(now time.Time, leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.SetLeaving(leaving || (e.reported != nil && e.reported.Role == roleLeaving))
+	e.queue.SetLeaving(leaving || (e.reported != nil && e.reported.Role == roleLeaving))
 	e.tickLocked(now)
 }
 
@@ -171,7 +171,7 @@
 	if e.reported != nil && l.Role != "" {
 		e.reported.Role = l.Role
 	}
-	e.state.Report(now, enginestate.Load{
+	e.queue.Report(now, enginestate.Load{
 		Running:       l.Running,
 		Waiting:       l.Waiting,
 		WaitingTokens: l.WaitingTokens,
@@ -185,7 +185,7 @@
 	defer e.mu.Unlock()
 	r := minimalRequest
 	r.Model = e.lastModel
-	est := e.state.Estimate(now, r)
+	est := e.queue.Estimate(now, r)
 	state := "serving"
 	if !est.InRotation {
 		state = "out of rotation"
--- a/internal/owner/export.go
+++ b/internal/owner/export.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// offer queues a finished turn; its export is decided after the given time.
+// offer queues a finished turn. Whether to export it is decided after the given time.
 func (s *storeHost) offer(now time.Time, req *offerRequest, after time.Duration) {
 	s.markUsed(now)
 	if len(req.Prompt.Chain) == 0 {
@@ -56,9 +56,9 @@
 	}
 }
 
-// processOffer decides on one offer. An offer that is rejected because the link is
-// busy or too expensive is retried later; any other outcome is final: exported,
-// nothing to export, or a failing store host.
+// processOffer decides on one offer. The offer is retried later if the link was busy
+// or the export was not profitable. It is not retried if it was exported, there was
+// nothing to export, or the attempt failed.
 func (s *storeHost) processOffer(ctx context.Context, x *exporter, p *pendingOffer) {
 	err := s.export(ctx, x, p)
 	if errors.Is(err, link.ErrBusy) || errors.Is(err, errNotProfitable) {
@@ -79,8 +79,8 @@
 	if err != nil || plan.Bytes() == 0 {
 		return err
 	}
-	weights := ObjectiveOf(x.model(req.Prompt.Model))
-	if !(policy.ExportByValue{}).Worth(s.value(now, p, weights, plan.Bytes()), s.price(now, weights)) {
+	objective := ObjectiveOf(x.model(req.Prompt.Model))
+	if !(policy.ExportByValue{}).Worth(s.newOffer(now, p, objective, plan.Bytes()), s.price(now, objective)) {
 		return errNotProfitable
 	}
 	reservation, err := link.Path{s.budget}.Reserve(now, link.Export, plan.Bytes(), time.Time{})
@@ -100,8 +100,9 @@
 	return nil
 }
 
-// value rates an export by the model's placement objective.
-func (s *storeHost) value(now time.Time, p *pendingOffer, weights placement.Objective, bytes int64) policy.Offer {
+// newOffer returns the policy's description of an export, with the expected saving
+// weighted by the model's placement objective.
+func (s *storeHost) newOffer(now time.Time, p *pendingOffer, objective placement.Objective, bytes int64) policy.Offer {
 	share := float64(bytes) / float64(max(totalBytes(p.req.Placements), 1))
 	part := placement.ExportPart{
 		Tokens:      int(float64(coveredTokens(p.req.Placements)) * share),
@@ -110,8 +111,8 @@
 		LinkRate:    s.budget.BytesPerSecond(now, link.Import),
 	}
 	return policy.Offer{
-		ReturnChance: s.returns.Chance(p.req.Prompt.Account, now, now.Sub(p.ended), placement.ExportUntil, returnHorizon),
-		SavedSeconds: weights.ExportSaving(part),
+		ReturnChance: s.returns.Chance(p.req.Prompt.Account, now, now.Sub(p.ended), placement.ExportUntil, continuationHorizon),
+		SavedSeconds: objective.ExportSaving(part),
 		Bytes:        bytes,
 		Uses:         p.uses,
 	}
@@ -124,7 +125,7 @@
 	return placements[len(placements)-1].Block.EndToken
 }
 
-// ObjectiveOf returns the weights of a model's placement objective.
+// ObjectiveOf returns a model's placement objective.
 func ObjectiveOf(model *pb.Model) placement.Objective {
 	w := model.GetObjective()
 	return placement.Objective{
@@ -134,14 +135,14 @@
 	}
 }
 
-// price returns the current cost of a byte on the link.
-func (s *storeHost) price(now time.Time, weights placement.Objective) float64 {
-	return weights.LinkPrice(s.budget.Price(now), s.budget.BytesPerSecond(now, link.Import))
+// price returns the current cost of transferring a byte on the link.
+func (s *storeHost) price(now time.Time, objective placement.Objective) float64 {
+	return objective.LinkPrice(s.budget.Price(now), s.budget.BytesPerSecond(now, link.Import))
 }
 
 // maintain reads the store host's usage, deletes freed blocks, sweeps orphans and
-// evicts blocks when the store host is almost full. It does nothing more if the
-// store host does not respond; the store host's breaker then opens.
+// evicts blocks when the store host is almost full. It stops if the store
+// host does not respond; the store host's breaker then opens.
 func (s *storeHost) maintain(ctx context.Context, x *exporter) {
 	usage, err := s.host.Refresh(ctx)
 	if err != nil {
@@ -159,6 +160,6 @@
 	need := int64(evictShare * float64(usage.Capacity))
 	floor := int64(floorShare * float64(usage.Capacity) / float64(max(x.accounts(), 1)))
 	_ = s.host.Evict(ctx, need, floor, func(c kvcache.Candidate) float64 {
-		return s.returns.Chance(c.Account, now, c.Idle, c.Idle, c.Idle+returnHorizon)
+		return s.returns.Chance(c.Account, now, c.Idle, c.Idle, c.Idle+continuationHorizon)
 	}) // errors are retried at the next call
 }
--- a/internal/owner/grants.go
+++ b/internal/owner/grants.go
@@ -13,9 +13,9 @@
 // enqueue queues a request for a grant. If the grant is already pending, it returns
 // the existing request and isNew is false. It fails if the engine does not serve the
 // prompt's weights or the queue rejects the request.
-func (e *engine) enqueue(now time.Time, req *GrantRequest) (w *pendingGrant, isNew bool, err error) {
+func (e *engine) enqueue(now time.Time, req *GrantRequest) (p *pendingGrant, isNew bool, err error) {
 	cached := e.index.Lookup(req.Prompt.Chain, req.Tokens)
-	r := e.request(now, req.Grant, &req.Prompt, req.Tokens, cached.Tokens)
+	r := e.newRequest(now, req.Grant, &req.Prompt, req.Tokens, cached.Tokens)
 	r.Account.Class = clampClass(req.Class)
 	if req.Weight > 0 {
 		r.Account.Weight = req.Weight
@@ -24,81 +24,82 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastUsed = now
-	if w := e.pending[req.Grant]; w != nil {
-		w.lastPoll = now
-		return w, false, nil
+	if p := e.pending[req.Grant]; p != nil {
+		p.lastPoll = now
+		return p, false, nil
 	}
-	if !e.serves(&req.Prompt) {
+	if !e.canServe(&req.Prompt) {
 		return nil, false, errNotLoaded()
 	}
-	if err := e.state.Request(now, r); err != nil {
-		return nil, false, refusalResult(err)
+	if err := e.queue.Request(now, r); err != nil {
+		return nil, false, resultError(err)
 	}
-	w = &pendingGrant{model: req.Prompt.Model, done: make(chan struct{}), lastPoll: now, cancelImport: func() {}}
-	e.pending[req.Grant] = w
-	return w, true, nil
+	p = &pendingGrant{model: req.Prompt.Model, done: make(chan struct{}), lastPoll: now, cancelImport: func() {}}
+	e.pending[req.Grant] = p
+	return p, true, nil
 }
 
 func clampClass(class int) int { return min(max(class, 0), len(classWeights)-1) }
 
-// removePending removes a decided request from the pending ones.
+// removePending removes a request whose decision has been fetched.
 func (e *engine) removePending(grant string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.pending, grant)
 }
 
-// withdraw cancels a request, or releases its grant if it was granted.
-func (e *engine) withdraw(now time.Time, grant string) {
+// cancelRequest cancels a request for a grant. If it was granted, the grant is released.
+func (e *engine) cancelRequest(now time.Time, grant string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.withdrawLocked(now, grant)
+	e.cancelRequestLocked(now, grant)
 	e.tickLocked(now)
 }
 
-func (e *engine) withdrawLocked(now time.Time, grant string) {
-	if w := e.pending[grant]; w != nil {
-		w.cancelImport()
+// cancelRequestLocked is cancelRequest without the following tick. e.mu must be held.
+func (e *engine) cancelRequestLocked(now time.Time, grant string) {
+	if p := e.pending[grant]; p != nil {
+		p.cancelImport()
 		delete(e.pending, grant)
 	}
-	if !e.state.Cancel(grant) {
-		e.state.Release(now, grant, enginestate.Observed{Outcome: enginestate.Abandoned})
+	if !e.queue.Cancel(grant) {
+		e.queue.Release(now, grant, enginestate.Observed{Outcome: enginestate.Abandoned})
 	}
 }
 
-// withdrawUnpolled withdraws the requests whose entry nodes have stopped polling.
-func (e *engine) withdrawUnpolled(now time.Time) {
+// cancelUnpolled cancels the requests whose entry nodes have not polled for pollLimit.
+func (e *engine) cancelUnpolled(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for grant, w := range e.pending {
-		if now.Sub(w.lastPoll) > pollLimit {
-			e.withdrawLocked(now, grant)
+	for grant, p := range e.pending {
+		if now.Sub(p.lastPoll) > pollLimit {
+			e.cancelRequestLocked(now, grant)
 		}
 	}
 }
 
-// importDone records the result of an import, so that its request can be granted.
-func (e *engine) importDone(now time.Time, grant string, w *pendingGrant, tokens int, bytes int64) {
+// importDone records the result of an import. The request may then be granted.
+func (e *engine) importDone(now time.Time, grant string, p *pendingGrant, tokens int, bytes int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w.importedTokens, w.importedBytes = tokens, bytes
-	e.state.ImportDone(grant, tokens)
+	p.importedTokens, p.importedBytes = tokens, bytes
+	e.queue.ImportDone(grant, tokens)
 	e.tickLocked(now)
 }
 
 func (e *engine) setCancelImport(grant string, cancel context.CancelFunc) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if w := e.pending[grant]; w != nil {
-		w.cancelImport = cancel
+	if p := e.pending[grant]; p != nil {
+		p.cancelImport = cancel
 	}
 }
 
-// firstToken records that a run's prefill has ended.
+// firstToken records the end of a run's prefill.
 func (e *engine) firstToken(now time.Time, req *FirstTokenRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.FirstToken(now, req.Grant, req.PromptTokens, req.CachedTokens)
+	e.queue.FirstToken(now, req.Grant, req.PromptTokens, req.CachedTokens)
 	e.tickLocked(now)
 }
 
@@ -123,10 +124,10 @@
 	defer e.mu.Unlock()
 	e.lastUsed = now
 	e.lastModel = req.Prompt.Model
-	e.state.Release(now, req.Grant, observed)
+	e.queue.Release(now, req.Grant, observed)
 	e.countRun(&req.Prompt, observed.Outcome)
 	e.tickLocked(now)
-	return e.state.Estimate(now, minimalRequest).Wait
+	return e.queue.Estimate(now, minimalRequest).Wait
 }
 
 func runFrom(req *ReleaseRequest) kvcache.Run {
@@ -143,12 +144,13 @@
 	return run
 }
 
+// adopt registers active grants that another owner issued.
 func (e *engine) adopt(now time.Time, grants []AdoptedGrant) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastUsed = now
 	for _, g := range grants {
-		e.state.Adopt(enginestate.Grant{
+		e.queue.Adopt(enginestate.Grant{
 			Run:       g.Grant,
 			Model:     g.Model,
 			Account:   fairqueue.Account{ID: g.Account, Class: clampClass(g.Class), Weight: max(g.Weight, 1)},
@@ -169,19 +171,19 @@
 // tickLocked passes the decisions of the engine's state to the pending requests and
 // wakes watchTicks. e.mu must be held.
 func (e *engine) tickLocked(now time.Time) {
-	changes := e.state.Tick(now)
+	changes := e.queue.Tick(now)
 	for _, g := range changes.Granted {
-		e.decide(g.Run, nil)
+		e.finishRequest(g.Run, nil)
 	}
 	for _, r := range changes.Expired {
-		e.decide(r.Run, result.New(result.DeadlineUnmeetable))
+		e.finishRequest(r.Run, result.New(result.DeadlineUnmeetable))
 	}
 	for _, r := range changes.Displaced {
-		e.decide(r.Run, result.New(result.EndpointRefused, result.WithRunState(result.NotRun)))
+		e.finishRequest(r.Run, result.New(result.EndpointRefused, result.WithRunState(result.NotRun)))
 	}
 	for _, run := range changes.Recompute {
-		if w := e.pending[run]; w != nil {
-			w.cancelImport()
+		if p := e.pending[run]; p != nil {
+			p.cancelImport()
 		}
 	}
 	select {
@@ -190,23 +192,25 @@
 	}
 }
 
-func (e *engine) decide(grant string, err error) {
-	w := e.pending[grant]
-	if w == nil {
+// finishRequest records the decision on a pending request and closes done. err is nil
+// if the request was granted. It ignores unknown grants and decided requests.
+func (e *engine) finishRequest(grant string, err error) {
+	p := e.pending[grant]
+	if p == nil {
 		return
 	}
-	if w.decided {
+	if p.decided {
 		return
 	}
-	w.decided, w.err = true, err
-	close(w.done)
+	p.decided, p.err = true, err
+	close(p.done)
 }
 
-// nextTick returns the time until the next tick is due.
-func (e *engine) nextTick(now time.Time) time.Duration {
+// untilNextTick returns the time until the next tick.
+func (e *engine) untilNextTick(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, ok := e.state.NextTick(now)
+	at, ok := e.queue.NextTick(now)
 	if !ok {
 		return idleTick
 	}
--- a/internal/owner/messages.go
+++ b/internal/owner/messages.go
@@ -11,15 +11,15 @@
 // Peer methods of endpoint owners.
 const (
 	MethodEstimate = "owner.estimate" // safe to repeat
-	MethodGrant    = "owner.grant"    // returns when granted; safe to repeat for the same grant
+	MethodGrant    = "owner.grant"    // waits for the grant up to GrantPoll; safe to repeat for the same grant
 	MethodCancel   = "owner.cancel"   // safe to repeat
 	MethodFirst    = "owner.first"    // safe to repeat
 	MethodRelease  = "owner.release"  // safe to repeat
 	MethodAdopt    = "owner.adopt"    // safe to repeat
 )
 
-// GrantPoll is the maximum duration of one call for a grant. The caller repeats the
-// call until it gets a result. An owner that does not respond within twice this time
+// GrantPoll is the maximum duration of one grant call. The caller repeats the call
+// until it gets a result. An owner that does not respond within twice this time
 // is treated as unavailable.
 const GrantPoll = time.Second
 
@@ -36,7 +36,7 @@
 	TimeLeft time.Duration `json:"t"`
 }
 
-// Identity returns the identity on which the prompt's chain is based.
+// Identity returns the identity from which the prompt's chain is computed.
 func (p *Prompt) Identity() kvcache.Identity {
 	return kvcache.Identity{Account: p.Account, Model: p.Model, Version: p.Version, Adapter: p.Adapter}
 }
@@ -118,7 +118,7 @@
 	Grants   []AdoptedGrant `json:"g"`
 }
 
-// AdoptedGrant is an active grant held by an entry node.
+// AdoptedGrant is an active grant of an entry node.
 type AdoptedGrant struct {
 	Grant    string        `json:"g"`
 	Account  string        `json:"a"`
--- a/internal/owner/offers.go
+++ b/internal/owner/offers.go
@@ -9,8 +9,8 @@
 	"github.com/cherryward/cherryward/internal/placement"
 )
 
-// maxOffers is the maximum number of queued offers; the one due first is discarded
-// when it is exceeded. At about 5 KB each, the queue takes up to 20 MB.
+// maxOffers is the maximum number of queued offers. If the queue is full, the offer
+// with the earliest decision time is discarded. At about 5 KB each, the queue takes up to 20 MB.
 const maxOffers = 4096
 
 // offers holds finished turns until their export is decided. A conversation has at
@@ -70,7 +70,8 @@
 	}
 }
 
-// popReady removes and returns the next offer that is ready to be decided, or nil.
+// popReady removes and returns from the queue the offer with the earliest decision time,
+// or returns nil if that time has not been reached.
 func (o *offers) popReady(now time.Time) *pendingOffer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -80,9 +81,9 @@
 	return heap.Pop(&o.queue).(*pendingOffer)
 }
 
-// requeue queues an offer again whose link was busy or too expensive. It discards the
-// offer if its turn ended more than placement.ExportUntil ago or its conversation has
-// continued since.
+// requeue queues an offer again if its link was busy or its export was not profitable.
+// It discards the offer if its turn ended more than placement.ExportUntil ago, and does
+// nothing if the offer was discarded or replaced in the meantime.
 func (o *offers) requeue(now time.Time, p *pendingOffer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -97,7 +98,7 @@
 	heap.Push(&o.queue, p)
 }
 
-// finish removes an offer that was decided.
+// finish removes an offer after its final decision.
 func (o *offers) finish(p *pendingOffer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/offers_test.go
+++ b/internal/owner/offers_test.go
@@ -17,7 +17,7 @@
 	return &pendingOffer{req: req, ended: start, decideAt: start.Add(decideAt)}
 }
 
-func TestOffersAreReadyWhenDueUnlessReturned(t *testing.T) {
+func TestOffersAreReadyAtDecisionTimeUnlessContinued(t *testing.T) {
 	o := newOffers()
 	for turn, decideAt := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second} {
 		o.add(offerOf(byte(turn), decideAt))
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -1,8 +1,8 @@
 // Package owner manages the endpoints that this node owns: it estimates, queues and
 // grants runs on engines, and manages the KV cache blocks on store hosts.
 //
-// All of its state is soft: it is built from reports of endpoints and entry nodes and
-// lost when the node stops. A node serves requests for any endpoint, whether or not it
+// All of its state is in memory only. It is rebuilt from the reports of endpoints and
+// entry nodes after the node restarts. A node serves requests for any endpoint, whether or not it
 // is the owner. If two nodes act as owners of the same engine, both grant runs and
 // the engine queues them.
 package owner
@@ -32,16 +32,16 @@
 const Name = "owner"
 
 const (
-	// idleOwner is the time after which unused state of an endpoint that another node
-	// owns is discarded.
-	idleOwner     = 30 * time.Second
-	sweepInterval = time.Second
+	// discardIdleAfter is how long the state of an endpoint that another node owns must
+	// be unused before it is discarded.
+	discardIdleAfter = 30 * time.Second
+	sweepInterval    = time.Second
 )
 
 // Directory provides the latest configuration.
 type Directory interface {
 	View() *config.View
-	// Typed returns the store that the views come from.
+	// Typed returns the store that provides the views.
 	Typed() *config.Store
 }
 
@@ -56,10 +56,10 @@
 	exportAfter  time.Duration
 	exported     func(bytes int64) // called with the bytes of each export
 	log          zerolog.Logger
-	lastStoreSet atomic.Pointer[storeSet] // for the configuration view used last
+	lastStoreSet atomic.Pointer[cachedStoreSet] // for the configuration view used last
 
 	mu      sync.Mutex
-	ctx     context.Context // context of Run, done before Run starts; endpoint state is created only while Run runs
+	ctx     context.Context // context of Run; a canceled context before Run starts. Endpoint state is created only while Run runs
 	wg      sync.WaitGroup
 	engines map[string]*watchedEngine
 	stores  map[string]*watchedStore
@@ -76,7 +76,8 @@
 	_ kernel.Runner  = (*Service)(nil)
 )
 
-// New returns the service. An export is decided exportAfter the end of its turn.
+// New returns the service. Whether to export a turn is decided exportAfter
+// its end.
 // exported is called with the bytes of each export.
 func New(reader EngineReader, salter *kvcache.Salter, exportAfter time.Duration, exported func(bytes int64), log zerolog.Logger) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -145,12 +146,12 @@
 }
 
 // engine returns the state of an engine and creates it on first use. It fails if the
-// endpoint is not a configured engine or the service is stopping.
+// endpoint is not a configured engine or the service is not running.
 func (s *Service) engine(name string) (*engine, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w, ok := s.engines[name]; ok {
-		return w.engine, nil
+	if watched, ok := s.engines[name]; ok {
+		return watched.engine, nil
 	}
 	endpoint, ok := s.directory.View().Endpoint(name)
 	if !ok || endpoint.GetKind() != pb.EndpointKind_ENDPOINT_KIND_ENGINE {
@@ -160,12 +161,12 @@
 		return nil, result.New(result.Draining)
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	w := &watchedEngine{engine: newEngine(name, time.Now()), cancel: cancel}
-	s.engines[name] = w
+	watched := &watchedEngine{engine: newEngine(name, time.Now()), cancel: cancel}
+	s.engines[name] = watched
 	s.wg.Go(func() {
-		w.watch(ctx, s.reader, func() string { return s.url(name) }, func() bool { return s.leaving(name) })
+		watched.watch(ctx, s.reader, func() string { return s.url(name) }, func() bool { return s.leaving(name) })
 	})
-	return w.engine, nil
+	return watched.engine, nil
 }
 
 func (s *Service) url(name string) string {
@@ -209,23 +210,23 @@
 	if err != nil {
 		return nil, err
 	}
-	w, isNew, err := e.enqueue(time.Now(), req)
+	pending, isNew, err := e.enqueue(time.Now(), req)
 	if err != nil {
 		return nil, err
 	}
 	if isNew && req.Import.Tokens > 0 {
-		s.startImport(e, w, req)
+		s.startImport(e, pending, req)
 	}
 	e.tick(time.Now())
 	timer := time.NewTimer(GrantPoll)
 	defer timer.Stop()
 	select {
-	case <-w.done:
+	case <-pending.done:
 		e.removePending(req.Grant)
-		if w.err != nil {
-			return nil, w.err
+		if pending.err != nil {
+			return nil, pending.err
 		}
-		return &GrantResponse{ImportedTokens: w.importedTokens, ImportedBytes: w.importedBytes}, nil
+		return &GrantResponse{ImportedTokens: pending.importedTokens, ImportedBytes: pending.importedBytes}, nil
 	case <-timer.C:
 		return &GrantResponse{Queued: true}, nil
 	case <-ctx.Done():
@@ -236,7 +237,7 @@
 // Cancel cancels a request for a grant.
 func (s *Service) Cancel(_ context.Context, req *CancelRequest) (*None, error) {
 	if e, err := s.engine(req.Endpoint); err == nil {
-		e.withdraw(time.Now(), req.Grant)
+		e.cancelRequest(time.Now(), req.Grant)
 	}
 	return &None{}, nil
 }
@@ -267,7 +268,7 @@
 	return &ReleaseResponse{Wait: wait}, nil
 }
 
-// Adopt registers active grants that another owner has made.
+// Adopt registers active grants that another owner issued.
 func (s *Service) Adopt(_ context.Context, req *AdoptRequest) (*None, error) {
 	e, err := s.engine(req.Endpoint)
 	if err != nil {
@@ -277,9 +278,9 @@
 	return &None{}, nil
 }
 
-// refusalResult converts errors of the engine's queue to result errors. Rejecting a
+// resultError converts an error of the engine's queue to a result error. Rejecting a
 // request under overload must be cheap, so no stack is recorded for it.
-func refusalResult(err error) error {
+func resultError(err error) error {
 	var refused *enginestate.RefusedError
 	if errors.As(err, &refused) {
 		return result.New(result.Shed, result.WithMessage("%s", refused.Reason), result.WithRetryAfter(refused.RetryAfter))
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -42,14 +42,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*pb.EndpointStatus
-	for name, w := range s.engines {
+	for name, engine := range s.engines {
 		if s.cluster.Owns(name) {
-			out = append(out, w.status(now, s.cluster.Self().ID))
+			out = append(out, engine.status(now, s.cluster.Self().ID))
 		}
 	}
-	for name, w := range s.stores {
+	for name, host := range s.stores {
 		if s.cluster.Owns(name) {
-			out = append(out, w.status(now, s.cluster.Self().ID))
+			out = append(out, host.status(now, s.cluster.Self().ID))
 		}
 	}
 	return out
--- a/internal/owner/store.go
+++ b/internal/owner/store.go
@@ -18,10 +18,10 @@
 
 const (
 	maxTurnRecords       = 1 << 16                // maximum number of conversations whose last turn is stored
-	returnHorizon        = 48 * time.Hour         // future period in which a return of the conversation counts
-	evictFromShare       = 0.95                   // share of a store host's space in use from which blocks are evicted
+	continuationHorizon  = 48 * time.Hour         // how far ahead a continuation of the conversation is considered
+	evictFromShare       = 0.95                   // used share of a store host's space at which eviction starts
 	evictShare           = 0.02                   // share of a store host's space that one eviction frees
-	floorShare           = 0.5                    // share of an equal split of the space that eviction leaves to each account if possible
+	floorShare           = 0.5                    // share of an account's equal part of the space; eviction avoids reducing an account below it
 	exportWorkers        = 4                      // concurrent exports per store host
 	offerInterval        = 250 * time.Millisecond // time between two checks for ready offers
 	maintainEvery        = 2 * time.Second
@@ -80,7 +80,7 @@
 	}, nil
 }
 
-// estimate returns the part of a prompt that the store host holds in one KV layout,
+// estimate returns the part of a prompt that is stored on the store host in one KV layout,
 // and the expected speed of an import.
 func (s *storeHost) estimate(now time.Time, p *Prompt, layout string) placement.Store {
 	s.markUsed(now)
@@ -172,19 +172,20 @@
 	}
 }
 
-// recordTurn records the end of a turn and, if it continues a known conversation, the
-// conversation's return. It returns the number of turns of the conversation.
+// recordTurn records the end of a turn and, if the turn continues a known conversation,
+// that the conversation was continued. It also discards the export offer of the previous
+// turn. It returns the number of turns of the conversation so far.
 func (s *storeHost) recordTurn(now time.Time, p *Prompt) int {
 	uses := 1
 	for i := len(p.Chain) - 1; i >= 0; i-- {
-		note, ok := s.turns.Peek(p.Chain[i])
+		last, ok := s.turns.Peek(p.Chain[i])
 		if !ok {
 			continue
 		}
 		s.turns.Remove(p.Chain[i])
 		s.offers.discardTurn(p.Chain[i])
-		s.returns.ObserveReturn(p.Account, now.Sub(note.at), now)
-		uses = note.uses + 1
+		s.returns.ObserveReturn(p.Account, now.Sub(last.at), now)
+		uses = last.uses + 1
 		break
 	}
 	s.returns.ObserveTurn(p.Account, now)
--- a/internal/owner/stores.go
+++ b/internal/owner/stores.go
@@ -23,7 +23,8 @@
 	// minOfferChunks is the minimum length in chunks of a prompt whose blocks are
 	// stored; shorter ones may not fill a block.
 	minOfferChunks = rootChunks
-	offerTimeout   = 2 * time.Second
+	// backgroundCallTimeout applies to offers and to the cancellation of imports.
+	backgroundCallTimeout = 2 * time.Second
 )
 
 // watchedStore is a store host with the function that stops its watch.
@@ -32,8 +33,8 @@
 	cancel context.CancelFunc
 }
 
-// storeSet is the set of store hosts that are in service in a configuration view.
-type storeSet struct {
+// cachedStoreSet is the set of store hosts in service in one configuration view.
+type cachedStoreSet struct {
 	view *config.View
 	set  *rendezvous.Set
 }
@@ -62,17 +63,17 @@
 		}
 	}
 	set := rendezvous.NewSet(nodes)
-	s.lastStoreSet.Store(&storeSet{view: view, set: set})
+	s.lastStoreSet.Store(&cachedStoreSet{view: view, set: set})
 	return set
 }
 
 // store returns the state of a store host and creates it on first use. It fails if
-// the endpoint is not a configured store host or the service is stopping.
+// the endpoint is not a configured store host or the service is not running.
 func (s *Service) store(name string) (*storeHost, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w, ok := s.stores[name]; ok {
-		return w.storeHost, nil
+	if watched, ok := s.stores[name]; ok {
+		return watched.storeHost, nil
 	}
 	endpoint, ok := s.directory.View().Endpoint(name)
 	if !ok || endpoint.GetKind() != pb.EndpointKind_ENDPOINT_KIND_STORE {
@@ -149,13 +150,13 @@
 
 // startImport starts the import of the selected blocks for a queued request. The
 // request can be granted when the import has ended, even if it failed.
-func (s *Service) startImport(e *engine, w *pendingGrant, req *GrantRequest) {
+func (s *Service) startImport(e *engine, p *pendingGrant, req *GrantRequest) {
 	ctx, cancel := context.WithTimeout(s.runContext(), max(req.Prompt.TimeLeft, 0))
 	e.setCancelImport(req.Grant, cancel)
 	s.wg.Go(func() {
 		defer cancel()
 		tokens, bytes := s.importBlocks(ctx, e, req)
-		e.importDone(time.Now(), req.Grant, w, tokens, bytes)
+		e.importDone(time.Now(), req.Grant, p, tokens, bytes)
 	})
 }
 
@@ -189,13 +190,14 @@
 }
 
 func (s *Service) cancelImport(importReq *importRequest) {
-	ctx, cancel := context.WithTimeout(s.runContext(), offerTimeout)
+	ctx, cancel := context.WithTimeout(s.runContext(), backgroundCallTimeout)
 	defer cancel()
 	req := &cancelImportRequest{Store: importReq.Store, ID: importReq.ID}
 	_, _ = cluster.CallOwner(ctx, s.cluster, importReq.Store, methodCancelImport, req, s.serveCancelImport) // if this fails, the import ends by its own timeout
 }
 
-// offerTurn offers a finished turn's blocks to its store host, in the background.
+// offerTurn offers a finished turn's blocks in the background to the turn's store hosts,
+// in order of preference, until one responds.
 func (s *Service) offerTurn(e *engine, req *ReleaseRequest) {
 	layout, _, ok := e.layout()
 	stores := s.StoresFor(req.Prompt.Chain)
@@ -213,7 +215,7 @@
 }
 
 func (s *Service) offerTo(store string, e *engine, req *ReleaseRequest, layout string, placements []kvcache.Placement) bool {
-	ctx, cancel := context.WithTimeout(s.runContext(), offerTimeout)
+	ctx, cancel := context.WithTimeout(s.runContext(), backgroundCallTimeout)
 	defer cancel()
 	offer := &offerRequest{
 		Store:       store,
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -8,8 +8,9 @@
 	"github.com/cherryward/cherryward/internal/config"
 )
 
-// Run implements kernel.Runner. It creates the state of endpoints that this node owns
-// and discards unused state of endpoints that other nodes own.
+// Run implements kernel.Runner. It creates the state of endpoints that this node owns.
+// It discards the unused state of endpoints that other nodes own, and the state of
+// endpoints that are no longer configured.
 func (s *Service) Run(ctx context.Context) error {
 	s.mu.Lock()
 	s.ctx = ctx
@@ -28,8 +29,9 @@
 	}
 }
 
-// followEndpoints has the cluster track the owners of all endpoints until ctx is
-// done. After the first full list it reads only changes.
+// followEndpoints keeps the cluster's tracked keys equal to the configured endpoints
+// until ctx is done. It lists all endpoints at first and whenever changes are missing,
+// and otherwise reads only changes.
 func (s *Service) followEndpoints(ctx context.Context) {
 	tracked := make(map[string]struct{})
 	for ctx.Err() == nil {
@@ -84,27 +86,28 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, w := range s.engines {
-		w.withdrawUnpolled(now)
-		if s.canDiscard(view, name, now, w.idleTime) {
-			w.cancel()
+	for name, engine := range s.engines {
+		engine.cancelUnpolled(now)
+		if s.canDiscard(view, name, now, engine.idleTime) {
+			engine.cancel()
 			delete(s.engines, name)
 		}
 	}
-	for name, w := range s.stores {
-		if s.canDiscard(view, name, now, w.idleTime) {
-			w.cancel()
+	for name, host := range s.stores {
+		if s.canDiscard(view, name, now, host.idleTime) {
+			host.cancel()
 			delete(s.stores, name)
 		}
 	}
 }
 
-// canDiscard reports whether the state of an endpoint can be discarded.
+// canDiscard reports whether an endpoint is no longer configured, or another node owns
+// it and its state has not been used for discardIdleAfter.
 func (s *Service) canDiscard(view *config.View, name string, now time.Time, idle func(time.Time) time.Duration) bool {
 	if _, configured := view.Endpoint(name); !configured {
 		return true
 	}
-	return !s.cluster.Owns(name) && idle(now) > idleOwner
+	return !s.cluster.Owns(name) && idle(now) > discardIdleAfter
 }
 
 // ensureState creates the state of an endpoint that this node owns. Errors are ignored
--- a/internal/owner/transfers.go
+++ b/internal/owner/transfers.go
@@ -16,13 +16,13 @@
 var _ kvcache.Engine = engineTransfers{}
 
 // Export implements kvcache.Engine.
-func (m engineTransfers) Export(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
-	return transferResults(m.reader.Export(ctx, m.url, transferRequest(t)))
+func (e engineTransfers) Export(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
+	return transferResults(e.reader.Export(ctx, e.url, transferRequest(t)))
 }
 
 // Import implements kvcache.Engine.
-func (m engineTransfers) Import(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
-	return transferResults(m.reader.Import(ctx, m.url, transferRequest(t)))
+func (e engineTransfers) Import(ctx context.Context, t kvcache.Transfer) ([]kvcache.TransferResult, error) {
+	return transferResults(e.reader.Import(ctx, e.url, transferRequest(t)))
 }
 
 func transferRequest(t kvcache.Transfer) *enginewire.TransferRequest {
--- a/internal/owner/watch.go
+++ b/internal/owner/watch.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	roleLeaving  = "leaving"
-	idleTick     = time.Second
+	roleLeaving  = "leaving"   // role of an engine that takes no new work
+	idleTick     = time.Second // time to the next tick if none is scheduled
 	loadInterval = time.Second
-	eventWait    = 5 * time.Second
-	retryWait    = 500 * time.Millisecond
+	eventWait    = 5 * time.Second        // how long an engine may delay its response to an event call
+	retryWait    = 500 * time.Millisecond // mean delay after a failed read
 	readTimeout  = 3 * time.Second
 )
 
@@ -30,7 +30,7 @@
 }
 
 // watch follows the state of an engine until ctx is done. url returns the engine's
-// current base URL; leaving reports whether the engine must get no new work.
+// current base URL; leaving reports whether the engine must not be given new work.
 func (e *engine) watch(ctx context.Context, reader EngineReader, url func() string, leaving func() bool) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -50,11 +50,11 @@
 			e.tick(time.Now())
 		case <-e.wake:
 		}
-		timer.Reset(e.nextTick(time.Now()))
+		timer.Reset(e.untilNextTick(time.Now()))
 	}
 }
 
-// watchLoad reads the engine's load reports and updates whether it is leaving.
+// watchLoad reads the engine's load reports and updates its leaving state.
 func (e *engine) watchLoad(ctx context.Context, reader EngineReader, url func() string, leaving func() bool) {
 	for {
 		e.setLeaving(time.Now(), leaving())
@@ -78,7 +78,7 @@
 				retry.Sleep(ctx, jitter(retryWait))
 				continue
 			}
-			e.setState(state)
+			e.setReported(state)
 		}
 		events, err := reader.Events(ctx, url(), e.index.LastSeq(), eventWait)
 		if err != nil {
--- a/internal/owner/weights.go
+++ b/internal/owner/weights.go
@@ -30,14 +30,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if t := e.tallies[weightsKey{model, version}]; t != nil {
+	if t := e.runCounts[weightsKey{model, version}]; t != nil {
 		return *t
 	}
 	return Tally{}
 }
 
-// Observe updates the loaded weights and the role from a state of the engine that the
-// caller has read.
+// Observe updates the loaded weights and the role from an engine state read by the
+// caller.
 func (s *Service) Observe(endpoint string, state *enginewire.State) {
 	if e, err := s.engine(endpoint); err == nil {
 		e.updateWeights(time.Now(), state)
@@ -48,12 +48,12 @@
 // requests as not run. An empty model ends the suspension.
 func (s *Service) Withhold(endpoint, model string) {
 	if e, err := s.engine(endpoint); err == nil {
-		e.withhold(time.Now(), model)
+		e.suspendGrants(time.Now(), model)
 	}
 }
 
 // updateWeights updates the loaded weights and the role from a state whose list of
-// blocks may be out of date, and starts a new tally for each newly loaded version.
+// blocks may be out of date, and starts a new count for each newly loaded version.
 func (e *engine) updateWeights(now time.Time, state *enginewire.State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,23 +61,23 @@
 		e.reported.Loaded = state.Loaded
 		e.reported.Role = state.Role
 	}
-	tallies := make(map[weightsKey]*Tally, len(state.Loaded))
+	runCounts := make(map[weightsKey]*Tally, len(state.Loaded))
 	for _, l := range state.Loaded {
 		if l.Loading || l.Adapter != "" {
 			continue
 		}
 		key := weightsKey{l.Model, l.Version}
-		tallies[key] = e.tallies[key]
-		if tallies[key] == nil {
-			tallies[key] = &Tally{Since: now}
+		runCounts[key] = e.runCounts[key]
+		if runCounts[key] == nil {
+			runCounts[key] = &Tally{Since: now}
 		}
 	}
-	e.tallies = tallies
+	e.runCounts = runCounts
 }
 
-// countRun adds a finished run to the tally of its version.
+// countRun counts a finished run for its version. e.mu must be held.
 func (e *engine) countRun(p *Prompt, outcome enginestate.Outcome) {
-	t := e.tallies[weightsKey{p.Model, p.Version}]
+	t := e.runCounts[weightsKey{p.Model, p.Version}]
 	if t == nil {
 		return
 	}
@@ -89,33 +89,33 @@
 	}
 }
 
-func (e *engine) withhold(now time.Time, model string) {
+func (e *engine) suspendGrants(now time.Time, model string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.withheldModel = model
+	e.suspendedModel = model
 	if model == "" {
 		return
 	}
-	for grant, w := range e.pending {
-		if w.model == model && !w.decided {
-			e.state.Cancel(grant)
-			e.decide(grant, errNotLoaded())
+	for grant, p := range e.pending {
+		if p.model == model && !p.decided {
+			e.queue.Cancel(grant)
+			e.finishRequest(grant, errNotLoaded())
 		}
 	}
 	e.tickLocked(now)
 }
 
-// errNotLoaded returns the error for a run whose weights the engine has not loaded.
-// Another engine may have them.
+// errNotLoaded returns the error for a run whose weights the engine has not loaded or
+// whose model's grants are suspended. Another engine may serve the run.
 func errNotLoaded() error {
 	return result.New(result.EndpointRefused, result.WithRunState(result.NotRun))
 }
 
-// serves reports whether the engine serves runs with the prompt's weights. It returns
-// true for an engine whose state has not been read yet, because the engine itself
+// canServe reports whether the engine has loaded the prompt's weights and grants for
+// their model are not suspended. Except for a suspended model, it returns true for an engine whose state has not been read yet, because the engine itself
 // rejects runs that it cannot serve.
-func (e *engine) serves(p *Prompt) bool {
-	if e.withheldModel == p.Model && p.Model != "" {
+func (e *engine) canServe(p *Prompt) bool {
+	if e.suspendedModel == p.Model && p.Model != "" {
 		return false
 	}
 	if e.reported == nil {
--- a/internal/owner/weights_test.go
+++ b/internal/owner/weights_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-func TestTallyStartsWhenVersionIsLoaded(t *testing.T) {
+func TestRunCountsStartWhenVersionIsLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine("e", now)
 	count := func(version string, outcomes ...enginestate.Outcome) {
@@ -31,40 +31,40 @@
 	e.updateWeights(now, loadedState("v2"))
 	count("v2", enginestate.Completed, enginestate.Failed, enginestate.Refused, enginestate.Abandoned)
 	e.updateWeights(now.Add(time.Second), loadedState("v2"))
-	must.Eq(t, &Tally{Completed: 1, Failed: 1, Since: now}, e.tallies[weightsKey{"m", "v2"}])
+	must.Eq(t, &Tally{Completed: 1, Failed: 1, Since: now}, e.runCounts[weightsKey{"m", "v2"}])
 	e.updateWeights(now.Add(2*time.Second), loadedState("v1"))
 	e.updateWeights(now.Add(3*time.Second), loadedState("v2"))
-	must.Eq(t, &Tally{Since: now.Add(3 * time.Second)}, e.tallies[weightsKey{"m", "v2"}])
+	must.Eq(t, &Tally{Since: now.Add(3 * time.Second)}, e.runCounts[weightsKey{"m", "v2"}])
 }
 
-func TestWithheldModelGetsNoGrants(t *testing.T) {
+func TestSuspendedModelGetsNoGrants(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEngine("e", now)
-	e.setState(loadedState("v1"))
+	e.setReported(loadedState("v1"))
 	enqueue := func(grant, version string) (*pendingGrant, error) {
-		w, _, err := e.enqueue(now, &GrantRequest{Grant: grant, Prompt: Prompt{Account: "a", Model: "m", Version: version}, Tokens: 10})
-		return w, err
+		p, _, err := e.enqueue(now, &GrantRequest{Grant: grant, Prompt: Prompt{Account: "a", Model: "m", Version: version}, Tokens: 10})
+		return p, err
 	}
 	_, err := enqueue("g1", "v2")
 	must.True(t, result.Is(err, result.EndpointRefused))
 	queued, err := enqueue("g2", "v1")
 	must.NoError(t, err)
-	e.withhold(now, "m")
+	e.suspendGrants(now, "m")
 	<-queued.done
 	must.True(t, result.Is(queued.err, result.EndpointRefused))
 	must.Eq(t, result.NotRun, result.From(queued.err).RunState)
 	_, err = enqueue("g3", "v1")
 	must.True(t, result.Is(err, result.EndpointRefused))
-	e.withhold(now, "")
-	w, err := enqueue("g4", "v1")
+	e.suspendGrants(now, "")
+	p, err := enqueue("g4", "v1")
 	must.NoError(t, err)
 	e.tick(now)
-	<-w.done
-	must.NoError(t, w.err)
+	<-p.done
+	must.NoError(t, p.err)
 }
 
-// The status contains a prefill rate only after one was measured, and it is that of
-// the model served last.
+// TestStatusShowsMeasuredPrefillRate checks that the status contains no prefill rate until
+// one is measured, and then the rate of the most recently finished run's model.
 func TestStatusShowsMeasuredPrefillRate(t *testing.T) {
 	e := newEngine("engine-1", start)
 	must.Zero(t, e.status(start, "n").GetPrefillTokensPerSecond())
