--- a/internal/weights/claim_test.go
+++ b/internal/weights/claim_test.go
@@ -31,17 +31,17 @@
 // the log takes 100 ms per call. Orders must use the renewed claim, not the one read before the reports.
 func TestSilentEngineDoesNotLoseClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(nineEngines()...)
-		w.reporter = silentReports{w.engines, firstUpdated(w.ids, 2, 1)}
-		w.claims = slowLog{w.log, 100 * time.Millisecond}
-		stop := w.startNode(t, "n1")
+		sim := newSimulation(nineEngines()...)
+		sim.reporter = silentReports{sim.engines, firstUpdated(sim.ids, 2, 1)}
+		sim.claims = slowLog{sim.log, 100 * time.Millisecond}
+		stop := sim.startNode(t, "n1")
 		time.Sleep(time.Second)
-		w.requestVersion(2)
+		sim.requestVersion(2)
 		time.Sleep(2 * time.Second)
 		missing := 0
 		for range 150 {
 			time.Sleep(100 * time.Millisecond)
-			if !w.services["n1"].Leads() {
+			if !sim.services["n1"].Leads() {
 				missing++
 			}
 		}
--- a/internal/weights/help_test.go
+++ b/internal/weights/help_test.go
@@ -23,7 +23,7 @@
 	lease    = 3 * time.Second
 )
 
-// memLog is a log in memory that can be made unavailable.
+// memLog is an in-memory log that can be made unavailable.
 type memLog struct {
 	mu      sync.Mutex
 	records [][]byte
@@ -31,13 +31,13 @@
 	reads   int
 }
 
-var errDown = errors.New("down")
+var errNoResponse = errors.New("down")
 
 func (l *memLog) Append(_ context.Context, data []byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
-		return 0, errDown
+		return 0, errNoResponse
 	}
 	l.records = append(l.records, data)
 	return int64(len(l.records) - 1), nil
@@ -48,7 +48,7 @@
 	defer l.mu.Unlock()
 	l.reads++
 	if l.down {
-		return nil, 0, errDown
+		return nil, 0, errNoResponse
 	}
 	var records []claim.Record
 	for i := from; i < int64(len(l.records)); i++ {
@@ -112,7 +112,7 @@
 	if e.delayOrders > 0 {
 		e.delayOrders--
 		e.delayed = append(e.delayed, receivedOrder{o, at.ID, time.Now()})
-		return 0, errDown
+		return 0, errNoResponse
 	}
 	return e.accept(at, o)
 }
@@ -132,7 +132,7 @@
 	e.maxLoading = max(e.maxLoading, len(e.next))
 	if e.loseResponses > 0 {
 		e.loseResponses--
-		return 0, errDown
+		return 0, errNoResponse
 	}
 	return Taken, nil
 }
@@ -149,10 +149,10 @@
 }
 
 // orders returns the orders that engines have accepted.
-func (w *simulation) orders() []receivedOrder {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	return slices.Clone(w.engines.accepted)
+func (sim *simulation) orders() []receivedOrder {
+	sim.engines.mu.Lock()
+	defer sim.engines.mu.Unlock()
+	return slices.Clone(sim.engines.accepted)
 }
 
 type wanted struct {
@@ -168,6 +168,7 @@
 	return w.version, time.Now()
 }
 
+// simulation holds the log, the engines and the nodes of a simulated system.
 type simulation struct {
 	log     *memLog
 	engines *engines
@@ -184,19 +185,19 @@
 	services map[string]*Service // running
 }
 
-// view implements Peers for one node.
-type view struct {
+// nodePeers implements Peers for one node.
+type nodePeers struct {
 	*simulation
 	name string
 }
 
-func (v view) Standby() bool { return v.standby == nil || slices.Contains(v.standby, v.name) }
+func (p nodePeers) Standby() bool { return p.standby == nil || slices.Contains(p.standby, p.name) }
 
-func (v view) Led() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for name, s := range v.services {
-		if name != v.name && s.Leads() {
+func (p nodePeers) Led() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for name, s := range p.services {
+		if name != p.name && s.Leads() {
 			return true
 		}
 	}
@@ -204,82 +205,82 @@
 }
 
 func newSimulation(ids ...string) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		log: &memLog{}, wanted: &wanted{version: 1}, ids: ids, services: map[string]*Service{},
 		engines: &engines{version: map[string]int64{}, done: map[string]time.Time{}, next: map[string]int64{}, orders: map[string]int64{}, startedMs: map[string]int64{}, silent: map[string]int{}},
 	}
 	for _, id := range ids {
-		w.engines.version[id] = 1
-		w.engines.startedMs[id] = 1
+		sim.engines.version[id] = 1
+		sim.engines.startedMs[id] = 1
 	}
-	return w
+	return sim
 }
 
 // startNode starts a service with its own fleet, which is updated by heartbeats every second, and
 // returns a function that stops it.
-func (w *simulation) startNode(t *testing.T, name string) (stop func()) {
+func (sim *simulation) startNode(t *testing.T, name string) (stop func()) {
 	t.Helper()
 	f := fleet.New(zerolog.Nop())
-	w.heartbeat(f)
-	var reporter Engines = w.engines
-	if w.reporter != nil {
-		reporter = w.reporter
+	sim.heartbeat(f)
+	var reporter Engines = sim.engines
+	if sim.reporter != nil {
+		reporter = sim.reporter
 	}
-	var claims claim.Log = w.log
-	if w.claims != nil {
-		claims = w.claims
+	var claims claim.Log = sim.log
+	if sim.claims != nil {
+		claims = sim.claims
 	}
 	s, err := New(Config{
-		Node: name, Fleet: f, Wanted: w.wanted, Engines: reporter, Claims: claims, Peers: view{w, name},
-		Lease: lease, Changed: make(chan struct{}), Clock: w.clock, Log: zerolog.Nop(),
+		Node: name, Fleet: f, Wanted: sim.wanted, Engines: reporter, Claims: claims, Peers: nodePeers{sim, name},
+		Lease: lease, Changed: make(chan struct{}), Clock: sim.clock, Log: zerolog.Nop(),
 	})
 	must.NoError(t, err)
-	w.mu.Lock()
-	w.services[name] = s
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.services[name] = s
+	sim.mu.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { must.NoError(t, s.Run(ctx)) })
 	wg.Go(func() {
 		for ctx.Err() == nil {
 			retry.Sleep(ctx, time.Second)
-			w.heartbeat(f)
+			sim.heartbeat(f)
 		}
 	})
 	return func() {
-		w.mu.Lock()
-		delete(w.services, name)
-		w.mu.Unlock()
+		sim.mu.Lock()
+		delete(sim.services, name)
+		sim.mu.Unlock()
 		cancel()
 		wg.Wait()
 		time.Sleep(2 * maxClaimTTL) // until the claims' goroutines have ended
 	}
 }
 
-func (w *simulation) heartbeat(f *fleet.Fleet) {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
+func (sim *simulation) heartbeat(f *fleet.Fleet) {
+	sim.engines.mu.Lock()
+	defer sim.engines.mu.Unlock()
 	now := time.Now()
-	for _, id := range w.ids {
-		w.engines.finishLoad(id)
-		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: "127.0.0.1:1", StartedMs: w.engines.startedMs[id], Weights: []fleet.Weights{{Model: model, Version: w.engines.version[id]}}}, now)
+	for _, id := range sim.ids {
+		sim.engines.finishLoad(id)
+		f.Update(&fleet.Endpoint{ID: id, Service: "s", Addr: "127.0.0.1:1", StartedMs: sim.engines.startedMs[id], Weights: []fleet.Weights{{Model: model, Version: sim.engines.version[id]}}}, now)
 	}
 	f.Expire(now)
 }
 
-func (w *simulation) requestVersion(version int64) {
-	w.wanted.mu.Lock()
-	defer w.wanted.mu.Unlock()
-	w.wanted.version = version
+func (sim *simulation) requestVersion(version int64) {
+	sim.wanted.mu.Lock()
+	defer sim.wanted.mu.Unlock()
+	sim.wanted.version = version
 }
 
-func (w *simulation) versions() []int64 {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
+func (sim *simulation) versions() []int64 {
+	sim.engines.mu.Lock()
+	defer sim.engines.mu.Unlock()
 	var list []int64
-	for _, id := range w.ids {
-		w.engines.finishLoad(id)
-		list = append(list, w.engines.version[id])
+	for _, id := range sim.ids {
+		sim.engines.finishLoad(id)
+		list = append(list, sim.engines.version[id])
 	}
 	return list
 }
--- a/internal/weights/large_test.go
+++ b/internal/weights/large_test.go
@@ -13,7 +13,7 @@
 	"github.com/cherryward/cherryward/internal/fleet"
 )
 
-// largeFleet is the number of engines at the users' largest site.
+// largeFleet is the number of engines of a large fleet.
 const largeFleet = 112
 
 func engineIDs(n int) []string {
@@ -28,13 +28,13 @@
 // loading concurrently.
 func TestLargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(engineIDs(largeFleet)...)
-		stop := w.startNode(t, "n1")
+		sim := newSimulation(engineIDs(largeFleet)...)
+		stop := sim.startNode(t, "n1")
 		time.Sleep(time.Second)
-		w.requestVersion(2)
+		sim.requestVersion(2)
 		time.Sleep(13 * time.Second)
-		test.Eq(t, slices.Repeat([]int64{2}, largeFleet), w.versions())
-		test.Eq(t, largeFleet/loadDivisor, w.engines.maxLoading)
+		test.Eq(t, slices.Repeat([]int64{2}, largeFleet), sim.versions())
+		test.Eq(t, largeFleet/loadDivisor, sim.engines.maxLoading)
 		stop()
 	})
 }
@@ -43,16 +43,16 @@
 // a seventh, although the first order to every second engine gets no response.
 func TestUnansweredOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(engineIDs(largeFleet)...)
-		for i, id := range w.ids {
-			w.engines.silent[id] = i % 2
+		sim := newSimulation(engineIDs(largeFleet)...)
+		for i, id := range sim.ids {
+			sim.engines.silent[id] = i % 2
 		}
-		stop := w.startNode(t, "n1")
+		stop := sim.startNode(t, "n1")
 		time.Sleep(time.Second)
-		w.requestVersion(2)
+		sim.requestVersion(2)
 		time.Sleep(12800 * time.Millisecond)
-		test.Eq(t, slices.Repeat([]int64{2}, largeFleet), w.versions())
-		test.Eq(t, largeFleet/loadDivisor, w.engines.maxLoading)
+		test.Eq(t, slices.Repeat([]int64{2}, largeFleet), sim.versions())
+		test.Eq(t, largeFleet/loadDivisor, sim.engines.maxLoading)
 		stop()
 	})
 }
@@ -64,25 +64,25 @@
 		standby  []string
 		maxReads int // maximum number of log reads by all nodes in 8 s
 	}{
-		"two stand by":      {[]string{"n0", "n1"}, 120},
-		"none of them left": {[]string{"gone"}, 400},
+		"two standbys":     {[]string{"n0", "n1"}, 120},
+		"no standbys left": {[]string{"gone"}, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimulation(engineIDs(largeFleet)...)
-				w.standby = tc.standby
+				sim := newSimulation(engineIDs(largeFleet)...)
+				sim.standby = tc.standby
 				var stops []func()
 				for i := range 30 {
-					stops = append(stops, w.startNode(t, fmt.Sprint("n", i)))
+					stops = append(stops, sim.startNode(t, fmt.Sprint("n", i)))
 				}
 				time.Sleep(time.Second)
-				w.requestVersion(2)
+				sim.requestVersion(2)
 				time.Sleep(8 * time.Second)
-				test.Positive(t, len(w.orders()))
-				test.LessEq(t, tc.maxReads, w.log.readCount())
+				test.Positive(t, len(sim.orders()))
+				test.LessEq(t, tc.maxReads, sim.log.readCount())
 				holders := map[string]bool{}
-				for _, g := range w.orders() {
-					holders[g.Holder] = true
+				for _, order := range sim.orders() {
+					holders[order.Holder] = true
 				}
 				test.MapLen(t, 1, holders)
 				for _, stop := range stops {
--- a/internal/weights/restart_test.go
+++ b/internal/weights/restart_test.go
@@ -28,8 +28,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var replies []Reply
-	for _, g := range e.delayed {
-		reply, err := e.accept(&fleet.Endpoint{ID: g.endpoint}, g.Order)
+	for _, order := range e.delayed {
+		reply, err := e.accept(&fleet.Endpoint{ID: order.endpoint}, order.Order)
 		if err == nil {
 			replies = append(replies, reply)
 		}
@@ -38,30 +38,30 @@
 	return replies
 }
 
-func fleetOf(w *simulation) *fleet.Fleet {
+func fleetOf(sim *simulation) *fleet.Fleet {
 	f := fleet.New(zerolog.Nop())
-	w.heartbeat(f)
+	sim.heartbeat(f)
 	return f
 }
 
-// TestRestartWhileLoading checks that an engine that restarts while loading is ordered again as soon as
-// the registry shows the restart, without waiting for the order sent to the previous start.
+// TestRestartWhileLoading checks that an engine that restarts while loading gets a new order as soon as
+// the registry shows the restart, without waiting for the order sent to the previous process.
 func TestRestartWhileLoading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation("a")
-		w.requestVersion(2)
-		stop := w.startNode(t, "n1")
+		sim := newSimulation("a")
+		sim.requestVersion(2)
+		stop := sim.startNode(t, "n1")
 		time.Sleep(8 * time.Second)
-		must.Eq(t, []int64{2}, w.versions())
-		w.requestVersion(3)
-		for len(w.orders()) < 2 {
+		must.Eq(t, []int64{2}, sim.versions())
+		sim.requestVersion(3)
+		for len(sim.orders()) < 2 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.engines.restart("a")
+		sim.engines.restart("a")
 		restarted := time.Now()
 		time.Sleep(8 * time.Second)
-		test.Eq(t, []int64{3}, w.versions())
-		orders := w.orders()
+		test.Eq(t, []int64{3}, sim.versions())
+		orders := sim.orders()
 		must.Len(t, 3, orders)
 		test.Eq(t, 0, orders[2].Expected)
 		test.Less(t, time.Second+drainTime+3*stepInterval, orders[2].at.Sub(restarted))
@@ -69,30 +69,30 @@
 	})
 }
 
-// TestOrderCarriedOutLate delivers a delayed order after a restart of the engine. The engine counts
-// orders from 0 again, so it accepts the order and returns to older weights. It must then be ordered to
-// load the latest version again.
-func TestOrderCarriedOutLate(t *testing.T) {
+// TestDelayedOrderAfterRestart delivers a delayed order after a restart of the engine. The engine counts
+// orders from 0 again, so it accepts the order and returns to older weights. It must then
+// get an order to load the latest version again.
+func TestDelayedOrderAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation("a", "b")
-		w.engines.delayOrders = 1
-		w.requestVersion(2)
-		stop := w.startNode(t, "n1")
-		for len(w.orders()) == 0 {
+		sim := newSimulation("a", "b")
+		sim.engines.delayOrders = 1
+		sim.requestVersion(2)
+		stop := sim.startNode(t, "n1")
+		for len(sim.orders()) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.requestVersion(3)
+		sim.requestVersion(3)
 		time.Sleep(12 * time.Second)
-		must.Eq(t, []int64{3, 3}, w.versions())
+		must.Eq(t, []int64{3, 3}, sim.versions())
 
-		id := w.engines.delayed[0].endpoint
-		w.engines.restart(id)
+		id := sim.engines.delayed[0].endpoint
+		sim.engines.restart(id)
 		time.Sleep(2 * time.Second)
-		must.Eq(t, []Reply{Taken}, w.engines.deliverDelayed())
+		must.Eq(t, []Reply{Taken}, sim.engines.deliverDelayed())
 		time.Sleep(loadTime + time.Millisecond)
-		must.SliceContains(t, w.versions(), 2)
+		must.SliceContains(t, sim.versions(), 2)
 		time.Sleep(12 * time.Second)
-		test.Eq(t, []int64{3, 3}, w.versions())
+		test.Eq(t, []int64{3, 3}, sim.versions())
 		stop()
 	})
 }
@@ -101,9 +101,9 @@
 func TestJobOfRestartedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Service{jobs: map[string]*job{"a": {model: model, version: 2, startedMs: 1, startedAt: time.Now(), orderedAt: time.Now()}}}
-		w := newSimulation("a")
-		w.engines.restart("a")
-		f := fleetOf(w)
+		sim := newSimulation("a")
+		sim.engines.restart("a")
+		f := fleetOf(sim)
 		test.SliceEmpty(t, s.nextChecks(f.All()))
 		test.MapEmpty(t, s.jobs)
 		s.startJobs(Outdated(f.All(), model, 2), model, 2, 1)
@@ -112,13 +112,13 @@
 	})
 }
 
-// TestReportOfAnotherStart checks that a report from another start of the engine, newer or older, does
+// TestReportOfAnotherProcess checks that a report from a newer or older process of the engine does
 // not affect a job.
-func TestReportOfAnotherStart(t *testing.T) {
+func TestReportOfAnotherProcess(t *testing.T) {
 	j := &job{startedMs: 2}
 	var matching []int64
 	for _, startedMs := range []int64{0, 1, 2, 3} {
-		if j.matchesStart(&Report{StartedMs: startedMs}) {
+		if j.matchesProcess(&Report{StartedMs: startedMs}) {
 			matching = append(matching, startedMs)
 		}
 	}
--- a/internal/weights/service.go
+++ b/internal/weights/service.go
@@ -34,10 +34,10 @@
 	stepInterval = 100 * time.Millisecond
 	// idleInterval is the time between two checks for pending updates by nodes without the claim.
 	idleInterval = 500 * time.Millisecond
-	// rankDelay spreads the nodes' first attempts to claim, so that the others observe the first
-	// node's claim.
-	rankDelay = 150 * time.Millisecond
-	ranks     = 6
+	// Nodes delay their first attempt to claim by 0 to claimDelaySteps-1 times claimDelayStep,
+	// depending on their names, so that the others observe the first node's claim.
+	claimDelayStep  = 150 * time.Millisecond
+	claimDelaySteps = 6
 	// nonStandbyDelay is the additional delay of nodes that are not standbys, so that standbys claim
 	// first.
 	nonStandbyDelay = 2500 * time.Millisecond
@@ -69,15 +69,16 @@
 	Log   zerolog.Logger
 }
 
-// Service sends the orders of one node.
+// Service is the update service of one node. While the node holds the claim, it sends orders to engines.
 type Service struct {
 	Config
 	claimer *claim.Claimer
 	jobs    map[string]*job // by endpoint
-	// postponed holds, by endpoint, the time at which a job was abandoned since the claim was acquired.
+	// postponed holds, by endpoint, the time at which its job was last abandoned. It is cleared when the
+	// claim is acquired.
 	postponed map[string]time.Time
 	closed    atomic.Pointer[[]Closed]
-	leads     atomic.Bool
+	holding   atomic.Bool // this node holds the claim
 
 	inFlight    sync.WaitGroup // orders in flight and the renewal of the claim
 	lastOrderAt time.Time      // time of the latest order
@@ -112,7 +113,7 @@
 		}
 		s.wait(ctx, s.claimDelay())
 		if s.pending() && s.mayClaim() {
-			s.lead(ctx)
+			s.holdClaim(ctx)
 		}
 	}
 	return nil
@@ -132,7 +133,7 @@
 // claimDelay returns the delay before this node's claim, which depends on a hash of its name and on
 // whether it is a standby.
 func (s *Service) claimDelay() time.Duration {
-	delay := time.Duration(xxhash.Sum64String(s.Node)%ranks) * rankDelay
+	delay := time.Duration(xxhash.Sum64String(s.Node)%claimDelaySteps) * claimDelayStep
 	if !s.Peers.Standby() {
 		delay += nonStandbyDelay
 	}
@@ -154,11 +155,11 @@
 	return false
 }
 
-// lead acquires the claim and sends orders until no engine is outdated or the claim is lost.
-func (s *Service) lead(ctx context.Context) {
+// holdClaim acquires the claim and sends orders until no engine is outdated or the claim is lost.
+func (s *Service) holdClaim(ctx context.Context) {
 	waiting, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go s.cancelWhenDone(waiting, cancel)
+	go s.cancelIfNotNeeded(waiting, cancel)
 	first, err := s.claimer.Acquire(waiting, resource, claimTTL)
 	if err != nil {
 		return
@@ -167,7 +168,7 @@
 	holding, stop := context.WithCancel(ctx)
 	defer stop()
 	held := s.keepRenewed(holding, first)
-	s.leads.Store(true)
+	s.holding.Store(true)
 	s.claimLost.Store(false)
 	clear(s.jobs)
 	clear(s.postponed)
@@ -175,7 +176,7 @@
 		s.wait(ctx, stepInterval)
 	}
 	clear(s.jobs)
-	s.leads.Store(false)
+	s.holding.Store(false)
 	s.closed.Store(nil)
 	stop()
 	s.inFlight.Wait()
@@ -210,16 +211,17 @@
 }
 
 // renew renews a claim, even if ctx is canceled during the renewal: a renewal that was written to the
-// log but not noticed could not be released when the node stops.
+// log but whose result was not received could not be released when the node stops.
 func (s *Service) renew(ctx context.Context, held *claim.Claim) (*claim.Claim, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), renewAt)
 	defer cancel()
 	return s.claimer.Renew(ctx, held, claimTTL)
 }
 
-// releaseClaim releases the claim of a node that stops, after the lease has passed since its last order.
+// releaseClaim releases the claim of a node that stops, after orderTimeout plus the lease has passed since
+// its last order.
 //
-// Without it, a node that starts in the meantime would wait for the full claim and the lease, counted
+// Without the release, a node that starts in the meantime would wait for the full claim and the lease, counted
 // from when it first read the claim. In a rolling restart engines would then keep replaced weights
 // beyond the operators' time limit.
 func (s *Service) releaseClaim(held *claim.Claim) {
@@ -232,7 +234,7 @@
 }
 
 // Leads reports whether this node holds the claim.
-func (s *Service) Leads() bool { return s.leads.Load() }
+func (s *Service) Leads() bool { return s.holding.Load() }
 
 // Closed returns the engines that this node is currently draining or loading.
 func (s *Service) Closed() []Closed {
@@ -243,9 +245,9 @@
 	return *closed
 }
 
-// cancelWhenDone cancels the wait for a claim when no engine is outdated any more or this node should
+// cancelIfNotNeeded cancels the wait for a claim when no engine is outdated any more or this node should
 // no longer claim.
-func (s *Service) cancelWhenDone(ctx context.Context, cancel context.CancelFunc) {
+func (s *Service) cancelIfNotNeeded(ctx context.Context, cancel context.CancelFunc) {
 	ticker := time.NewTicker(idleInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/weights/service_test.go
+++ b/internal/weights/service_test.go
@@ -14,19 +14,19 @@
 // at a time.
 func TestRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(nineEngines()...)
-		stops := []func(){w.startNode(t, "n1"), w.startNode(t, "n2"), w.startNode(t, "n3")}
+		sim := newSimulation(nineEngines()...)
+		stops := []func(){sim.startNode(t, "n1"), sim.startNode(t, "n2"), sim.startNode(t, "n3")}
 		time.Sleep(time.Second)
-		w.requestVersion(2)
+		sim.requestVersion(2)
 		time.Sleep(11 * time.Second)
-		test.Eq(t, slices.Repeat([]int64{2}, 9), w.versions())
-		test.Eq(t, minConcurrentLoads, w.engines.maxLoading)
+		test.Eq(t, slices.Repeat([]int64{2}, 9), sim.versions())
+		test.Eq(t, minConcurrentLoads, sim.engines.maxLoading)
 		holders := map[string]bool{}
-		for _, g := range w.orders() {
-			holders[g.Holder] = true
+		for _, order := range sim.orders() {
+			holders[order.Holder] = true
 		}
 		test.MapLen(t, 1, holders)
-		test.Len(t, 9, w.orders())
+		test.Len(t, 9, sim.orders())
 		for _, stop := range stops {
 			stop()
 		}
@@ -37,40 +37,40 @@
 // latest version directly.
 func TestNewerVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(nineEngines()...)
-		stop := w.startNode(t, "n1")
-		w.requestVersion(2)
+		sim := newSimulation(nineEngines()...)
+		stop := sim.startNode(t, "n1")
+		sim.requestVersion(2)
 		time.Sleep(4 * time.Second)
-		w.requestVersion(3)
+		sim.requestVersion(3)
 		time.Sleep(14 * time.Second)
-		test.Eq(t, slices.Repeat([]int64{3}, 9), w.versions())
-		for _, g := range w.orders() {
-			if g.Version == 2 {
-				test.Less(t, 5*time.Second, g.at.Sub(w.orders()[0].at))
+		test.Eq(t, slices.Repeat([]int64{3}, 9), sim.versions())
+		for _, order := range sim.orders() {
+			if order.Version == 2 {
+				test.Less(t, 5*time.Second, order.at.Sub(sim.orders()[0].at))
 			}
 		}
 		stop()
 	})
 }
 
-// TestHolderStops checks that a second node takes over with a higher token, not earlier than the lease
-// after the last order.
+// TestHolderStops checks that a second node takes over with a higher token and sends its first order
+// no earlier than the lease after the last order of the first node.
 func TestHolderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(nineEngines()...)
-		w.requestVersion(2)
-		stopFirst := w.startNode(t, "n1")
+		sim := newSimulation(nineEngines()...)
+		sim.requestVersion(2)
+		stopFirst := sim.startNode(t, "n1")
 		time.Sleep(3 * time.Second)
 		go stopFirst()
-		stopSecond := w.startNode(t, "n2")
+		stopSecond := sim.startNode(t, "n2")
 		time.Sleep(25 * time.Second)
-		test.Eq(t, slices.Repeat([]int64{2}, 9), w.versions())
+		test.Eq(t, slices.Repeat([]int64{2}, 9), sim.versions())
 		var last, first receivedOrder
-		for _, g := range w.orders() {
-			if g.Holder == "n1" {
-				last = g
+		for _, order := range sim.orders() {
+			if order.Holder == "n1" {
+				last = order
 			} else if first.Holder == "" {
-				first = g
+				first = order
 			}
 		}
 		must.NotEq(t, "", first.Holder)
@@ -83,17 +83,17 @@
 // TestStoreUnavailable checks that no orders are sent after the claim can no longer be renewed.
 func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(nineEngines()...)
-		w.requestVersion(2)
-		stop := w.startNode(t, "n1")
+		sim := newSimulation(nineEngines()...)
+		sim.requestVersion(2)
+		stop := sim.startNode(t, "n1")
 		time.Sleep(2 * time.Second)
-		w.log.mu.Lock()
-		w.log.down = true
-		w.log.mu.Unlock()
+		sim.log.mu.Lock()
+		sim.log.down = true
+		sim.log.mu.Unlock()
 		lost := time.Now()
 		time.Sleep(20 * time.Second)
-		for _, g := range w.orders() {
-			test.Less(t, claimTTL, g.at.Sub(lost))
+		for _, order := range sim.orders() {
+			test.Less(t, claimTTL, order.at.Sub(lost))
 		}
 		stop()
 	})
@@ -102,13 +102,13 @@
 // TestLostResponse checks that an executed order is not repeated when its response is lost.
 func TestLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation("a")
-		w.engines.loseResponses = 1
-		w.requestVersion(2)
-		stop := w.startNode(t, "n1")
+		sim := newSimulation("a")
+		sim.engines.loseResponses = 1
+		sim.requestVersion(2)
+		stop := sim.startNode(t, "n1")
 		time.Sleep(8 * time.Second)
-		test.Eq(t, []int64{2}, w.versions())
-		test.Len(t, 1, w.orders())
+		test.Eq(t, []int64{2}, sim.versions())
+		test.Len(t, 1, sim.orders())
 		stop()
 	})
 }
--- a/internal/weights/silent_test.go
+++ b/internal/weights/silent_test.go
@@ -29,14 +29,14 @@
 	case <-ctx.Done():
 	case <-time.After(callTimeout):
 	}
-	return Report{}, errDown
+	return Report{}, errNoResponse
 }
 
-// firstUpdated returns the first n engines in the order in which they are updated to a version.
+// firstUpdated returns the n engines that are updated to a version first.
 func firstUpdated(ids []string, version int64, n int) map[string]bool {
 	sorted := slices.Clone(ids)
 	slices.SortFunc(sorted, func(a, b string) int {
-		if updateRank(version, a) < updateRank(version, b) {
+		if updateOrderKey(version, a) < updateOrderKey(version, b) {
 			return -1
 		}
 		return 1
@@ -49,10 +49,10 @@
 }
 
 // outdatedExcept returns the number of engines with an older version, without the excluded ones.
-func (w *simulation) outdatedExcept(excluded map[string]bool, version int64) int {
+func (sim *simulation) outdatedExcept(excluded map[string]bool, version int64) int {
 	n := 0
-	for i, reported := range w.versions() {
-		if !excluded[w.ids[i]] && reported < version {
+	for i, reported := range sim.versions() {
+		if !excluded[sim.ids[i]] && reported < version {
 			n++
 		}
 	}
@@ -63,14 +63,14 @@
 // never report.
 func TestSilentEnginesArePostponed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(nineEngines()...)
-		silent := firstUpdated(w.ids, 2, 3)
-		w.reporter = silentReports{w.engines, silent}
-		stop := w.startNode(t, "n1")
+		sim := newSimulation(nineEngines()...)
+		silent := firstUpdated(sim.ids, 2, 3)
+		sim.reporter = silentReports{sim.engines, silent}
+		stop := sim.startNode(t, "n1")
 		time.Sleep(time.Second)
-		w.requestVersion(2)
+		sim.requestVersion(2)
 		time.Sleep(40 * time.Second)
-		test.Eq(t, 0, w.outdatedExcept(silent, 2), test.Sprint("responding engines that still have the older version"))
+		test.Eq(t, 0, sim.outdatedExcept(silent, 2), test.Sprint("responding engines that still have the older version"))
 		stop()
 	})
 }
@@ -79,16 +79,16 @@
 // report but ignore orders.
 func TestEnginesIgnoringOrdersArePostponed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(nineEngines()...)
-		ignoring := firstUpdated(w.ids, 2, 3)
+		sim := newSimulation(nineEngines()...)
+		ignoring := firstUpdated(sim.ids, 2, 3)
 		for id := range ignoring {
-			w.engines.silent[id] = 1000
+			sim.engines.silent[id] = 1000
 		}
-		stop := w.startNode(t, "n1")
+		stop := sim.startNode(t, "n1")
 		time.Sleep(time.Second)
-		w.requestVersion(2)
+		sim.requestVersion(2)
 		time.Sleep(40 * time.Second)
-		test.Eq(t, 0, w.outdatedExcept(ignoring, 2), test.Sprint("engines that accept orders and still have the older version"))
+		test.Eq(t, 0, sim.outdatedExcept(ignoring, 2), test.Sprint("engines that accept orders and still have the older version"))
 		stop()
 	})
 }
--- a/internal/weights/stop_test.go
+++ b/internal/weights/stop_test.go
@@ -15,11 +15,11 @@
 func TestStoppingHolderReleasesClaim(t *testing.T) {
 	for _, lost := range []int{0, 40} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newSimulation(nineEngines()...)
-			w.engines.loseResponses = lost
-			stop := w.startNode(t, "n1")
-			w.requestVersion(2)
-			for len(w.orders()) < 3 {
+			sim := newSimulation(nineEngines()...)
+			sim.engines.loseResponses = lost
+			stop := sim.startNode(t, "n1")
+			sim.requestVersion(2)
+			for len(sim.orders()) < 3 {
 				time.Sleep(10 * time.Millisecond)
 			}
 			stopped := make(chan struct{})
@@ -29,12 +29,12 @@
 			}()
 			time.Sleep(4 * time.Second)
 			started := time.Now()
-			before := w.orders()
-			stopNext := w.startNode(t, "n2")
-			for len(w.orders()) == len(before) && time.Since(started) < time.Minute {
+			before := sim.orders()
+			stopNext := sim.startNode(t, "n2")
+			for len(sim.orders()) == len(before) && time.Since(started) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
-			after := w.orders()
+			after := sim.orders()
 			must.Greater(t, len(before), len(after))
 			first, last := after[len(before)], before[len(before)-1]
 			test.Eq(t, "n1", last.Holder)
@@ -43,7 +43,7 @@
 			test.GreaterEq(t, lease, first.at.Sub(last.at))
 			test.Greater(t, last.Token, first.Token)
 			time.Sleep(20 * time.Second)
-			for _, version := range w.versions() {
+			for _, version := range sim.versions() {
 				test.Eq(t, 2, version)
 			}
 			stopNext()
@@ -56,11 +56,11 @@
 // without waiting.
 func TestIdleHolderStopsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation("a")
-		stop := w.startNode(t, "n1")
-		w.requestVersion(2)
+		sim := newSimulation("a")
+		stop := sim.startNode(t, "n1")
+		sim.requestVersion(2)
 		time.Sleep(10 * time.Second)
-		must.Eq(t, []int64{2}, w.versions())
+		must.Eq(t, []int64{2}, sim.versions())
 		started := time.Now()
 		stop()
 		test.Eq(t, 2*maxClaimTTL, time.Since(started), test.Sprint("the wait of the test's stop function"))
--- a/internal/weights/suspended_test.go
+++ b/internal/weights/suspended_test.go
@@ -18,18 +18,18 @@
 func TestSuspendedHolder(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newSimulation(nineEngines()...)
+			sim := newSimulation(nineEngines()...)
 			host := clocktest.New()
-			w.clock = host.Clock
-			stop := w.startNode(t, "n1")
-			w.requestVersion(2)
-			for len(w.orders()) < 3 {
+			sim.clock = host.Clock
+			stop := sim.startNode(t, "n1")
+			sim.requestVersion(2)
+			for len(sim.orders()) < 3 {
 				time.Sleep(10 * time.Millisecond)
 			}
-			before := w.orders()
+			before := sim.orders()
 			host.Suspend(d)
 			time.Sleep(40 * time.Second)
-			after := w.orders()
+			after := sim.orders()
 			must.Greater(t, len(before), len(after))
 			last, next := before[len(before)-1], after[len(before)]
 			if d >= claimTTL {
@@ -38,7 +38,7 @@
 				// A renewal also increases the token; there was no wait for a claim.
 				test.Less(t, lease, next.at.Sub(last.at), test.Sprint(d))
 			}
-			for _, version := range w.versions() {
+			for _, version := range sim.versions() {
 				test.Eq(t, 2, version)
 			}
 			stop()
@@ -50,9 +50,9 @@
 // suspension of the host.
 func TestSuspendedBetweenTwoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation("a")
+		sim := newSimulation("a")
 		host := clocktest.New()
-		s, err := New(Config{Node: "n1", Claims: w.log, Lease: lease, Clock: host.Clock})
+		s, err := New(Config{Node: "n1", Claims: sim.log, Lease: lease, Clock: host.Clock})
 		must.NoError(t, err)
 		held, err := s.claimer.Acquire(t.Context(), resource, claimTTL)
 		must.NoError(t, err)
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -6,7 +6,7 @@
 // orders. Each order contains the number of orders that the engine is expected to
 // have accepted before, so an engine rejects an order that is delayed and arrives
 // after another one. Engines count from 0 again after a restart and may then accept a
-// delayed order; an engine that returns to older weights this way is ordered again.
+// delayed order; an engine that returns to older weights this way gets a new order.
 // If the response to an order is lost, the engine's report is checked before the
 // order is repeated.
 package weights
@@ -44,7 +44,7 @@
 	Busy
 	// Fenced means that the engine has received a higher token, so the claim is lost.
 	Fenced
-	// Gone means that another endpoint now has the address.
+	// Gone means that the engine's address now belongs to another endpoint.
 	Gone
 )
 
@@ -86,7 +86,7 @@
 	return e.VersionOf(model)
 }
 
-// Engines calls engines.
+// Engines sends calls to engines.
 type Engines interface {
 	// Report returns an engine's state. It may be a few hundred ms old.
 	Report(ctx context.Context, at *fleet.Endpoint) (Report, error)
@@ -99,8 +99,8 @@
 type Wanted interface {
 	// Models returns the models for which a version was requested.
 	Models() []string
-	// Wanted returns the requested version of a model and a time before the request
-	// was made.
+	// Wanted returns the requested version of a model and a lower bound of the time
+	// at which it was requested.
 	Wanted(model string) (version int64, since time.Time)
 }
 
@@ -116,7 +116,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *fleet.Member) int {
-		return cmp.Or(cmp.Compare(a.VersionOf(model), b.VersionOf(model)), cmp.Compare(updateRank(version, a.ID), updateRank(version, b.ID)))
+		return cmp.Or(cmp.Compare(a.VersionOf(model), b.VersionOf(model)), cmp.Compare(updateOrderKey(version, a.ID), updateOrderKey(version, b.ID)))
 	})
 	return list
 }
@@ -127,7 +127,7 @@
 	return has > 0 && has < version
 }
 
-// updateRank returns the sort key of an engine among those with the same version.
-func updateRank(version int64, id string) uint64 {
+// updateOrderKey returns the sort key of an engine among those with the same version.
+func updateOrderKey(version int64, id string) uint64 {
 	return xxhash.Sum64String(strconv.FormatInt(version, 10) + "/" + id)
 }
