--- a/internal/relay/copy.go
+++ b/internal/relay/copy.go
@@ -22,11 +22,12 @@
 var ErrUnknown = errors.New("relay: copy does not contain the requested records")
 
 // Copy keeps the latest record of each key of a topic, so that other nodes can request changes. It
-// passes all batches on to Sink. It is safe for concurrent use.
+// forwards all batches to Sink. It is safe for concurrent use.
 type Copy struct {
 	Sink follow.Sink
-	// Same reports whether a record does not change the value, like a heartbeat. Such records are not
-	// relayed. If nil, all records are relayed.
+	// Same reports whether two values are equivalent, for example if the newer one is only a heartbeat.
+	// A record with an equivalent value is not relayed. Short forms are compared if Brief is set. If nil, all
+	// records are relayed.
 	Same func(before, after []byte) bool
 	// Brief returns the short form of a value that is kept and relayed. If nil, the full value is used.
 	Brief func(value []byte) []byte
@@ -53,7 +54,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if b.Snapshot {
-		// Keys removed before the snapshot are unknown.
+		// Which keys were removed before the snapshot is unknown.
 		c.latest = make(map[string]follow.Record, len(b.Records))
 		c.compressed = make(map[string]relayedRecord)
 		c.firstOffset = b.Next
@@ -89,17 +90,17 @@
 	if c.confirmedAt.IsZero() || from < c.firstOffset {
 		return changes{}, ErrUnknown
 	}
-	p := changes{next: c.next, age: c.Clock.Since(c.confirmedAt)}
+	result := changes{next: c.next, age: c.Clock.Since(c.confirmedAt)}
 	for _, r := range c.latest {
 		if r.Offset >= from {
-			p.records = append(p.records, c.newRelayedRecord(r))
+			result.records = append(result.records, c.newRelayedRecord(r))
 		}
 	}
-	slices.SortFunc(p.records, func(a, b relayedRecord) int { return int(a.Offset - b.Offset) })
-	if n := countFitting(p.records, maxBytes); n < len(p.records) {
-		p.next, p.records, p.more = p.records[n].Offset, p.records[:n], true
+	slices.SortFunc(result.records, func(a, b relayedRecord) int { return int(a.Offset - b.Offset) })
+	if n := countFitting(result.records, maxBytes); n < len(result.records) {
+		result.next, result.records, result.more = result.records[n].Offset, result.records[:n], true
 	}
-	return p, nil
+	return result, nil
 }
 
 // newRelayedRecord returns a record in the form in which it is relayed. The compressed form of a long value
@@ -108,11 +109,11 @@
 	if cached, ok := c.compressed[r.Key]; ok && cached.Offset == r.Offset {
 		return cached
 	}
-	t := newRelayedRecord(r)
-	if t.Deflated != nil {
-		c.compressed[r.Key] = t
+	relayed := newRelayedRecord(r)
+	if relayed.Deflated != nil {
+		c.compressed[r.Key] = relayed
 	}
-	return t
+	return relayed
 }
 
 // countFitting returns the number of leading records that fit into maxBytes, at least one.
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -40,9 +40,10 @@
 	return string(data)
 }
 
-// sameFirst treats values with the same first letter as equal.
+// sameFirst reports whether two values have the same first letter.
 func sameFirst(before, after []byte) bool { return before[0] == after[0] }
 
+// filledCopy returns a copy with records a and b that has all changes from offset 10 on.
 func filledCopy(confirmedAt time.Time) *Copy {
 	c := &Copy{Sink: discardSink{}, Same: sameFirst}
 	c.Apply(follow.Batch{Snapshot: true, Records: []follow.Record{record("a", "x1", 3), record("b", "y1", 7)}, Next: 10, ConfirmedAt: confirmedAt})
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -15,8 +15,8 @@
 	// recordOverhead is the size of a record in a response, in bytes, without its key and value.
 	recordOverhead = 64
 	// compressFrom is the length in bytes from which values are compressed. A configuration of 50 routes
-	// has 23 KB, which does not fit into a message, and 4 KB compressed. Without compression each node
-	// would read each change of it from the store.
+	// has 23 KB, which fits into a message only if compressed (4 KB). Without compression each node would
+	// read each change of it from the store.
 	compressFrom = 4 << 10
 	// maxValueBytes is the maximum size of a decompressed value, larger than any record of the store.
 	maxValueBytes = 4 << 20
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -126,7 +126,7 @@
 }
 
 // TestStoreIsReadIfReadersLackRecords checks that the store is read immediately if the readers respond but
-// no longer have the requested records, because the topic was compacted while this node was cut off.
+// no longer have the requested records, because the topic was compacted while this node was disconnected.
 func TestStoreIsReadIfReadersLackRecords(t *testing.T) {
 	own, _ := startRelay(t, nil)
 	_, reader := startRelay(t, filledCopy(time.Now()))
@@ -156,7 +156,7 @@
 	test.NoError(t, err)
 }
 
-// TestStoreIsReadIfReadersAreSilent checks that a node that was cut off from its readers and the store reads
+// TestStoreIsReadIfReadersAreSilent checks that a node that was disconnected from its readers and the store reads
 // the store again at the next read.
 func TestStoreIsReadIfReadersAreSilent(t *testing.T) {
 	own, _ := startRelay(t, nil)
--- a/internal/relay/topic.go
+++ b/internal/relay/topic.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// methodRecords is the name of the method. Calls may be repeated. The name must differ from that of
-	// builds without partial responses, which would treat a partial response as complete.
+	// methodRecords is the name of the method. Calls may be repeated. The name must change whenever the
+	// response format becomes incompatible: a node that does not support partial responses would treat
+	// one as complete.
 	methodRecords = "node.records"
 	// requestTimeout is the timeout of a request to a node. The network delay is about 1 ms, and a small
 	// host under load responds within a few tens of ms.
 	requestTimeout = 150 * time.Millisecond
 	// MaxAge is the default maximum age of a copy that is used. It is twice the wait time of a read of
-	// the store, which is the normal age of a copy, plus a margin. An older copy indicates that its node
-	// has lost the connection to the store.
+	// the store, which is the normal age of a copy, plus a margin. A copy is older if its node has lost the
+	// connection to the store.
 	MaxAge = 2500 * time.Millisecond
 )
 
@@ -33,8 +34,8 @@
 	// maxRecordBytes is the maximum size of the records of one response. It leaves room for the rest of
 	// the message.
 	maxRecordBytes = datagram.MaxBytes - 1<<10
-	// maxResponses is the maximum number of responses for one read, far more than the changes between
-	// two reads need.
+	// maxResponses is the maximum number of responses for one read. The changes between two reads need far
+	// fewer.
 	maxResponses = 32
 )
 
@@ -74,19 +75,19 @@
 func (r *Relay) Serve(topic string, c *Copy) { r.copies[topic] = c }
 
 func (r *Relay) serve(params json.RawMessage) (any, error) {
-	var q recordsRequest
-	if err := json.Unmarshal(params, &q); err != nil {
+	var req recordsRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, eris.Wrap(err, "decode records request")
 	}
-	c := r.copies[q.Topic]
+	c := r.copies[req.Topic]
 	if c == nil {
-		return nil, eris.Errorf("unknown topic %q", q.Topic)
+		return nil, eris.Errorf("unknown topic %q", req.Topic)
 	}
-	p, err := c.Since(q.From, maxRecordBytes)
+	result, err := c.Since(req.From, maxRecordBytes)
 	if err != nil {
 		return nil, err
 	}
-	return recordsResponse{Records: p.records, Next: p.next, AgeUS: p.age.Microseconds(), More: p.more}, nil
+	return recordsResponse{Records: result.records, Next: result.next, AgeUS: result.age.Microseconds(), More: result.more}, nil
 }
 
 // Topic is a topic that is read from other nodes' copies if there are any. If there are none or they
@@ -100,8 +101,8 @@
 	// Backups returns nodes that read the store themselves. They may still reach the store when this node
 	// does not.
 	Backups func() []netip.AddrPort
-	// Fallback returns the minimum time between failed reads of the store while the reader responds that
-	// its own copy is too old. The reader's copy becomes current again when the store is available. If
+	// Fallback returns the minimum time after a failed read of the store before the store is read again
+	// while the reader's copy is too old. That copy becomes current again when the store is available. If
 	// nil, the store is read each time.
 	Fallback func() time.Duration
 	// MaxAge is the maximum age of a copy that is used, for topics whose reads wait longer. 0 means the
@@ -123,7 +124,7 @@
 func (t *Topic) Read(ctx context.Context, from int64, wait time.Duration) (follow.Page, error) {
 	readers := t.Readers()
 	if len(readers) > 0 {
-		page, err := t.readFromNext(ctx, readers, from)
+		page, err := t.readFromCurrent(ctx, readers, from)
 		t.setRelayed(err == nil, err)
 		if err == nil {
 			return page, nil
@@ -149,7 +150,7 @@
 		t.setRelayed(false, cause)
 		return follow.Page{}, cause
 	}
-	page, err := t.readFromNext(ctx, backups, from)
+	page, err := t.readFromCurrent(ctx, backups, from)
 	t.setRelayed(err == nil, cause)
 	if err != nil {
 		return follow.Page{}, cause
@@ -157,8 +158,8 @@
 	return page, nil
 }
 
-// readFromNext reads from the current node and switches to the next one if that fails.
-func (t *Topic) readFromNext(ctx context.Context, nodes []netip.AddrPort, from int64) (follow.Page, error) {
+// readFromCurrent reads from the current node and switches to the next one if the read fails.
+func (t *Topic) readFromCurrent(ctx context.Context, nodes []netip.AddrPort, from int64) (follow.Page, error) {
 	page, err := t.readFrom(ctx, nodes[t.nodeIndex%len(nodes)], from)
 	if err != nil {
 		t.nodeIndex++
@@ -207,8 +208,8 @@
 func (t *Topic) readOnce(ctx context.Context, reader netip.AddrPort, from int64) (page follow.Page, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	var a recordsResponse
-	err = t.Relay.conn.Call(ctx, reader, methodRecords, recordsRequest{Topic: t.Name, From: from}, &a)
+	var r recordsResponse
+	err = t.Relay.conn.Call(ctx, reader, methodRecords, recordsRequest{Topic: t.Name, From: from}, &r)
 	var rpcErr *jsonrpc2.Error
 	if errors.As(err, &rpcErr) {
 		// The node is available but does not have the records, for example because the topic was
@@ -218,26 +219,26 @@
 	if err != nil {
 		return follow.Page{}, false, err
 	}
-	page, err = a.page(from, t.maxAge())
-	return page, a.More, err
+	page, err = r.page(from, t.maxAge())
+	return page, r.More, err
 }
 
 // page validates a response to a request from an offset and converts it to a page. Ages that are negative
 // or exceed the range of durations would make the copy appear more recent than it is. Offsets out of range
 // would cause records to be skipped.
-func (a *recordsResponse) page(from int64, maxAge time.Duration) (follow.Page, error) {
-	if a.AgeUS < 0 || a.Next < 0 || a.More && a.Next <= from {
-		return follow.Page{}, eris.Errorf("invalid response: age %d µs, next offset %d", a.AgeUS, a.Next)
+func (r *recordsResponse) page(from int64, maxAge time.Duration) (follow.Page, error) {
+	if r.AgeUS < 0 || r.Next < 0 || r.More && r.Next <= from {
+		return follow.Page{}, eris.Errorf("invalid response: age %d µs, next offset %d", r.AgeUS, r.Next)
 	}
-	if a.AgeUS >= maxAge.Microseconds() {
-		return follow.Page{}, eris.Wrapf(errStale, "age %d µs", a.AgeUS)
+	if r.AgeUS >= maxAge.Microseconds() {
+		return follow.Page{}, eris.Wrapf(errStale, "age %d µs", r.AgeUS)
 	}
-	page := follow.Page{Next: a.Next, Age: time.Duration(a.AgeUS+1) * time.Microsecond}
-	for i := range a.Records {
-		if offset := a.Records[i].Offset; offset < from || offset >= a.Next {
-			return follow.Page{}, eris.Errorf("record offset %d is not in [%d, %d)", offset, from, a.Next)
+	page := follow.Page{Next: r.Next, Age: time.Duration(r.AgeUS+1) * time.Microsecond}
+	for i := range r.Records {
+		if offset := r.Records[i].Offset; offset < from || offset >= r.Next {
+			return follow.Page{}, eris.Errorf("record offset %d is not in [%d, %d)", offset, from, r.Next)
 		}
-		record, err := a.Records[i].decompress()
+		record, err := r.Records[i].decompress()
 		if err != nil {
 			return follow.Page{}, err
 		}
