--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster maintains the node's view of the system: its members, the owner of
-// each key, and connections to the other nodes.
+// Package cluster maintains what this node has observed of the system: its members and
+// the owner of each key. It also maintains connections to the other nodes.
 //
 // Ownership is computed from the member view alone, so nodes with different views may
 // temporarily determine different owners. No guarantee to callers depends on a unique
@@ -33,7 +33,8 @@
 
 const methodExchange = "member.exchange"
 
-// Cluster is the node's view of the system. Other services add their peer methods to
+// Cluster is the service that maintains the members, the owners of keys and the
+// connections to other nodes. Other services add their peer methods to
 // Server before Run.
 type Cluster struct {
 	Server  *peers.Server
@@ -49,7 +50,7 @@
 	leavingHosts      atomic.Pointer[map[string]bool] // leaving hosts by address; nil before the first host list
 	hostsVersion      int64                           // version of the last host list; used only by pollHosts
 	owners            *owners
-	listed            atomic.Pointer[rendezvous.Set]
+	listed            atomic.Pointer[rendezvous.Set] // nodes on the host list
 
 	mu       sync.Mutex
 	onChange []func()
@@ -61,9 +62,10 @@
 )
 
 // New opens the listener for peers, which determines the node's own address, and
-// returns the service. No requests are served before Run. It fails if the address
-// cannot be used or the member configuration is invalid.
-func New(s *settings.Settings, config, dial *tls.Config, log zerolog.Logger) (*Cluster, error) {
+// returns the service. The listener uses listenTLS and connections to other nodes use
+// dialTLS; nil means without TLS. No requests are served before Run. New fails if the
+// address cannot be used or the member configuration is invalid.
+func New(s *settings.Settings, listenTLS, dialTLS *tls.Config, log zerolog.Logger) (*Cluster, error) {
 	c := &Cluster{
 		Traffic:           &peers.Traffic{},
 		domain:            s.Node.FailureDomain,
@@ -73,7 +75,7 @@
 	}
 	key := []byte(s.Peers.Key)
 	c.Server = peers.NewServer(key, c.Traffic)
-	addr, err := c.Server.Listen(s.Peers.Address, config)
+	addr, err := c.Server.Listen(s.Peers.Address, listenTLS)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +91,7 @@
 	self, _ := c.members.View().Lookup(s.Node.ID)
 	c.self = peers.Identity{ID: s.Node.ID, Incarnation: self.Incarnation, Addr: advertised}
 	c.Server.SetIdentity(c.self)
-	c.Pool = peers.NewPool(c.self, key, dial, c.Traffic)
+	c.Pool = peers.NewPool(c.self, key, dialTLS, c.Traffic)
 	peers.Handle(c.Server, methodExchange, c.serveExchange)
 	c.owners = newOwners(s.Node.ID)
 	c.owners.update(c.members.View())
@@ -161,8 +163,8 @@
 	c.onChange = append(c.onChange, f)
 }
 
-// followMembers updates the owners when the member view changes. A leaving node loses
-// its keys immediately, including this node.
+// followMembers updates the owners when the member view changes. A leaving node,
+// including this one, loses its keys immediately.
 func (c *Cluster) followMembers(ctx context.Context) {
 	views, cancel := c.members.Subscribe()
 	defer cancel()
--- a/internal/cluster/owners.go
+++ b/internal/cluster/owners.go
@@ -10,9 +10,9 @@
 	"github.com/cherryward/cherryward/coord/rendezvous"
 )
 
-// cachedKeys is the maximum number of untracked keys whose owner is cached until the
-// nodes change. It exceeds the number of client accounts and models.
-const cachedKeys = 4096
+// maxCachedKeys is the maximum number of untracked keys whose owner is cached until the
+// nodes change. It exceeds the expected number of client accounts and models.
+const maxCachedKeys = 4096
 
 // owners determines the owner of each key. It is safe for concurrent use.
 type owners struct {
@@ -30,7 +30,7 @@
 
 func newOwners(self string) *owners {
 	set := rendezvous.NewSet(nil)
-	ownerCache, _ := lru.New[string, string](cachedKeys) // fails only for an invalid size
+	ownerCache, _ := lru.New[string, string](maxCachedKeys) // fails only for an invalid size
 	return &owners{
 		self:       self,
 		set:        set,
@@ -40,7 +40,8 @@
 	}
 }
 
-// update makes the members that accept new work the possible owners.
+// update makes the members that accept new work, and whose incarnation is known, the
+// possible owners.
 func (o *owners) update(view member.View) {
 	nodes := make([]rendezvous.Node, 0, len(view.Members))
 	addrs := make(map[string]string, len(view.Members))
@@ -128,7 +129,7 @@
 func (c *Cluster) Untrack(key string) { c.owners.untrack(key) }
 
 // Owned returns the tracked keys that this node owns, in no particular order. Its cost
-// depends only on their number.
+// depends only on the number of these keys.
 func (c *Cluster) Owned() []string { return c.owners.owned() }
 
 // OwnerChanges returns how often a tracked key was assigned to this node or taken from
@@ -139,8 +140,8 @@
 	return c.owners.changes
 }
 
-// Owner returns the node that owns a key according to this node's view. If the view has
-// no possible owner, it returns this node.
+// Owner returns the node that owns a key according to this node's member view. If the
+// view contains no possible owner, it returns this node.
 func (c *Cluster) Owner(key string) (id, addr string) {
 	id, addr, ok := c.owners.owner(key)
 	if !ok {
