--- a/internal/peers/fuzz_test.go
+++ b/internal/peers/fuzz_test.go
@@ -24,8 +24,8 @@
 	return &session{server: s, conn: newCountedConn(conn, &Traffic{})}, &calls
 }
 
-// prove completes the handshake of a session.
-func prove(t *testing.T, s *session) {
+// authenticate completes the handshake of a session.
+func authenticate(t *testing.T, s *session) {
 	hello := helloRequest{From: client, Nonce: newNonce()}
 	_, err := s.serve(t.Context(), request(t, methodHello, hello))
 	must.NoError(t, err)
@@ -40,8 +40,8 @@
 }
 
 // FuzzSession sends two messages with arbitrary methods and parameters to a session.
-// Before the proof only the handshake may be served. After it the method must be called
-// exactly if the parameters decode, and no message may change the session's identity or
+// Before authentication only the handshake may be served. After it the method must be
+// called if and only if the parameters can be decoded, and no message may change the session's identity or
 // repeat the handshake.
 func FuzzSession(f *testing.F) {
 	hello, _ := json.Marshal(helloRequest{From: client, Nonce: newNonce()})
@@ -52,17 +52,17 @@
 	f.Add("", []byte(`{"Text":"\ud800"}`), "\xff", []byte("\x00"))
 	f.Fuzz(func(t *testing.T, first string, firstParams []byte, second string, secondParams []byte) {
 		messages := []*jsonrpc2.Request{message(first, firstParams), message(second, secondParams)}
-		unproved, calls := newCountingSession()
+		unauthenticated, calls := newCountingSession()
 		for _, m := range messages {
-			_, err := unproved.serve(t.Context(), m)
+			_, err := unauthenticated.serve(t.Context(), m)
 			must.True(t, err == nil || result.Is(err, result.PeerKey), must.Sprint(err))
 		}
-		must.False(t, unproved.proved.Load())
-		must.False(t, unproved.conn.unlimited.Load())
+		must.False(t, unauthenticated.authenticated.Load())
+		must.False(t, unauthenticated.conn.unlimited.Load())
 		must.Eq(t, 0, *calls)
 
 		peer, calls := newCountingSession()
-		prove(t, peer)
+		authenticate(t, peer)
 		for _, m := range messages {
 			before := *calls
 			reply, err := peer.serve(t.Context(), m)
--- a/internal/peers/handshake.go
+++ b/internal/peers/handshake.go
@@ -34,8 +34,8 @@
 
 type proveResponse struct{}
 
-// transcript contains the identities and nonces that both ends have exchanged with the
-// hello.
+// transcript contains the identities and nonces that both ends exchanged in the hello
+// call.
 type transcript struct {
 	client, server           Identity
 	clientNonce, serverNonce []byte
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -68,7 +68,7 @@
 	must.Eq(t, result.PeerMethod, result.From(err).Code)
 }
 
-func TestHandshakeRefusesAnotherKey(t *testing.T) {
+func TestHandshakeRejectsAnotherKey(t *testing.T) {
 	addr := startServer(t)
 	pool := NewPool(client, []byte("another key here"), nil, &Traffic{})
 	_, err := Call[echoRequest, echoResponse](t.Context(), pool, addr, "echo", &echoRequest{Text: "hi"})
@@ -76,14 +76,14 @@
 	must.Eq(t, result.PeerKey, result.From(err).Code)
 }
 
-// A client that skips the proof, or sends back the server's own proof, must be
-// rejected.
+// TestServerRejectsMissingProof checks that a client is rejected if it skips the proof or
+// sends back the server's own proof.
 func TestServerRejectsMissingProof(t *testing.T) {
 	addr := startServer(t)
 	dial := func() *jsonrpc2.Conn {
 		raw, err := net.Dial("tcp", addr)
 		must.NoError(t, err)
-		return jsonrpc2.NewConn(t.Context(), jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{}), refuseCalls{}, silentLogger)
+		return jsonrpc2.NewConn(t.Context(), jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{}), rejectCalls{}, silentLogger)
 	}
 	conn := dial()
 	must.Error(t, conn.Call(t.Context(), "echo", echoRequest{Text: "hi"}, &echoResponse{}))
@@ -129,7 +129,7 @@
 	}
 	must.NoError(t, call())
 	must.NoError(t, s.Close())
-	<-pool.slots[addr.String()].peer.conn.DisconnectNotify()
+	<-pool.slots[addr.String()].peerConn.conn.DisconnectNotify()
 	must.True(t, IsNotSent(call()))
 
 	restarted := newServer()
@@ -149,8 +149,8 @@
 	f.Add([]byte(`{"nonce":"AAAA"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := &session{server: newServer()}
-		if _, err := s.serveHello(data); err == nil && s.proved.Load() {
-			t.Fatal("session is proved after a hello without a proof")
+		if _, err := s.serveHello(data); err == nil && s.authenticated.Load() {
+			t.Fatal("session is authenticated after a hello without a proof")
 		}
 	})
 }
--- a/internal/peers/pool.go
+++ b/internal/peers/pool.go
@@ -46,21 +46,21 @@
 // returns an error with the same result code. *NotSentError means that the call did not
 // reach the node. After any other error it may have reached the node.
 func Call[Req, Resp any](ctx context.Context, p *Pool, addr, method string, req *Req) (*Resp, error) {
-	l, err := p.acquire(ctx, addr)
+	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return nil, &NotSentError{Cause: err}
 	}
-	defer l.release()
+	defer c.release()
 	p.traffic.Calls.Add(1)
 	resp := new(Resp)
-	if err := l.conn.Call(ctx, method, req, resp); err != nil {
+	if err := c.conn.Call(ctx, method, req, resp); err != nil {
 		return nil, fromWire(err)
 	}
 	return resp, nil
 }
 
 // CallOrServe calls a method of a node like Call. If the node is this one, it calls
-// serve directly, which must be the method's function passed to Handle.
+// serve, the function passed to Handle for the method.
 func CallOrServe[Req, Resp any](ctx context.Context, p *Pool, node, addr, method string, req *Req, serve func(context.Context, Identity, *Req) (*Resp, error)) (*Resp, error) {
 	if node == p.self.ID {
 		return serve(ctx, p.self, req)
@@ -69,14 +69,14 @@
 }
 
 // Identity returns the identity of the node at addr. It connects to the node if
-// necessary.
+// necessary and fails if it cannot connect.
 func (p *Pool) Identity(ctx context.Context, addr string) (Identity, error) {
-	l, err := p.acquire(ctx, addr)
+	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return Identity{}, err
 	}
-	defer l.release()
-	return l.peer, nil
+	defer c.release()
+	return c.identity, nil
 }
 
 // Run periodically closes idle connections. When ctx is done, it closes all connections
@@ -109,9 +109,9 @@
 // acquire returns a connection to the node at addr. The caller must release it.
 func (p *Pool) acquire(ctx context.Context, addr string) (*peerConn, error) {
 	for {
-		l, err := p.slot(addr).use(ctx, func() (*peerConn, error) { return p.dial(ctx, addr) })
-		if !errors.Is(err, errDropped) {
-			return l, err
+		c, err := p.slot(addr).use(ctx, func() (*peerConn, error) { return p.dial(ctx, addr) })
+		if !errors.Is(err, errSlotRemoved) {
+			return c, err
 		}
 	}
 }
@@ -128,13 +128,13 @@
 	counted := newCountedConn(raw, p.traffic)
 	counted.unlimited.Store(true)
 	stream := jsonrpc2.NewBufferedStream(counted, jsonrpc2.VarintObjectCodec{})
-	conn := jsonrpc2.NewConn(context.Background(), stream, refuseCalls{}, silentLogger)
-	peer, err := p.handshake(ctx, conn)
+	conn := jsonrpc2.NewConn(context.Background(), stream, rejectCalls{}, silentLogger)
+	identity, err := p.handshake(ctx, conn)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return &peerConn{conn: conn, peer: peer}, nil
+	return &peerConn{conn: conn, identity: identity}, nil
 }
 
 // tlsFor returns a TLS configuration that requires a certificate for the host of addr.
@@ -166,7 +166,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, s := range p.slots {
-		if s.dropIfIdle(before) {
+		if s.removeIfIdle(before) {
 			delete(p.slots, addr)
 		}
 	}
@@ -186,12 +186,12 @@
 	}
 }
 
-// refuseCalls is the handler of dialed connections. It rejects all calls, because only
+// rejectCalls is the handler of dialed connections. It rejects all calls, because only
 // the dialing end makes calls.
-type refuseCalls struct{}
+type rejectCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (refuseCalls) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
+func (rejectCalls) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if !req.Notif {
 		_ = conn.ReplyWithError(ctx, req.ID, toWire(result.New(result.PeerMethod)))
 	}
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -143,9 +143,9 @@
 	server *Server
 	conn   *countedConn
 
-	mu     sync.Mutex
-	hello  *transcript
-	proved atomic.Bool
+	mu            sync.Mutex
+	hello         *transcript
+	authenticated atomic.Bool // the client has proved that it has the shared key
 }
 
 var _ jsonrpc2.Handler = (*session)(nil)
@@ -186,7 +186,7 @@
 	case methodProve:
 		return s.serveProve(params)
 	}
-	if !s.proved.Load() {
+	if !s.authenticated.Load() {
 		_ = s.conn.Close()
 		return nil, result.New(result.PeerKey)
 	}
@@ -226,6 +226,6 @@
 		return nil, err
 	}
 	s.conn.unlimited.Store(true)
-	s.proved.Store(true)
+	s.authenticated.Store(true)
 	return &proveResponse{}, nil
 }
--- a/internal/peers/server_test.go
+++ b/internal/peers/server_test.go
@@ -12,8 +12,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// A connection without a proof must be closed after the handshake timeout; one with a
-// proof must be kept.
+// TestConnectionWithoutProofIsClosed checks that a connection without a proof is closed
+// after the handshake timeout, and that one with a proof is kept.
 func TestConnectionWithoutProofIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer()
@@ -27,7 +27,7 @@
 		clientEnd, serverEnd := net.Pipe()
 		s.serveConn(serverEnd)
 		stream := jsonrpc2.NewBufferedStream(clientEnd, jsonrpc2.VarintObjectCodec{})
-		conn := jsonrpc2.NewConn(t.Context(), stream, refuseCalls{}, silentLogger)
+		conn := jsonrpc2.NewConn(t.Context(), stream, rejectCalls{}, silentLogger)
 		_, err = NewPool(client, key, nil, &Traffic{}).handshake(t.Context(), conn)
 		must.NoError(t, err)
 		time.Sleep(2 * handshakeTimeout)
@@ -40,7 +40,8 @@
 	})
 }
 
-// failingListener fails a number of accepts for lack of file descriptors.
+// failingListener fails the next accepts for lack of file descriptors. It is closed after
+// them.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -55,7 +56,8 @@
 	return nil, syscall.EMFILE
 }
 
-// A temporary lack of file descriptors must not stop the server, a permanent one must.
+// TestServeRetriesFailedAccepts checks that a temporary lack of file descriptors does not
+// stop the server and that a permanent one does.
 func TestServeRetriesFailedAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer()
--- a/internal/peers/slot_test.go
+++ b/internal/peers/slot_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A caller that waits for another caller's dial of a silent node must return when its
-// own context is done.
+// TestCallerDoesNotWaitForConcurrentDial checks that a caller that waits for another
+// caller's dial of a silent node returns when its own context is done.
 func TestCallerDoesNotWaitForConcurrentDial(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -39,7 +39,8 @@
 	must.Error(t, <-first)
 }
 
-// A connection with a call in flight must not be closed as idle.
+// TestIdleSweepKeepsConnectionsInUse checks that a connection with a call in flight is not
+// closed as idle.
 func TestIdleSweepKeepsConnectionsInUse(t *testing.T) {
 	s := newServer()
 	called, answer := make(chan struct{}), make(chan struct{})
@@ -67,12 +68,12 @@
 	must.MapEmpty(t, pool.slots)
 }
 
-// A slot that is dropped before its first use must not be dialed, because nothing would
-// close the connection.
-func TestDroppedSlotIsNotUsed(t *testing.T) {
+// TestRemovedSlotIsNotUsed checks that a slot that is removed before its first use is not
+// dialed, because nothing would close the connection.
+func TestRemovedSlotIsNotUsed(t *testing.T) {
 	pool := NewPool(client, key, nil, &Traffic{})
 	s := pool.slot("127.0.0.1:1")
 	pool.closeIdle(time.Now())
 	_, err := s.use(t.Context(), func() (*peerConn, error) { return nil, io.EOF })
-	must.ErrorIs(t, err, errDropped)
+	must.ErrorIs(t, err, errSlotRemoved)
 }
