--- a/internal/kvcache/breaker.go
+++ b/internal/kvcache/breaker.go
@@ -15,9 +15,9 @@
 	breakerMaxPause = 30 * time.Second
 )
 
-// ErrStoreDown is returned instead of calling a store host whose circuit breaker
+// ErrBreakerOpen is returned instead of calling a store host whose circuit breaker
 // is open.
-var ErrStoreDown = errors.New("kvcache: store host unavailable: circuit breaker is open")
+var ErrBreakerOpen = errors.New("kvcache: store host unavailable: circuit breaker is open")
 
 // breaker is the circuit breaker of one store host. It opens after repeated errors
 // or timeouts, so that prompts are recomputed without waiting for the store host.
@@ -36,7 +36,7 @@
 	pause.InitialInterval = breakerMinPause
 	pause.MaxInterval = breakerMaxPause
 	pause.Multiplier = 2
-	pause.RandomizationFactor = 0 // a store host has one owner, so retries need no jitter
+	pause.RandomizationFactor = 0 // a store host normally has one owner, so retries need no jitter
 	return &breaker{pause: pause}
 }
 
--- a/internal/kvcache/engineindex.go
+++ b/internal/kvcache/engineindex.go
@@ -55,14 +55,14 @@
 
 // EngineIndex is the owner's estimate of the blocks in an engine's cache. It may be
 // wrong: the engine decides by its own block ids what is reused. The capacity
-// bounds its memory. Safe for concurrent use.
+// limits its memory. Safe for concurrent use.
 type EngineIndex struct {
 	mu          sync.Mutex
 	capacity    int
 	incarnation string
-	lastSeq     uint64 // sequence number of the last event applied
+	lastSeq     uint64 // sequence number of the last event read
 	synced      bool
-	stale       bool // another incarnation was seen since the last Resync; lookups find nothing
+	stale       bool // another incarnation was reported since the last Resync; lookups find nothing
 	entries     *simplelru.LRU[Fingerprint, *chunkEntry]
 	byID        map[string]*blockState
 }
@@ -71,11 +71,11 @@
 // fingerprints. Call Resync before the first use.
 func NewEngineIndex(capacity int) *EngineIndex {
 	x := &EngineIndex{capacity: max(capacity, 1), byID: make(map[string]*blockState)}
-	cells, err := simplelru.NewLRU[Fingerprint, *chunkEntry](x.capacity, x.onEvict)
+	entries, err := simplelru.NewLRU[Fingerprint, *chunkEntry](x.capacity, x.onEvict)
 	if err != nil {
 		panic(err) // the capacity is positive
 	}
-	x.entries = cells
+	x.entries = entries
 	return x
 }
 
@@ -84,15 +84,15 @@
 func (x *EngineIndex) Lookup(chain Chain, promptTokens int) CachedPrefix {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var held CachedPrefix
+	var cached CachedPrefix
 	x.walkCached(chain, func(_ Fingerprint, state *blockState) {
-		held.Blocks++
-		held.Tokens = state.block.EndToken
+		cached.Blocks++
+		cached.Tokens = state.block.EndToken
 	})
 	if promptTokens > 0 {
-		held.Tokens = min(held.Tokens, promptTokens)
+		cached.Tokens = min(cached.Tokens, promptTokens)
 	}
-	return held
+	return cached
 }
 
 // Placements returns the blocks that Lookup counts, in the form that exports use.
@@ -182,8 +182,8 @@
 }
 
 // AdvanceTo records that a read of events covered all sequence numbers up to last.
-// If the events applied end before last, some are missing and the index needs a
-// Resync.
+// If the events passed to Apply end before last, some are missing and the index
+// needs a Resync.
 func (x *EngineIndex) AdvanceTo(incarnation string, last uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -208,8 +208,8 @@
 }
 
 // checkIncarnation reports whether the incarnation is that of the index, which is
-// the first one seen. Any other incarnation, older or newer, makes the whole index
-// stale until Resync.
+// that of the last Resync, or before it the first one reported. Any other
+// incarnation, older or newer, makes the whole index stale until Resync.
 func (x *EngineIndex) checkIncarnation(incarnation string) bool {
 	if x.incarnation == "" {
 		x.incarnation = incarnation
@@ -243,8 +243,8 @@
 }
 
 // put records a block at a fingerprint. It replaces a different block with the same
-// index and reports a conflict: the prefix chosen for one of the two is too short
-// to determine the block.
+// index and reports a conflict: one of the two blocks was recorded at a prefix that
+// ends before the block does.
 func (x *EngineIndex) put(at Fingerprint, index int, block Block) (conflict bool) {
 	c, ok := x.entries.Get(at)
 	if !ok {
--- a/internal/kvcache/engineobserve.go
+++ b/internal/kvcache/engineobserve.go
@@ -171,11 +171,11 @@
 	}
 	from, to := points[i-1], points[i]
 	depth := from.depth + (target-from.tokens)/(to.tokens-from.tokens)*(to.depth-from.depth)
-	return max(1, int(math.Ceil(depth-depthSlack)))
+	return max(1, int(math.Ceil(depth-depthTolerance)))
 }
 
-// depthSlack prevents rounding errors from moving a block one chunk deeper.
-const depthSlack = 1e-9
+// depthTolerance prevents rounding errors from moving a block one chunk deeper.
+const depthTolerance = 1e-9
 
 func tokensAt(points []tokenPoint, depth float64) int {
 	last := len(points) - 1
--- a/internal/kvcache/estimate.go
+++ b/internal/kvcache/estimate.go
@@ -20,15 +20,15 @@
 // estimate is empty if there is nothing to import or the store host's breaker is
 // open; the prompt is then recomputed.
 func (h *StoreHost) Estimate(chain Chain, layout string, engineTokens int, path link.Path) StoreEstimate {
-	held := h.Lookup(chain, layout, engineTokens)
-	if held.Bytes == 0 {
+	stored := h.Lookup(chain, layout, engineTokens)
+	if stored.Bytes == 0 {
 		return StoreEstimate{}
 	}
 	e := path.Estimate(h.clock(), link.Import)
 	return StoreEstimate{
 		Store:          h.url,
-		Tokens:         held.Tokens,
-		Bytes:          held.Bytes,
+		Tokens:         stored.Tokens,
+		Bytes:          stored.Bytes,
 		BytesPerSecond: e.BytesPerSecond,
 		QueueDelay:     e.QueueDelay,
 	}
--- a/internal/kvcache/export.go
+++ b/internal/kvcache/export.go
@@ -15,8 +15,9 @@
 	// ErrExportTooLate is returned for an export that took so long that a sweep may
 	// delete its blocks.
 	ErrExportTooLate = errors.New("kvcache: export took too long, blocks may be swept before they are published")
-	// ErrNotVerified is returned for a block that is incomplete on the store host or
-	// whose checksum differs from that of the bytes the engine wrote.
+	// ErrNotVerified is returned for a block that is missing or incomplete on the store
+	// host, that the engine did not report as written, or whose checksum differs from
+	// that of the bytes the engine wrote.
 	ErrNotVerified = errors.New("kvcache: block is incomplete on the store host or fails its checksum")
 )
 
@@ -36,20 +37,20 @@
 type ExportPlan struct {
 	Transfer  Transfer
 	manifests []Manifest
-	reserved  time.Time
+	plannedAt time.Time
 }
 
-// Reserve plans the export of the blocks that have no manifest yet. placements must
+// PlanExport plans the export of the blocks that have no manifest yet. placements must
 // be in chain order from the first block. The plan has at most maxBlocks blocks (0:
-// no limit) and is empty if there is nothing to export. Reserve does not allocate
-// space on the store host.
-func (h *StoreHost) Reserve(req Request, placements []Placement, maxBlocks int, bytesPerSecond int64) (ExportPlan, error) {
+// no limit) and is empty if there is nothing to export. PlanExport does not
+// reserve space on the store host.
+func (h *StoreHost) PlanExport(req Request, placements []Placement, maxBlocks int, bytesPerSecond int64) (ExportPlan, error) {
 	if h.breaker.Open() || h.exportsPaused() {
 		return ExportPlan{}, ErrExportsPaused
 	}
 	plan := ExportPlan{
-		Transfer: Transfer{Store: h.url, BytesPerSecond: bytesPerSecond, Timeout: h.timing.MaxExport},
-		reserved: h.clock(),
+		Transfer:  Transfer{Store: h.url, BytesPerSecond: bytesPerSecond, Timeout: h.timing.MaxExport},
+		plannedAt: h.clock(),
 	}
 	stored := h.Index.Manifests(req.Chain, req.Layout)
 	parent := ""
@@ -59,7 +60,7 @@
 		}
 		if i < len(stored) {
 			if stored[i].Block != p.Block.ID {
-				break // stored by a conversation that diverges within this chunk; see docs/design
+				break // stored by a conversation that diverges within this chunk
 			}
 			parent = stored[i].Key
 			continue
@@ -112,9 +113,9 @@
 	if len(plan.manifests) == 0 {
 		return 0, nil
 	}
-	orderCtx, cancel := context.WithTimeout(ctx, plan.Transfer.Timeout+h.timing.Call)
+	transferCtx, cancel := context.WithTimeout(ctx, plan.Transfer.Timeout+h.timing.Call)
 	defer cancel()
-	results, err := engine.Export(orderCtx, plan.Transfer)
+	results, err := engine.Export(transferCtx, plan.Transfer)
 	if err != nil {
 		return 0, err
 	}
@@ -124,8 +125,8 @@
 // commit publishes the blocks of a finished export in chain order: it verifies each
 // block on the store host, then puts its manifest. It stops at the first block that
 // is incomplete or whose outcome is unknown, because lookups cannot reach the
-// blocks after it. After an error the plan must not be committed again; make a new
-// one.
+// blocks after it. After an error the plan must not be committed again; a new plan is
+// needed.
 func (h *StoreHost) commit(ctx context.Context, plan ExportPlan, results []TransferResult) (int, error) {
 	for i, m := range plan.manifests {
 		if i >= len(results) || !results[i].OK || results[i].Block != m.Block {
@@ -135,10 +136,10 @@
 		}
 		m.Checksum, m.Bytes = results[i].Checksum, results[i].Bytes
 		if err := h.verify(ctx, m); err != nil {
-			h.discardVerified(ctx, err, plan.manifests[i:])
+			h.discardIfNotVerified(ctx, err, plan.manifests[i:])
 			return i, err
 		}
-		if h.clock().Sub(plan.reserved) > h.timing.MaxExport+h.timing.Grace-h.timing.Call {
+		if h.clock().Sub(plan.plannedAt) > h.timing.MaxExport+h.timing.Grace-h.timing.Call {
 			return i, ErrExportTooLate
 		}
 		if err := h.publish(ctx, m); err != nil {
@@ -149,7 +150,7 @@
 }
 
 // verify checks size, checksum and completeness of the block on the store host. It
-// returns ErrNotVerified if they do not match the manifest.
+// returns ErrNotVerified if they do not match the manifest or the block does not exist.
 func (h *StoreHost) verify(ctx context.Context, m Manifest) error {
 	info, err := h.store.BlockInfo(ctx, m.Name)
 	if errors.Is(err, ErrNotFound) {
@@ -187,7 +188,9 @@
 	return nil
 }
 
-func (h *StoreHost) discardVerified(ctx context.Context, err error, manifests []Manifest) {
+// discardIfNotVerified discards the blocks if err is ErrNotVerified. After any other error
+// they may be complete.
+func (h *StoreHost) discardIfNotVerified(ctx context.Context, err error, manifests []Manifest) {
 	if errors.Is(err, ErrNotVerified) {
 		h.discard(ctx, manifests)
 	}
--- a/internal/kvcache/fakeengine_test.go
+++ b/internal/kvcache/fakeengine_test.go
@@ -9,7 +9,7 @@
 const fakeBlockBytes = 64
 
 // fakeEngine copies blocks to and from the store. The correct contents of a block
-// are derived from its id. It reports a write that breaks off as successful, like an
+// are derived from its id. It reports an incomplete write as successful, like an
 // engine that does not detect a broken connection.
 type fakeEngine struct {
 	store      *fakeStore
--- a/internal/kvcache/fakestore_test.go
+++ b/internal/kvcache/fakestore_test.go
@@ -47,7 +47,7 @@
 	// correct contents or miss.
 	restoredDuringCall bool
 	violation          error
-	accepted           int // blocks that engines took as correct
+	accepted           int // blocks that engines accepted as correct
 }
 
 var _ Store = (*fakeStore)(nil)
@@ -200,7 +200,7 @@
 func (s *fakeStore) checkDelete(name string) {
 	for _, m := range s.manifests {
 		if m.Name == name && s.published[name] {
-			s.recordViolation("block %s deleted under its manifest", name)
+			s.recordViolation("block %s deleted before its manifest", name)
 		}
 	}
 	if s.published[name] && s.now.Sub(s.unpublished[name]) < testTiming.MaxImport {
--- a/internal/kvcache/fault_test.go
+++ b/internal/kvcache/fault_test.go
@@ -48,17 +48,17 @@
 }
 
 func TestOnlyCompleteBlocksArePublished(t *testing.T) {
-	right := blockContents("b")
-	m := Manifest{Name: "n", Bytes: fakeBlockBytes, Checksum: checksumOf(right)}
+	correct := blockContents("b")
+	m := Manifest{Name: "n", Bytes: fakeBlockBytes, Checksum: checksumOf(correct)}
 	other := blockContents("other")
 	cases := map[string]struct {
 		block fakeBlock
 		want  error
 	}{
-		"whole":      {fakeBlock{data: right, complete: true}, nil},
-		"incomplete": {fakeBlock{data: right}, ErrNotVerified},
+		"whole":      {fakeBlock{data: correct, complete: true}, nil},
+		"incomplete": {fakeBlock{data: correct}, ErrNotVerified},
 		"other":      {fakeBlock{data: other, complete: true}, ErrNotVerified},
-		"short":      {fakeBlock{data: right[1:], complete: true, reportedChecksum: m.Checksum}, ErrNotVerified},
+		"short":      {fakeBlock{data: correct[1:], complete: true, reportedChecksum: m.Checksum}, ErrNotVerified},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 func TestRepeatedPut(t *testing.T) {
 	s := newFakeStore()
 	h, e, req := newOwner(t, s, "a"), &fakeEngine{store: s}, request("c", 2)
-	plan, err := h.Reserve(req, placements(req), 0, 0)
+	plan, err := h.PlanExport(req, placements(req), 0, 0)
 	must.NoError(t, err)
 	results, err := e.Export(ctx, plan.Transfer)
 	must.NoError(t, err)
@@ -91,9 +91,9 @@
 	req := request("c", 4)
 	key := func(i int) string { return newStoreKey(req.Chain[i], testLayout, i).String() }
 	cases := []struct {
-		name  string
-		fault func(*fakeStore, *StoreHost)
-		right int // blocks imported after the fault; all must be correct
+		name          string
+		fault         func(*fakeStore, *StoreHost)
+		correctBlocks int // blocks imported after the fault; all must be correct
 	}{
 		{"no fault", func(*fakeStore, *StoreHost) {}, 4},
 		{"block missing", func(s *fakeStore, _ *StoreHost) { delete(s.blocks, s.manifests[key(2)].Name) }, 2},
@@ -119,7 +119,7 @@
 			_, err := export(h, e, req)
 			must.NoError(t, err)
 			c.fault(s, h)
-			must.Eq(t, c.right, importedBlocks(h, e, req))
+			must.Eq(t, c.correctBlocks, importedBlocks(h, e, req))
 			must.NoError(t, s.violation)
 		})
 	}
@@ -156,14 +156,14 @@
 	}
 }
 
-func TestRefusedBlocksAreFreed(t *testing.T) {
+func TestRejectedBlocksAreFreed(t *testing.T) {
 	s := newFakeStore()
 	h, e, req := newOwner(t, s, "a"), &fakeEngine{store: s}, request("c", 2)
 	_, err := export(h, e, req)
 	must.NoError(t, err)
 	last := newStoreKey(req.Chain[1], testLayout, 1).String()
 	m, _ := h.Index.manifest(last)
-	for range 2 * maxImportRefusals { // an engine that can't reach the store host
+	for range 2 * maxImportRejections { // an engine that cannot reach the store host
 		must.NoError(t, h.checkFailedImport(ctx, m, TransferResult{Block: m.Block}))
 	}
 	must.Eq(t, 2, h.Lookup(req.Chain, testLayout, 0).Blocks)
@@ -172,7 +172,7 @@
 	s.manifests[last] = m
 	s.blocks[m.Name] = fakeBlock{data: s.blocks[m.Name].data, complete: true, created: s.now, reportedChecksum: m.Checksum}
 	must.NoError(t, h.Load(ctx))
-	for range maxImportRefusals {
+	for range maxImportRejections {
 		must.Eq(t, 2, h.Lookup(req.Chain, testLayout, 0).Blocks)
 		must.Eq(t, 1, importedBlocks(h, e, req))
 	}
@@ -204,7 +204,7 @@
 	must.NoError(t, s.violation)
 }
 
-func TestFreeRacingAnImport(t *testing.T) {
+func TestFreeDuringImport(t *testing.T) {
 	s := newFakeStore()
 	a, b, e, req := newOwner(t, s, "a"), newOwner(t, s, "b"), &fakeEngine{store: s}, request("c", 2)
 	_, err := export(a, e, req)
@@ -231,15 +231,15 @@
 
 func TestStoreRestoredFromOldContents(t *testing.T) {
 	s := newFakeStore()
-	h, e, old, young := newOwner(t, s, "a"), &fakeEngine{store: s}, request("old", 2), request("young", 3)
+	h, e, old, newReq := newOwner(t, s, "a"), &fakeEngine{store: s}, request("old", 2), request("young", 3)
 	_, err := export(h, e, old)
 	must.NoError(t, err)
 	restore := s.snapshot()
 	must.NoError(t, h.Evict(ctx, 2*fakeBlockBytes, 0, func(Candidate) float64 { return 0 }))
-	_, err = export(h, e, young)
+	_, err = export(h, e, newReq)
 	must.NoError(t, err)
 	restore()
-	must.Eq(t, 0, importedBlocks(h, e, young)) // before the owner detects the restart
+	must.Eq(t, 0, importedBlocks(h, e, newReq)) // before the owner detects the restart
 	s.now = s.now.Add(testTiming.Grace)
 	must.NoError(t, h.Flush(ctx)) // the manifests of the freed blocks exist again
 	must.NoError(t, s.violation)
--- a/internal/kvcache/free.go
+++ b/internal/kvcache/free.go
@@ -11,7 +11,7 @@
 	"github.com/cherryward/cherryward/internal/kvcache/policy"
 )
 
-const flushBatch = 64 // maximum number of blocks or manifests handled by one Flush or Sweep
+const maxFreesPerCall = 64 // maximum number of blocks or manifests handled by one Flush or Sweep
 
 // pendingFree is a block that is being freed. Once unpublished is set, its manifest
 // is deleted.
@@ -52,16 +52,17 @@
 // of manifests, a bounded number per call. Call it about once a second.
 func (h *StoreHost) Flush(ctx context.Context) error {
 	for _, p := range h.readyFrees() {
-		if err := h.flush(ctx, p); err != nil {
+		if err := h.deletePending(ctx, p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// flush deletes one block. If its manifest exists again, because the store host was
-// restored from an older state, flush deletes the manifest first.
-func (h *StoreHost) flush(ctx context.Context, p pendingFree) error {
+// deletePending deletes one pending block. If its manifest exists again, because the
+// store host was restored from an older state, deletePending deletes only the manifest,
+// which starts a new grace period.
+func (h *StoreHost) deletePending(ctx context.Context, p pendingFree) error {
 	existing, err := h.store.Manifest(ctx, p.key)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		return err
@@ -76,7 +77,7 @@
 	if err := h.store.DeleteBlock(ctx, name); err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	h.untrack(name)
+	h.removePending(name)
 	return nil
 }
 
@@ -93,10 +94,11 @@
 	slices.SortFunc(out, func(a, b pendingFree) int {
 		return cmp.Or(a.deleteAfter.Compare(b.deleteAfter), strings.Compare(a.name, b.name))
 	})
-	return out[:min(len(out), flushBatch)]
+	return out[:min(len(out), maxFreesPerCall)]
 }
 
-func (h *StoreHost) untrack(name string) {
+// removePending removes a deleted block from the pending frees and the orphans.
+func (h *StoreHost) removePending(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.pendingFrees, name)
@@ -122,10 +124,10 @@
 	Idle     time.Duration // since its prefix last served a run
 }
 
-// Evict frees blocks from the ends of chains, lowest value per byte first, until
+// Evict frees blocks at the ends of chains, lowest value per byte first, until
 // need bytes are being freed. value returns the expected seconds saved by keeping a
-// block. An account is reduced below floor bytes only if no other account has a
-// block to spare.
+// block. An account is reduced below floor bytes only if no other account can lose a
+// block and keep floor bytes.
 func (h *StoreHost) Evict(ctx context.Context, need, floor int64, value func(Candidate) float64) error {
 	need -= h.pendingBytes()
 	if need <= 0 {
--- a/internal/kvcache/guard.go
+++ b/internal/kvcache/guard.go
@@ -21,7 +21,7 @@
 func guardedResult[T any](ctx context.Context, g *guardedStore, call func(context.Context) (T, error)) (T, error) {
 	if !g.breaker.Allow(g.clock()) {
 		var none T
-		return none, ErrStoreDown
+		return none, ErrBreakerOpen
 	}
 	ctx, cancel := context.WithTimeout(ctx, g.timeout)
 	defer cancel()
--- a/internal/kvcache/link/budget.go
+++ b/internal/kvcache/link/budget.go
@@ -1,9 +1,9 @@
 // Package link divides the bandwidth of store hosts, and of the links to them, among
 // the transfers of engines.
 //
-// Guarantee: an import is admitted as if there were no exports, because a caller
-// waits for it. An import that would end after its deadline is rejected immediately,
-// so that its prompt is recomputed. Budgets do not transfer data themselves: each
+// Guarantee: exports never delay or prevent the admission of an import, because a
+// caller waits for it. An import that would end after its deadline is rejected
+// immediately, so that its prompt is recomputed. Budgets do not transfer data themselves: each
 // reservation states the rate limit that the transfer request must contain.
 // Reservations expire, so a lost response cannot block a link permanently. Losing a
 // budget's state only reduces efficiency.
@@ -35,17 +35,19 @@
 	// exportShare is the maximum share of the bandwidth for exports while imports are
 	// in flight.
 	exportShare = 0.25
-	// exportBacklog is the maximum expected time to finish all exports in flight.
+	// exportBacklog is the expected time to finish all exports in flight beyond which no
+	// further export is admitted. If no export is in flight, one of any size is admitted
+	// unless the expected time to finish all imports is at least exportBacklog.
 	exportBacklog = 2 * time.Second
 	// expirySlack and expiryFactor extend a reservation beyond its expected end.
 	expirySlack  = 2 * time.Second
 	expiryFactor = 3
 
-	speedWeight   = 0.3 // weight of one observation in the measured speed
-	cappedShare   = 0.8 // above this share of its rate limit, a transfer gives only a lower bound of the speed
-	useHalfLife   = 30 * time.Second
-	maxUse        = 0.95
-	minSpeedBytes = 1 << 16 // smaller transfers are ignored in the speed measurement
+	speedWeight         = 0.3 // weight of one observation in the measured speed
+	cappedShare         = 0.8 // above this share of its rate limit, a transfer gives only a lower bound of the speed
+	utilizationHalfLife = 30 * time.Second
+	maxUtilization      = 0.95
+	minSpeedBytes       = 1 << 16 // smaller transfers are ignored in the speed measurement
 
 	// A speed that was last measured more than speedFresh ago returns gradually to
 	// the limit, so that a link that was once slow is tried again.
@@ -63,34 +65,35 @@
 	Expires          time.Time
 }
 
-type openReservation struct {
+// transfer is a transfer in flight with its reservation.
+type transfer struct {
 	Reservation
-	started time.Time
-	shared  float64 // Budget.shared when the transfer started
+	started         time.Time
+	transferSeconds float64 // Budget.transferSeconds when the transfer started
 }
 
 // Budget is the bandwidth of one store host or one link. Safe for concurrent
 // use.
 type Budget struct {
-	mu       sync.Mutex
-	limit    float64 // maximum bytes per second
-	speed    float64 // measured, bytes per second
-	speedAt  time.Time
-	lastID   uint64
-	open     map[uint64]*openReservation
-	imports  int64     // bytes reserved for imports
-	exports  int64     // bytes reserved for exports
-	shared   float64   // integral of the number of open transfers, seconds
-	sharedAt time.Time // time of the last update of shared
-	used     float64   // decayed sum of bytes transferred
-	usedAt   time.Time
+	mu                sync.Mutex
+	limit             float64 // maximum bytes per second
+	speed             float64 // measured, bytes per second
+	speedAt           time.Time
+	lastID            uint64
+	inFlight          map[uint64]*transfer
+	imports           int64     // bytes reserved for imports
+	exports           int64     // bytes reserved for exports
+	transferSeconds   float64   // integral of the number of transfers in flight, seconds
+	transferSecondsAt time.Time // time of the last update of transferSeconds
+	used              float64   // decayed sum of bytes transferred
+	usedAt            time.Time
 }
 
-// NewBudget returns a budget with the given limit in bytes per second. A lower
-// measured speed reduces it.
+// NewBudget returns a budget with the given limit in bytes per second. If the
+// measured speed is lower, it is used instead.
 func NewBudget(bytesPerSecond int64) *Budget {
 	limit := float64(max(bytesPerSecond, 1))
-	return &Budget{limit: limit, speed: limit, open: make(map[uint64]*openReservation)}
+	return &Budget{limit: limit, speed: limit, inFlight: make(map[uint64]*transfer)}
 }
 
 // Reserve reserves bandwidth for a transfer. A zero deadline means no deadline. It
@@ -113,7 +116,7 @@
 		BytesPerSecond: max(1, int64(b.rateLimit(kind))),
 		Expires:        expiry(now, duration, deadline),
 	}
-	b.open[r.ID] = &openReservation{Reservation: r, started: now, shared: b.shared}
+	b.inFlight[r.ID] = &transfer{Reservation: r, started: now, transferSeconds: b.transferSeconds}
 	b.addReserved(kind, bytes)
 	return r, nil
 }
@@ -131,37 +134,37 @@
 // Done ends a transfer after the given number of bytes and updates the measured
 // speed. Unknown and expired reservations are ignored.
 func (b *Budget) Done(now time.Time, id uint64, bytes int64) {
-	b.withOpen(now, id, func(h *openReservation) {
-		b.release(h)
+	b.withTransfer(now, id, func(r *transfer) {
+		b.release(r)
 		b.used += float64(bytes)
-		b.observe(h, bytes, now)
+		b.observe(r, bytes, now)
 	})
 }
 
 // Cancel releases an unused reservation, for example because the transfer request
 // was rejected or is no longer needed. It is idempotent.
 func (b *Budget) Cancel(now time.Time, id uint64) {
-	b.withOpen(now, id, b.release)
+	b.withTransfer(now, id, b.release)
 }
 
 // Abort ends a transfer that exceeded its deadline. If the transfer has already
 // taken longer than expected, Abort lowers the measured speed.
 func (b *Budget) Abort(now time.Time, id uint64) {
-	b.withOpen(now, id, func(h *openReservation) {
-		b.release(h)
-		if now.Sub(h.started) > h.ExpectedDuration {
-			b.observe(h, h.Bytes, now)
+	b.withTransfer(now, id, func(r *transfer) {
+		b.release(r)
+		if now.Sub(r.started) > r.ExpectedDuration {
+			b.observe(r, r.Bytes, now)
 		}
 	})
 }
 
-// withOpen calls f with the reservation unless it is unknown or expired.
-func (b *Budget) withOpen(now time.Time, id uint64, f func(*openReservation)) {
+// withTransfer calls f with the transfer unless its reservation is unknown or expired.
+func (b *Budget) withTransfer(now time.Time, id uint64, f func(*transfer)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	if h, ok := b.open[id]; ok {
-		f(h)
+	if r, ok := b.inFlight[id]; ok {
+		f(r)
 	}
 }
 
@@ -188,10 +191,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	mean := b.used * math.Ln2 / useHalfLife.Seconds()
-	use := min(maxUse, mean/b.rate())
+	meanSpeed := b.used * math.Ln2 / utilizationHalfLife.Seconds()
+	utilization := min(maxUtilization, meanSpeed/b.rate())
 	wait := b.queueDelay(Export).Seconds()
-	return (1 + wait) / (b.rate() * (1 - use))
+	return (1 + wait) / (b.rate() * (1 - utilization))
 }
 
 func (b *Budget) rate() float64 { return min(b.limit, b.speed) }
@@ -235,22 +238,22 @@
 	b.exports += bytes
 }
 
-func (b *Budget) release(h *openReservation) {
-	delete(b.open, h.ID)
-	b.addReserved(h.Kind, -h.Bytes)
+func (b *Budget) release(r *transfer) {
+	delete(b.inFlight, r.ID)
+	b.addReserved(r.Kind, -r.Bytes)
 }
 
 // observe updates the measured speed with the combined speed of all transfers while
-// h was running. A transfer that reached its own rate limit gives only a lower bound
+// r was running. A transfer that reached its own rate limit gives only a lower bound
 // of the link's speed, so it cannot reduce the measured speed.
-func (b *Budget) observe(h *openReservation, bytes int64, now time.Time) {
-	took := now.Sub(h.started).Seconds()
+func (b *Budget) observe(r *transfer, bytes int64, now time.Time) {
+	took := now.Sub(r.started).Seconds()
 	if bytes < minSpeedBytes || took <= 0 {
 		return
 	}
 	own := float64(bytes) / took
-	total := own * max(1, (b.shared-h.shared)/took)
-	if own >= cappedShare*float64(h.BytesPerSecond) && total < b.speed {
+	total := own * max(1, (b.transferSeconds-r.transferSeconds)/took)
+	if own >= cappedShare*float64(r.BytesPerSecond) && total < b.speed {
 		return
 	}
 	b.speed += speedWeight * (total - b.speed)
@@ -259,24 +262,24 @@
 
 // advance updates the decayed values to now and releases expired reservations.
 func (b *Budget) advance(now time.Time) {
-	if b.sharedAt.IsZero() {
-		b.sharedAt, b.usedAt, b.speedAt = now, now, now
+	if b.transferSecondsAt.IsZero() {
+		b.transferSecondsAt, b.usedAt, b.speedAt = now, now, now
 	}
-	if passed := now.Sub(b.sharedAt).Seconds(); passed > 0 {
-		b.shared += passed * float64(len(b.open))
-		b.sharedAt = now
+	if passed := now.Sub(b.transferSecondsAt).Seconds(); passed > 0 {
+		b.transferSeconds += passed * float64(len(b.inFlight))
+		b.transferSecondsAt = now
 	}
 	if passed := now.Sub(b.usedAt); passed > 0 {
-		b.used *= math.Exp2(-passed.Seconds() / useHalfLife.Seconds())
+		b.used *= math.Exp2(-passed.Seconds() / utilizationHalfLife.Seconds())
 		b.usedAt = now
 	}
 	if stale := now.Sub(b.speedAt) - speedFresh; stale > 0 {
 		b.speed = b.limit - (b.limit-b.speed)*math.Exp2(-stale.Seconds()/speedHalfLife.Seconds())
 		b.speedAt = now.Add(-speedFresh)
 	}
-	for _, h := range b.open {
-		if now.After(h.Expires) {
-			b.release(h)
+	for _, r := range b.inFlight {
+		if now.After(r.Expires) {
+			b.release(r)
 		}
 	}
 }
--- a/internal/kvcache/link/path.go
+++ b/internal/kvcache/link/path.go
@@ -12,7 +12,7 @@
 	Bytes            int64
 	BytesPerSecond   int64         // rate limit to set in the transfer request
 	ExpectedDuration time.Duration // from the reservation to the transfer's end
-	Expires          time.Time     // expiry of the first reservation to expire
+	Expires          time.Time     // earliest expiry of its reservations
 
 	reservations []budgetReservation
 }
@@ -23,7 +23,7 @@
 }
 
 // Estimate is the expected speed of a transfer and the delay before it starts, used
-// by placement to rate an import.
+// by placement to score an import.
 type Estimate struct {
 	BytesPerSecond float64
 	QueueDelay     time.Duration
@@ -44,35 +44,35 @@
 	return reservation, nil
 }
 
-func (h *PathReservation) add(budget *Budget, r Reservation) {
-	first := len(h.reservations) == 0
-	h.reservations = append(h.reservations, budgetReservation{budget: budget, id: r.ID})
-	h.ExpectedDuration = max(h.ExpectedDuration, r.ExpectedDuration)
-	if first || r.BytesPerSecond < h.BytesPerSecond {
-		h.BytesPerSecond = r.BytesPerSecond
+func (r *PathReservation) add(budget *Budget, reserved Reservation) {
+	first := len(r.reservations) == 0
+	r.reservations = append(r.reservations, budgetReservation{budget: budget, id: reserved.ID})
+	r.ExpectedDuration = max(r.ExpectedDuration, reserved.ExpectedDuration)
+	if first || reserved.BytesPerSecond < r.BytesPerSecond {
+		r.BytesPerSecond = reserved.BytesPerSecond
 	}
-	if first || r.Expires.Before(h.Expires) {
-		h.Expires = r.Expires
+	if first || reserved.Expires.Before(r.Expires) {
+		r.Expires = reserved.Expires
 	}
 }
 
 // Done ends the transfer on all budgets after the given number of bytes.
-func (h PathReservation) Done(now time.Time, bytes int64) {
-	for _, p := range h.reservations {
+func (r PathReservation) Done(now time.Time, bytes int64) {
+	for _, p := range r.reservations {
 		p.budget.Done(now, p.id, bytes)
 	}
 }
 
 // Cancel releases the bandwidth on all budgets. It is idempotent.
-func (h PathReservation) Cancel(now time.Time) {
-	for _, p := range h.reservations {
+func (r PathReservation) Cancel(now time.Time) {
+	for _, p := range r.reservations {
 		p.budget.Cancel(now, p.id)
 	}
 }
 
 // Abort ends a transfer that exceeded its deadline.
-func (h PathReservation) Abort(now time.Time) {
-	for _, p := range h.reservations {
+func (r PathReservation) Abort(now time.Time) {
+	for _, p := range r.reservations {
 		p.budget.Abort(now, p.id)
 	}
 }
--- a/internal/kvcache/link/progress.go
+++ b/internal/kvcache/link/progress.go
@@ -7,23 +7,23 @@
 // the transfer ends. The reservation remains for the rest of the bytes, and its
 // expiry is extended if necessary. Unknown and expired reservations are ignored.
 func (b *Budget) Progress(now time.Time, id uint64, bytes int64) {
-	b.withOpen(now, id, func(h *openReservation) {
-		bytes = min(bytes, h.Bytes)
+	b.withTransfer(now, id, func(r *transfer) {
+		bytes = min(bytes, r.Bytes)
 		b.used += float64(bytes)
-		b.observe(h, bytes, now)
-		b.addReserved(h.Kind, -bytes)
-		h.Bytes -= bytes
-		h.started, h.shared = now, b.shared
-		rest := seconds(float64(h.Bytes) / b.rateFor(h.Kind))
-		if later := expiry(now, rest, time.Time{}); later.After(h.Expires) {
-			h.Expires = later
+		b.observe(r, bytes, now)
+		b.addReserved(r.Kind, -bytes)
+		r.Bytes -= bytes
+		r.started, r.transferSeconds = now, b.transferSeconds
+		rest := seconds(float64(r.Bytes) / b.rateFor(r.Kind))
+		if later := expiry(now, rest, time.Time{}); later.After(r.Expires) {
+			r.Expires = later
 		}
 	})
 }
 
 // Progress records on all budgets of the path bytes that have arrived.
-func (h PathReservation) Progress(now time.Time, bytes int64) {
-	for _, p := range h.reservations {
+func (r PathReservation) Progress(now time.Time, bytes int64) {
+	for _, p := range r.reservations {
 		p.budget.Progress(now, p.id, bytes)
 	}
 }
--- a/internal/kvcache/plan.go
+++ b/internal/kvcache/plan.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	checksumBytes     = 32 // SHA-256
-	maxPlanAttempts   = 3  // prefixes tried, each one block shorter, if the store host lacks the longest
-	maxImportRefusals = 2  // refusals by engines after which a block is freed
+	checksumBytes       = 32 // SHA-256
+	maxPlanAttempts     = 3  // prefixes tried, each one block shorter, if the store host lacks the longest
+	maxImportRejections = 2  // rejections by engines after which a block is freed
 )
 
 // ErrPlanExpired is returned for an import plan that was checked too long ago to be
@@ -43,7 +43,7 @@
 // mismatch makes the plan shorter or empty; callers treat an error as a miss.
 func (h *StoreHost) PlanImport(ctx context.Context, req Request, engineTokens, maxTokens int, bytesPerSecond int64) (ImportPlan, error) {
 	if h.breaker.Open() {
-		return ImportPlan{}, ErrStoreDown
+		return ImportPlan{}, ErrBreakerOpen
 	}
 	usable := checkChain(req, h.Index.Manifests(req.Chain, req.Layout), maxTokens)
 	checked, err := h.confirmLast(ctx, usable, engineTokens)
@@ -104,7 +104,8 @@
 
 // confirmLast reads the last manifest again from the store host. If it has changed,
 // confirmLast removes it from the list and tries the one before, up to
-// maxPlanAttempts times.
+// maxPlanAttempts times. After that it returns no manifests and has the next Refresh
+// reload the index.
 func (h *StoreHost) confirmLast(ctx context.Context, manifests []Manifest, engineTokens int) ([]Manifest, error) {
 	for range maxPlanAttempts {
 		if len(manifests) == 0 || manifests[len(manifests)-1].EndToken <= engineTokens {
@@ -138,9 +139,9 @@
 	if h.clock().Sub(plan.checked) > h.timing.Call {
 		return nil, ErrPlanExpired
 	}
-	orderCtx, cancel := context.WithTimeout(ctx, plan.Transfer.Timeout+h.timing.Call)
+	transferCtx, cancel := context.WithTimeout(ctx, plan.Transfer.Timeout+h.timing.Call)
 	defer cancel()
-	results, err := engine.Import(orderCtx, plan.Transfer)
+	results, err := engine.Import(transferCtx, plan.Transfer)
 	if err != nil {
 		return nil, err
 	}
@@ -156,16 +157,16 @@
 }
 
 // checkFailedImport frees a block whose import failed if it is incomplete on the
-// store host, or if engines have read and refused it maxImportRefusals times. A
+// store host, or if engines have read and rejected it maxImportRejections times. A
 // failure before all bytes were read, for example because the engine cannot reach
-// the store host, does not count as a refusal.
+// the store host, does not count as a rejection.
 func (h *StoreHost) checkFailedImport(ctx context.Context, m Manifest, result TransferResult) error {
-	refused := 0
+	rejections := 0
 	if result.Bytes == m.Bytes {
-		refused = h.Index.countRefusal(m.Key)
+		rejections = h.Index.countRejection(m.Key)
 	}
 	err := h.verify(ctx, m)
-	if err == nil && refused < maxImportRefusals {
+	if err == nil && rejections < maxImportRejections {
 		return nil
 	}
 	if err != nil && !errors.Is(err, ErrNotVerified) {
--- a/internal/kvcache/policy/evict.go
+++ b/internal/kvcache/policy/evict.go
@@ -16,7 +16,7 @@
 // keys in order of eviction. It evicts only blocks without children, lowest value
 // per byte first; once all children of a block are evicted, the block itself may
 // follow. An account is reduced below floor bytes only if no other account has a
-// block that it can lose and keep floor bytes. The result frees less than need bytes
+// block whose eviction leaves it floor bytes. The result frees less than need bytes
 // only if no blocks are left.
 func PlanEviction(blocks []Stored, need, floor int64) []string {
 	e := newEviction(blocks, floor)
@@ -38,8 +38,8 @@
 	children       map[string]int
 	bytesByAccount map[string]int64
 	floor          int64
-	ends           endHeap
-	belowFloor     endHeap // ends whose eviction would take the account below the floor
+	leaves         leafHeap // blocks without children
+	belowFloor     leafHeap // leaves whose eviction would take the account below the floor
 }
 
 func newEviction(blocks []Stored, floor int64) *eviction {
@@ -59,18 +59,18 @@
 	}
 	for i := range blocks {
 		if e.children[blocks[i].Key] == 0 {
-			heap.Push(&e.ends, &blocks[i])
+			heap.Push(&e.leaves, &blocks[i])
 		}
 	}
 	return e
 }
 
-// next removes and returns the end with the lowest value per byte among those whose
-// account stays at or above the floor; if there is none, the lowest of all ends. It
-// returns nil if no ends are left.
+// next removes and returns the leaf with the lowest value per byte among those whose
+// eviction keeps the account at or above the floor; if there is none, the leaf with
+// the lowest value per byte of all. It returns nil if no leaves are left.
 func (e *eviction) next() *Stored {
-	for e.ends.Len() > 0 {
-		block := heap.Pop(&e.ends).(*Stored)
+	for e.leaves.Len() > 0 {
+		block := heap.Pop(&e.leaves).(*Stored)
 		if e.bytesByAccount[block.Account]-block.Bytes >= e.floor {
 			return block
 		}
@@ -90,20 +90,20 @@
 	}
 	e.children[block.Parent]--
 	if e.children[block.Parent] == 0 {
-		heap.Push(&e.ends, parent)
+		heap.Push(&e.leaves, parent)
 	}
 }
 
-// endHeap is a min-heap of blocks without children, ordered by value per byte, then
+// leafHeap is a min-heap of blocks without children, ordered by value per byte, then
 // by key.
-type endHeap []*Stored
+type leafHeap []*Stored
 
-var _ heap.Interface = (*endHeap)(nil)
+var _ heap.Interface = (*leafHeap)(nil)
 
-func (h endHeap) Len() int      { return len(h) }
-func (h endHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h leafHeap) Len() int      { return len(h) }
+func (h leafHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h endHeap) Less(i, j int) bool {
+func (h leafHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	va, vb := a.Value*float64(b.Bytes), b.Value*float64(a.Bytes)
 	if va != vb {
@@ -113,10 +113,10 @@
 }
 
 // Push implements heap.Interface.
-func (h *endHeap) Push(x any) { *h = append(*h, x.(*Stored)) }
+func (h *leafHeap) Push(x any) { *h = append(*h, x.(*Stored)) }
 
 // Pop implements heap.Interface.
-func (h *endHeap) Pop() any {
+func (h *leafHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
--- a/internal/kvcache/policy/export.go
+++ b/internal/kvcache/policy/export.go
@@ -2,8 +2,8 @@
 
 // Offer is a possible export: the blocks of a prefix that are not in the store yet.
 type Offer struct {
-	ReturnChance float64 // probability that the prompt returns after the engine has evicted it
-	SavedSeconds float64 // prefill time minus import time, if it returns
+	ReturnChance float64 // probability that the conversation is continued after the engine has evicted the prefix
+	SavedSeconds float64 // prefill time minus import time, if it is continued
 	Bytes        int64   // bytes to transfer over the link
 	Uses         int     // number of runs with this prefix, including the current one
 }
@@ -19,6 +19,7 @@
 // ExportPolicy decides whether to make an export, given the link's current price in
 // seconds per byte.
 type ExportPolicy interface {
+	// Worth reports whether to make the offered export.
 	Worth(offer Offer, price float64) bool
 }
 
@@ -41,17 +42,17 @@
 	_ ExportPolicy = ExportByValue{}
 )
 
-// Worth returns false.
+// Worth implements ExportPolicy. It rejects every offer.
 func (ExportNever) Worth(Offer, float64) bool { return false }
 
-// Worth reports whether the offer has bytes to transfer.
+// Worth implements ExportPolicy. It accepts every offer that has bytes to transfer.
 func (ExportAlways) Worth(offer Offer, _ float64) bool { return offer.Bytes > 0 }
 
-// Worth reports whether the prefix has been used at least twice and has bytes to
-// transfer.
+// Worth implements ExportPolicy. It accepts offers with bytes to transfer whose prefix
+// has been used at least twice.
 func (ExportSecondUse) Worth(offer Offer, _ float64) bool {
 	return offer.Bytes > 0 && offer.Uses >= 2
 }
 
-// Worth reports whether the offer's value exceeds the price.
+// Worth implements ExportPolicy. It accepts offers whose value exceeds the price.
 func (ExportByValue) Worth(offer Offer, price float64) bool { return offer.Value() > price }
--- a/internal/kvcache/policy/policy_test.go
+++ b/internal/kvcache/policy/policy_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// turns records count turns, one every ten minutes, and a return after gap for one
-// turn in every. It returns the time of the last turn.
+// turns records count turns, one every ten minutes. For one of every `every` turns it
+// records a continuation after gap. It returns the time of the last turn.
 func turns(r *Returns, account string, count, every int, gap time.Duration) time.Time {
 	now := start
 	for i := range count {
@@ -45,15 +45,15 @@
 	turns(r, "never", 1000, 1001, time.Hour)
 	must.Greater(t, 0.85, r.Chance("often", now, 0, 0, 30*day))
 	must.Less(t, 0.05, r.Chance("never", now, 0, 0, 30*day))
-	// Nearly all conversations return after about an hour, not earlier or later.
+	// Nearly all conversations are continued after about an hour, not earlier or later.
 	must.Less(t, 0.05, r.Chance("often", now, 0, 0, 10*time.Minute))
 	must.Less(t, 0.05, r.Chance("often", now, 0, 3*time.Hour, 30*day))
 	must.Less(t, 0.35, r.Chance("often", now, 3*time.Hour, 0, 30*day))
 }
 
 func TestReturnsIgnoresGapsBeyondTurnAge(t *testing.T) {
-	// Half of the turns return after two days. The node has run for four days, so half
-	// of the turns are too recent to have returned.
+	// Half of the turns are continued after two days. The node has run for four days, so half
+	// of the turns are too recent to have been continued.
 	r := NewReturns()
 	now := turns(r, "a", 4*144, 2, 2*day)
 	must.Between(t, 0.35, r.Chance("a", now, 0, 0, 30*day), 0.65)
@@ -109,8 +109,9 @@
 	must.Eq(t, []string{"a2", "b2", "a1", "s0", "a0"}, PlanEviction(blocks, 1000, 10))
 }
 
-// A long context with a low value per byte is evicted from its end, as far as needed,
-// before a context with a higher value loses any block.
+// TestPlanEvictionShrinksLowValueContextFirst checks that a long context with a low value
+// per byte is evicted from its end, as far as needed, before a context with a higher value
+// loses any block.
 func TestPlanEvictionShrinksLowValueContextFirst(t *testing.T) {
 	var blocks []Stored
 	add := func(name string, length int, value float64) {
--- a/internal/kvcache/policy/returns.go
+++ b/internal/kvcache/policy/returns.go
@@ -1,5 +1,5 @@
 // Package policy estimates the value of KV cache blocks: how likely a conversation
-// returns, whether exporting a block is worth its cost on the link, and which blocks
+// is continued, whether exporting a block is worth its cost on the link, and which blocks
 // a full store evicts first.
 //
 // Callers pass in the time and the package does no I/O. Its decisions affect cost
@@ -22,19 +22,19 @@
 	returnHalfLife = 14 * 24 * time.Hour
 	returnAccounts = 4096 // client accounts kept in memory
 
-	priorTurns   = 4.0 // weight of the prior, in turns, in the estimate for all accounts
-	priorReturn  = 0.5 // return probability assumed without observations
-	priorFirst   = 4   // first bucket of the prior, gaps up to 16 s
-	priorLast    = 18  // last bucket of the prior, gaps up to 3 days
-	accountPrior = 8.0 // weight, in turns, of the estimate for all accounts in one account's estimate
-	minSurvival  = 1e-3
+	globalPriorTurns  = 4.0  // weight of the prior, in turns, in the estimate for all accounts
+	priorReturn       = 0.5  // probability of a continuation assumed without observations
+	priorFirst        = 4    // first bucket of the prior, gaps up to 16 s
+	priorLast         = 18   // last bucket of the prior, gaps up to 3 days
+	accountPriorTurns = 8.0  // weight, in turns, of the estimate for all accounts in one account's estimate
+	minSurvival       = 1e-3 // lower bound of the probability of a gap longer than the idle time, which is a divisor
 )
 
 // Returns estimates, for each client account, the distribution of the time from the
 // end of a turn to the conversation's next turn, and the share of conversations that
-// do not return. The weight of observations halves every two weeks. A turn counts
-// only for gaps shorter than its age, so that a newly started node does not
-// underestimate the share of long gaps. Safe for concurrent use.
+// are not continued. The weight of observations halves every two weeks. A turn
+// contributes only to the estimates of gaps shorter than its age, so that a newly
+// started node does not underestimate the share of long gaps. Safe for concurrent use.
 type Returns struct {
 	mu       sync.Mutex
 	all      *gapHistogram
@@ -61,7 +61,7 @@
 	}
 }
 
-// ObserveReturn records that a conversation continued at now, gap after the end of
+// ObserveReturn records that a conversation was continued at now, gap after the end of
 // its last turn.
 func (r *Returns) ObserveReturn(account string, gap time.Duration, now time.Time) {
 	r.mu.Lock()
@@ -73,7 +73,7 @@
 }
 
 // Chance returns the probability, 0 to 1, that a conversation that has been idle for
-// the given time returns with a gap in [from, to), measured from the end of its last
+// the given time is continued with a gap in [from, to), measured from the end of its last
 // turn.
 func (r *Returns) Chance(account string, now time.Time, idle, from, to time.Duration) float64 {
 	r.mu.Lock()
@@ -81,9 +81,9 @@
 	h := r.account(account)
 	r.all.advance(now)
 	h.advance(now)
-	density := h.density(r.all.density(prior(), priorTurns), accountPrior)
-	survival := 1 - mass(density, 0, idle)
-	return clampProbability(mass(density, max(from, idle), to) / max(survival, minSurvival))
+	distribution := h.gapDistribution(r.all.gapDistribution(prior(), globalPriorTurns), accountPriorTurns)
+	survival := 1 - probabilityBetween(distribution, 0, idle)
+	return clampProbability(probabilityBetween(distribution, max(from, idle), to) / max(survival, minSurvival))
 }
 
 func (r *Returns) account(account string) *gapHistogram {
@@ -95,7 +95,7 @@
 	return h
 }
 
-// gapHistogram counts turns by their current age and returns by their gap.
+// gapHistogram counts turns by their current age and continuations by their gap.
 type gapHistogram struct {
 	at      time.Time
 	ages    [gapBuckets]float64
@@ -126,16 +126,16 @@
 	}
 }
 
-// density returns for each bucket the share of turns that returned with a gap in it,
-// among the turns old enough to have done so. The result is smoothed with the prior,
-// weighted as the given number of turns.
-func (h *gapHistogram) density(prior [gapBuckets]float64, weight float64) [gapBuckets]float64 {
+// gapDistribution returns for each bucket the share of turns that were continued with a
+// gap in it, among the turns old enough for such a gap. The result is smoothed with the
+// prior, weighted as the given number of turns.
+func (h *gapHistogram) gapDistribution(prior [gapBuckets]float64, weight float64) [gapBuckets]float64 {
 	var out [gapBuckets]float64
 	older := 0.0
 	for b := gapBuckets - 1; b >= 0; b-- {
 		older += h.ages[b]
-		atRisk := max(older, h.returns[b])
-		out[b] = (h.returns[b] + weight*prior[b]) / (atRisk + weight)
+		eligible := max(older, h.returns[b])
+		out[b] = (h.returns[b] + weight*prior[b]) / (eligible + weight)
 	}
 	return out
 }
@@ -148,10 +148,10 @@
 	return out
 }
 
-// mass returns the probability of a gap between from and to.
-func mass(density [gapBuckets]float64, from, to time.Duration) float64 {
+// probabilityBetween returns the probability of a gap between from and to.
+func probabilityBetween(distribution [gapBuckets]float64, from, to time.Duration) float64 {
 	sum := 0.0
-	for b, p := range density {
+	for b, p := range distribution {
 		start, end := bucketStart(b), bucketEnd(b)
 		overlap := min(end, to.Seconds()) - max(start, from.Seconds())
 		if overlap > 0 {
--- a/internal/kvcache/property_test.go
+++ b/internal/kvcache/property_test.go
@@ -31,7 +31,7 @@
 	paused  []*pausedOp
 	current *pausedOp
 	yielded chan struct{} // receives when the running operation pauses or ends
-	partial bool          // the next write breaks off without an error
+	partial bool          // the next write is incomplete but reports no error
 }
 
 // variant introduces a defect into an owner.
@@ -40,72 +40,72 @@
 func newScheduler(t *rapid.T, broken variant) *scheduler {
 	s := newFakeStore()
 	s.capacity = 12
-	b := &scheduler{store: s, yielded: make(chan struct{})}
-	b.engine = &fakeEngine{store: s, breakWrite: func() bool {
-		breaks := b.partial
-		b.partial = false
+	sched := &scheduler{store: s, yielded: make(chan struct{})}
+	sched.engine = &fakeEngine{store: s, breakWrite: func() bool {
+		breaks := sched.partial
+		sched.partial = false
 		return breaks
 	}}
-	for i := range b.owners {
-		b.owners[i] = newOwner(t, s, fmt.Sprint("owner", i))
+	for i := range sched.owners {
+		sched.owners[i] = newOwner(t, s, fmt.Sprint("owner", i))
 		if broken != nil {
-			broken(b, b.owners[i])
+			broken(sched, sched.owners[i])
 		}
 	}
-	s.step = b.step
-	return b
+	s.step = sched.step
+	return sched
 }
 
 // step pauses the operation that calls it until advance.
-func (b *scheduler) step(string) (before, after error) {
-	self := b.current
-	b.paused = append(b.paused, self)
-	b.yielded <- struct{}{}
+func (sched *scheduler) step(string) (before, after error) {
+	self := sched.current
+	sched.paused = append(sched.paused, self)
+	sched.yielded <- struct{}{}
 	outcome := <-self.resume
 	return outcome.before, outcome.after
 }
 
 // start runs an operation until its first call.
-func (b *scheduler) start(owner int, op func(*StoreHost)) {
+func (sched *scheduler) start(owner int, op func(*StoreHost)) {
 	self := &pausedOp{owner: owner, resume: make(chan stepOutcome)}
-	b.current = self
+	sched.current = self
 	go func() {
-		op(b.owners[owner])
-		b.yielded <- struct{}{}
+		op(sched.owners[owner])
+		sched.yielded <- struct{}{}
 	}()
-	<-b.yielded
+	<-sched.yielded
 }
 
 // advance resumes a paused operation until its next call or its end.
-func (b *scheduler) advance(i int, outcome stepOutcome) {
-	self := b.paused[i]
-	b.paused = append(b.paused[:i], b.paused[i+1:]...)
-	b.current = self
+func (sched *scheduler) advance(i int, outcome stepOutcome) {
+	self := sched.paused[i]
+	sched.paused = append(sched.paused[:i], sched.paused[i+1:]...)
+	sched.current = self
 	self.resume <- outcome
-	<-b.yielded
+	<-sched.yielded
 }
 
 // finish runs all operations to their end.
-func (b *scheduler) finish() {
-	for len(b.paused) > 0 {
-		b.advance(0, stepOutcome{})
+func (sched *scheduler) finish() {
+	for len(sched.paused) > 0 {
+		sched.advance(0, stepOutcome{})
 	}
 }
 
 // kill replaces an owner by a new one with an empty state. The operations of the old
 // owner fail at the call at which they are paused.
-func (b *scheduler) kill(t *rapid.T, owner int, broken variant) {
-	for i := 0; i < len(b.paused); {
-		if b.paused[i].owner == owner {
-			b.advance(i, stepOutcome{before: errLost})
+func (sched *scheduler) kill(t *rapid.T, owner int, broken variant) {
+	for i := 0; i < len(sched.paused); {
+		if sched.paused[i].owner == owner {
+			sched.advance(i, stepOutcome{before: errLost})
 			i = 0
 			continue
 		}
 		i++
 	}
-	b.owners[owner] = newOwner(t, b.store, fmt.Sprint("owner", owner, "-", b.store.now.UnixNano(), "-", len(b.store.used)))
+	sched.owners[owner] = newOwner(t, sched.store, fmt.Sprint("owner", owner, "-", sched.store.now.UnixNano(), "-", len(sched.store.used)))
 	if broken != nil {
-		broken(b, b.owners[owner])
+		broken(sched, sched.owners[owner])
 	}
 }
 
@@ -125,42 +125,42 @@
 // interleave runs random operations of two owners with faults and returns the first
 // violation of the invariants.
 func interleave(t *rapid.T, broken variant) (*fakeStore, error) {
-	b := newScheduler(t, broken)
+	sched := newScheduler(t, broken)
 	requests := []Request{request("one", 2), request("one", 4), request("two", 3)}
-	restore := b.store.snapshot()
+	restore := sched.store.snapshot()
 	for range rapid.IntRange(10, 120).Draw(t, "steps") {
-		if b.store.violation != nil {
+		if sched.store.violation != nil {
 			break
 		}
 		owner := rapid.IntRange(0, 1).Draw(t, "owner")
 		choice := rapid.IntRange(0, 99).Draw(t, "choice")
 		switch {
-		case choice < 25 && len(b.paused) < 4:
+		case choice < 25 && len(sched.paused) < 4:
 			name := rapid.SampledFrom(operationNames).Draw(t, "operation")
 			req := rapid.SampledFrom(requests).Draw(t, "request")
-			b.start(owner, func(h *StoreHost) { operations[name](h, b.engine, req) })
-		case choice < 80 && len(b.paused) > 0:
-			b.advance(rapid.IntRange(0, len(b.paused)-1).Draw(t, "waiting"), stepOutcome{})
-		case choice < 83 && len(b.paused) > 0:
-			b.advance(0, stepOutcome{after: errLost})
-		case choice < 86 && len(b.paused) > 0:
-			b.advance(0, stepOutcome{before: errDown})
+			sched.start(owner, func(h *StoreHost) { operations[name](h, sched.engine, req) })
+		case choice < 80 && len(sched.paused) > 0:
+			sched.advance(rapid.IntRange(0, len(sched.paused)-1).Draw(t, "waiting"), stepOutcome{})
+		case choice < 83 && len(sched.paused) > 0:
+			sched.advance(0, stepOutcome{after: errLost})
+		case choice < 86 && len(sched.paused) > 0:
+			sched.advance(0, stepOutcome{before: errDown})
 		case choice < 88:
-			b.kill(t, owner, broken)
+			sched.kill(t, owner, broken)
 		case choice < 90:
-			b.partial = true
+			sched.partial = true
 		case choice < 92:
-			b.store.restoredDuringCall = b.store.restoredDuringCall || len(b.paused) > 0
+			sched.store.restoredDuringCall = sched.store.restoredDuringCall || len(sched.paused) > 0
 			restore()
-			restore = b.store.snapshot()
+			restore = sched.store.snapshot()
 		case choice < 93:
-			restore = b.store.snapshot()
+			restore = sched.store.snapshot()
 		default:
-			b.store.now = b.store.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "seconds")) * time.Second)
+			sched.store.now = sched.store.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "seconds")) * time.Second)
 		}
 	}
-	b.finish()
-	return b.store, b.store.violation
+	sched.finish()
+	return sched.store, sched.store.violation
 }
 
 func TestAnyInterleavingIsSafe(t *testing.T) {
@@ -197,8 +197,8 @@
 		broken variant
 		want   string
 	}{
-		"manifest before verify":      {func(b *scheduler, h *StoreHost) { h.store = unverifiedStore{h.store, b.engine} }, "before its block was complete"},
-		"block freed before manifest": {func(_ *scheduler, h *StoreHost) { h.store = blockFirstStore{h.store} }, "deleted under its manifest"},
+		"manifest before verify":      {func(sched *scheduler, h *StoreHost) { h.store = unverifiedStore{h.store, sched.engine} }, "before its block was complete"},
+		"block freed before manifest": {func(_ *scheduler, h *StoreHost) { h.store = blockFirstStore{h.store} }, "deleted before its manifest"},
 		"no grace":                    {func(_ *scheduler, h *StoreHost) { h.timing.Grace = 0 }, "after its manifest"},
 		"published late":              {func(_ *scheduler, h *StoreHost) { h.timing.MaxExport = time.Hour }, "when a sweep may delete"},
 		"names used again":            {func(_ *scheduler, h *StoreHost) { h.newName = func() string { return "name" } }, "used again"},
--- a/internal/kvcache/storehost.go
+++ b/internal/kvcache/storehost.go
@@ -11,12 +11,12 @@
 const (
 	listPageSize = 500
 	maxListPages = 20_000
-	exportPause  = 10 * time.Second // after the store host refused or aborted a write
+	exportPause  = 10 * time.Second // after the store host rejected or aborted a write
 )
 
 // ErrBadTiming is returned for a Timing whose durations are not positive or whose
-// grace period does not cover the longest import.
-var ErrBadTiming = errors.New("kvcache: grace period must exceed the import timeout plus two calls")
+// grace period is not longer than the import timeout plus two calls.
+var ErrBadTiming = errors.New("kvcache: invalid timing: durations must be positive, and the grace period must exceed the import timeout plus two calls")
 
 // ErrRestarted is returned if a store host restarts during a listing. The listing
 // may be repeated.
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// StoreHost is an owner's state for one store host and the only writer of its
-// manifests on this node. Other nodes may write to the same store host at the same
+// StoreHost is an owner's state for one store host. On this node only the StoreHost
+// writes the store host's manifests. Other nodes may write to the same store host at the same
 // time; see the guarantee in the package comment. Safe for concurrent use.
 type StoreHost struct {
 	Index   *StoreIndex
@@ -72,7 +72,7 @@
 	loaded             bool
 	exportsPausedUntil time.Time              // no exports before this time
 	pendingFrees       map[string]pendingFree // by block name
-	orphans            map[string]time.Time   // time when this owner first saw them, by block name
+	orphans            map[string]time.Time   // time when this owner first listed them, by block name
 }
 
 // NewStoreHost returns the state of the store host at the URL, with an empty index
@@ -100,7 +100,7 @@
 // repeated failures.
 func (h *StoreHost) Unavailable() bool { return h.breaker.Open() }
 
-// Lookup returns Index.Lookup, or an empty result while the store host's breaker is
+// Lookup returns the result of Index.Lookup, or an empty result while the store host's breaker is
 // open.
 func (h *StoreHost) Lookup(chain Chain, layout string, engineTokens int) StoredPrefix {
 	if h.breaker.Open() {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Refresh returns the store host's usage. It also reloads the index if the store
-// host was restarted or the index is not loaded.
+// Refresh returns the store host's usage. It also clears and reloads the index if
+// the store host was restarted or the index is not loaded.
 func (h *StoreHost) Refresh(ctx context.Context) (Usage, error) {
 	usage, err := h.store.Usage(ctx)
 	if err != nil {
--- a/internal/kvcache/storehost_test.go
+++ b/internal/kvcache/storehost_test.go
@@ -54,7 +54,7 @@
 }
 
 func export(h *StoreHost, e Engine, req Request) (int, error) {
-	plan, err := h.Reserve(req, placements(req), 0, 0)
+	plan, err := h.PlanExport(req, placements(req), 0, 0)
 	if err != nil {
 		return 0, err
 	}
@@ -138,7 +138,7 @@
 func TestBreakerPausesDouble(t *testing.T) {
 	b, now := newBreaker(), time.Unix(0, 0)
 	b.Record(now, errDown)
-	b.Record(now, ErrExists) // a refusal shows that the store host responds
+	b.Record(now, ErrExists) // an ErrExists shows that the store host responds
 	b.Record(now, errors.Join(context.Canceled))
 	for range breakerFailures {
 		must.True(t, b.Allow(now))
--- a/internal/kvcache/storehttp/storehttp.go
+++ b/internal/kvcache/storehttp/storehttp.go
@@ -23,8 +23,8 @@
 
 const (
 	maxResponseBytes = 16 << 20
-	// lastChar sorts after all characters allowed in block names.
-	lastChar = "~"
+	// afterAllNameChars sorts after all characters allowed in block names.
+	afterAllNameChars = "~"
 )
 
 // Client calls the HTTP API of one store host. Calls end when their context does.
@@ -111,7 +111,7 @@
 // letters, digits and dashes.
 func nameBefore(name string) string {
 	last := len(name) - 1
-	return name[:last] + string(name[last]-1) + lastChar
+	return name[:last] + string(name[last]-1) + afterAllNameChars
 }
 
 // DeleteBlock deletes a block. Its name cannot be used again.
--- a/internal/kvcache/storeindex.go
+++ b/internal/kvcache/storeindex.go
@@ -15,13 +15,13 @@
 
 // storedBlock is one manifest in the index.
 type storedBlock struct {
-	manifest Manifest
-	key      storeKey
-	parent   storeKey
-	tier     Tier
-	lastUsed time.Time
-	refusals int    // times that an engine read the block and refused it
-	change   uint64 // value of StoreIndex.changes when the block was last added
+	manifest   Manifest
+	key        storeKey
+	parent     storeKey
+	tier       Tier
+	lastUsed   time.Time
+	rejections int    // times that an engine read the block and rejected it
+	change     uint64 // value of StoreIndex.changes when the block was last added
 }
 
 // groupKey holds the fields that many manifests have in common.
@@ -69,19 +69,19 @@
 func (x *StoreIndex) Lookup(chain Chain, layout string, engineTokens int) StoredPrefix {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var held StoredPrefix
+	var stored StoredPrefix
 	x.walk(chain, layout, func(b *storedBlock) {
-		held.Tokens = b.manifest.EndToken
+		stored.Tokens = b.manifest.EndToken
 		if b.manifest.EndToken <= engineTokens {
 			return
 		}
-		held.Blocks++
-		held.Bytes += b.manifest.Bytes
+		stored.Blocks++
+		stored.Bytes += b.manifest.Bytes
 		if b.tier == TierDisk {
-			held.DiskBytes += b.manifest.Bytes
+			stored.DiskBytes += b.manifest.Bytes
 		}
 	})
-	return held
+	return stored
 }
 
 // Manifests returns the chain's consecutive manifests of the layout, starting with
@@ -149,24 +149,24 @@
 	if old, ok := x.blocks[key]; ok {
 		x.removeBlock(old)
 		if old.manifest.Name == m.Name {
-			b.tier, b.lastUsed, b.refusals = old.tier, old.lastUsed, old.refusals
+			b.tier, b.lastUsed, b.rejections = old.tier, old.lastUsed, old.rejections
 		}
 	}
 	x.blocks[key] = b
 	x.bytes += m.Bytes
 }
 
-// shareStrings replaces the strings that many manifests have in common by shared
-// copies. It clears the keys, which the entry stores in binary form.
+// shareStrings replaces the strings that many manifests have in common by those of
+// their group. It clears the keys, which the entry stores in binary form.
 func (x *StoreIndex) shareStrings(m Manifest) Manifest {
-	from := groupKey{m.Identity, m.Layout}
-	shared, ok := x.groups[from]
+	key := groupKey{m.Identity, m.Layout}
+	group, ok := x.groups[key]
 	if !ok {
-		shared = &manifestGroup{groupKey: from}
-		x.groups[from] = shared
+		group = &manifestGroup{groupKey: key}
+		x.groups[key] = group
 	}
-	shared.refs++
-	m.Identity, m.Layout = shared.Identity, shared.layout
+	group.refs++
+	m.Identity, m.Layout = group.Identity, group.layout
 	m.Key, m.Parent = "", ""
 	return m
 }
@@ -191,11 +191,11 @@
 func (x *StoreIndex) removeBlock(b *storedBlock) {
 	delete(x.blocks, b.key)
 	x.bytes -= b.manifest.Bytes
-	from := groupKey{b.manifest.Identity, b.manifest.Layout}
-	shared := x.groups[from]
-	shared.refs--
-	if shared.refs == 0 {
-		delete(x.groups, from)
+	key := groupKey{b.manifest.Identity, b.manifest.Layout}
+	group := x.groups[key]
+	group.refs--
+	if group.refs == 0 {
+		delete(x.groups, key)
 	}
 }
 
@@ -215,8 +215,8 @@
 	return len(x.blocks), x.bytes
 }
 
-// countRefusal counts an engine's refusal of a block and returns the new count.
-func (x *StoreIndex) countRefusal(key string) int {
+// countRejection counts an engine's rejection of a block and returns the new count.
+func (x *StoreIndex) countRejection(key string) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	k, _ := parseStoreKey(key)
@@ -224,8 +224,8 @@
 	if !ok {
 		return 0
 	}
-	b.refusals++
-	return b.refusals
+	b.rejections++
+	return b.rejections
 }
 
 // setTiers records the storage tiers of blocks, by block name.
@@ -263,7 +263,7 @@
 	seen := make(map[storeKey]bool, len(listed))
 	for _, m := range listed {
 		key, ok := parseStoreKey(m.Key)
-		if _, gone := l.removed[key]; !ok || gone {
+		if _, removed := l.removed[key]; !ok || removed {
 			continue
 		}
 		seen[key] = true
--- a/internal/kvcache/storeindex_test.go
+++ b/internal/kvcache/storeindex_test.go
@@ -8,8 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// The index must release the shared strings of an account and version with the last
-// block that uses them. Otherwise memory would grow as accounts and versions change.
+// TestIndexReleasesUnusedGroups checks that the index releases the shared strings of an
+// account and version with the last block that uses them. Otherwise memory would grow
+// as accounts and versions change.
 func TestIndexReleasesUnusedGroups(t *testing.T) {
 	x := NewStoreIndex()
 	manifest := func(i int, key string) Manifest {
--- a/internal/kvcache/sweep.go
+++ b/internal/kvcache/sweep.go
@@ -49,7 +49,7 @@
 	}
 	freed := 0
 	for _, m := range manifests {
-		if complete[m.Name] || freed == flushBatch {
+		if complete[m.Name] || freed == maxFreesPerCall {
 			continue
 		}
 		// The manifest may be newer than the list of blocks: check the block again.
@@ -69,11 +69,11 @@
 }
 
 func (h *StoreHost) sweepBlocks(ctx context.Context, blocks []BlockInfo, manifests []Manifest) error {
-	named := make(map[string]bool, len(manifests))
+	published := make(map[string]bool, len(manifests))
 	for _, m := range manifests {
-		named[m.Name] = true
+		published[m.Name] = true
 	}
-	for _, name := range h.expiredOrphans(blocks, named) {
+	for _, name := range h.expiredOrphans(blocks, published) {
 		if err := h.deleteBlock(ctx, name); err != nil {
 			return err
 		}
@@ -83,14 +83,14 @@
 
 // expiredOrphans updates the set of blocks without a manifest and returns those to
 // delete.
-func (h *StoreHost) expiredOrphans(blocks []BlockInfo, named map[string]bool) []string {
+func (h *StoreHost) expiredOrphans(blocks []BlockInfo, published map[string]bool) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	seen := make(map[string]time.Time)
 	var expired []string
 	for _, b := range blocks {
-		if named[b.Name] || b.Age <= h.timing.MaxExport+h.timing.Grace {
+		if published[b.Name] || b.Age <= h.timing.MaxExport+h.timing.Grace {
 			continue
 		}
 		first, ok := h.orphans[b.Name]
@@ -98,7 +98,7 @@
 			first = now
 		}
 		seen[b.Name] = first
-		if now.Sub(first) > h.timing.Grace && len(expired) < flushBatch {
+		if now.Sub(first) > h.timing.Grace && len(expired) < maxFreesPerCall {
 			expired = append(expired, b.Name)
 		}
 	}
--- a/internal/owner/export.go
+++ b/internal/owner/export.go
@@ -75,7 +75,7 @@
 func (s *storeHost) export(ctx context.Context, x *exporter, p *pendingOffer) error {
 	now := time.Now()
 	req := p.req
-	plan, err := s.host.Reserve(s.newRequest(&req.Prompt, req.Layout, x.salt(req.Prompt.Account)), req.Placements, 0, 0)
+	plan, err := s.host.PlanExport(s.newRequest(&req.Prompt, req.Layout, x.salt(req.Prompt.Account)), req.Placements, 0, 0)
 	if err != nil || plan.Bytes() == 0 {
 		return err
 	}
