--- a/internal/owner/export.go
+++ b/internal/owner/export.go
@@ -141,8 +141,8 @@
 }
 
 // maintain reads the store host's usage, deletes freed blocks, sweeps orphans and
-// evicts blocks when the store host is almost full. It stops if the store
-// host does not respond; the store host's breaker then opens.
+// evicts blocks when the store host is almost full. It stops if the store host does
+// not respond; the store host's breaker then opens.
 func (s *storeHost) maintain(ctx context.Context, x *exporter) {
 	usage, err := s.host.Refresh(ctx)
 	if err != nil {
--- a/internal/owner/offers.go
+++ b/internal/owner/offers.go
@@ -10,7 +10,8 @@
 )
 
 // maxOffers is the maximum number of queued offers. If the queue is full, the offer
-// with the earliest decision time is discarded. At about 5 KB each, the queue takes up to 20 MB.
+// with the earliest decision time is discarded. At about 5 KB each, the queue takes up
+// to 20 MB.
 const maxOffers = 4096
 
 // offers holds finished turns until their export is decided. A conversation has at
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -2,9 +2,9 @@
 // grants runs on engines, and manages the KV cache blocks on store hosts.
 //
 // All of its state is in memory only. It is rebuilt from the reports of endpoints and
-// entry nodes after the node restarts. A node serves requests for any endpoint, whether or not it
-// is the owner. If two nodes act as owners of the same engine, both grant runs and
-// the engine queues them.
+// entry nodes after the node restarts. A node serves requests for any endpoint, whether
+// or not it is the owner. If two nodes act as owners of the same engine, both grant runs
+// and the engine queues them.
 package owner
 
 import (
