--- a/internal/kvcache/fault_test.go
+++ b/internal/kvcache/fault_test.go
@@ -225,7 +225,7 @@
 	got, err := b.Import(ctx, e, plan)
 	must.NoError(t, err)
 	must.Len(t, 2, got)
-	must.Eq(t, 1, importedBlocks(b, e, req)) // a new plan sees that the manifest is gone
+	must.Eq(t, 1, importedBlocks(b, e, req)) // a new plan detects that the manifest was deleted
 	must.NoError(t, s.violation)
 }
 
--- a/internal/kvcache/link/budget.go
+++ b/internal/kvcache/link/budget.go
@@ -244,7 +244,7 @@
 }
 
 // observe updates the measured speed with the combined speed of all transfers while
-// r was running. A transfer that reached its own rate limit gives only a lower bound
+// r was in flight. A transfer that reached its own rate limit gives only a lower bound
 // of the link's speed, so it cannot reduce the measured speed.
 func (b *Budget) observe(r *transfer, bytes int64, now time.Time) {
 	took := now.Sub(r.started).Seconds()
--- a/internal/kvcache/policy/policy_test.go
+++ b/internal/kvcache/policy/policy_test.go
@@ -138,43 +138,43 @@
 func TestPlanEvictionEvictsChildrenFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var blocks []Stored
-		held := map[string]int64{}
+		bytesByAccount := map[string]int64{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "blocks") {
 			b := Stored{Key: fmt.Sprint(i), Bytes: rapid.Int64Range(1, 100).Draw(t, "bytes"), Value: rapid.Float64Range(0, 9).Draw(t, "value")}
 			b.Account = fmt.Sprint("account", rapid.IntRange(0, 3).Draw(t, "account"))
 			if parent := rapid.IntRange(-1, i-1).Draw(t, "parent"); parent >= 0 {
 				b.Parent, b.Account = blocks[parent].Key, blocks[parent].Account
 			}
-			held[b.Account] += b.Bytes
+			bytesByAccount[b.Account] += b.Bytes
 			blocks = append(blocks, b)
 		}
 		floor := rapid.Int64Range(0, 300).Draw(t, "floor")
-		dropped := map[string]bool{}
+		evicted := map[string]bool{}
 		for _, key := range PlanEviction(blocks, rapid.Int64Range(1, 2000).Draw(t, "need"), floor) {
 			var self Stored
 			for _, b := range blocks {
-				must.False(t, b.Parent == key && !dropped[b.Key]) // children are evicted first
+				must.False(t, b.Parent == key && !evicted[b.Key]) // children are evicted first
 				if b.Key == key {
 					self = b
 				}
 			}
-			must.False(t, dropped[key])
-			dropped[key] = true
-			held[self.Account] -= self.Bytes
-			must.True(t, held[self.Account] >= floor || !canEvictAboveFloor(blocks, dropped, held, floor))
+			must.False(t, evicted[key])
+			evicted[key] = true
+			bytesByAccount[self.Account] -= self.Bytes
+			must.True(t, bytesByAccount[self.Account] >= floor || !canEvictAboveFloor(blocks, evicted, bytesByAccount, floor))
 		}
 	})
 }
 
 // canEvictAboveFloor reports whether any account has a block without children whose
 // eviction leaves at least floor bytes.
-func canEvictAboveFloor(blocks []Stored, dropped map[string]bool, held map[string]int64, floor int64) bool {
+func canEvictAboveFloor(blocks []Stored, evicted map[string]bool, bytesByAccount map[string]int64, floor int64) bool {
 	parents := map[string]bool{}
 	for _, b := range blocks {
-		parents[b.Parent] = parents[b.Parent] || !dropped[b.Key]
+		parents[b.Parent] = parents[b.Parent] || !evicted[b.Key]
 	}
 	for _, b := range blocks {
-		if !dropped[b.Key] && !parents[b.Key] && held[b.Account]-b.Bytes >= floor {
+		if !evicted[b.Key] && !parents[b.Key] && bytesByAccount[b.Account]-b.Bytes >= floor {
 			return true
 		}
 	}
--- a/internal/kvcache/storehost.go
+++ b/internal/kvcache/storehost.go
@@ -55,8 +55,8 @@
 }
 
 // StoreHost is an owner's state for one store host. On this node only the StoreHost
-// writes the store host's manifests. Other nodes may write to the same store host at the same
-// time; see the guarantee in the package comment. Safe for concurrent use.
+// writes the store host's manifests. Other nodes may write to the same store host at
+// the same time; see the guarantee in the package comment. Safe for concurrent use.
 type StoreHost struct {
 	Index   *StoreIndex
 	breaker *breaker
@@ -100,8 +100,8 @@
 // repeated failures.
 func (h *StoreHost) Unavailable() bool { return h.breaker.Open() }
 
-// Lookup returns the result of Index.Lookup, or an empty result while the store host's breaker is
-// open.
+// Lookup returns the result of Index.Lookup, or an empty result while the store
+// host's breaker is open.
 func (h *StoreHost) Lookup(chain Chain, layout string, engineTokens int) StoredPrefix {
 	if h.breaker.Open() {
 		return StoredPrefix{}
--- a/internal/kvcache/storehost_test.go
+++ b/internal/kvcache/storehost_test.go
@@ -138,7 +138,7 @@
 func TestBreakerPausesDouble(t *testing.T) {
 	b, now := newBreaker(), time.Unix(0, 0)
 	b.Record(now, errDown)
-	b.Record(now, ErrExists) // an ErrExists shows that the store host responds
+	b.Record(now, ErrExists) // ErrExists shows that the store host responds
 	b.Record(now, errors.Join(context.Canceled))
 	for range breakerFailures {
 		must.True(t, b.Allow(now))
