--- a/internal/kvcache/policy/policy_test.go
+++ b/internal/kvcache/policy/policy_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// turns records count turns, one every ten minutes, and a return after gap for one
-// turn in every. It returns the time of the last turn.
+// turns records count turns, one every ten minutes. For one of every `every` turns it
+// records a continuation after gap. It returns the time of the last turn.
 func turns(r *Returns, account string, count, every int, gap time.Duration) time.Time {
 	now := start
 	for i := range count {
@@ -45,15 +45,15 @@
 	turns(r, "never", 1000, 1001, time.Hour)
 	must.Greater(t, 0.85, r.Chance("often", now, 0, 0, 30*day))
 	must.Less(t, 0.05, r.Chance("never", now, 0, 0, 30*day))
-	// Nearly all conversations return after about an hour, not earlier or later.
+	// Nearly all conversations are continued after about an hour, not earlier or later.
 	must.Less(t, 0.05, r.Chance("often", now, 0, 0, 10*time.Minute))
 	must.Less(t, 0.05, r.Chance("often", now, 0, 3*time.Hour, 30*day))
 	must.Less(t, 0.35, r.Chance("often", now, 3*time.Hour, 0, 30*day))
 }
 
 func TestReturnsIgnoresGapsBeyondTurnAge(t *testing.T) {
-	// Half of the turns return after two days. The node has run for four days, so half
-	// of the turns are too recent to have returned.
+	// Half of the turns are continued after two days. The node has run for four days, so half
+	// of the turns are too recent to have been continued.
 	r := NewReturns()
 	now := turns(r, "a", 4*144, 2, 2*day)
 	must.Between(t, 0.35, r.Chance("a", now, 0, 0, 30*day), 0.65)
@@ -109,8 +109,9 @@
 	must.Eq(t, []string{"a2", "b2", "a1", "s0", "a0"}, PlanEviction(blocks, 1000, 10))
 }
 
-// A long context with a low value per byte is evicted from its end, as far as needed,
-// before a context with a higher value loses any block.
+// TestPlanEvictionShrinksLowValueContextFirst checks that a long context with a low value
+// per byte is evicted from its end, as far as needed, before a context with a higher value
+// loses any block.
 func TestPlanEvictionShrinksLowValueContextFirst(t *testing.T) {
 	var blocks []Stored
 	add := func(name string, length int, value float64) {
@@ -137,43 +138,43 @@
 func TestPlanEvictionEvictsChildrenFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var blocks []Stored
-		held := map[string]int64{}
+		bytesByAccount := map[string]int64{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "blocks") {
 			b := Stored{Key: fmt.Sprint(i), Bytes: rapid.Int64Range(1, 100).Draw(t, "bytes"), Value: rapid.Float64Range(0, 9).Draw(t, "value")}
 			b.Account = fmt.Sprint("account", rapid.IntRange(0, 3).Draw(t, "account"))
 			if parent := rapid.IntRange(-1, i-1).Draw(t, "parent"); parent >= 0 {
 				b.Parent, b.Account = blocks[parent].Key, blocks[parent].Account
 			}
-			held[b.Account] += b.Bytes
+			bytesByAccount[b.Account] += b.Bytes
 			blocks = append(blocks, b)
 		}
 		floor := rapid.Int64Range(0, 300).Draw(t, "floor")
-		dropped := map[string]bool{}
+		evicted := map[string]bool{}
 		for _, key := range PlanEviction(blocks, rapid.Int64Range(1, 2000).Draw(t, "need"), floor) {
 			var self Stored
 			for _, b := range blocks {
-				must.False(t, b.Parent == key && !dropped[b.Key]) // children are evicted first
+				must.False(t, b.Parent == key && !evicted[b.Key]) // children are evicted first
 				if b.Key == key {
 					self = b
 				}
 			}
-			must.False(t, dropped[key])
-			dropped[key] = true
-			held[self.Account] -= self.Bytes
-			must.True(t, held[self.Account] >= floor || !canEvictAboveFloor(blocks, dropped, held, floor))
+			must.False(t, evicted[key])
+			evicted[key] = true
+			bytesByAccount[self.Account] -= self.Bytes
+			must.True(t, bytesByAccount[self.Account] >= floor || !canEvictAboveFloor(blocks, evicted, bytesByAccount, floor))
 		}
 	})
 }
 
 // canEvictAboveFloor reports whether any account has a block without children whose
 // eviction leaves at least floor bytes.
-func canEvictAboveFloor(blocks []Stored, dropped map[string]bool, held map[string]int64, floor int64) bool {
+func canEvictAboveFloor(blocks []Stored, evicted map[string]bool, bytesByAccount map[string]int64, floor int64) bool {
 	parents := map[string]bool{}
 	for _, b := range blocks {
-		parents[b.Parent] = parents[b.Parent] || !dropped[b.Key]
+		parents[b.Parent] = parents[b.Parent] || !evicted[b.Key]
 	}
 	for _, b := range blocks {
-		if !dropped[b.Key] && !parents[b.Key] && held[b.Account]-b.Bytes >= floor {
+		if !evicted[b.Key] && !parents[b.Key] && bytesByAccount[b.Account]-b.Bytes >= floor {
 			return true
 		}
 	}
