--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -58,9 +58,9 @@
 		CompletionTokens: sum.OutputTokens,
 		TotalTokens:      sum.PromptTokens + sum.OutputTokens,
 		PromptTokensDetails: promptDetails{
-			CachedTokens:   sum.CachedTokens,
-			ImportedTokens: min(sum.ImportedTokens, sum.CachedTokens),
-			LinkBytes:      sum.ImportedBytes,
+			CachedTokens:     sum.CachedTokens,
+			ImportedTokens:   min(sum.ImportedTokens, sum.CachedTokens),
+			TransferredBytes: sum.ImportedBytes,
 		},
 	}
 }
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// headerAttempt is the number of the caller's attempt with this ticket, from 1.
+	// headerAttempt is the header with the number of the caller's attempt with this
+	// ticket, from 1.
 	headerAttempt = "X-Attempt"
 	firstAttempt  = "1"
 
@@ -26,7 +27,8 @@
 	headerAccept      = "Accept"
 )
 
-// Calls issues tickets, calls plain services and redeems ticketed calls.
+// Calls issues tickets, calls services other than engines, and redeems tickets: Redeem
+// runs the call of a ticket, or returns its stored answer if it already ran.
 type Calls interface {
 	Issue(account string, n int) ([]string, error)
 	Call(ctx context.Context, call *calls.ServiceCall) (*calls.ServiceAnswer, error)
@@ -167,9 +169,9 @@
 	return rest
 }
 
-// ticketedPrompt runs a prompt at most once for its idempotency key. The executor
-// of the ticket collects the complete answer, so a streamed answer has one chunk of
-// text.
+// ticketedPrompt runs a prompt at most once for its idempotency key. The node that
+// runs the ticket's call collects the complete answer, so a streamed answer has one
+// chunk of text.
 func (s *Server) ticketedPrompt(c echo.Context, key string, body *common, req *runs.Request, object string) error {
 	info := requestOf(c)
 	fp := ticket.FingerprintOf(fingerprintParts(req, object)...)
@@ -195,9 +197,10 @@
 	return sink.finish(answer.Summary, body.includesUsage())
 }
 
-// fingerprintParts returns every part of a prompt that affects its answer.
+// fingerprintParts returns the parts of a prompt that must be equal when its ticket is
+// used again.
 func fingerprintParts(req *runs.Request, object string) [][]byte {
-	sampling, _ := json.Marshal([]any{req.MaxTokens, req.Temperature, req.Seed, req.PromptIDs}) // numbers always encode
+	sampling, _ := json.Marshal([]any{req.MaxTokens, req.Temperature, req.Seed, req.PromptIDs}) // can't fail: all values are numbers
 	return [][]byte{[]byte(object), []byte(req.Model), []byte(req.Adapter), []byte(req.Prompt), sampling}
 }
 
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -55,16 +55,17 @@
 	return fakeGrant{engines[len(tried)]}, nil
 }
 
-type noLimits struct{}
+// noopServices accepts every request, records nothing, and is always ready.
+type noopServices struct{}
 
-func (noLimits) Succeeded()             {}
-func (noLimits) Retry() bool            { return true }
-func (noLimits) Request(RequestMetrics) {}
-func (noLimits) Admit(context.Context, *pb.ClientAccount, int) (func(int), error) {
+func (noopServices) Succeeded()             {}
+func (noopServices) Retry() bool            { return true }
+func (noopServices) Request(RequestMetrics) {}
+func (noopServices) Admit(context.Context, *pb.ClientAccount, int) (func(int), error) {
 	return func(int) {}, nil
 }
-func (noLimits) ready() *result.Error                           { return nil }
-func (noLimits) metrics(w http.ResponseWriter, _ *http.Request) {}
+func (noopServices) ready() *result.Error                           { return nil }
+func (noopServices) metrics(w http.ResponseWriter, _ *http.Request) {}
 
 // serve starts a simulated engine for each config and a Server that uses them.
 func serve(t *testing.T, configs ...enginestandin.Config) (string, []*enginestandin.Engine) {
@@ -94,11 +95,11 @@
 		Limits:          settings.Default().Requests,
 		Directory:       directory,
 		VersionSelector: directory,
-		Runner:          &runs.Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: fakePlacer{directory}, Budget: noLimits{}, Directory: directory},
-		Ready:           noLimits{}.ready,
-		Recorder:        noLimits{},
-		Admission:       noLimits{},
-		Metrics:         noLimits{}.metrics,
+		Runner:          &runs.Dispatcher{Key: key, Salter: salter, Engines: engine.NewClient(), Placer: fakePlacer{directory}, Budget: noopServices{}, Directory: directory},
+		Ready:           noopServices{}.ready,
+		Recorder:        noopServices{},
+		Admission:       noopServices{},
+		Metrics:         noopServices{}.metrics,
 		Key:             key,
 		Log:             zerolog.Nop(),
 	}
@@ -243,14 +244,14 @@
 	must.Less(t, 5*time.Second, time.Since(started))
 }
 
-// TestBodyDeadlineEndsWithTheBody checks that a read deadline applies while the body
+// TestReadDeadlineIsRemovedAfterBody checks that a read deadline applies while the body
 // is received, and that it is removed afterwards so that it can't end a long answer.
-func TestBodyDeadlineEndsWithTheBody(t *testing.T) {
+func TestReadDeadlineIsRemovedAfterBody(t *testing.T) {
 	var deadlines []time.Time
 	recorder := deadlineRecorder{httptest.NewRecorder(), &deadlines}
 	account := &pb.ClientAccount{Name: "mill", KeyHashes: []string{config.HashKey("key-mill")}}
 	view := config.NewView().With(config.Entry{Revision: 1, Kind: config.KindAccount, Name: "mill", Value: account})
-	s := &Server{Log: zerolog.Nop(), Recorder: noLimits{}, Directory: staticDirectory{view}, Ready: noLimits{}.ready, Metrics: noLimits{}.metrics, Limits: settings.Default().Requests}
+	s := &Server{Log: zerolog.Nop(), Recorder: noopServices{}, Directory: staticDirectory{view}, Ready: noopServices{}.ready, Metrics: noopServices{}.metrics, Limits: settings.Default().Requests}
 	req := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(`{"model":"none","prompt":"x"}`))
 	req.Header.Set("Authorization", "Bearer key-mill")
 	s.Handler().ServeHTTP(recorder, req)
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -64,7 +64,7 @@
 	Content content `json:"content"`
 }
 
-// content is the text of a message. JSON has it as a string or a list of text parts.
+// content is the text of a message. In JSON it is a string or a list of text parts.
 type content string
 
 type contentPart struct {
@@ -101,7 +101,7 @@
 	Prompt prompt `json:"prompt"`
 }
 
-// prompt is the input of a completion. JSON has it as a text, a list of one text,
+// prompt is the input of a completion. In JSON it is a string, a list of one string,
 // or a list of token ids.
 type prompt struct {
 	text string
@@ -126,14 +126,14 @@
 
 var errPrompt = errors.New("want one text or one list of token ids")
 
-// decodeBody reads one JSON value of at most limit bytes into a request struct. It
-// fails with the field's name on an unsupported field, rather than ignore it.
-func decodeBody(c echo.Context, limit int64, into any) error {
+// decodeBody decodes a body of one JSON value of at most limit bytes into dst. If the
+// body has an unsupported field, it fails and the error names the field.
+func decodeBody(c echo.Context, limit int64, dst any) error {
 	defer setReadDeadline(c, time.Time{})
 	r := http.MaxBytesReader(c.Response(), c.Request().Body, limit)
 	dec := json.NewDecoder(r)
 	dec.DisallowUnknownFields()
-	err := dec.Decode(into)
+	err := dec.Decode(dst)
 	if err == nil && dec.More() {
 		err = errors.New("more than one JSON value")
 	}
@@ -173,12 +173,12 @@
 }
 
 // promptDetails reports the source of the prompt's context. ImportedTokens is the
-// part of CachedTokens that was transferred from a store host; LinkBytes is the size
-// of that transfer.
+// part of CachedTokens that was transferred from a store host; TransferredBytes is the
+// number of bytes of that transfer.
 type promptDetails struct {
-	CachedTokens   int   `json:"cached_tokens"`
-	ImportedTokens int   `json:"imported_tokens"`
-	LinkBytes      int64 `json:"link_bytes"`
+	CachedTokens     int   `json:"cached_tokens"`
+	ImportedTokens   int   `json:"imported_tokens"`
+	TransferredBytes int64 `json:"link_bytes"`
 }
 
 type answerMessage struct {
--- a/internal/entry/prompts.go
+++ b/internal/entry/prompts.go
@@ -52,8 +52,8 @@
 	return s.prompt(c, &body.common, body.Prompt, objectCompletion)
 }
 
-// renderChat renders messages as one text. A later request of the same conversation
-// has the text of its earlier turns as a prefix, so that cached context is reused.
+// renderChat joins messages into one prompt text. The text of a conversation's earlier
+// turns is a prefix of the text of its later requests, so cached context is reused.
 func renderChat(messages []message) (string, error) {
 	if len(messages) == 0 {
 		return "", result.New(result.InvalidValue, result.WithField("messages"), result.WithMessage("messages is empty"))
@@ -99,8 +99,8 @@
 	return s.bufferedPrompt(c, body, req, object)
 }
 
-// runRequest validates a request against the configuration and returns it in the
-// form that the dispatcher takes.
+// runRequest validates a request against the configuration and converts it to a
+// runs.Request.
 func (s *Server) runRequest(c echo.Context, body *common, p prompt) (*runs.Request, error) {
 	info := requestOf(c)
 	deadline, err := s.deadline(c, info.startedAt)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -23,12 +23,12 @@
 	"github.com/cherryward/cherryward/internal/settings"
 )
 
-// headerRequestID carries the request's id in both directions.
+// headerRequestID is the header with the request's id, in requests and responses.
 const headerRequestID = "X-Request-Id"
 
 // VersionSelector selects the weight version of a request among those that engines
-// have loaded. The draw is equal for all requests of one conversation, so that they
-// use the same version during a rollout.
+// have loaded. draw, a number from 0 to 1, is equal for all requests of one
+// conversation, so that they use the same version during a rollout.
 type VersionSelector interface {
 	Serving(ctx context.Context, view *config.View, model string, draw float64) (version string, ok bool)
 }
@@ -44,8 +44,9 @@
 	Resume(ctx context.Context, req runs.ResumeRequest, sink runs.Sink) (runs.Summary, error)
 }
 
-// Readiness returns the reason why the node accepts no new requests, or nil.
-type Readiness func() *result.Error
+// ReadyFunc returns the reason why the node accepts no new requests, or nil if it
+// accepts them.
+type ReadyFunc func() *result.Error
 
 // Recorder records the metrics of each request.
 type Recorder interface {
@@ -54,7 +55,7 @@
 
 // Admission enforces the limits of client accounts.
 type Admission interface {
-	// Admit counts a request with its expected number of tokens against the
+	// Admit counts a request with its maximum number of tokens against the
 	// account's limits, or rejects it. The caller calls done once, with the number
 	// of tokens that were used.
 	Admit(ctx context.Context, account *pb.ClientAccount, tokens int) (done func(used int), err error)
@@ -66,7 +67,7 @@
 	Directory       Directory
 	VersionSelector VersionSelector
 	Runner          Runner
-	Ready           Readiness
+	Ready           ReadyFunc
 	Recorder        Recorder
 	Admission       Admission
 	Calls           Calls
@@ -104,7 +105,7 @@
 }
 
 // onError writes an error in the OpenAI format. If the response has already started,
-// it only records the outcome: the stream's handler has then sent the error.
+// it only records the outcome: the stream's handler has already sent the error.
 func (s *Server) onError(err error, c echo.Context) {
 	e := toResult(err)
 	info := requestOf(c)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Stop implements kernel.Stopper. The node reports itself unready at once, keeps
-// accepting requests during the drain grace period until the load balancer stops
+// Stop implements kernel.Stopper. The node reports at once that it is not ready. It
+// accepts requests during the drain grace period, in which the load balancer stops
 // sending them, and then waits for the open requests to end.
 func (s *Service) Stop(ctx context.Context) error {
 	s.draining.Store(true)
@@ -147,7 +147,7 @@
 	return eris.Wrap(s.http.Shutdown(ctx), "finish open requests")
 }
 
-// ready implements Readiness. A draining node is not ready.
+// ready is the server's ReadyFunc. A draining node is not ready.
 func (s *Service) ready() *result.Error {
 	if s.draining.Load() {
 		return result.New(result.Draining)
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -99,7 +99,8 @@
 }
 
 // setResumeOffset prepares the sink for a run whose first offset tokens the caller
-// has already received. With the first of them it has received the role as well.
+// has already received. If offset is positive, the caller has also received the role,
+// which is not sent again.
 func (s *streamSink) setResumeOffset(offset int) {
 	if offset > 0 && s.choice.Delta != nil {
 		s.choice.Delta.Role = ""
@@ -170,7 +171,7 @@
 }
 
 // fail ends an answer with an error. If the stream has started, the error is its last
-// event and no [DONE] follows, so that a caller can tell that the answer is partial.
+// event and no [DONE] follows, so that a caller can detect a partial answer.
 func (s *streamSink) fail(err error, requestID string) error {
 	if !s.started {
 		return err
@@ -184,9 +185,9 @@
 // gapTimer measures the times between tokens. For a long answer it keeps a uniform
 // sample of them, so that the memory of a stream is bounded.
 type gapTimer struct {
-	last time.Time
-	seen int
-	gaps []time.Duration
+	last  time.Time
+	count int // number of gaps so far
+	gaps  []time.Duration
 }
 
 // maxGaps is the maximum number of samples per answer; they take 4 KiB per stream.
@@ -200,12 +201,12 @@
 }
 
 func (g *gapTimer) add(gap time.Duration) {
-	g.seen++
+	g.count++
 	if len(g.gaps) < maxGaps {
 		g.gaps = append(g.gaps, gap)
 		return
 	}
-	if i := rand.IntN(g.seen); i < maxGaps {
+	if i := rand.IntN(g.count); i < maxGaps {
 		g.gaps[i] = gap
 	}
 }
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -82,7 +82,7 @@
 func streamOnce(t testing.TB, e *recordedEngine, w http.ResponseWriter, object string) {
 	salter, err := kvcache.NewSalter(key)
 	must.NoError(t, err)
-	d := &runs.Dispatcher{Key: key, Salter: salter, Engines: e, Placer: e, Budget: noLimits{}}
+	d := &runs.Dispatcher{Key: key, Salter: salter, Engines: e, Placer: e, Budget: noopServices{}}
 	c := echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)
 	req := &runs.Request{Account: "mill", Model: "melt", Version: "v1", Prompt: "heat", MaxTokens: e.tokens, Deadline: time.Now().Add(time.Minute)}
 	sink := newStreamSink(c, "melt", object, time.Now())
