--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -16,20 +16,20 @@
 	"github.com/cherryward/cherryward/internal/result"
 )
 
-// objectWriter writes objects one at a time and prints the outcome of each.
+// objectWriter sends changes of objects one at a time and prints the outcome of each.
 type objectWriter struct {
 	client *client
 	out    io.Writer
 	wait   bool
 
-	// lastRequest is the newest accepted write, which was sent at lastSent and got
-	// lastResponse.
+	// lastRequest is the newest accepted change. It was sent at lastSent, and
+	// lastResponse is its response.
 	lastRequest  *pb.ApplyRequest
 	lastSent     time.Time
 	lastResponse *pb.ApplyResponse
 }
 
-// applyAll writes every object, even if one of them fails.
+// applyAll sends the change of every object, even if one of them fails.
 func (w *objectWriter) applyAll(ctx context.Context, objects []parsedObject) error {
 	var failures []error
 	for i, o := range objects {
@@ -39,7 +39,7 @@
 			failures = append(failures, fmt.Errorf("%s: %w", o.id(), err))
 		}
 	}
-	if err := w.reportInForce(ctx); err != nil {
+	if err := w.waitAndReport(ctx); err != nil {
 		failures = append(failures, err)
 	}
 	return errors.Join(failures...)
@@ -86,7 +86,7 @@
 	if err := w.write(ctx, req, "deleted", string(kind)+"/"+name); err != nil {
 		return err
 	}
-	return w.reportInForce(ctx)
+	return w.waitAndReport(ctx)
 }
 
 func (w *objectWriter) write(ctx context.Context, req *pb.ApplyRequest, done, id string) error {
@@ -100,11 +100,11 @@
 	return nil
 }
 
-// reportInForce waits until the newest write is applied at every live node, and prints the
-// time that this took. Earlier writes are then applied as well, since the log orders all
-// writes. If the newest write did not wait, it is sent again with the same change id,
-// which does not apply it twice.
-func (w *objectWriter) reportInForce(ctx context.Context) error {
+// waitAndReport waits until every live node has applied the newest change, and prints the
+// time that this took. Earlier changes are then applied as well, since the log orders all
+// changes. If the newest change was sent without Wait, it is sent again with the same
+// change id, so it is not applied twice.
+func (w *objectWriter) waitAndReport(ctx context.Context) error {
 	if !w.wait || w.lastRequest == nil {
 		return nil
 	}
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -38,7 +38,7 @@
 // server.
 func newClient(urls []string, credential string, timeout time.Duration) *client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	web := &http.Client{Transport: bearer{
+	httpClient := &http.Client{Transport: bearer{
 		next:       &http.Transport{DialContext: dialer.DialContext, ForceAttemptHTTP2: true},
 		credential: credential,
 	}}
@@ -46,8 +46,8 @@
 	for _, url := range urls {
 		c.servers = append(c.servers, nodeServer{
 			url:    url,
-			config: cherrywardv1connect.NewConfigServiceClient(web, url),
-			status: cherrywardv1connect.NewStatusServiceClient(web, url),
+			config: cherrywardv1connect.NewConfigServiceClient(httpClient, url),
+			status: cherrywardv1connect.NewStatusServiceClient(httpClient, url),
 		})
 	}
 	return c
@@ -66,9 +66,9 @@
 	return b.next.RoundTrip(r)
 }
 
-// retryElsewhere lists the results after which the next server is tried. Retrying a write
+// nextServerCodes lists the results after which the next server is tried. Retrying a write
 // there is safe because it has the same change id.
-var retryElsewhere = []result.Code{
+var nextServerCodes = []result.Code{
 	result.EndpointUnreachable, result.OutcomeUnknown, result.LogUnavailable,
 	result.Draining, result.NodeStale, result.Overloaded,
 }
@@ -77,8 +77,9 @@
 type rpc[Res any] func(ctx context.Context, s nodeServer) (*connect.Response[Res], error)
 
 // call tries the servers in order until one succeeds or fails with a result that another
-// server would return as well. After the codes in also it tries the next server, too.
-func call[Res any](ctx context.Context, c *client, do rpc[Res], also ...result.Code) (*Res, error) {
+// server would return as well. It also tries the next server after the codes in
+// extraRetryCodes.
+func call[Res any](ctx context.Context, c *client, do rpc[Res], extraRetryCodes ...result.Code) (*Res, error) {
 	var failures []error
 	for _, s := range c.servers {
 		res, err := callServer(ctx, c, s, do)
@@ -87,7 +88,7 @@
 		}
 		e := remoteError(err)
 		failures = append(failures, fmt.Errorf("%s: %w", s.url, e))
-		if !slices.Contains(retryElsewhere, e.Code) && !slices.Contains(also, e.Code) {
+		if !slices.Contains(nextServerCodes, e.Code) && !slices.Contains(extraRetryCodes, e.Code) {
 			break
 		}
 	}
@@ -105,25 +106,25 @@
 // remoteError returns the result that a server attached to its error. An error without
 // one means that the server was not reached, did not respond, or is not a node.
 func remoteError(err error) *result.Error {
-	var wire *connect.Error
-	if !errors.As(err, &wire) {
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) {
 		return result.From(err)
 	}
-	for _, detail := range wire.Details() {
+	for _, detail := range connectErr.Details() {
 		value, valueErr := detail.Value()
 		if d, ok := value.(*pb.ResultDetail); ok && valueErr == nil {
 			return fromDetail(d)
 		}
 	}
-	if number, numErr := strconv.Atoi(wire.Meta().Get(operator.HeaderResult)); numErr == nil {
-		return result.New(result.Code(number), result.WithMessage("%s", wire.Message()))
+	if number, numErr := strconv.Atoi(connectErr.Meta().Get(operator.HeaderResult)); numErr == nil {
+		return result.New(result.Code(number), result.WithMessage("%s", connectErr.Message()))
 	}
-	switch wire.Code() {
+	switch connectErr.Code() {
 	case connect.CodeUnavailable:
 		return result.Wrap(err, result.EndpointUnreachable, result.WithMessage("the server can't be reached"))
 	case connect.CodeUnimplemented:
-		// Nodes implement all calls. After a node has ended, another program may listen
-		// at its address.
+		// A node implements all calls, so another program responded. After a node has
+		// ended, another program may listen at its address.
 		return result.Wrap(err, result.EndpointUnreachable, result.WithMessage("no node answers at this address"))
 	case connect.CodeDeadlineExceeded:
 		return result.Wrap(err, result.OutcomeUnknown, result.WithMessage("the server did not answer in time"))
--- a/internal/ctl/commands_show.go
+++ b/internal/ctl/commands_show.go
@@ -115,7 +115,7 @@
 func loadCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "send a bounded load of chat requests to a node's caller listener on loopback",
+		Usage: "send a bounded load of chat requests to a node's caller listener on the loopback interface",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagURL, Required: true, Usage: "`URL` of a node's caller listener"},
 			&cli.StringFlag{Name: flagKey, Required: true, Sources: cli.EnvVars("CHERRYCTL_KEY"), Usage: "client account's bearer `KEY`"},
--- a/internal/ctl/domains.go
+++ b/internal/ctl/domains.go
@@ -55,14 +55,14 @@
 	Evacuated bool   `json:"evacuated"`
 	Endpoints int    `json:"endpoints"`
 	Cold      int    `json:"cold"`
-	// ColdForMs is the longest remaining time that one of the cold endpoints is cold, by
-	// its newest heartbeat.
+	// ColdForMs is the maximum remaining cold time of the domain's cold endpoints, by
+	// their newest heartbeats.
 	ColdForMs int64 `json:"cold_for_ms"`
 	Draining  int   `json:"draining"`
 }
 
-// readDomains reads the operators' orders and the endpoints' entries, and returns the domains in both.
-// Entries that can't be decoded are ignored.
+// readDomains reads the operators' orders and the endpoints' entries, and returns the
+// domains that either of them names. Entries that can't be decoded are ignored.
 func readDomains(ctx context.Context, store *platform.Store) ([]*domainStatus, error) {
 	orders, err := store.Topic(platform.TopicOperator).Newest(ctx)
 	if err != nil {
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	byName := make(map[string]*domainStatus)
-	at := func(name string) *domainStatus {
+	statusOf := func(name string) *domainStatus {
 		if byName[name] == nil {
 			byName[name] = &domainStatus{Domain: name}
 		}
@@ -81,7 +81,7 @@
 	}
 	for _, r := range orders.Records {
 		if domain, ok := platform.EvacuatedDomain(r.Key); ok && r.Value != nil {
-			at(domain).Evacuated = true
+			statusOf(domain).Evacuated = true
 		}
 	}
 	for _, r := range entries.Records {
@@ -89,7 +89,7 @@
 		if err != nil {
 			continue
 		}
-		d := at(e.Domain)
+		d := statusOf(e.Domain)
 		d.Endpoints++
 		if e.Draining {
 			d.Draining++
--- a/internal/ctl/endpoints.go
+++ b/internal/ctl/endpoints.go
@@ -87,11 +87,11 @@
 	if l == nil {
 		return noValue
 	}
-	by := "told"
+	source := "told"
 	if l.Direct {
-		by = "answer"
+		source = "answer"
 	}
-	return fmt.Sprintf("%g/s (%s %s ago)", l.PerSecond, by, milliseconds(l.AgeMs))
+	return fmt.Sprintf("%g/s (%s %s ago)", l.PerSecond, source, milliseconds(l.AgeMs))
 }
 
 func backoffText(b *fleet.BackoffStatus) string {
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -89,8 +89,8 @@
 func runLoad(ctx context.Context, p loadPlan) *loadReport {
 	ctx, cancel := context.WithTimeout(ctx, p.duration)
 	defer cancel()
-	web := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.concurrency}}
-	defer web.CloseIdleConnections()
+	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.concurrency}}
+	defer httpClient.CloseIdleConnections()
 	report := &loadReport{outcomes: make(map[string]int)}
 	start := time.Now()
 	var next atomic.Int64
@@ -102,7 +102,7 @@
 				if n > int64(p.requests) {
 					return
 				}
-				report.add(p.send(ctx, web, n))
+				report.add(p.send(ctx, httpClient, n))
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 }
 
 // send sends one streamed request and reads its answer to the end.
-func (p loadPlan) send(ctx context.Context, web *http.Client, n int64) (outcome string, firstToken time.Duration) {
+func (p loadPlan) send(ctx context.Context, httpClient *http.Client, n int64) (outcome string, firstToken time.Duration) {
 	body, err := p.body(n)
 	if err != nil {
 		return outcomeConnection, 0
@@ -124,7 +124,7 @@
 	req.Header.Set("Authorization", "Bearer "+p.key)
 	req.Header.Set("Content-Type", "application/json")
 	start := time.Now()
-	res, err := web.Do(req)
+	res, err := httpClient.Do(req)
 	if err != nil {
 		return outcomeOf(ctx, outcomeConnection), 0
 	}
@@ -147,8 +147,8 @@
 	return sjson.Set(body, "messages.0.content", fmt.Sprintf("load request %d", n))
 }
 
-// outcomeOf returns outcomeDeadline for a request that failed because the load's duration
-// was over, else the given outcome.
+// outcomeOf returns outcomeDeadline for a request that failed because the load test's
+// duration ended, else the given outcome.
 func outcomeOf(ctx context.Context, outcome string) string {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return outcomeDeadline
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -35,7 +35,7 @@
 func quarantineListCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:         "list",
-		Usage:        "show which requests are held, until when, and which endpoints failed while running them",
+		Usage:        "show which requests are quarantined, until when, and which endpoints failed while running them",
 		Flags:        []cli.Flag{storeFlag(), outputFlag()},
 		OnUsageError: asUsageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -61,7 +61,7 @@
 func quarantineReleaseCommand(s Streams) *cli.Command {
 	return &cli.Command{
 		Name:         "release",
-		Usage:        "let all nodes send a held request again",
+		Usage:        "allow all nodes to send a quarantined request again",
 		ArgsUsage:    "FINGERPRINT",
 		Flags:        []cli.Flag{storeFlag()},
 		OnUsageError: asUsageError,
@@ -84,8 +84,8 @@
 	}
 }
 
-// releaseHold deletes the record of a held request. It fails with UnknownObject if the
-// request is not held.
+// releaseHold deletes the record of a quarantined request. It fails with UnknownObject
+// if there is no such record.
 func releaseHold(ctx context.Context, w io.Writer, topic *platform.Topic, f quarantine.Fingerprint) error {
 	holds, err := quarantine.ReadHolds(ctx, topic, time.Now())
 	if err != nil {
@@ -104,7 +104,7 @@
 	return result.New(result.UnknownObject, result.WithMessage("no request with fingerprint %s is held", f))
 }
 
-// nodesTopic returns the topic with the records of held requests, at the store in the flags.
+// nodesTopic returns the topic with the records of quarantined requests, at the store in the flags.
 func nodesTopic(cmd *cli.Command) (*platform.Topic, error) {
 	store, err := storeFromFlags(cmd)
 	if err != nil {
@@ -113,10 +113,10 @@
 	return store.Topic(platform.NodesTopic), nil
 }
 
-// holdStatus is the JSON form of a held request.
+// holdStatus is the JSON form of the record of a quarantined request.
 type holdStatus struct {
 	Fingerprint string    `json:"fingerprint"`
-	Held        bool      `json:"held"` // false if Until has passed; the next failure of an endpoint holds the request again
+	Held        bool      `json:"held"` // false if Until has passed; the next failure of an endpoint quarantines the request again
 	Since       time.Time `json:"since"`
 	Until       time.Time `json:"until"`
 	Node        string    `json:"node,omitempty"`
--- a/internal/ctl/quarantine_test.go
+++ b/internal/ctl/quarantine_test.go
@@ -24,8 +24,8 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// TestQuarantine checks that held requests are listed, that nodes' entries and records that can't
-// be decoded are ignored, and that a held request can be released.
+// TestQuarantine checks that quarantined requests are listed, that nodes' entries and records that can't
+// be decoded are ignored, and that a quarantined request can be released.
 func TestQuarantine(t *testing.T) {
 	const held, over = "00112233445566778899aabbccddeeff", "ffeeddccbbaa99887766554433221100"
 	store := metastore.New()
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -30,8 +30,9 @@
 // watchRetryInterval is the time before a watch retries after every server has failed.
 const watchRetryInterval = time.Second
 
-// finalWatchCodes lists the results that every other server would return as well.
-var finalWatchCodes = []result.Code{
+// watchStopCodes lists the results after which a watch ends without trying another
+// server, since every other server would return them as well.
+var watchStopCodes = []result.Code{
 	result.WatchOffsetGone, result.WatchTooSlow, result.OperatorCredential, result.InvalidObject,
 }
 
@@ -130,7 +131,7 @@
 				return nil
 			}
 			e := remoteError(err)
-			if slices.Contains(finalWatchCodes, e.Code) {
+			if slices.Contains(watchStopCodes, e.Code) {
 				return fmt.Errorf("%s: after revision %d: %w", s.url, after, e)
 			}
 			fmt.Fprintf(errs, "cherryctl: %s: after revision %d: %v\n", s.url, after, e)
