--- a/internal/config/configtest/log.go
+++ b/internal/config/configtest/log.go
@@ -14,8 +14,7 @@
 // Log validates proposed changes and applies them to a config.Store.
 type Log struct {
 	*config.Store
-	// LoseAnswers is the number of the next proposals that are applied but fail with
-	// OutcomeUnknown.
+	// The next LoseAnswers proposals are applied but return OutcomeUnknown.
 	LoseAnswers atomic.Int32
 
 	mu       sync.Mutex
--- a/internal/config/index.go
+++ b/internal/config/index.go
@@ -41,8 +41,8 @@
 	return append(next, list[i:]...)
 }
 
-// removeEndpoint removes an endpoint from the list of a key, and the key once its list
-// is empty.
+// removeEndpoint removes an endpoint from the list under a key, and removes the key if
+// the list is then empty.
 func removeEndpoint(index map[string][]*pb.Endpoint, key, name string) {
 	list := index[key]
 	i, found := searchByName(list, name)
--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -13,8 +13,8 @@
 // Kind is the kind of a configuration object.
 type Kind string
 
-// The kinds in an order in which objects can be created: an object only references
-// objects of the kinds before its own.
+// The kinds in an order in which objects can be created: an object references
+// only objects of kinds that come before its own.
 const (
 	KindAccount  Kind = "account"
 	KindVersion  Kind = "version"
@@ -79,7 +79,8 @@
 	All(kind Kind) iter.Seq[Value]
 }
 
-// ToObject returns a value and its revision as the message of the operators' RPCs.
+// ToObject converts a value and its revision to a pb.Object, the message of the
+// operators' RPCs.
 func ToObject(v Value, revision int64) *pb.Object {
 	o := &pb.Object{Revision: revision}
 	switch v := v.(type) {
--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -10,8 +10,8 @@
 
 // CheckPut validates the write of an object against the state before it: the object
 // itself, that the objects it references exist, and that no other account has one of
-// its keys. The replicated state stores the texts of its errors, so that nodes of two
-// releases with different texts would have different states.
+// its keys. The replicated state stores the texts of its errors, so they must not
+// differ between releases: nodes would then have different states.
 func CheckPut(s State, v Value) error {
 	if err := Validate(v); err != nil {
 		return err
@@ -115,22 +115,23 @@
 }
 
 // checkKeysUnused rejects a key that another account has, since a key must identify
-// one account. The error names the first such key.
+// one account. The error names the first such key
+// in a's list.
 func checkKeysUnused(s State, a *pb.ClientAccount) error {
-	taken := -1
+	firstUsed := -1
 	for v := range s.All(KindAccount) {
 		other, ok := v.(*pb.ClientAccount)
 		if !ok || other.GetName() == a.GetName() {
 			continue
 		}
 		for i, hash := range a.GetKeyHashes() {
-			if slices.Contains(other.GetKeyHashes(), hash) && (taken < 0 || i < taken) {
-				taken = i
+			if slices.Contains(other.GetKeyHashes(), hash) && (firstUsed < 0 || i < firstUsed) {
+				firstUsed = i
 			}
 		}
 	}
-	if taken < 0 {
+	if firstUsed < 0 {
 		return nil
 	}
-	return invalid(elementField("account.key_hashes", taken), "another account holds this key")
+	return invalid(elementField("account.key_hashes", firstUsed), "another account holds this key")
 }
--- a/internal/config/replica.go
+++ b/internal/config/replica.go
@@ -134,15 +134,15 @@
 // proposeError converts an error of the replicated state to a result.
 func proposeError(err error) error {
 	var conflict *changelog.ConflictError
-	var refused *changelog.InvalidError
+	var invalidErr *changelog.InvalidError
 	switch {
 	case errors.As(err, &conflict):
 		return result.Wrap(err, result.RevisionConflict, result.WithRevision(conflict.Revision))
-	case errors.As(err, &refused):
-		if coded, ok := result.ParseText(refused.Reason); ok {
+	case errors.As(err, &invalidErr):
+		if coded, ok := result.ParseText(invalidErr.Reason); ok {
 			return coded
 		}
-		return result.Wrap(err, result.InvalidObject, result.WithMessage("%s", refused.Reason))
+		return result.Wrap(err, result.InvalidObject, result.WithMessage("%s", invalidErr.Reason))
 	case errors.Is(err, changelog.ErrUnknownOutcome):
 		return result.Wrap(err, result.OutcomeUnknown)
 	case errors.Is(err, changelog.ErrExpired):
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	history []Entry
-	// historyAfter is the revision after which history has every change.
+	// history contains every change with a higher revision than historyAfter.
 	historyAfter int64
 	changed      chan struct{}
 }
@@ -63,8 +63,8 @@
 	s.notifyWaiters()
 }
 
-// Wait returns nil once the view has applied the log up to an offset, or the error of
-// ctx if it ends first.
+// Wait waits until the view has applied the log up to an offset. It returns the error
+// of ctx if that ends first.
 func (s *Store) Wait(ctx context.Context, applied int64) error {
 	for {
 		s.mu.Lock()
@@ -83,7 +83,7 @@
 
 // Reset replaces the configuration with a snapshot at an offset. A snapshot that is not
 // newer than the current view is ignored, so that the configuration never reverts.
-// Watches from before the offset fail, and their callers must list again.
+// Watches that have not reached the offset fail, and their callers must list again.
 func (s *Store) Reset(applied int64, objects iter.Seq[Entry]) {
 	view := NewView()
 	for e := range objects {
@@ -117,7 +117,7 @@
 // Watch yields every change after a revision, in order and without gaps, until ctx
 // ends. It fails with WatchOffsetGone if the history no longer has these changes, and
 // with WatchTooSlow if the watcher falls behind the history later. All watchers share
-// one history, so a slow one needs no memory.
+// one history, so a slow one needs no additional memory.
 func (s *Store) Watch(ctx context.Context, after int64) iter.Seq2[Entry, error] {
 	return func(yield func(Entry, error) bool) {
 		code := result.WatchOffsetGone
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -27,7 +27,7 @@
 	}
 )
 
-// Validate validates an object without regard to other objects. The error has the
+// Validate validates an object on its own, without the objects it references. The error has the
 // code InvalidObject and the field. The replicated state stores the error texts of
 // this package, so they must not change; see CheckPut.
 func Validate(v Value) error {
@@ -69,12 +69,12 @@
 
 func checkNames(field string, names []string) error {
 	for i, name := range names {
-		at := elementField(field, i)
-		if err := checkName(at, name); err != nil {
+		path := elementField(field, i)
+		if err := checkName(path, name); err != nil {
 			return err
 		}
 		if slices.Index(names, name) != i {
-			return invalid(at, "%q stands twice", name)
+			return invalid(path, "%q stands twice", name)
 		}
 	}
 	return nil
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -25,7 +25,8 @@
 type Entry struct {
 	// Revision is the change's offset in the log.
 	Revision int64
-	// ChangeID is empty if the source of the change does not provide it.
+	// ChangeID is the id of the proposed change. It is empty in the entries of a
+	// Replica, whose log does not provide it.
 	ChangeID string
 	Kind     Kind
 	Name     string
@@ -161,9 +162,8 @@
 // leaving. The slice must not be modified.
 func (v *View) Services(name string) []*pb.Endpoint { return v.byService[name] }
 
-// With returns the view after one accepted change. Its cost does not depend on the
-// number of accounts; with the number of endpoints only the number of copied
-// pointers grows.
+// With returns a copy of v with one accepted change applied. Its cost does not depend
+// on the number of accounts; with more endpoints, it copies more pointers.
 func (v *View) With(e Entry) *View {
 	t, ok := v.items[e.Kind]
 	if !ok {
