--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -16,9 +16,9 @@
 // generated.
 func Schema() []byte { return schemaJSON }
 
-// Problem is one error in a settings file.
+// Problem is one error in a settings or experiment file.
 type Problem struct {
-	Code    result.Code // SettingUnknown to SettingInvalid
+	Code    result.Code // SettingUnknown to SettingInvalid, or ExperimentClash
 	Path    string      // JSON pointer to the field
 	Message string
 }
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -100,8 +100,8 @@
 	return to
 }
 
-// codeOf returns the result code of a schema error. It takes every format error for one
-// of a duration, since go-duration is the only format.
+// codeOf returns the result code of a schema error. It treats every format error as
+// an invalid duration, since go-duration is the only format.
 func codeOf(k jsonschema.ErrorKind) result.Code {
 	switch k := k.(type) {
 	case *kind.AdditionalProperties:
--- a/internal/settings/markdown.go
+++ b/internal/settings/markdown.go
@@ -33,7 +33,8 @@
 	defPrefix = "#/$defs/"
 )
 
-// fieldSchema has the keywords of JSON Schema that schema.json uses.
+// fieldSchema is the schema of one field, with the JSON Schema keywords that schema.json
+// uses.
 type fieldSchema struct {
 	Ref         string                 `json:"$ref"`
 	Defs        map[string]fieldSchema `json:"$defs"`
@@ -86,7 +87,7 @@
 	if err := json.Unmarshal(Schema(), &root); err != nil {
 		return eris.Wrap(err, "decode the settings schema")
 	}
-	page := &markdown{defs: root.Defs}
+	page := &markdownPage{defs: root.Defs}
 	page.WriteString(markdownHead)
 	for _, group := range root.Properties {
 		fmt.Fprintf(page, "\n## %s\n\n%s\n%s", group.name, group.schema.Description, tableHead)
@@ -96,14 +97,14 @@
 	return err
 }
 
-// markdown is a buffer for the page, with the schema's definitions.
-type markdown struct {
+// markdownPage is a buffer for the page, with the schema's definitions.
+type markdownPage struct {
 	bytes.Buffer
 	defs map[string]fieldSchema
 }
 
 // rows writes a table row for each field of an object, including nested objects.
-func (m *markdown) rows(path string, object fieldSchema) {
+func (m *markdownPage) rows(path string, object fieldSchema) {
 	for _, p := range object.Properties {
 		field := m.resolve(p.schema)
 		full := path + "." + p.name
@@ -115,7 +116,7 @@
 
 // resolve returns the definition that a field references, with the field's description
 // and default, or the field itself if it has no reference.
-func (m *markdown) resolve(field fieldSchema) fieldSchema {
+func (m *markdownPage) resolve(field fieldSchema) fieldSchema {
 	name, ok := strings.CutPrefix(field.Ref, defPrefix)
 	if !ok {
 		return field
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -97,7 +97,8 @@
 // KeptContext configures when contexts are exported to store hosts.
 type KeptContext struct {
 	// ExportAfter is the time between a turn and the decision whether to export its
-	// context. Default 2m, for gaps between turns of minutes to days.
+	// context. Default 2m, which suits conversations whose turns are
+	// minutes to days apart.
 	ExportAfter Duration `json:"export_after"`
 }
 
