--- a/internal/logservice/logservice.go
+++ b/internal/logservice/logservice.go
@@ -1,4 +1,4 @@
-// Package logservice is the HTTP client of the external services of the standalone mode:
+// Package logservice is the HTTP client of the platform services of the standalone mode:
 // the append-only log and the list of hosts.
 package logservice
 
@@ -24,9 +24,9 @@
 	callTimeout      = 5 * time.Second
 	maxResponseBytes = 64 << 20
 	maxErrorBytes    = 4 << 10
-	// firstOffset is added to the log's offsets, which start at 0. Package changelog
+	// offsetShift is added to the log's offsets, which start at 0. Package changelog
 	// uses 0 for the offset before the first record.
-	firstOffset = 1
+	offsetShift = 1
 )
 
 // StatusError is a response with an error status.
@@ -63,19 +63,19 @@
 	if err := call(ctx, l.http, http.MethodPost, l.base, body, &out); err != nil {
 		return 0, err
 	}
-	return out.Offset + firstOffset, nil
+	return out.Offset + offsetShift, nil
 }
 
 // Read implements changelog.Log.
 func (l *Log) Read(ctx context.Context, from int64, limit int) (changelog.Batch, error) {
-	query := url.Values{"from": {strconv.FormatInt(max(from-firstOffset, 0), 10)}, "max": {strconv.Itoa(limit)}}
+	query := url.Values{"from": {strconv.FormatInt(max(from-offsetShift, 0), 10)}, "max": {strconv.Itoa(limit)}}
 	var out logwire.ReadResponse
 	if err := call(ctx, l.http, http.MethodGet, l.base+"?"+query.Encode(), nil, &out); err != nil {
 		return changelog.Batch{}, err
 	}
-	batch := changelog.Batch{First: out.First + firstOffset, Next: out.Next + firstOffset}
+	batch := changelog.Batch{First: out.First + offsetShift, Next: out.Next + offsetShift}
 	for _, r := range out.Records {
-		batch.Records = append(batch.Records, changelog.Record{Offset: r.Offset + firstOffset, Data: r.Data})
+		batch.Records = append(batch.Records, changelog.Record{Offset: r.Offset + offsetShift, Data: r.Data})
 	}
 	return batch, nil
 }
@@ -96,7 +96,7 @@
 }
 
 // List returns the current list, or ErrUnchanged if it is the one that was returned last.
-// The list lags behind the actual state of the hosts.
+// The list may be older than the actual state of the hosts.
 func (h *Hosts) List(ctx context.Context) (*hostwire.List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.url, nil)
 	if err != nil {
