--- a/internal/operator/configservice.go
+++ b/internal/operator/configservice.go
@@ -20,11 +20,11 @@
 	start := time.Now()
 	change, err := newChange(req.Msg)
 	if err != nil {
-		return nil, wireError(err)
+		return nil, toConnectError(err)
 	}
 	outcome, err := s.propose(ctx, change)
 	if err != nil {
-		return nil, wireError(err)
+		return nil, toConnectError(err)
 	}
 	s.opts.Log.Info().Str("event", eventChangeAccepted).
 		Str("change", change.ID).Str("kind", string(change.Kind)).Str("name", change.Name).
@@ -35,7 +35,7 @@
 	}
 	res.WaitingFor, err = s.waitApplied(ctx, outcome.Revision)
 	if err != nil {
-		return nil, wireError(err)
+		return nil, toConnectError(err)
 	}
 	if len(res.WaitingFor) == 0 {
 		res.InForceSeconds = time.Since(start).Seconds()
@@ -90,7 +90,7 @@
 	return outcome, nil
 }
 
-// withResultCode returns err as a result; an error without a code becomes
+// withResultCode returns err with a result code; an error without a code becomes
 // OutcomeUnknown, since the change may or may not be in the log.
 func withResultCode(err error) error {
 	var coded *result.Error
@@ -104,11 +104,11 @@
 func (s *Server) Get(_ context.Context, req *connect.Request[pb.GetRequest]) (*connect.Response[pb.GetResponse], error) {
 	kind, err := config.ParseKind(req.Msg.GetKind())
 	if err != nil {
-		return nil, wireError(err)
+		return nil, toConnectError(err)
 	}
 	item, ok := s.opts.Configuration.View().Item(kind, req.Msg.GetName())
 	if !ok {
-		return nil, wireError(result.New(result.UnknownObject, result.WithField("name"),
+		return nil, toConnectError(result.New(result.UnknownObject, result.WithField("name"),
 			result.WithMessage("no %s %q is configured", kind, req.Msg.GetName())))
 	}
 	return connect.NewResponse(&pb.GetResponse{Object: config.ToObject(item.Value, item.Revision)}), nil
@@ -120,7 +120,7 @@
 	if name := req.Msg.GetKind(); name != "" {
 		kind, err := config.ParseKind(name)
 		if err != nil {
-			return nil, wireError(err)
+			return nil, toConnectError(err)
 		}
 		kinds = []config.Kind{kind}
 	}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -13,11 +13,11 @@
 // HeaderResult is the header with the number of an error's result code.
 const HeaderResult = "Cherryward-Result"
 
-// wireError returns err as a Connect error with its result code attached.
-func wireError(err error) *connect.Error {
+// toConnectError returns err as a Connect error with its result code attached.
+func toConnectError(err error) *connect.Error {
 	e := result.From(err)
-	wire := connect.NewError(connectCode(e.Code), e)
-	wire.Meta().Set(HeaderResult, strconv.Itoa(int(e.Code)))
+	connectErr := connect.NewError(connectCode(e.Code), e)
+	connectErr.Meta().Set(HeaderResult, strconv.Itoa(int(e.Code)))
 	detail, detailErr := connect.NewErrorDetail(&pb.ResultDetail{
 		Number:       int32(e.Code),
 		Name:         e.Code.String(),
@@ -28,9 +28,9 @@
 		Message:      e.Message,
 	})
 	if detailErr == nil {
-		wire.AddDetail(detail)
+		connectErr.AddDetail(detail)
 	}
-	return wire
+	return connectErr
 }
 
 // connectCode returns the RPC status that corresponds to a result code.
@@ -80,6 +80,8 @@
 // Unwrap returns the underlying writer; http.ResponseController calls it.
 func (w resultCodeWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
+// libraryCodes has the result codes, by HTTP status, of the errors that the RPC library
+// sends itself. It sends TooManyRequests for a message that exceeds the size limit.
 var libraryCodes = map[int]result.Code{
 	http.StatusBadRequest:           result.MalformedBody,
 	http.StatusNotFound:             result.UnknownPath,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -63,8 +63,8 @@
 
 // Nodes provides the applied configuration offsets of the nodes.
 type Nodes interface {
-	// Applied returns an entry for every known node. It is polled during a wait, so
-	// it must be cheap.
+	// Applied returns an entry for every member, including dead ones. It is polled
+	// during a wait, so it must be cheap.
 	Applied(ctx context.Context) ([]NodeApplied, error)
 }
 
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -81,7 +81,7 @@
 }
 
 func panicError(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
-	return wireError(result.Wrap(eris.Errorf("panic: %v", cause), result.Internal))
+	return toConnectError(result.Wrap(eris.Errorf("panic: %v", cause), result.Internal))
 }
 
 // requireCredential rejects calls without the operators' credential and passes the
@@ -93,7 +93,7 @@
 		if !s.hasValidCredential(r) {
 			_ = control.SetReadDeadline(time.Now().Add(rejectedBodyTimeout)) // fails if the connection does not support deadlines
 			s.opts.Log.Warn().Str("event", eventRejected).Str("peer", r.RemoteAddr).Str("path", r.URL.Path).Send()
-			_ = errorWriter.Write(coded, r, wireError(result.New(result.OperatorCredential)))
+			_ = errorWriter.Write(coded, r, toConnectError(result.New(result.OperatorCredential)))
 			return
 		}
 		next.ServeHTTP(coded, r.WithContext(withController(r.Context(), control)))
--- a/internal/operator/statusservice.go
+++ b/internal/operator/statusservice.go
@@ -12,7 +12,7 @@
 func (s *Server) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
 	res, err := s.opts.Reporter.Status(ctx)
 	if err != nil {
-		return nil, wireError(err)
+		return nil, toConnectError(err)
 	}
 	return connect.NewResponse(res), nil
 }
@@ -21,7 +21,7 @@
 func (s *Server) ExplainRequest(ctx context.Context, req *connect.Request[pb.ExplainRequestRequest]) (*connect.Response[pb.ExplainRequestResponse], error) {
 	res, err := s.opts.Reporter.Explain(ctx, req.Msg.GetRequestId())
 	if err != nil {
-		return nil, wireError(err)
+		return nil, toConnectError(err)
 	}
 	return connect.NewResponse(res), nil
 }
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -9,9 +9,9 @@
 )
 
 // waitApplied waits until every live node has applied a revision. After maxWait or at
-// shutdown it returns the ids of the nodes that have not. The change is accepted in
-// any case, so its errors have the run state Ran.
-func (s *Server) waitApplied(ctx context.Context, revision int64) (waitingFor []string, err error) {
+// shutdown it returns the ids of the nodes that have not. The change is already
+// accepted, so errors of the wait have the run state Ran.
+func (s *Server) waitApplied(ctx context.Context, revision int64) (behind []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	tick := time.NewTicker(waitPollInterval)
@@ -22,16 +22,16 @@
 			return nil, result.Wrap(err, result.Internal, result.WithRunState(result.Ran), result.WithRevision(revision),
 				result.WithMessage("the change is accepted, but the nodes can't be told"))
 		}
-		waitingFor = nodesBehind(nodes, revision)
-		if len(waitingFor) == 0 {
+		behind = nodesBehind(nodes, revision)
+		if len(behind) == 0 {
 			return nil, nil
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return waitingFor, nil
+			return behind, nil
 		case <-s.stopping:
-			return waitingFor, nil
+			return behind, nil
 		}
 	}
 }
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -12,19 +12,20 @@
 )
 
 // Watch implements ConfigServiceHandler. All watchers share the node's bounded
-// history of changes. A watcher that falls behind it fails with WatchTooSlow; one
-// that does not read for sendTimeout is disconnected.
+// history of changes. A watcher that needs changes that are no longer in the
+// history fails with WatchTooSlow; one that does not read for sendTimeout is
+// disconnected.
 func (s *Server) Watch(ctx context.Context, req *connect.Request[pb.WatchRequest], stream *connect.ServerStream[pb.WatchResponse]) error {
 	defer s.watchers.Add(-1)
 	if s.watchers.Add(1) > maxWatchers {
-		return wireError(result.New(result.Overloaded, result.WithRetryAfter(time.Second),
+		return toConnectError(result.New(result.Overloaded, result.WithRetryAfter(time.Second),
 			result.WithMessage("the node has its largest number of watchers: %d", maxWatchers)))
 	}
 	ctx, cancel := s.contextUntilStop(ctx)
 	defer cancel()
 	for entry, err := range s.opts.Configuration.Watch(ctx, req.Msg.GetAfter()) {
 		if err != nil {
-			return wireError(err)
+			return toConnectError(err)
 		}
 		if err := send(ctx, stream, entry); err != nil {
 			return err
@@ -32,9 +33,9 @@
 	}
 	select {
 	case <-s.stopping:
-		return wireError(result.New(result.Draining))
+		return toConnectError(result.New(result.Draining))
 	default:
-		return wireError(ctx.Err())
+		return toConnectError(ctx.Err())
 	}
 }
 
