--- a/internal/ctl/commands.go
+++ b/internal/ctl/commands.go
@@ -101,7 +101,7 @@
 	for _, text := range urls {
 		u, err := url.Parse(text)
 		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			return nil, usagef("--server: %q: want http://IP:PORT or https://IP:PORT", text)
+			return nil, usagef("--server: %q: must be http://IP:PORT or https://IP:PORT", text)
 		}
 	}
 	if cmd.String(flagToken) == "" {
@@ -122,7 +122,7 @@
 	return &cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Value: formatTable, Usage: "output `FORMAT`: table or json",
 		Validator: func(format string) error {
 			if format != formatTable && format != formatJSON {
-				return fmt.Errorf("format %q: want %s or %s", format, formatTable, formatJSON)
+				return fmt.Errorf("format %q: must be %s or %s", format, formatTable, formatJSON)
 			}
 			return nil
 		}}
--- a/internal/ctl/domains.go
+++ b/internal/ctl/domains.go
@@ -44,7 +44,7 @@
 func storeFromFlags(cmd *cli.Command) (*platform.Store, error) {
 	addr, err := netip.ParseAddrPort(cmd.String(flagStore))
 	if err != nil || addr.Port() == 0 {
-		return nil, usagef("--store or CHERRYCTL_STORE: %q: want IP:PORT", cmd.String(flagStore))
+		return nil, usagef("--store or CHERRYCTL_STORE: %q: must be IP:PORT", cmd.String(flagStore))
 	}
 	return platform.NewStore(addr.String()), nil
 }
--- a/internal/ctl/endpoints.go
+++ b/internal/ctl/endpoints.go
@@ -38,7 +38,7 @@
 			}
 			addr, err := netip.ParseAddrPort(cmd.String(flagNodeReady))
 			if err != nil || addr.Port() == 0 {
-				return usagef("--ready or CHERRYCTL_READY: %q: want IP:PORT", cmd.String(flagNodeReady))
+				return usagef("--ready or CHERRYCTL_READY: %q: must be IP:PORT", cmd.String(flagNodeReady))
 			}
 			ctx, cancel := context.WithTimeout(ctx, cmd.Duration(flagTimeout))
 			defer cancel()
@@ -63,7 +63,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("the node responded with status %d, want 200", resp.StatusCode)
+		return nil, eris.Errorf("the node responded with status %d, expected 200", resp.StatusCode)
 	}
 	var listed []fleet.Status
 	return listed, eris.Wrap(json.NewDecoder(resp.Body).Decode(&listed), "decode the node's list of endpoints")
--- a/internal/ctl/experiment.go
+++ b/internal/ctl/experiment.go
@@ -32,7 +32,7 @@
 		Usage:    "compare policies in a simulation of the fleet and load in a file, in virtual time",
 		Commands: []*cli.Command{experimentRunCommand(s)},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			return usagef("experiment: want: experiment run FILE, not %q", strings.Join(cmd.Args().Slice(), " "))
+			return usagef("experiment: the command must be experiment run FILE, not %q", strings.Join(cmd.Args().Slice(), " "))
 		},
 	}
 }
@@ -76,14 +76,14 @@
 	}
 	t := &experimentRun{file: file, parallel: cmd.Int(flagParallel), out: cmd.String(flagOut)}
 	if t.parallel < 1 {
-		return nil, usagef("--%s: want 1 or more", flagParallel)
+		return nil, usagef("--%s: must be at least 1", flagParallel)
 	}
 	t.first, t.second = file.Policies[0].Name, file.Policies[1].Name
 	if names := cmd.String(flagCompare); names != "" {
 		var ok bool
 		t.first, t.second, ok = strings.Cut(names, ",")
 		if !ok || !file.HasPolicy(t.first) || !file.HasPolicy(t.second) {
-			return nil, usagef("--%s: %q: want the names of two policies of the file", flagCompare, names)
+			return nil, usagef("--%s: %q: must be the names of two policies of the file", flagCompare, names)
 		}
 	}
 	return t, nil
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -54,15 +54,15 @@
 	}
 	addr, err := netip.ParseAddrPort(u.Host)
 	if err != nil || !addr.Addr().IsLoopback() || u.Scheme != "http" {
-		return usagef("--url: %q: want http://IP:PORT with a loopback address", p.url)
+		return usagef("--url: %q: must be http://IP:PORT with a loopback address", p.url)
 	}
 	switch {
 	case p.requests < 1 || p.requests > maxLoadRequests:
-		return usagef("--requests: want 1 to %d", maxLoadRequests)
+		return usagef("--requests: must be 1 to %d", maxLoadRequests)
 	case p.concurrency < 1 || p.concurrency > maxLoadConcurrency:
-		return usagef("--concurrency: want 1 to %d", maxLoadConcurrency)
+		return usagef("--concurrency: must be 1 to %d", maxLoadConcurrency)
 	case p.duration <= 0 || p.duration > maxLoadDuration:
-		return usagef("--duration: want up to %v", maxLoadDuration)
+		return usagef("--duration: must be more than 0 and at most %v", maxLoadDuration)
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 	outcomes map[string]int
 	// firstToken has the time to the first token of each complete answer, in seconds.
 	firstToken []float64
-	took       time.Duration
+	elapsed    time.Duration
 }
 
 func (r *loadReport) add(outcome string, firstToken time.Duration) {
@@ -107,7 +107,7 @@
 		})
 	}
 	workers.Wait()
-	report.took = time.Since(start)
+	report.elapsed = time.Since(start)
 	return report
 }
 
@@ -197,7 +197,7 @@
 	if err := writeTable(w, "OUTCOME\tREQUESTS", rows); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\n%d requests in %.2f s\n", total, r.took.Seconds())
+	fmt.Fprintf(w, "\n%d requests in %.2f s\n", total, r.elapsed.Seconds())
 	if len(r.firstToken) == 0 {
 		return errors.New("no request received a complete answer")
 	}
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -23,7 +23,7 @@
 		Usage:    "list and release requests that gateway nodes quarantined because endpoints failed while running them",
 		Commands: []*cli.Command{quarantineListCommand(s), quarantineReleaseCommand(s)},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			return usagef("quarantine: want: quarantine list, or quarantine release FINGERPRINT, not %q", strings.Join(cmd.Args().Slice(), " "))
+			return usagef("quarantine: the command must be quarantine list or quarantine release FINGERPRINT, not %q", strings.Join(cmd.Args().Slice(), " "))
 		},
 	}
 }
@@ -71,7 +71,7 @@
 			}
 			f, err := quarantine.ParseFingerprint(cmd.Args().First())
 			if err != nil {
-				return usagef("quarantine release: %q: want the 32 hexadecimal digits of a fingerprint", cmd.Args().First())
+				return usagef("quarantine release: %q: must be the 32 hexadecimal digits of a fingerprint", cmd.Args().First())
 			}
 			topic, err := nodesTopic(cmd)
 			if err != nil {
