--- a/internal/config/configtest/log.go
+++ b/internal/config/configtest/log.go
@@ -33,8 +33,8 @@
 func (l *Log) Propose(_ context.Context, c config.Change) (config.Outcome, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	outcome, known := l.outcomes[c.ID]
-	if !known {
+	outcome, exists := l.outcomes[c.ID]
+	if !exists {
 		l.offset++
 		if err := l.accept(c); err != nil {
 			return config.Outcome{}, err
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -103,7 +103,7 @@
 	return s.resume(c, id, object)
 }
 
-// resume streams the rest of a run that an engine still holds. Only the account
+// resume streams the rest of a run that an engine still has. Only the account
 // that started the run can resume it.
 func (s *Server) resume(c echo.Context, eventID, object string) error {
 	setReadDeadline(c, time.Time{}) // the body is not read, so it needs no deadline
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// Decode validates a document and decodes it into a value that holds the defaults.
-func (c *Checker) Decode(data []byte, into any) Problems {
+// Decode validates a document and decodes it into dst, which must hold the defaults.
+func (c *Checker) Decode(data []byte, dst any) Problems {
 	if problems := c.Check(data); len(problems) > 0 {
 		return problems
 	}
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	if err := dec.Decode(dst); err != nil {
 		return Problems{{Code: result.SettingInvalid, Path: "/", Message: err.Error()}}
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -51,7 +51,7 @@
 	AuthorityFile string `json:"authority_file,omitempty"`
 }
 
-// Operator is the operators' listener and the hash of their bearer key.
+// Operator is the operators' listener and the SHA-256 hash of their bearer credential.
 type Operator struct {
 	Listener
 	KeyHash string `json:"key_hash"`
@@ -97,8 +97,8 @@
 // KeptContext configures when contexts are exported to store hosts.
 type KeptContext struct {
 	// ExportAfter is the time between a turn and the decision whether to export its
-	// context. Default 2m, which suits conversations whose turns are
-	// minutes to days apart.
+	// context. Default 2m, which suits conversations whose turns are minutes
+	// to days apart.
 	ExportAfter Duration `json:"export_after"`
 }
 
