--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -98,7 +98,7 @@
 	return o
 }
 
-// FromObject returns the value in a message of the operators' RPCs.
+// FromObject returns the value in a pb.Object. It fails if the object has none.
 func FromObject(o *pb.Object) (Value, error) {
 	switch o := o.GetObject().(type) {
 	case *pb.Object_Account:
--- a/internal/config/view_test.go
+++ b/internal/config/view_test.go
@@ -38,12 +38,12 @@
 		for i := range rapid.IntRange(1, 30).Draw(t, "changes") {
 			e := drawEntry(t)
 			e.Revision = int64(i + 1)
-			kept := e
-			kept.Created = remaining[string(e.Kind)+e.Name].Created
-			if kept.Created == 0 {
-				kept.Created = e.Revision // new, or created again after a deletion
+			stored := e
+			stored.Created = remaining[string(e.Kind)+e.Name].Created
+			if stored.Created == 0 {
+				stored.Created = e.Revision // new, or created again after a deletion
 			}
-			remaining[string(e.Kind)+e.Name] = kept
+			remaining[string(e.Kind)+e.Name] = stored
 			if rapid.Bool().Draw(t, "delete") {
 				e.Value = nil
 				delete(remaining, string(e.Kind)+e.Name)
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -55,7 +55,7 @@
 	e.run = req.Run
 	add := func(f enginewire.Frame) {
 		f.Run, f.Incarnation = req.Run, "0123456789abcdef"
-		data, _ := json.Marshal(f) // frames always encode
+		data, _ := json.Marshal(f) // can't fail for a Frame
 		e.frames = append(append(append(e.frames, "data: "...), data...), "\n\n"...)
 	}
 	add(enginewire.Frame{Kind: enginewire.FrameStart, Version: req.Version, CacheSalt: req.CacheSalt, PromptTokens: 9})
@@ -109,8 +109,8 @@
 			must.NoError(t, json.Unmarshal([]byte(data), &c))
 			must.Eq(t, object, c.Object)
 			must.Eq(t, "melt", c.Model)
-			at := id[strings.LastIndex(id, ":")+1:]
-			must.Eq(t, fmt.Sprintf("id: %s:%s", c.ID, at), id)
+			offsetText := id[strings.LastIndex(id, ":")+1:]
+			must.Eq(t, fmt.Sprintf("id: %s:%s", c.ID, offsetText), id)
 			if len(c.Choices) == 0 {
 				must.Eq(t, tokens, c.Usage.CompletionTokens)
 				continue
@@ -120,7 +120,7 @@
 			} else {
 				text.WriteString(c.Choices[0].Delta.Content)
 			}
-			_, err := fmt.Sscan(at, &offset)
+			_, err := fmt.Sscan(offsetText, &offset)
 			must.NoError(t, err)
 		}
 		for i := range tokens {
@@ -150,8 +150,8 @@
 	}
 	shortAllocs, shortSize := cost(short)
 	longAllocs, longSize := cost(long)
-	// The text needs one allocation, and a second one if it has escapes, as one in
-	// eight does. The sizes include the frames, which recordedEngine copies.
+	// The text needs one allocation, and a second one if it has escapes, as every
+	// eighth token does. The sizes include the frames, which recordedEngine copies.
 	allocs, size := (longAllocs-shortAllocs)/(long-short), (longSize-shortSize)/(long-short)
 	t.Logf("%.2f allocations and %.0f bytes a token", allocs, size)
 	must.LessEq(t, maxAllocsPerToken, allocs)
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -209,7 +209,7 @@
 		slowLive bool
 		err      error
 		waiting  []string
-		took     time.Duration
+		elapsed  time.Duration
 	}{
 		"dead node is not waited for":  {false, nil, nil, applies},
 		"live node that never applies": {true, nil, []string{"n3"}, maxWait},
@@ -225,7 +225,7 @@
 				req := account("c1", 0, &pb.ClientAccount{Name: "mill"})
 				req.Msg.Wait = true
 				res, err := s.Apply(t.Context(), req)
-				must.Eq(t, tc.took, time.Since(start))
+				must.Eq(t, tc.elapsed, time.Since(start))
 				if tc.err != nil {
 					must.Eq(t, string(result.Ran), detailOf(t, err).GetRunState())
 					return
