--- a/internal/config/configtest/log.go
+++ b/internal/config/configtest/log.go
@@ -14,8 +14,7 @@
 // Log validates proposed changes and applies them to a config.Store.
 type Log struct {
 	*config.Store
-	// LoseAnswers is the number of the next proposals that are applied but fail with
-	// OutcomeUnknown.
+	// The next LoseAnswers proposals are applied but return OutcomeUnknown.
 	LoseAnswers atomic.Int32
 
 	mu       sync.Mutex
@@ -34,8 +33,8 @@
 func (l *Log) Propose(_ context.Context, c config.Change) (config.Outcome, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	outcome, known := l.outcomes[c.ID]
-	if !known {
+	outcome, exists := l.outcomes[c.ID]
+	if !exists {
 		l.offset++
 		if err := l.accept(c); err != nil {
 			return config.Outcome{}, err
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -54,15 +54,15 @@
 	}
 	addr, err := netip.ParseAddrPort(u.Host)
 	if err != nil || !addr.Addr().IsLoopback() || u.Scheme != "http" {
-		return usagef("--url: %q: want http://IP:PORT with a loopback address", p.url)
+		return usagef("--url: %q: must be http://IP:PORT with a loopback address", p.url)
 	}
 	switch {
 	case p.requests < 1 || p.requests > maxLoadRequests:
-		return usagef("--requests: want 1 to %d", maxLoadRequests)
+		return usagef("--requests: must be 1 to %d", maxLoadRequests)
 	case p.concurrency < 1 || p.concurrency > maxLoadConcurrency:
-		return usagef("--concurrency: want 1 to %d", maxLoadConcurrency)
+		return usagef("--concurrency: must be 1 to %d", maxLoadConcurrency)
 	case p.duration <= 0 || p.duration > maxLoadDuration:
-		return usagef("--duration: want up to %v", maxLoadDuration)
+		return usagef("--duration: must be more than 0 and at most %v", maxLoadDuration)
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 	outcomes map[string]int
 	// firstToken has the time to the first token of each complete answer, in seconds.
 	firstToken []float64
-	took       time.Duration
+	elapsed    time.Duration
 }
 
 func (r *loadReport) add(outcome string, firstToken time.Duration) {
@@ -89,8 +89,8 @@
 func runLoad(ctx context.Context, p loadPlan) *loadReport {
 	ctx, cancel := context.WithTimeout(ctx, p.duration)
 	defer cancel()
-	web := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.concurrency}}
-	defer web.CloseIdleConnections()
+	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.concurrency}}
+	defer httpClient.CloseIdleConnections()
 	report := &loadReport{outcomes: make(map[string]int)}
 	start := time.Now()
 	var next atomic.Int64
@@ -102,17 +102,17 @@
 				if n > int64(p.requests) {
 					return
 				}
-				report.add(p.send(ctx, web, n))
+				report.add(p.send(ctx, httpClient, n))
 			}
 		})
 	}
 	workers.Wait()
-	report.took = time.Since(start)
+	report.elapsed = time.Since(start)
 	return report
 }
 
 // send sends one streamed request and reads its answer to the end.
-func (p loadPlan) send(ctx context.Context, web *http.Client, n int64) (outcome string, firstToken time.Duration) {
+func (p loadPlan) send(ctx context.Context, httpClient *http.Client, n int64) (outcome string, firstToken time.Duration) {
 	body, err := p.body(n)
 	if err != nil {
 		return outcomeConnection, 0
@@ -124,7 +124,7 @@
 	req.Header.Set("Authorization", "Bearer "+p.key)
 	req.Header.Set("Content-Type", "application/json")
 	start := time.Now()
-	res, err := web.Do(req)
+	res, err := httpClient.Do(req)
 	if err != nil {
 		return outcomeOf(ctx, outcomeConnection), 0
 	}
@@ -147,8 +147,8 @@
 	return sjson.Set(body, "messages.0.content", fmt.Sprintf("load request %d", n))
 }
 
-// outcomeOf returns outcomeDeadline for a request that failed because the load's duration
-// was over, else the given outcome.
+// outcomeOf returns outcomeDeadline for a request that failed because the load test's
+// duration ended, else the given outcome.
 func outcomeOf(ctx context.Context, outcome string) string {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return outcomeDeadline
@@ -197,7 +197,7 @@
 	if err := writeTable(w, "OUTCOME\tREQUESTS", rows); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\n%d requests in %.2f s\n", total, r.took.Seconds())
+	fmt.Fprintf(w, "\n%d requests in %.2f s\n", total, r.elapsed.Seconds())
 	if len(r.firstToken) == 0 {
 		return errors.New("no request received a complete answer")
 	}
