--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,12 +31,12 @@
 
 // command holds the state and flags that the subcommands share.
 type command struct {
-	streams  Streams
-	settings string
-	boot     string
-	serve    bool
-	platform bool // run the demo on a simulated platform
-	argsOK   bool // the arguments were valid
+	streams    Streams
+	settings   string
+	boot       string
+	serve      bool
+	platform   bool // run the demo in gateway mode, on a simulated platform
+	argsParsed bool // argument parsing succeeded and an action started
 }
 
 // usageError is an error in the arguments or settings; the command exits with exitUsage.
@@ -57,7 +57,7 @@
 	}
 	fmt.Fprintln(streams.Err, "cherryward:", err)
 	var usage *usageError
-	if errors.As(err, &usage) || !c.argsOK {
+	if errors.As(err, &usage) || !c.argsParsed {
 		return exitUsage
 	}
 	return exitFailed
@@ -65,10 +65,10 @@
 
 func (c *command) root() *cli.Command {
 	file := &cli.StringFlag{Name: "settings", Usage: "settings `FILE` of the node", Destination: &c.settings}
-	boot := &cli.StringFlag{Name: "boot", Usage: "boot `FILE` of a node on the users' platform, used instead of --settings",
+	boot := &cli.StringFlag{Name: "boot", Usage: "boot `FILE` of a node in gateway mode, ignored if --settings is given",
 		Sources: cli.EnvVars(platform.BootEnv), Destination: &c.boot}
 	serve := &cli.BoolFlag{Name: "serve", Usage: "keep running after the demo conversations", Destination: &c.serve}
-	onPlatform := &cli.BoolFlag{Name: "platform", Usage: "run the nodes on a simulation of the users' platform", Destination: &c.platform}
+	platformFlag := &cli.BoolFlag{Name: "platform", Usage: "run the nodes in gateway mode, on a simulated platform", Destination: &c.platform}
 	return &cli.Command{
 		Name:           "cherryward",
 		Usage:          "serves language model prompts whose answers take minutes to days",
@@ -78,23 +78,23 @@
 		OnUsageError:   func(_ context.Context, _ *cli.Command, err error, _ bool) error { return &usageError{err} },
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "run a node", Flags: []cli.Flag{file, boot}, Action: c.run},
-			{Name: "check", Usage: "check a settings file", Flags: []cli.Flag{file, boot}, Action: c.check},
-			{Name: "demo", Usage: "run a small system on loopback and send it example conversations", Flags: []cli.Flag{serve, onPlatform}, Action: c.demo},
+			{Name: "check", Usage: "check a settings or boot file", Flags: []cli.Flag{file, boot}, Action: c.check},
+			{Name: "demo", Usage: "run a small system on loopback and send it example conversations", Flags: []cli.Flag{serve, platformFlag}, Action: c.demo},
 		},
 	}
 }
 
 var errNoConfigFile = errors.New("one of --settings and --boot is required")
 
-// onPlatform reports whether the node is configured by a boot file of the users'
-// platform. --settings takes precedence.
-func (c *command) onPlatform() bool { return c.settings == "" && c.boot != "" }
+// useBootFile reports whether the node runs in gateway mode, configured by a boot file.
+// --settings takes precedence over --boot.
+func (c *command) useBootFile() bool { return c.settings == "" && c.boot != "" }
 
 func (c *command) load() (*settings.Settings, error) {
 	if c.settings == "" {
 		return nil, &usageError{errNoConfigFile}
 	}
-	c.argsOK = true
+	c.argsParsed = true
 	s, err := settings.Load(c.settings)
 	if err != nil {
 		return nil, &usageError{err}
@@ -103,7 +103,7 @@
 }
 
 func (c *command) run(ctx context.Context, _ *cli.Command) error {
-	if c.onPlatform() {
+	if c.useBootFile() {
 		return c.runGateway(ctx)
 	}
 	s, err := c.load()
@@ -127,7 +127,7 @@
 func (c *command) check(context.Context, *cli.Command) error {
 	file := c.settings
 	var err error
-	if c.onPlatform() {
+	if c.useBootFile() {
 		file = c.boot
 		_, err = c.loadBoot()
 	} else {
@@ -141,7 +141,7 @@
 }
 
 func (c *command) demo(ctx context.Context, _ *cli.Command) error {
-	c.argsOK = true
+	c.argsParsed = true
 	if c.platform {
 		return gatewaydemo.Run(ctx, c.streams.Out, c.logger("error"), c.serve)
 	}
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -12,11 +12,12 @@
 )
 
 // maxBufferedLines is the number of log lines buffered for a slow reader of standard
-// output; further lines overwrite the oldest. A node writes some hundred lines a second.
+// output: several seconds of output of a node, which writes some hundred lines a second.
+// When the buffer is full, new lines replace the oldest.
 const maxBufferedLines = 2000
 
 func (c *command) loadBoot() (*bootstrap.Node, error) {
-	c.argsOK = true
+	c.argsParsed = true
 	boot, err := platform.LoadBoot(c.boot)
 	if err != nil {
 		return nil, &usageError{err}
@@ -24,7 +25,7 @@
 	return boot, nil
 }
 
-// runGateway runs a node on the users' platform.
+// runGateway runs a node in gateway mode, configured by the boot file.
 func (c *command) runGateway(ctx context.Context) error {
 	boot, err := c.loadBoot()
 	if err != nil {
@@ -48,11 +49,11 @@
 // writes the buffered lines and stops the logger.
 func (c *command) gatewayLogger(node string) (log zerolog.Logger, flush func()) {
 	out := keyValues(c.streams.Out)
-	direct := zerolog.New(out)
+	unbuffered := zerolog.New(out)
 	w := diode.NewWriter(out, maxBufferedLines, 0, func(dropped int) {
-		direct.Warn().Str("event", "log_lines_dropped").Int("lines", dropped).Send()
+		unbuffered.Warn().Str("event", "log_lines_dropped").Int("lines", dropped).Send()
 	})
 	log = zerolog.New(w).Level(zerolog.InfoLevel).With().Timestamp().Str("node", node).Logger()
-	// Close only returns the error of the underlying writer's Close, and this one has none.
+	// Close returns only the error of closing out, and out has no Close method.
 	return log, func() { _ = w.Close() }
 }
