--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,7 +27,8 @@
 	"github.com/cherryward/cherryward/internal/telemetry"
 )
 
-// Node is one node. Its listeners are open once New returns; Run serves requests.
+// Node is a cherryward node with all of its services. Its listeners are open once New
+// returns; Run serves requests.
 type Node struct {
 	kernel    *kernel.Kernel
 	cluster   *cluster.Cluster
@@ -38,26 +39,26 @@
 // New opens the node's listeners and registers its services. Connections are not
 // served before Run.
 func New(s *settings.Settings, log zerolog.Logger) (*Node, error) {
-	p, err := newShared(s, log.With().Str("node", s.Node.ID).Logger())
+	deps, err := newDependencies(s, log.With().Str("node", s.Node.ID).Logger())
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{kernel: kernel.New(time.Duration(s.Node.StopTimeout))}
-	if n.cluster, err = cluster.New(s, p.tls.peers, p.tls.dial, p.log); err != nil {
+	if n.cluster, err = cluster.New(s, deps.tls.peers, deps.tls.dial, deps.log); err != nil {
 		return nil, err
 	}
-	if n.operators, err = newOperators(s, p.tls.operators, p.log); err != nil {
+	if n.operators, err = newOperators(s, deps.tls.operators, deps.log); err != nil {
 		return nil, err
 	}
-	if n.entry, err = p.newEntry(); err != nil {
+	if n.entry, err = deps.newEntry(); err != nil {
 		return nil, err
 	}
-	internal, err := p.internalServices()
+	internal, err := deps.internalServices()
 	if err != nil {
 		return nil, err
 	}
-	p.metrics.WatchPeers(n.cluster.Traffic)
-	p.metrics.WatchMembers(n.cluster.Members)
+	deps.metrics.WatchPeers(n.cluster.Traffic)
+	deps.metrics.WatchMembers(n.cluster.Members)
 	return n, n.register(append(internal, n.cluster, n.entry, n.operators)...)
 }
 
@@ -70,19 +71,19 @@
 	return nil
 }
 
-// shared holds the dependencies that several services of a node use.
-type shared struct {
+// dependencies holds what several services of a node use.
+type dependencies struct {
 	settings  *settings.Settings
 	tls       *tlsConfigs
 	log       zerolog.Logger
 	metrics   *telemetry.Metrics
 	engines   *engine.Client
 	salter    *kvcache.Salter
-	retries   budget
+	retries   retryBudget
 	admission *limits.Service
 }
 
-func newShared(s *settings.Settings, log zerolog.Logger) (*shared, error) {
+func newDependencies(s *settings.Settings, log zerolog.Logger) (*dependencies, error) {
 	tls, err := loadTLS(s)
 	if err != nil {
 		return nil, err
@@ -91,58 +92,58 @@
 	if err != nil {
 		return nil, err
 	}
-	return &shared{
+	return &dependencies{
 		settings:  s,
 		tls:       tls,
 		log:       log,
 		metrics:   telemetry.New(),
 		engines:   engine.NewClient(),
 		salter:    salter,
-		retries:   newBudget(),
+		retries:   newRetryBudget(),
 		admission: limits.New(s.Limits.MaxNodes, log),
 	}, nil
 }
 
 // internalServices returns the services that have no listener of their own.
-func (p *shared) internalServices() ([]kernel.Service, error) {
-	s := p.settings
-	config := configsync.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream), time.Duration(s.Requests.MaxConfigAge), p.log)
-	rollouts, err := rollout.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream+rollout.ClaimsSuffix), engine.WeightsClient{Client: p.engines}, p.log)
+func (d *dependencies) internalServices() ([]kernel.Service, error) {
+	s := d.settings
+	config := configsync.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream), time.Duration(s.Requests.MaxConfigAge), d.log)
+	rollouts, err := rollout.New(s.Node.ID, logservice.NewLog(s.Log.URL, s.Log.Stream+rollout.ClaimsSuffix), engine.WeightsClient{Client: d.engines}, d.log)
 	if err != nil {
 		return nil, err
 	}
-	placer, err := router.New(time.Duration(s.Requests.EstimateTimeout), p.metrics.Ungoverned, p.log)
+	requestRouter, err := router.New(time.Duration(s.Requests.EstimateTimeout), d.metrics.Ungoverned, d.log)
 	if err != nil {
 		return nil, err
 	}
-	ticketed, err := calls.New([]byte(s.Peers.Key), p.retries, p.log)
+	callsService, err := calls.New([]byte(s.Peers.Key), d.retries, d.log)
 	if err != nil {
 		return nil, err
 	}
-	owners := owner.New(p.engines, p.salter, time.Duration(s.KeptContext.ExportAfter), p.metrics.Exported, p.log)
-	p.metrics.WatchConfig(config.Status)
-	p.metrics.WatchRollout(rollouts.Counters, rollouts.Appends)
-	p.metrics.WatchOwned(func() []*pb.EndpointStatus {
+	owners := owner.New(d.engines, d.salter, time.Duration(s.KeptContext.ExportAfter), d.metrics.Exported, d.log)
+	d.metrics.WatchConfig(config.Status)
+	d.metrics.WatchRollout(rollouts.Counters, rollouts.Appends)
+	d.metrics.WatchOwned(func() []*pb.EndpointStatus {
 		return owners.StatusOf(context.Background(), member.Member{ID: s.Node.ID})
 	})
-	return []kernel.Service{config, owners, rollouts, placer, ticketed, p.admission}, nil
+	return []kernel.Service{config, owners, rollouts, requestRouter, callsService, d.admission}, nil
 }
 
-func (p *shared) newEntry() (*entry.Service, error) {
+func (d *dependencies) newEntry() (*entry.Service, error) {
 	server := &entry.Server{
-		Limits:    p.settings.Requests,
-		Recorder:  p.metrics,
-		Admission: p.admission,
-		Metrics:   p.metrics.ServeHTTP,
-		Key:       []byte(p.settings.Peers.Key),
-		Salter:    p.salter,
-		Log:       p.log.With().Str("service", entry.Name).Logger(),
+		Limits:    d.settings.Requests,
+		Recorder:  d.metrics,
+		Admission: d.admission,
+		Metrics:   d.metrics.ServeHTTP,
+		Key:       []byte(d.settings.Peers.Key),
+		Salter:    d.salter,
+		Log:       d.log.With().Str("service", entry.Name).Logger(),
 	}
-	return entry.Listen(p.settings, p.tls.callers, server, p.engines, p.retries)
+	return entry.Listen(d.settings, d.tls.callers, server, d.engines, d.retries)
 }
 
-// Run serves until ctx is done or a service fails, then stops the services in reverse
-// order within the stop timeout.
+// Run serves until ctx is done or the Run of a service returns, and then stops the services
+// in reverse order. The stop timeout applies to their Stop methods.
 func (n *Node) Run(ctx context.Context) error { return n.kernel.Run(ctx) }
 
 // CallersAddr returns the address that callers connect to.
@@ -154,17 +155,17 @@
 // PeersAddr returns the address that other nodes connect to.
 func (n *Node) PeersAddr() string { return n.cluster.Self().Addr }
 
-// budget limits the retries of all requests of the node.
-type budget struct {
+// retryBudget limits the retries of all requests of the node.
+type retryBudget struct {
 	tokens *retry.Budget
 }
 
-func newBudget() budget {
-	return budget{tokens: retry.NewBudget(time.Now(), retry.DefaultBudget)}
+func newRetryBudget() retryBudget {
+	return retryBudget{tokens: retry.NewBudget(time.Now(), retry.DefaultBudget)}
 }
 
 // Succeeded implements runs.Budget.
-func (b budget) Succeeded() { b.tokens.Deposit(time.Now()) }
+func (b retryBudget) Succeeded() { b.tokens.Deposit(time.Now()) }
 
 // Retry implements runs.Budget.
-func (b budget) Retry() bool { return b.tokens.Withdraw(time.Now()) }
+func (b retryBudget) Retry() bool { return b.tokens.Withdraw(time.Now()) }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -27,7 +27,7 @@
 
 const (
 	operatorsName = "operators"
-	// maxConcurrentQueries is the number of nodes queried at the same time.
+	// maxConcurrentQueries is the maximum number of nodes queried at the same time.
 	maxConcurrentQueries = 32
 )
 
@@ -120,8 +120,8 @@
 	return out, nil
 }
 
-// live reports whether a member is not known to be dead. A member that the platform
-// lists but no node has contacted yet counts as live, since it may be serving.
+// live reports whether a member is in any state but Dead. A member that the platform lists
+// but no node has contacted yet counts as live, since it may be serving requests.
 func live(m member.Member) bool { return m.State != member.Dead }
 
 // forEach calls f for all members concurrently, at most maxConcurrentQueries at a time,
@@ -143,14 +143,14 @@
 func (o *operators) Status(ctx context.Context) (*pb.StatusResponse, error) {
 	members := o.cluster.Members().Members
 	nodes := make([]*pb.NodeStatus, len(members))
-	owned := make([][]*pb.EndpointStatus, len(members))
+	endpointsByNode := make([][]*pb.EndpointStatus, len(members))
 	o.forEach(members, func(i int, m member.Member) {
 		nodes[i] = o.nodeStatus(ctx, m)
 		if live(m) {
-			owned[i] = o.owner.StatusOf(ctx, m)
+			endpointsByNode[i] = o.owner.StatusOf(ctx, m)
 		}
 	})
-	endpoints := slices.Concat(owned...)
+	endpoints := slices.Concat(endpointsByNode...)
 	slices.SortFunc(endpoints, func(a, b *pb.EndpointStatus) int { return cmp.Compare(a.GetName(), b.GetName()) })
 	return &pb.StatusResponse{Node: o.cluster.Self().ID, Nodes: nodes, Endpoints: endpoints}, nil
 }
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -28,7 +28,7 @@
 	if out.peers, err = listenerTLS(s.Peers.TLS); err != nil || out.peers == nil {
 		return out, err
 	}
-	return out, out.setPeers(s.Peers.TLS)
+	return out, out.requirePeerCertificates(s.Peers.TLS)
 }
 
 func listenerTLS(t *settings.TLS) (*tls.Config, error) {
@@ -42,9 +42,10 @@
 	return &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS13}, nil
 }
 
-// setPeers requires mutual TLS between nodes, with certificates issued by the
-// authority. Nodes dial each other by IP address, so certificates must name it.
-func (c *tlsConfigs) setPeers(t *settings.TLS) error {
+// requirePeerCertificates requires mutual TLS between nodes, with certificates issued by
+// the authority. Nodes dial each other by IP address, so each certificate must contain the
+// node's IP address.
+func (c *tlsConfigs) requirePeerCertificates(t *settings.TLS) error {
 	pem, err := os.ReadFile(t.AuthorityFile)
 	if err != nil {
 		return eris.Wrap(err, "read the authority file for peers")
