--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -32,8 +32,9 @@
 }
 
 // Stopper is a service with work to complete on shutdown. Stop is called before the
-// context of its Run is cancelled, after all services that depend on it have stopped,
-// and must return once ctx is done.
+// context of its Run is cancelled. At that time, Stop of every service that depends on it
+// has returned and the context of that service's Run is cancelled, though that Run may not
+// have returned. Stop must return once ctx is done.
 type Stopper interface {
 	Stop(ctx context.Context) error
 }
@@ -46,7 +47,8 @@
 	stopTimeout time.Duration
 }
 
-// New returns an empty kernel. All services together have stopTimeout to stop.
+// New returns an empty kernel. The context passed to all Stop methods is cancelled
+// stopTimeout after the shutdown begins.
 func New(stopTimeout time.Duration) *Kernel {
 	return &Kernel{services: make(map[string]Service), stopTimeout: stopTimeout}
 }
@@ -63,7 +65,7 @@
 }
 
 // Lookup returns the service with the given name as a T. It fails with a MissingError
-// if there is zero, and with a TypeError if it is not a T.
+// if there is none, and with a TypeError if it is not a T.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	s, ok := k.services[name]
@@ -78,8 +80,8 @@
 }
 
 // Run starts all services, runs them until ctx is done or one of them returns, and stops
-// them in reverse order. It returns nil if ctx ended the run and all services stopped
-// without an error.
+// them in reverse order. It returns nil if ctx ended the run and no Stop method
+// returned an error.
 func (k *Kernel) Run(ctx context.Context) error {
 	order, err := k.order()
 	if err != nil {
@@ -119,7 +121,7 @@
 	var group run.Group
 	stopCtx, cancelStop := context.WithCancel(context.Background())
 	defer cancelStop()
-	k.addSignal(ctx, &group, stopCtx, cancelStop)
+	k.addContextWait(ctx, &group, stopCtx, cancelStop)
 	var errs []error
 	for i := len(k.started) - 1; i >= 0; i-- {
 		k.addService(&group, k.started[i], stopCtx, &errs)
@@ -136,9 +138,9 @@
 	errReturned = errors.New("returned before it was stopped")
 )
 
-// addSignal adds an actor that returns when ctx is done. Its interrupt function starts
+// addContextWait adds an actor that returns when ctx is done. Its interrupt function starts
 // the stop timeout.
-func (k *Kernel) addSignal(ctx context.Context, group *run.Group, stopCtx context.Context, cancelStop context.CancelFunc) {
+func (k *Kernel) addContextWait(ctx context.Context, group *run.Group, stopCtx context.Context, cancelStop context.CancelFunc) {
 	wait, release := context.WithCancel(ctx)
 	execute := func() error {
 		<-wait.Done()
--- a/internal/kernel/order.go
+++ b/internal/kernel/order.go
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("service %q needs %q, which is not registered", e.NeededBy, e.Name)
 }
 
-// CycleError reports a dependency cycle. Names is the path from the service where the search
-// began to the second visit of a service on it.
+// CycleError reports a dependency cycle. Names lists the services visited by the search. The
+// last one occurs twice, and the cycle lies between its occurrences.
 type CycleError struct{ Names []string }
 
 // Error implements error.
@@ -41,7 +41,7 @@
 
 // Error implements error.
 func (e *TypeError) Error() string {
-	return fmt.Sprintf("service %q does not have the wanted type", e.Name)
+	return fmt.Sprintf("service %q does not have the expected type", e.Name)
 }
 
 // visitState is the state of a service in the depth-first search.
