--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -30,7 +30,7 @@
 	Bounds    Bounds
 }
 
-// Bounds holds the limits set by the operators that the system must meet.
+// Bounds holds the limits and options set by the operators that the system must observe.
 type Bounds struct {
 	// ConfigApply is the maximum time from the acknowledgement of a configuration until
 	// all requests are handled according to it.
@@ -47,15 +47,15 @@
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
 	// StableWindow is the time after the end of a disruption during which violations of
-	// the bounds are attributed to the disruption.
+	// the bounds are tolerated.
 	StableWindow time.Duration
 	// RetryRatio and RetrySlack limit the retries to a service in each RetryWindow, over
 	// all nodes, to RetryRatio times its requests plus RetrySlack.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Lease is the time for which a node that holds the lease for orders must be the only
-	// one to issue them.
+	// Lease is the time for which a node that holds the order lease must be the only one
+	// to order endpoints to load weights.
 	Lease time.Duration
 	// VersionApplyLimit is the maximum time from the acknowledgement of new weights until
 	// no request starts on older weights.
@@ -63,8 +63,9 @@
 	// Evacuate is the maximum time from the acknowledgement that a failure domain is to be
 	// evacuated until no request is sent to its endpoints.
 	Evacuate time.Duration
-	// ColdOverage and ColdTolerance limit the requests that all nodes together send to a
-	// cold endpoint in a second, to ColdOverage times its capacity plus ColdTolerance.
+	// ColdOverage and ColdTolerance limit the requests that all nodes together send in a
+	// second to a cold endpoint, one that started recently, to ColdOverage times its
+	// capacity plus ColdTolerance.
 	ColdOverage, ColdTolerance float64
 	// OrdersFenced reports whether engines reject outdated fencing tokens.
 	OrdersFenced bool
