--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -3,8 +3,9 @@
 // A connection may stop delivering packets permanently without a reset, while new connections
 // to the same peer work. A connection fails if sent bytes stay unacknowledged for UserTimeout.
 // A connection without unacknowledged bytes, such as one that waits for a response, is probed
-// after a second of silence and fails a second later. Data sent on a failed connection may
-// have been delivered: callers must prevent duplicate processing when they send it again.
+// after a second of silence and fails a second later if the probe is not acknowledged. Data
+// sent on a failed connection may have been delivered: callers must prevent duplicate
+// processing when they send it again.
 package tcp
 
 import (
@@ -18,8 +19,8 @@
 	// UserTimeout is how long sent bytes may stay unacknowledged before the connection
 	// fails. With a round trip of some ms to a peer it allows three retransmissions.
 	UserTimeout = time.Second
-	// probeIdle, probeInterval and probeCount configure the keep-alive probes. Their
-	// resolution is one second.
+	// probeIdle, probeInterval and probeCount configure the keep-alive probes. The
+	// operating system accepts whole seconds only.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 1
@@ -44,9 +45,9 @@
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optionUserTimeout, int(UserTimeout.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optionUserTimeout, int(UserTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optionErr)
 }
