--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -83,11 +83,13 @@
 
 // Bound limits the responses to the given number of bytes per second, with bursts of up to
 // one second's worth and at least MaxBytes. The caller of a response beyond the limit receives
-// an error. It must be called before Run.
+// an error. Error responses are not limited, and headers are not counted. It must be called
+// before Run.
 func (c *Conn) Bound(bytes int) { c.limiter = rate.NewLimiter(rate.Limit(bytes), max(bytes, MaxBytes)) }
 
-// Spare returns the maximum number of bytes for an optional part of a response. Half of the
-// burst that Bound allows is reserved for other responses.
+// Spare returns the maximum number of bytes for an optional part of a response at the moment.
+// Half of the burst that Bound allows is reserved for other responses. Without a limit it
+// returns MaxBytes.
 func (c *Conn) Spare() int {
 	if c.limiter == nil {
 		return MaxBytes
@@ -95,7 +97,8 @@
 	return max(int(c.limiter.Tokens())-c.limiter.Burst()/2, 0)
 }
 
-// Sent returns the number of bytes sent so far, including IPv4 and UDP headers.
+// Sent returns the number of bytes passed to the socket so far, including IPv4 and UDP headers
+// and failed sends.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
 
 // Close closes the port; Run then returns nil.
@@ -130,7 +133,7 @@
 		c.handleResponse(m, from)
 		return
 	}
-	result, err := c.serve(&m)
+	result, err := c.callHandler(&m)
 	if err != nil {
 		c.log.Warn().Str("event", "datagram_rejected").Stringer("from", from).Str("method", m.Method).AnErr("error", err).Send()
 	}
@@ -139,7 +142,7 @@
 	}
 }
 
-func (c *Conn) serve(m *message) (any, error) {
+func (c *Conn) callHandler(m *message) (any, error) {
 	h, ok := c.handlers[m.Method]
 	if !ok {
 		return nil, eris.Errorf("unknown method %q", m.Method)
@@ -152,25 +155,25 @@
 
 // respond sends the response to a call: the result, or the error callErr. If the result can't
 // be sent, for example because it is too long, it sends an error instead, because the caller
-// would take a missing response for a failed peer.
+// would conclude from a missing response that the peer has failed.
 func (c *Conn) respond(id jsonrpc2.ID, result any, callErr error, to netip.AddrPort) {
 	resp := jsonrpc2.Response{ID: id}
 	if callErr == nil {
 		callErr = resp.SetResult(result)
 	}
 	if callErr == nil {
-		callErr = c.send(&resp, to)
+		callErr = c.sendResponse(&resp, to)
 	}
 	if callErr == nil {
 		return
 	}
-	err := c.send(&jsonrpc2.Response{ID: id, Error: &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: callErr.Error()}}, to)
+	err := c.sendResponse(&jsonrpc2.Response{ID: id, Error: &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: callErr.Error()}}, to)
 	if err != nil {
 		c.log.Debug().Str("event", "datagram_unsent").Stringer("to", to).AnErr("error", err).Send()
 	}
 }
 
-func (c *Conn) send(resp *jsonrpc2.Response, to netip.AddrPort) error {
+func (c *Conn) sendResponse(resp *jsonrpc2.Response, to netip.AddrPort) error {
 	data, err := json.Marshal(resp)
 	if err != nil {
 		return eris.Wrap(err, "encode a response")
@@ -188,13 +191,13 @@
 		return
 	}
 	c.mu.Lock()
-	w := c.pending[m.ID.Num]
+	pendingCall := c.pending[m.ID.Num]
 	c.mu.Unlock()
-	if w == nil || w.to != from {
+	if pendingCall == nil || pendingCall.to != from {
 		return
 	}
 	select {
-	case w.response <- m:
+	case pendingCall.response <- m:
 	default: // duplicate response
 	}
 }
@@ -209,7 +212,8 @@
 }
 
 // Notify sends a notification to each peer and returns the total number of bytes, including
-// headers. Errors are logged; it returns 0 if the message can't be encoded.
+// headers and messages that could not be sent. Errors are logged; it returns 0 if the message
+// can't be encoded.
 func (c *Conn) Notify(peers []netip.AddrPort, method string, params any) (bytes int) {
 	req := jsonrpc2.Request{Method: method, Notif: true}
 	err := req.SetParams(params)
@@ -230,9 +234,9 @@
 }
 
 // Call calls a method of a peer and decodes the response into result. Without a response it
-// fails when ctx ends; the peer may have handled the call even so.
+// fails when ctx ends; the peer may nevertheless have handled the call.
 func (c *Conn) Call(ctx context.Context, peer netip.AddrPort, method string, params, result any) error {
-	id, w := c.register(peer)
+	id, pendingCall := c.register(peer)
 	defer c.unregister(id)
 	req := jsonrpc2.Request{Method: method, ID: jsonrpc2.ID{Num: id}}
 	if err := req.SetParams(params); err != nil {
@@ -248,7 +252,7 @@
 	select {
 	case <-ctx.Done():
 		return eris.Wrapf(ctx.Err(), "wait for the response of %s", method)
-	case m := <-w.response:
+	case m := <-pendingCall.response:
 		return decodeResponse(&m, method, result)
 	}
 }
@@ -273,9 +277,9 @@
 		c.nextID = uint64(time.Now().UnixNano())
 	}
 	c.nextID++
-	w := &call{to: peer, response: make(chan message, 1)}
-	c.pending[c.nextID] = w
-	return c.nextID, w
+	pendingCall := &call{to: peer, response: make(chan message, 1)}
+	c.pending[c.nextID] = pendingCall
+	return c.nextID, pendingCall
 }
 
 func (c *Conn) unregister(id uint64) {
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -29,9 +29,9 @@
 	c, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
 	c.Handle("echo", func(params json.RawMessage) (any, error) {
-		var w payload
-		err := json.Unmarshal(params, &w)
-		return w, err
+		var p payload
+		err := json.Unmarshal(params, &p)
+		return p, err
 	})
 	c.Handle("fail", func(json.RawMessage) (any, error) { return nil, errors.New("no such thing") })
 	c.Handle("long", func(json.RawMessage) (any, error) { return payload{strings.Repeat("x", datagram.MaxBytes)}, nil })
@@ -65,7 +65,8 @@
 	test.ErrorContains(t, a.Call(ctx, b, "long", payload{}, &payload{}), "too long")
 }
 
-// TestCallWithoutResponse verifies that calls fail at the latest when their context ends.
+// TestCallWithoutResponse verifies that calls fail at the latest when their context ends: a call
+// whose peer responds with an error, and one whose peer does not respond.
 func TestCallWithoutResponse(t *testing.T) {
 	a, _ := open(t)
 	_, b := open(t)
@@ -117,9 +118,9 @@
 	must.NoError(t, err)
 	received := make(chan string, 1)
 	b.Handle("say", func(params json.RawMessage) (any, error) {
-		var w payload
-		err := json.Unmarshal(params, &w)
-		received <- w.Text
+		var p payload
+		err := json.Unmarshal(params, &p)
+		received <- p.Text
 		return nil, err
 	})
 	go func() { _ = b.Run(t.Context()) }()
--- a/internal/datagram/message_test.go
+++ b/internal/datagram/message_test.go
@@ -35,17 +35,17 @@
 	self := netip.MustParseAddrPort(c.Addr())
 	other := netip.MustParseAddrPort("127.0.0.1:9")
 	f.Fuzz(func(t *testing.T, data []byte) {
-		id, w := c.register(self)
+		id, pendingCall := c.register(self)
 		defer c.unregister(id)
 		c.handleMessage(data, self)
-		own := []byte(`{"id":` + strconv.FormatUint(id, 10) + `,"result":"first"}`)
-		c.handleMessage(own, other)
-		test.Eq(t, 0, len(w.response), test.Sprint("accepted a response from another address"))
-		c.handleMessage(own, self)
+		response := []byte(`{"id":` + strconv.FormatUint(id, 10) + `,"result":"first"}`)
+		c.handleMessage(response, other)
+		test.Eq(t, 0, len(pendingCall.response), test.Sprint("accepted a response from another address"))
+		c.handleMessage(response, self)
 		c.handleMessage(data, self)
-		c.handleMessage(own, self)
-		must.Eq(t, 1, len(w.response))
-		m := <-w.response
+		c.handleMessage(response, self)
+		must.Eq(t, 1, len(pendingCall.response))
+		m := <-pendingCall.response
 		var result string
 		must.NoError(t, decodeResponse(&m, "echo", &result))
 		test.Eq(t, "first", result)
