--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -58,29 +58,30 @@
 	return first, time.Since(start)
 }
 
+// median sorts the times and returns their median in microseconds.
 func median(times []time.Duration) float64 {
 	slices.Sort(times)
 	return float64(times[len(times)/2].Microseconds())
 }
 
-// BenchmarkAddedByNode reports the latency that a node adds to an engine: for a short prompt, which
+// BenchmarkAddedLatency reports the latency that a node adds to an engine: for a short prompt, which
 // needs no estimates, and for a long one, which does. Both paths are measured in the same run.
-func BenchmarkAddedByNode(b *testing.B) {
+func BenchmarkAddedLatency(b *testing.B) {
 	for _, size := range []int{200, 32_000} {
 		b.Run(fmt.Sprintf("prompt=%dB", size), func(b *testing.B) {
 			f := startFleet(b, Options{Nodes: 3, Engines: []engine.Config{{TimeScale: 0}, {TimeScale: 0}, {TimeScale: 0}}})
 			client := engineclient.NewClient()
 			prompt := strings.Repeat("pass or hold? ", size/14)
-			var at, via, atEnd, viaEnd []time.Duration
+			var directFirst, nodeFirst, directTotal, nodeTotal []time.Duration
 			for b.Loop() {
 				first, total := runDirect(b, client, f.EngineURLs[0], prompt)
-				at, atEnd = append(at, first), append(atEnd, total)
+				directFirst, directTotal = append(directFirst, first), append(directTotal, total)
 				first, total = runThroughNode(b, f.Nodes[0], prompt)
-				via, viaEnd = append(via, first), append(viaEnd, total)
+				nodeFirst, nodeTotal = append(nodeFirst, first), append(nodeTotal, total)
 			}
-			b.ReportMetric(median(at), "µs-first-direct")
-			b.ReportMetric(median(via), "µs-first-node")
-			b.ReportMetric((median(viaEnd)-median(atEnd))/benchTokens*1000, "ns-added/token")
+			b.ReportMetric(median(directFirst), "µs-first-direct")
+			b.ReportMetric(median(nodeFirst), "µs-first-node")
+			b.ReportMetric((median(nodeTotal)-median(directTotal))/benchTokens*1000, "ns-added/token")
 		})
 	}
 }
--- a/internal/demo/calls_test.go
+++ b/internal/demo/calls_test.go
@@ -52,7 +52,7 @@
 	return body.Error
 }
 
-const charge = "/services/ledger/charges"
+const chargesPath = "/services/ledger/charges"
 
 func executions(f *Fleet) int {
 	total := 0
@@ -66,43 +66,43 @@
 	f := start(t, Options{Nodes: 3, Engines: []engine.Config{{TimeScale: 0}}})
 	clerk := Accounts[1]
 	key := issueTicket(t, f.Nodes[0], clerk)
-	status, first := sendCall(t, f.Nodes[1], clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+	status, first := sendCall(t, f.Nodes[1], clerk, http.MethodPost, chargesPath, `{"heat":4711}`, "Idempotency-Key", key)
 	must.Eq(t, http.StatusOK, status, must.Sprint(first))
 	for _, m := range f.Nodes {
-		status, again := sendCall(t, m, clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+		status, again := sendCall(t, m, clerk, http.MethodPost, chargesPath, `{"heat":4711}`, "Idempotency-Key", key)
 		must.Eq(t, http.StatusOK, status)
 		must.Eq(t, first, again)
 	}
 	must.Eq(t, 1, executions(f))
 
-	_, text := sendCall(t, f.Nodes[2], Accounts[0], http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+	_, text := sendCall(t, f.Nodes[2], Accounts[0], http.MethodPost, chargesPath, `{"heat":4711}`, "Idempotency-Key", key)
 	must.Eq(t, result.UnknownTicket, decodeError(t, text).Number)
-	_, text = sendCall(t, f.Nodes[2], clerk, http.MethodPost, charge, `{"heat":9}`, "Idempotency-Key", key)
+	_, text = sendCall(t, f.Nodes[2], clerk, http.MethodPost, chargesPath, `{"heat":9}`, "Idempotency-Key", key)
 	must.Eq(t, result.TicketMismatch, decodeError(t, text).Number)
-	_, text = sendCall(t, f.Nodes[2], clerk, http.MethodPost, charge, `{}`, "Idempotency-Key", "made-up")
+	_, text = sendCall(t, f.Nodes[2], clerk, http.MethodPost, chargesPath, `{}`, "Idempotency-Key", "made-up")
 	must.Eq(t, result.UnknownTicket, decodeError(t, text).Number)
 	must.Eq(t, result.NotRun, decodeError(t, text).RunState)
 	must.Eq(t, 1, executions(f))
 
 	must.NoError(t, f.Nodes[0].Stop())
-	status, again := sendCall(t, f.Nodes[2], clerk, http.MethodPost, charge, `{"heat":4711}`, "Idempotency-Key", key)
+	status, again := sendCall(t, f.Nodes[2], clerk, http.MethodPost, chargesPath, `{"heat":4711}`, "Idempotency-Key", key)
 	must.Eq(t, http.StatusOK, status, must.Sprint(again))
 	must.Eq(t, first, again)
 	must.Eq(t, 1, executions(f))
 }
 
-func TestCallWithLostAnswerIsNotRepeated(t *testing.T) {
+func TestCallWithLostResponseIsNotRepeated(t *testing.T) {
 	f := start(t, Options{Nodes: 2, Engines: []engine.Config{{TimeScale: 0}}})
 	clerk := Accounts[1]
 	f.Service.Faults.Set(service.Faults{LoseAnswers: true})
-	_, text := sendCall(t, f.Nodes[0], clerk, http.MethodPost, charge, `{}`)
+	_, text := sendCall(t, f.Nodes[0], clerk, http.MethodPost, chargesPath, `{}`)
 	must.Eq(t, result.ServiceCallFailed, decodeError(t, text).Number)
 	must.Eq(t, result.MayHaveRun, decodeError(t, text).RunState)
 	must.Eq(t, 1, executions(f))
 
 	key := issueTicket(t, f.Nodes[0], clerk)
 	for _, m := range f.Nodes {
-		_, text = sendCall(t, m, clerk, http.MethodPost, charge, `{}`, "Idempotency-Key", key)
+		_, text = sendCall(t, m, clerk, http.MethodPost, chargesPath, `{}`, "Idempotency-Key", key)
 		must.Eq(t, result.MayHaveRun, decodeError(t, text).RunState)
 	}
 	must.Eq(t, 2, executions(f))
@@ -122,8 +122,8 @@
 	must.Eq(t, a.ID, b.ID)
 }
 
-// TestLimitHoldsOverAllNodes verifies that an account's limit applies to all nodes together.
-func TestLimitHoldsOverAllNodes(t *testing.T) {
+// TestLimitAppliesToAllNodesTogether verifies that an account's limit applies to all nodes together.
+func TestLimitAppliesToAllNodesTogether(t *testing.T) {
 	const limit, offered = 20, 400
 	f := start(t, Options{Nodes: 3, Engines: []engine.Config{{TimeScale: 0}}})
 	must.NoError(t, f.Limit(t.Context(), Accounts[2], &pb.Limits{RequestsPerSecond: limit}))
@@ -133,7 +133,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	must.NoError(t, waitUntil(ctx, admits), must.Sprint("no request was admitted; limits are lent only one part lease after the start"))
+	must.NoError(t, waitUntil(ctx, admits), must.Sprint("no request was admitted; nodes admit requests only after one lease period"))
 	var admitted, refused atomic.Int64
 	var group errgroup.Group
 	begin := time.Now()
--- a/internal/demo/configure.go
+++ b/internal/demo/configure.go
@@ -15,7 +15,7 @@
 	"github.com/cherryward/cherryward/internal/runid"
 )
 
-// Names in the configuration of a fleet.
+// Names of the model, its version and the service in the configuration of a fleet.
 const (
 	Model   = "melt-summary"
 	Version = "v1"
@@ -97,8 +97,8 @@
 	}, 0))
 }
 
-// Configure applies the configuration through the operators' RPCs and waits until every node has it.
-// It returns the time until the last change was in force on all nodes.
+// Configure applies the configuration through the operators' RPCs and waits until every node has
+// applied it. It returns the time until the last change was applied by all nodes.
 func (f *Fleet) Configure(ctx context.Context) (time.Duration, error) {
 	if err := f.waitReady(ctx); err != nil {
 		return 0, err
@@ -117,7 +117,7 @@
 	return time.Duration(last.Msg.GetInForceSeconds() * float64(time.Second)), nil
 }
 
-// Limit sets an account's limits and waits until they are in force on all nodes.
+// Limit sets an account's limits and waits until all nodes have applied them.
 func (f *Fleet) Limit(ctx context.Context, name string, limits *pb.Limits) error {
 	client := Client(f.Nodes[0])
 	got, err := client.Get(ctx, connect.NewRequest(&pb.GetRequest{Kind: string(config.KindAccount), Name: name}))
@@ -134,7 +134,7 @@
 // waitReady waits until every node has a configuration and has discovered the other nodes.
 func (f *Fleet) waitReady(ctx context.Context) error {
 	for _, m := range f.Nodes {
-		if err := waitUntil(ctx, func() bool { return m.ready(ctx) && f.seesAllNodes(ctx, m) }); err != nil {
+		if err := waitUntil(ctx, func() bool { return m.ready(ctx) && f.listsAllNodes(ctx, m) }); err != nil {
 			return eris.Wrapf(err, "wait for %s", m.ID)
 		}
 	}
@@ -154,8 +154,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// seesAllNodes reports whether a node sees every running node of the fleet as alive.
-func (f *Fleet) seesAllNodes(ctx context.Context, m *Member) bool {
+// listsAllNodes reports whether a node lists every running node of the fleet as alive.
+func (f *Fleet) listsAllNodes(ctx context.Context, m *Member) bool {
 	resp, err := StatusClient(m).Status(ctx, connect.NewRequest(&pb.StatusRequest{}))
 	if err != nil {
 		return false
@@ -169,7 +169,8 @@
 	return alive >= f.running()
 }
 
-// Settle waits until owners report no running or waiting requests at any endpoint.
+// Settle waits until no endpoint has running or waiting requests, as reported by the endpoints' owners,
+// the nodes that track the endpoints' load.
 func (f *Fleet) Settle(ctx context.Context) error {
 	client := StatusClient(f.Nodes[0])
 	return waitUntil(ctx, func() bool {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -94,7 +94,7 @@
 // Start starts the simulated external systems and the nodes.
 func Start(opts Options) (*Fleet, error) {
 	f := &Fleet{opts: opts}
-	if err := f.startStandIns(); err != nil {
+	if err := f.startSimulations(); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 	return f, nil
 }
 
-func (f *Fleet) startStandIns() error {
+func (f *Fleet) startSimulations() error {
 	var err error
 	f.Log = platformlog.New(platformlog.Config{})
 	f.Hosts = hostlist.New(hostlist.Config{})
--- a/internal/demo/process_bench_test.go
+++ b/internal/demo/process_bench_test.go
@@ -27,7 +27,7 @@
 	"github.com/cherryward/cherryward/standin/engine"
 )
 
-// nodeProcess is a node that runs in its own process, with a fleet's simulated endpoints.
+// nodeProcess is a node that runs in its own process and uses a fleet's simulated endpoints.
 type nodeProcess struct {
 	callers string
 	pid     int
@@ -68,7 +68,7 @@
 	return p
 }
 
-// configure applies the fleet's objects. It retries until the node answers.
+// configure applies the fleet's objects. It retries until the node responds.
 func (p *nodeProcess) configure(b *testing.B, f *Fleet, operators string) {
 	client := ClientAt(operators)
 	ticker := time.NewTicker(50 * time.Millisecond)
@@ -110,7 +110,7 @@
 
 // BenchmarkNodeProcess reports the memory and processor time of a node process with many streams
 // open at the same time. Engines and callers run in another process. Streams are opened gradually,
-// since the node would shed a burst.
+// since the node rejects some requests of a burst.
 func BenchmarkNodeProcess(b *testing.B) {
 	slow := engine.Config{TimeScale: 1, DecodeStep: 300 * time.Millisecond, MaxRunning: 10000, MaxWaiting: 10000}
 	for _, streams := range []int{100, 1000, 2500, 5000} {
@@ -128,7 +128,7 @@
 	}
 }
 
-// maxOpening is the maximum number of streams that wait for their first byte at the same time.
+// maxOpening is the maximum number of streams that wait for their response headers at the same time.
 const maxOpening = 512
 
 // streamAll returns the maximum number of streams that were open at the same time. It fails unless
@@ -160,7 +160,7 @@
 }
 
 // stream returns the events of one answer, or the error text. onBegin is called once, when the
-// answer begins or the request fails.
+// response headers have arrived or the request has failed.
 func (p *nodeProcess) stream(b *testing.B, client *http.Client, onBegin func()) string {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"prompt":"pass or hold?"}`, Model, benchTokens)
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodPost, p.callers+"/v1/completions", strings.NewReader(body))
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -21,14 +21,14 @@
 	"github.com/cherryward/cherryward/standin/store"
 )
 
-// Parameters of the demo. Two engines are fast and one is slow. Their memories are small, so that a
-// conversation's context is evicted soon.
+// Parameters of the demo. Two engines are fast and one is slow; the prefill speeds are in tokens per
+// second. Their memories are small, so that a conversation's context is evicted soon.
 const (
 	demoNodes        = 3
-	newPrefill       = 40000
-	oldPrefill       = 16000
+	fastPrefill      = 40000
+	slowPrefill      = 16000
 	demoBlocks       = 8
-	fillerBlocks     = 7 // blocks of a filler prompt, which evicts others from an engine's memory
+	fillerBlocks     = 7 // blocks of a filler prompt, which evicts other contexts from an engine's memory
 	fillerPerEngine  = 2
 	demoTimeScale    = 1
 	demoStoreSize    = 256 << 20
@@ -45,11 +45,11 @@
 	config := func(prefill float64) engine.Config {
 		return engine.Config{PrefillSpeed: prefill, CacheBlocks: demoBlocks, DecodeStep: 5 * time.Millisecond, TimeScale: demoTimeScale}
 	}
-	kept := store.Config{MemoryBytes: demoStoreSize, DiskBytes: demoStoreSize}
+	storeConfig := store.Config{MemoryBytes: demoStoreSize, DiskBytes: demoStoreSize}
 	return Options{
 		Nodes:   demoNodes,
-		Engines: []engine.Config{config(newPrefill), config(newPrefill), config(oldPrefill)},
-		Stores:  []store.Config{kept, kept},
+		Engines: []engine.Config{config(fastPrefill), config(fastPrefill), config(slowPrefill)},
+		Stores:  []store.Config{storeConfig, storeConfig},
 		Log:     log,
 	}
 }
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d nodes, %d engines, %d stores; the last change was in force everywhere after %s\n\n",
+	fmt.Fprintf(out, "%d nodes, %d engines, %d stores; the last change was applied by all nodes after %s\n\n",
 		len(f.Nodes), len(f.Engines), len(f.Stores), took.Round(time.Millisecond))
 	if err := f.runConversations(ctx, out); err != nil {
 		return err
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// turn holds the measurements of one prompt.
+// turn holds the measurements of one prompt, or their sums over several prompts, of which number is
+// then the count.
 type turn struct {
 	account    string
 	number     int
@@ -117,7 +118,7 @@
 	return report(out, all)
 }
 
-// fillGap waits until kept context has been exported to the stores, and then fills the engines'
+// fillGap waits until cached context has been exported to the stores, and then fills the engines'
 // memories with other prompts, which simulates a gap of minutes or hours between two turns.
 func (f *Fleet) fillGap(ctx context.Context, n int) error {
 	if !retry.Sleep(ctx, turnGap) {
@@ -134,7 +135,7 @@
 	return group.Wait()
 }
 
-// history returns a long context for an account.
+// history returns the long text with which an account's conversation begins.
 func history(account string) string {
 	var b strings.Builder
 	for i := range paragraphs {
@@ -191,11 +192,12 @@
 		return turn{}, "", eris.Errorf("status %d: %s", resp.StatusCode, text)
 	}
 	t := turn{account: account}
-	answer, err := t.read(resp.Body, start)
+	answer, err := t.readStream(resp.Body, start)
 	return t, answer, err
 }
 
-func (t *turn) read(body io.Reader, start time.Time) (string, error) {
+// readStream records the measurements of a streamed response and returns the answer.
+func (t *turn) readStream(body io.Reader, start time.Time) (string, error) {
 	var answer strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -226,22 +228,22 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "account\tturn\tfirst token\tprompt tokens\trecomputed\tfrom engine memory\tfrom store\tlink bytes\t")
 	for _, t := range all {
-		t.row(w, t.account, fmt.Sprint(t.number))
+		t.writeRow(w, t.account, fmt.Sprint(t.number))
 	}
-	first, returns := turn{}, turn{}
+	first, later := turn{}, turn{}
 	for _, t := range all {
 		if t.number == 1 {
 			first.add(t)
 		} else {
-			returns.add(t)
+			later.add(t)
 		}
 	}
-	first.mean().row(w, "mean of first turns", "1")
-	returns.mean().row(w, "mean of returns", fmt.Sprintf("2-%d", turns))
+	first.mean().writeRow(w, "mean of first turns", "1")
+	later.mean().writeRow(w, "mean of later turns", fmt.Sprintf("2-%d", turns))
 	return w.Flush()
 }
 
-func (t turn) row(w io.Writer, name, number string) {
+func (t turn) writeRow(w io.Writer, name, number string) {
 	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t\n", name, number, t.firstToken.Round(100*time.Microsecond),
 		t.prompt, t.prompt-t.cached, t.cached-t.imported, t.imported, t.linkBytes)
 }
--- a/internal/demo/tls_test.go
+++ b/internal/demo/tls_test.go
@@ -22,8 +22,8 @@
 	"github.com/cherryward/cherryward/standin/engine"
 )
 
-// certificate writes a self-signed certificate for loopback and its key to files.
-func certificate(t *testing.T) *settings.TLS {
+// writeCertificate writes a self-signed certificate for loopback and its key to files.
+func writeCertificate(t *testing.T) *settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(t, err)
@@ -52,14 +52,14 @@
 // TestListenersUseTLS verifies that the peer listener requires a certificate of both ends and that
 // the callers' listener presents the node's certificate.
 func TestListenersUseTLS(t *testing.T) {
-	cert := certificate(t)
+	cert := writeCertificate(t)
 	f, err := Start(Options{Nodes: 2, Engines: []engine.Config{{TimeScale: 0}}, Log: zerolog.Nop(), Adjust: func(s *settings.Settings) {
 		s.Peers.TLS = cert
 		s.Callers.TLS = &settings.TLS{CertificateFile: cert.CertificateFile, KeyFile: cert.KeyFile}
 	}})
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, f.Close()) })
-	must.NoError(t, waitUntil(t.Context(), func() bool { return f.seesAllNodes(t.Context(), f.Nodes[0]) }))
+	must.NoError(t, waitUntil(t.Context(), func() bool { return f.listsAllNodes(t.Context(), f.Nodes[0]) }))
 
 	pool := x509.NewCertPool()
 	data, err := os.ReadFile(cert.CertificateFile)
