--- a/coord/changelog/checker.go
+++ b/coord/changelog/checker.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// Proposing records a proposed delete; it ignores other changes. Call it before
+// RecordProposal records a proposed delete; it ignores other changes. Call it before
 // the change is proposed.
-func (c *Checker[V]) Proposing(ch Change) {
+func (c *Checker[V]) RecordProposal(ch Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ch.Op == OpDelete {
@@ -56,9 +56,9 @@
 	}
 }
 
-// Decided checks the outcome that Propose returned for a change, and records it
+// CheckOutcome checks the outcome that Propose returned for a change, and records it
 // if the change was accepted. It returns an error if a guarantee is violated.
-func (c *Checker[V]) Decided(ch Change, o Outcome) error {
+func (c *Checker[V]) CheckOutcome(ch Change, o Outcome) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := Name{ch.Kind, ch.Key}
@@ -79,17 +79,17 @@
 	return nil
 }
 
-// Restarted discards the applied offset of a node, which may be lower after a
+// RecordRestart discards the applied offset of a node, which may be lower after a
 // restart.
-func (c *Checker[V]) Restarted(node string) {
+func (c *Checker[V]) RecordRestart(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.applied, node)
 }
 
-// Observe records the state of a node and checks it against all states and
+// CheckState records the state of a node and checks it against all states and
 // outcomes recorded earlier. It returns an error if a guarantee is violated.
-func (c *Checker[V]) Observe(node string, s *Snapshot[V]) error {
+func (c *Checker[V]) CheckState(node string, s *Snapshot[V]) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.applied < c.applied[node] {
--- a/coord/changelog/checker_test.go
+++ b/coord/changelog/checker_test.go
@@ -59,7 +59,7 @@
 			for i := range 2 {
 				ch := base.Put("limit", name, value(i))
 				o, _ := s.Propose(t.Context(), ch)
-				err = check.Decided(ch, o)
+				err = check.CheckOutcome(ch, o)
 			}
 			must.Eq(t, name == "broken", err != nil, must.Sprint(name, err))
 		}
@@ -76,24 +76,24 @@
 			ch := s.Snapshot().Put("limit", "acct", value(n))
 			o, err := s.Propose(t.Context(), ch)
 			must.NoError(t, err)
-			must.NoError(t, check.Decided(ch, o))
-			must.NoError(t, check.Observe("a", s.Snapshot()))
+			must.NoError(t, check.CheckOutcome(ch, o))
+			must.NoError(t, check.CheckState("a", s.Snapshot()))
 		}
 		put(1)
 		old, err := s.Image()
 		must.NoError(t, err)
 		put(2)
 		must.NoError(t, s.Restore(old))
-		must.NoError(t, check.Observe("a", s.Snapshot()))
+		must.NoError(t, check.CheckState("a", s.Snapshot()))
 		must.NoError(t, s.Overwrite(old))
-		must.ErrorContains(t, check.Observe("a", s.Snapshot()), "went back")
-		must.NoError(t, check.Observe("b", s.Snapshot())) // a lower offset on another node is allowed
-		s.SetApplied(2)                                   // offset 2 with the state of offset 1
-		must.ErrorContains(t, check.Observe("c", s.Snapshot()), "another state")
+		must.ErrorContains(t, check.CheckState("a", s.Snapshot()), "went back")
+		must.NoError(t, check.CheckState("b", s.Snapshot())) // a lower offset on another node is allowed
+		s.SetApplied(2)                                      // offset 2 with the state of offset 1
+		must.ErrorContains(t, check.CheckState("c", s.Snapshot()), "another state")
 		check = changelog.NewChecker[limit]()
 		ch := s.Snapshot().Put("limit", "acct", value(3))
-		must.NoError(t, check.Decided(ch, changelog.Outcome{Status: changelog.Accepted, Offset: 2, Revision: 2}))
-		must.ErrorContains(t, check.Observe("c", s.Snapshot()), "lost")
+		must.NoError(t, check.CheckOutcome(ch, changelog.Outcome{Status: changelog.Accepted, Offset: 2, Revision: 2}))
+		must.ErrorContains(t, check.CheckState("c", s.Snapshot()), "lost")
 	})
 }
 
--- a/coord/changelog/cluster_test.go
+++ b/coord/changelog/cluster_test.go
@@ -102,7 +102,7 @@
 	n := &node{name: name, done: make(chan struct{})}
 	n.store = changelog.NewStore(partitionedLog{c.log, c, n}, limits{}, 0)
 	n.follower = changelog.NewFollower(n.store, &peerLink{c, n}, changelog.Options{
-		Self: name, Checkpoint: c.policy, MaxStale: 2 * time.Hour, MaxIsolated: 30 * time.Second,
+		Self: name, Checkpoint: c.policy, MaxLogAge: 2 * time.Hour, MaxContactAge: 30 * time.Second,
 		Rand: rand.New(rand.NewPCG(c.seed, 7)),
 	})
 	c.nodes[name] = n
@@ -111,7 +111,7 @@
 		slices.Sort(c.names)
 	}
 	c.mu.Unlock()
-	c.check.Restarted(name)
+	c.check.RecordRestart(name)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	go func() {
@@ -184,10 +184,10 @@
 func (c *cluster) propose(n *node, ch changelog.Change, within time.Duration) (changelog.Outcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	c.check.Proposing(ch)
+	c.check.RecordProposal(ch)
 	o, err := n.store.Propose(ctx, ch)
 	if o.Status != "" {
-		must.NoError(c.t, c.check.Decided(ch, o))
+		must.NoError(c.t, c.check.CheckOutcome(ch, o))
 	}
 	return o, err
 }
@@ -210,7 +210,7 @@
 		elapsed = append(elapsed, time.Since(start))
 	}
 	for _, n := range c.connected() {
-		must.NoError(c.t, c.check.Observe(n.name, n.store.Snapshot()))
+		must.NoError(c.t, c.check.CheckState(n.name, n.store.Snapshot()))
 	}
 	return elapsed
 }
@@ -286,7 +286,7 @@
 	return n, err
 }
 
-func (l *peerLink) Snapshot(ctx context.Context, to string) ([]byte, error) {
+func (l *peerLink) Image(ctx context.Context, to string) ([]byte, error) {
 	peer, err := l.transmit(ctx, to, 0)
 	if err != nil {
 		return nil, err
--- a/coord/changelog/fault_test.go
+++ b/coord/changelog/fault_test.go
@@ -56,13 +56,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
 		c.waitReady(time.Minute)
-		c.log.LoseAnswers(1)
+		c.log.LoseResponses(1)
 		o := c.put(c.node(1), "acct", 1)
 		must.Eq(t, 1, len(c.log.Records()), must.Sprint("a record that was read back must not be appended again"))
 		// The record is in the log, but neither the append response nor a read
 		// shows it before the context ends.
 		ch := c.node(1).store.Snapshot().Put("limit", "acct", value(2))
-		c.log.LoseAnswers(1)
+		c.log.LoseResponses(1)
 		c.log.SetLag(1)
 		_, err := c.propose(c.node(1), ch, time.Second)
 		must.ErrorIs(t, err, changelog.ErrUnknownOutcome)
@@ -83,7 +83,7 @@
 
 // During an outage of the log, nodes must keep their state, and new nodes must load
 // their state from peers. A node must become stale when it is isolated, and all
-// nodes after MaxStale.
+// nodes after MaxLogAge.
 func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 7)
@@ -103,7 +103,7 @@
 			s := n.follower.Status()
 			must.False(t, s.Stale)
 			must.Greater(t, 55*time.Minute, s.LogAge)
-			must.Less(t, 10*time.Second, s.Silence)
+			must.Less(t, 10*time.Second, s.ContactAge)
 		}
 		isolated := c.node(5)
 		c.setIsolated(isolated, true)
@@ -140,19 +140,19 @@
 			last = c.put(c.node(0), "acct", i)
 		}
 		time.Sleep(5 * time.Minute)
-		must.Greater(t, 0, c.node(0).follower.Status().Checkpoint)
+		must.Greater(t, 0, c.node(0).follower.Status().CompleteMark)
 		last = c.put(c.node(0), "acct", 1000)
 		c.log.Retain(90)
 		must.ErrorIs(t, paused.store.Poll(context.Background()), changelog.ErrCompacted)
 		must.NoError(t, paused.store.LoadFromLog(context.Background()))
 		must.NoError(t, paused.store.Poll(context.Background()))
-		must.NoError(t, c.check.Observe(paused.name, paused.store.Snapshot()))
+		must.NoError(t, c.check.CheckState(paused.name, paused.store.Snapshot()))
 		must.GreaterEq(t, last.Offset, paused.store.Snapshot().Applied())
 		// A new node without peers must be able to load the state from the log.
 		newStore := changelog.NewStore(c.log, limits{}, 0)
 		must.NoError(t, newStore.LoadFromLog(context.Background()))
 		must.NoError(t, newStore.Poll(context.Background()))
-		must.NoError(t, c.check.Observe("cold", newStore.Snapshot()))
+		must.NoError(t, c.check.CheckState("cold", newStore.Snapshot()))
 		// Without a retained checkpoint a node must not become ready.
 		c.log.Retain(1)
 		emptyStore := changelog.NewStore(c.log, limits{}, 0)
@@ -195,7 +195,7 @@
 			c.log.SetLag(int64(i % 7))
 			time.Sleep(1500 * time.Millisecond)
 			for _, n := range c.connected() {
-				must.NoError(t, c.check.Observe(n.name, n.store.Snapshot()))
+				must.NoError(t, c.check.CheckState(n.name, n.store.Snapshot()))
 			}
 			c.log.SetLag(0)
 			c.converge(o.Offset, 6*time.Second)
--- a/coord/changelog/follower.go
+++ b/coord/changelog/follower.go
@@ -33,13 +33,13 @@
 	// Self is the name of this node in Peers.Members.
 	Self       string
 	Checkpoint CheckpointPolicy
-	// MaxStale limits FollowerStatus.LogAge, the age of the last known read of the
+	// MaxLogAge limits FollowerStatus.LogAge, the age of the last known read of the
 	// log: from this age on, FollowerStatus.Stale is true. Set it above the longest
 	// log outage during which nodes should keep serving.
-	MaxStale time.Duration
-	// MaxIsolated limits the time since the last contact with the log or any peer:
+	MaxLogAge time.Duration
+	// MaxContactAge limits the time since the last contact with the log or any peer:
 	// from this time on, FollowerStatus.Stale is true.
-	MaxIsolated time.Duration
+	MaxContactAge time.Duration
 	// Rand is the source of jitter and of random peers. Only Run uses it, from one
 	// goroutine.
 	Rand *rand.Rand
@@ -219,7 +219,7 @@
 // newNotice returns a notice from this node with its current freshness.
 func (f *Follower[V]) newNotice(seg Segment) Notice {
 	_, _, newestKnown := f.store.freshness.ages()
-	return Notice{Sender: f.opts.Self, Known: newestKnown, Age: f.store.freshness.logAge(), Segment: seg}
+	return Notice{Sender: f.opts.Self, NewestKnown: newestKnown, LogAge: f.store.freshness.logAge(), Segment: seg}
 }
 
 // forwardNotice sends a notice to this node's share of the members in the
--- a/coord/changelog/freshness.go
+++ b/coord/changelog/freshness.go
@@ -42,10 +42,10 @@
 	defer f.mu.Unlock()
 	now := time.Now()
 	f.lastContact = now
-	f.newestKnown = max(f.newestKnown, n.Known)
-	if n.Age >= 0 {
+	f.newestKnown = max(f.newestKnown, n.NewestKnown)
+	if n.LogAge >= 0 {
 		f.logReadKnown = true
-		f.lastLogRead = later(f.lastLogRead, now.Add(-n.Age))
+		f.lastLogRead = later(f.lastLogRead, now.Add(-n.LogAge))
 	}
 }
 
--- a/coord/changelog/logtest/log.go
+++ b/coord/changelog/logtest/log.go
@@ -17,8 +17,8 @@
 
 // Errors of injected faults.
 var (
-	ErrDown       = errors.New("log is unavailable")
-	ErrAnswerLost = errors.New("append response was lost")
+	ErrDown         = errors.New("log is unavailable")
+	ErrResponseLost = errors.New("append response was lost")
 )
 
 // Log is an in-memory log. The zero value is an empty log without faults. It is
@@ -44,9 +44,9 @@
 // effect.
 func (l *Log) SetDown(down bool) { l.withLock(func() { l.down = down }) }
 
-// LoseAnswers makes the next n appends add their records but return
-// ErrAnswerLost.
-func (l *Log) LoseAnswers(n int) { l.withLock(func() { l.responsesToLose = n }) }
+// LoseResponses makes the next n appends add their records but return
+// ErrResponseLost.
+func (l *Log) LoseResponses(n int) { l.withLock(func() { l.responsesToLose = n }) }
 
 // SetLag hides the newest n offsets from reads, like a lagging replica.
 func (l *Log) SetLag(n int64) { l.withLock(func() { l.lag = n }) }
@@ -95,7 +95,7 @@
 	l.writeBytes += len(data)
 	if l.responsesToLose > 0 {
 		l.responsesToLose--
-		return 0, ErrAnswerLost
+		return 0, ErrResponseLost
 	}
 	return offset, nil
 }
--- a/coord/changelog/notice_test.go
+++ b/coord/changelog/notice_test.go
@@ -36,7 +36,7 @@
 	return changelog.Notice{}, errUnreachable
 }
 
-func (*unresponsivePeer) Snapshot(context.Context, string) ([]byte, error) {
+func (*unresponsivePeer) Image(context.Context, string) ([]byte, error) {
 	return nil, errUnreachable
 }
 
@@ -50,7 +50,7 @@
 		p := &unresponsivePeer{unanswered: failedAttempts, received: make(chan changelog.Notice, 100)}
 		s := changelog.NewStore(log, limits{}, 0)
 		f := changelog.NewFollower(s, p, changelog.Options{Self: "teller", Rand: rand.New(rand.NewPCG(1, 1)),
-			Checkpoint: changelog.CheckpointPolicy{Changes: 10000, Interval: time.Hour}, MaxStale: time.Hour, MaxIsolated: time.Hour})
+			Checkpoint: changelog.CheckpointPolicy{Changes: 10000, Interval: time.Hour}, MaxLogAge: time.Hour, MaxContactAge: time.Hour})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -58,7 +58,7 @@
 			f.Run(ctx)
 		}()
 		n := <-p.received
-		must.GreaterEq(t, failedAttempts*500*time.Millisecond, n.Age)
+		must.GreaterEq(t, failedAttempts*500*time.Millisecond, n.LogAge)
 		cancel()
 		<-done
 	})
--- a/coord/changelog/peers.go
+++ b/coord/changelog/peers.go
@@ -18,19 +18,19 @@
 	// Seed determines the order of the members, and so the tree along which the
 	// notice is forwarded.
 	Seed uint64 `json:"seed,omitempty"`
-	// Known is the newest offset reported by the log or a peer to the sender.
-	Known int64 `json:"known"`
-	// Age is the time since the last read of the log by any node, as far as reported
+	// NewestKnown is the newest offset reported by the log or a peer to the sender.
+	NewestKnown int64 `json:"known"`
+	// LogAge is the time since the last read of the log by any node, as far as reported
 	// to the sender, in nanoseconds; negative if none was reported.
-	Age     time.Duration `json:"age"`
+	LogAge  time.Duration `json:"age"`
 	Segment Segment       `json:"segment"`
 }
 
 // withAddedAge returns the notice with d added to its age, unless the age is
 // unknown.
 func (n Notice) withAddedAge(d time.Duration) Notice {
-	if n.Age >= 0 {
-		n.Age += d
+	if n.LogAge >= 0 {
+		n.LogAge += d
 	}
 	return n
 }
@@ -46,7 +46,7 @@
 	// Records requests the records at and above an offset from a node, which
 	// responds with the result of Follower.Records.
 	Records(ctx context.Context, to string, from int64) (Notice, error)
-	// Snapshot requests the complete state of a node, which responds with the
+	// Image requests the complete state of a node, which responds with the
 	// result of Follower.Image.
-	Snapshot(ctx context.Context, to string) ([]byte, error)
+	Image(ctx context.Context, to string) ([]byte, error)
 }
--- a/coord/changelog/property_test.go
+++ b/coord/changelog/property_test.go
@@ -51,14 +51,14 @@
 func (m *model) propose(t *rapid.T) {
 	_, s := m.pickStore(t)
 	ch := m.drawChange(t, s)
-	m.check.Proposing(ch)
-	m.log.LoseAnswers(rapid.IntRange(0, 1).Draw(t, "lost answers"))
+	m.check.RecordProposal(ch)
+	m.log.LoseResponses(rapid.IntRange(0, 1).Draw(t, "lost answers"))
 	m.log.SetDown(rapid.IntRange(0, 5).Draw(t, "down") == 0)
 	m.log.SetLag(rapid.Int64Range(0, 2).Draw(t, "lag"))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	o, err := s.Propose(ctx, ch)
-	m.log.LoseAnswers(0)
+	m.log.LoseResponses(0)
 	m.log.SetDown(false)
 	m.log.SetLag(0)
 	if o.Status == "" {
@@ -69,7 +69,7 @@
 		must.Eq(t, first, o)
 	}
 	m.outcomes[ch.ID] = o
-	must.NoError(t, m.check.Decided(ch, o))
+	must.NoError(t, m.check.CheckOutcome(ch, o))
 }
 
 // drawChange returns a new change or one proposed before.
@@ -107,7 +107,7 @@
 			must.NoError(t, err)
 		}
 	}
-	must.NoError(t, m.check.Observe(name, s.Snapshot()))
+	must.NoError(t, m.check.CheckState(name, s.Snapshot()))
 }
 
 // restart replaces a store by a new one that loads its state from the log or a peer.
@@ -124,8 +124,8 @@
 	}
 	m.stores[i] = s
 	name := string(rune('a' + i))
-	m.check.Restarted(name)
-	must.NoError(t, m.check.Observe(name, s.Snapshot()))
+	m.check.RecordRestart(name)
+	must.NoError(t, m.check.CheckState(name, s.Snapshot()))
 }
 
 // checkpoint writes the mark or some of the missing parts of a checkpoint.
--- a/coord/changelog/receive.go
+++ b/coord/changelog/receive.go
@@ -107,13 +107,13 @@
 	// LogAge is the time since the last known read of the log, by this node or one
 	// whose notices reached it; the time since the start if none is known.
 	LogAge time.Duration
-	// Silence is the time since the last contact with the log or any peer, counted
+	// ContactAge is the time since the last contact with the log or any peer, counted
 	// from the start if there was none.
-	Silence time.Duration
-	// Checkpoint is the mark of the newest complete checkpoint that this node has
+	ContactAge time.Duration
+	// CompleteMark is the mark of the newest complete checkpoint that this node has
 	// read, 0 for none.
-	Checkpoint int64
-	// Stale reports that LogAge or Silence has reached its limit in Options. A
+	CompleteMark int64
+	// Stale reports that LogAge or ContactAge has reached its limit in Options. A
 	// stale node should accept no new work.
 	Stale bool
 }
@@ -122,12 +122,12 @@
 func (f *Follower[V]) Status() FollowerStatus {
 	logAge, contactAge, newestKnown := f.store.freshness.ages()
 	return FollowerStatus{
-		Ready:       f.store.Ready(),
-		Applied:     f.store.state.applied(),
-		NewestKnown: newestKnown,
-		LogAge:      logAge,
-		Silence:     contactAge,
-		Checkpoint:  f.store.state.latestCompleteMark(),
-		Stale:       logAge >= f.opts.MaxStale || contactAge >= f.opts.MaxIsolated,
+		Ready:        f.store.Ready(),
+		Applied:      f.store.state.applied(),
+		NewestKnown:  newestKnown,
+		LogAge:       logAge,
+		ContactAge:   contactAge,
+		CompleteMark: f.store.state.latestCompleteMark(),
+		Stale:        logAge >= f.opts.MaxLogAge || contactAge >= f.opts.MaxContactAge,
 	}
 }
--- a/coord/changelog/start.go
+++ b/coord/changelog/start.go
@@ -55,7 +55,7 @@
 	ready, before := f.store.Ready(), f.store.state.applied()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	image, err := f.peers.Snapshot(ctx, peer)
+	image, err := f.peers.Image(ctx, peer)
 	if err != nil {
 		return err
 	}
--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -128,7 +128,7 @@
 		log := &memLog{}
 		c := newClaimer(t, log, "a")
 		for range 10 {
-			held, err := c.AcquireAny(t.Context(), "load", 2, ttl)
+			held, err := c.AcquireSlot(t.Context(), "load", 2, ttl)
 			must.NoError(t, err)
 			must.NoError(t, held.Release(t.Context()))
 		}
@@ -148,9 +148,9 @@
 		time.Sleep(2 * orderTimeout)
 		test.False(t, last.Valid(0))
 
-		one, err := c.AcquireAny(t.Context(), "load", 2, ttl)
+		one, err := c.AcquireSlot(t.Context(), "load", 2, ttl)
 		must.NoError(t, err)
-		two, err := c.AcquireAny(t.Context(), "load", 2, ttl)
+		two, err := c.AcquireSlot(t.Context(), "load", 2, ttl)
 		must.NoError(t, err)
 		test.NotEq(t, one.Resource(), two.Resource())
 		holdings, err := c.Holdings(t.Context())
@@ -158,7 +158,7 @@
 		test.Len(t, 2, holdings)
 		short, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err = c.AcquireAny(short, "load", 2, ttl)
+		_, err = c.AcquireSlot(short, "load", 2, ttl)
 		test.ErrorIs(t, err, context.DeadlineExceeded)
 		log.down = true
 		test.ErrorIs(t, one.Release(t.Context()), errDown)
--- a/coord/claim/claimer.go
+++ b/coord/claim/claimer.go
@@ -44,11 +44,11 @@
 	return c.acquire(ctx, []string{resource}, ttl)
 }
 
-// AcquireAny claims one of the numbered slots of the resource, which limits the number of
+// AcquireSlot claims one of the numbered slots of the resource, which limits the number of
 // holders to slots. Claim.Resource then returns the name of the slot, "resource#0" for the
 // first. All contenders must use the same number. After the number is lowered, holders of slots
 // above it keep them until their claims expire.
-func (c *Claimer) AcquireAny(ctx context.Context, resource string, slots int, ttl time.Duration) (*Claim, error) {
+func (c *Claimer) AcquireSlot(ctx context.Context, resource string, slots int, ttl time.Duration) (*Claim, error) {
 	names := make([]string, slots)
 	for i := range names {
 		names[i] = fmt.Sprintf("%s#%d", resource, i)
--- a/coord/claim/invariant_test.go
+++ b/coord/claim/invariant_test.go
@@ -119,7 +119,7 @@
 			c = s.start(t, name, clock, random)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Duration(random.IntN(100))*time.Second)
-		held, err := c.AcquireAny(ctx, "r", s.slots, ttl)
+		held, err := c.AcquireSlot(ctx, "r", s.slots, ttl)
 		cancel()
 		if err != nil {
 			continue
--- a/coord/fairqueue/bench_test.go
+++ b/coord/fairqueue/bench_test.go
@@ -45,7 +45,7 @@
 			q := New[int](epoch, Config{Classes: []Class{{4}, {1}}, MaxLen: 1 << 20, Rate: 1000})
 			for i := range items {
 				it := Item[int]{Account: Account{ID: "a", Weight: 1}, Cost: 1}
-				it.Deadline = epoch.Add(time.Duration(i)*time.Millisecond + time.Microsecond)
+				it.StartBy = epoch.Add(time.Duration(i)*time.Millisecond + time.Microsecond)
 				if _, err := q.Push(epoch, it); err != nil {
 					b.Fatal(err)
 				}
@@ -79,7 +79,7 @@
 	q := New[int](epoch, Config{Classes: []Class{{4}, {1}}, MaxLen: 1 << 20, Rate: 1e6})
 	for i := range accounts * 10 {
 		it := Item[int]{Account: Account{ID: fmt.Sprint(i % accounts), Weight: 1}, Cost: float64(1 + i%97)}
-		it.Deadline = epoch.Add(time.Hour)
+		it.StartBy = epoch.Add(time.Hour)
 		if _, err := q.Push(epoch, it); err != nil {
 			b.Fatal(err)
 		}
--- a/coord/fairqueue/example_test.go
+++ b/coord/fairqueue/example_test.go
@@ -23,10 +23,10 @@
 		}
 	}
 	soon := now.Add(5 * time.Second)
-	if _, err := q.Push(now, fairqueue.Item[string]{Account: clerk, Cost: 500, Deadline: soon, Value: "clerk"}); err != nil {
+	if _, err := q.Push(now, fairqueue.Item[string]{Account: clerk, Cost: 500, StartBy: soon, Value: "clerk"}); err != nil {
 		fmt.Println(err)
 	}
-	_, err := q.Push(now, fairqueue.Item[string]{Account: foundry, Cost: 500, Deadline: soon, Value: "late"})
+	_, err := q.Push(now, fairqueue.Item[string]{Account: foundry, Cost: 500, StartBy: soon, Value: "late"})
 	fmt.Println(err)
 	for it, ok := q.Pop(); ok; it, ok = q.Pop() {
 		fmt.Println(it.Value)
--- a/coord/fairqueue/item.go
+++ b/coord/fairqueue/item.go
@@ -22,9 +22,9 @@
 	Account Account
 	// Cost is the estimated cost, for example in tokens. It must be positive.
 	Cost float64
-	// Deadline is the latest useful start time of the item: the caller's deadline minus the
+	// StartBy is the latest useful start time of the item: the caller's deadline minus the
 	// execution time. Zero means no deadline.
-	Deadline time.Time
+	StartBy time.Time
 	// Value is set by the caller and is not used by the queue.
 	Value V
 }
@@ -57,9 +57,9 @@
 	}
 }
 
-// RefusedError is returned by Push for a rejected item. The item was not queued or executed;
+// RejectedError is returned by Push for a rejected item. The item was not queued or executed;
 // it is safe to push it again.
-type RefusedError struct {
+type RejectedError struct {
 	Reason Reason
 	// Wait is the predicted time until the item would have been popped.
 	Wait time.Duration
@@ -70,8 +70,8 @@
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("fairqueue: %s: predicted wait %s, retry after %s", e.Reason, e.Wait, e.RetryAfter)
 }
 
-var _ error = (*RefusedError)(nil)
+var _ error = (*RejectedError)(nil)
--- a/coord/fairqueue/property_test.go
+++ b/coord/fairqueue/property_test.go
@@ -208,7 +208,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "operation") {
 			case 0, 1, 2:
 				it := Item[int]{Account: account, Value: serial, Cost: rapid.Float64Range(1, 30).Draw(t, "cost")}
-				it.Deadline = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second)
+				it.StartBy = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second)
 				if h, err := q.Push(now, it); err == nil {
 					handles[serial] = h
 				}
--- a/coord/fairqueue/queue.go
+++ b/coord/fairqueue/queue.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// minRetryAfter is the minimum of RefusedError.RetryAfter.
+// minRetryAfter is the minimum of RejectedError.RetryAfter.
 const minRetryAfter = 100 * time.Millisecond
 
 // noDeadline is later than any deadline.
@@ -15,8 +15,8 @@
 
 // Errors for invalid items. Pushing the same item again cannot succeed.
 var (
-	ErrNoClass = errors.New("fairqueue: no such class")
-	ErrBadItem = errors.New("fairqueue: cost and weight must be positive")
+	ErrUnknownClass = errors.New("fairqueue: no such class")
+	ErrInvalidItem  = errors.New("fairqueue: cost and weight must be positive")
 )
 
 // Class is a priority class.
@@ -84,22 +84,22 @@
 // SetRate sets the measured service rate in cost units per second.
 func (q *Queue[V]) SetRate(rate float64) { q.rate = rate }
 
-// Push queues item. It returns a *RefusedError if the account cannot queue more items at
+// Push queues item. It returns a *RejectedError if the account cannot queue more items at
 // present or the predicted start is after the deadline, and another error for an unknown class
 // or for a cost or weight that is not positive. A rejected item does not change the queue.
 func (q *Queue[V]) Push(now time.Time, item Item[V]) (Handle[V], error) {
 	if item.Account.Class < 0 || item.Account.Class >= len(q.classes) {
-		return Handle[V]{}, ErrNoClass
+		return Handle[V]{}, ErrUnknownClass
 	}
 	if item.Cost <= 0 || item.Account.Weight <= 0 {
-		return Handle[V]{}, ErrBadItem
+		return Handle[V]{}, ErrInvalidItem
 	}
 	c := &q.classes[item.Account.Class]
 	startTag := c.nextStartTag(item.Account.ID)
 	if err := q.admit(now, &item, startTag); err != nil {
 		return Handle[V]{}, err
 	}
-	e := &entry[V]{item: item, startTag: startTag, seq: q.seq, deadlineOffset: q.deadlineOffset(item.Deadline), queued: true}
+	e := &entry[V]{item: item, startTag: startTag, seq: q.seq, deadlineOffset: q.deadlineOffset(item.StartBy), queued: true}
 	e.priority = q.random.Uint64()
 	if c.root == nil {
 		c.startTag = max(c.startTag, q.virtualTime)
@@ -110,23 +110,23 @@
 	return Handle[V]{entry: e}, nil
 }
 
-// admit returns a *RefusedError if the account of item must not queue more items, or if item,
+// admit returns a *RejectedError if the account of item must not queue more items, or if item,
 // with the given start tag, is predicted to start after its deadline.
 func (q *Queue[V]) admit(now time.Time, item *Item[V], startTag float64) error {
 	c := &q.classes[item.Account.Class]
 	wait := q.predictWait(item.Account.Class, costThrough(c.root, startTag))
 	if c.queuedItems(item.Account.ID) >= q.maxLen-q.len {
-		return &RefusedError{Reason: QueueFull, Wait: wait, RetryAfter: max(wait, minRetryAfter)}
+		return &RejectedError{Reason: QueueFull, Wait: wait, RetryAfter: max(wait, minRetryAfter)}
 	}
-	if item.Deadline.IsZero() {
+	if item.StartBy.IsZero() {
 		return nil
 	}
-	remaining := item.Deadline.Sub(now)
+	remaining := item.StartBy.Sub(now)
 	if wait <= remaining {
 		return nil
 	}
 	excess := wait - max(remaining, 0)
-	return &RefusedError{Reason: DeadlineUnmeetable, Wait: wait, RetryAfter: max(excess, minRetryAfter)}
+	return &RejectedError{Reason: DeadlineUnmeetable, Wait: wait, RetryAfter: max(excess, minRetryAfter)}
 }
 
 // Pop removes and returns the next item in fair order, or returns false if the queue is empty.
--- a/coord/fairqueue/queue_test.go
+++ b/coord/fairqueue/queue_test.go
@@ -12,7 +12,7 @@
 func item(id string, class int, cost float64, deadline time.Duration) Item[int] {
 	it := Item[int]{Account: Account{ID: id, Class: class, Weight: 1}, Cost: cost}
 	if deadline > 0 {
-		it.Deadline = epoch.Add(deadline)
+		it.StartBy = epoch.Add(deadline)
 	}
 	return it
 }
@@ -90,7 +90,7 @@
 				must.NoError(t, err)
 				return
 			}
-			var rejected *RefusedError
+			var rejected *RejectedError
 			must.True(t, errors.As(err, &rejected))
 			must.Eq(t, tc.reason, rejected.Reason)
 			must.Eq(t, tc.wait, rejected.Wait.Truncate(time.Millisecond))
@@ -99,9 +99,9 @@
 		})
 	}
 	_, err := newQueue().Push(epoch, item("a", 2, 1, 0))
-	must.ErrorIs(t, err, ErrNoClass)
+	must.ErrorIs(t, err, ErrUnknownClass)
 	_, err = newQueue().Push(epoch, item("a", 0, 0, 0))
-	must.ErrorIs(t, err, ErrBadItem)
+	must.ErrorIs(t, err, ErrInvalidItem)
 }
 
 // TestOneAccountCannotFillQueue pushes items of one account until they are rejected; other
@@ -112,7 +112,7 @@
 	for err == nil {
 		_, err = q.Push(epoch, item("large", 0, 1, 0))
 	}
-	var rejected *RefusedError
+	var rejected *RejectedError
 	must.True(t, errors.As(err, &rejected))
 	must.Eq(t, QueueFull, rejected.Reason)
 	must.Positive(t, rejected.RetryAfter)
--- a/coord/limit/bench_test.go
+++ b/coord/limit/bench_test.go
@@ -93,7 +93,7 @@
 			before := heap()
 			lender := NewLender(LenderConfig{Settings: DefaultSettings(100), Limits: ampleLimits})
 			for i := range 100 {
-				req := Request{From: Process{Node: nodeID(i)}, Seq: 1, Asks: make([]Ask, accounts)}
+				req := LeaseRequest{From: Incarnation{Node: nodeID(i)}, Seq: 1, Asks: make([]Ask, accounts)}
 				for j, name := range names {
 					req.Asks[j].Account = name
 				}
--- a/coord/limit/borrower.go
+++ b/coord/limit/borrower.go
@@ -21,15 +21,15 @@
 	// UnknownAccount means that no limit is configured for the account; its
 	// requests are refused.
 	UnknownAccount
-	// RequestsReached means that less than one request is currently
+	// RequestLimitReached means that less than one request is currently
 	// available to the node for the account.
-	RequestsReached
-	// TokensReached means that a request is available to the node, but fewer
+	RequestLimitReached
+	// TokenLimitReached means that a request is available to the node, but fewer
 	// tokens than the request needs.
-	TokensReached
-	// RunsReached means that all run slots that the node has for the account are
+	TokenLimitReached
+	// RunLimitReached means that all run slots that the node has for the account are
 	// in use.
-	RunsReached
+	RunLimitReached
 )
 
 // Decision is the result of Borrower.Allow.
@@ -48,7 +48,7 @@
 // it holds its lock: they must return quickly and must not call the borrower.
 type BorrowerConfig struct {
 	Settings Settings
-	Self     Process
+	Self     Incarnation
 	// Limits returns an account's limit, and false for an unknown account.
 	Limits func(account string) (Limit, bool)
 	// Owner returns the node that this node currently considers the account's
@@ -161,7 +161,7 @@
 	calls := make([]LeaseCall, 0, len(asks))
 	for _, owner := range slices.Sorted(maps.Keys(asks)) {
 		slices.SortFunc(asks[owner], func(x, y Ask) int { return strings.Compare(x.Account, y.Account) })
-		req := Request{From: b.cfg.Self, Seq: b.seq, Asks: asks[owner]}
+		req := LeaseRequest{From: b.cfg.Self, Seq: b.seq, Asks: asks[owner]}
 		calls = append(calls, LeaseCall{To: owner, Request: req})
 	}
 	return calls
@@ -169,11 +169,11 @@
 
 // Receive applies a lender's grant. A loan that does not answer the latest
 // request for its account is ignored.
-func (b *Borrower) Receive(now time.Time, grant Grant) {
+func (b *Borrower) Receive(now time.Time, grant LeaseGrant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i := range grant.Shares {
-		loan := &grant.Shares[i]
+	for i := range grant.Loans {
+		loan := &grant.Loans[i]
 		if l, ok := b.accounts[loan.Account]; ok && l.requestSeq == grant.Seq {
 			l.applyLoan(now, loan)
 		}
--- a/coord/limit/demand.go
+++ b/coord/limit/demand.go
@@ -136,7 +136,7 @@
 }
 
 // applyLoan applies the lender's answer to the latest request.
-func (l *ledger) applyLoan(now time.Time, loan *Share) {
+func (l *ledger) applyLoan(now time.Time, loan *Loan) {
 	if !l.awaitingGrant {
 		return
 	}
--- a/coord/limit/example_test.go
+++ b/coord/limit/example_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	settings := limit.DefaultSettings(1)
-	self := limit.Process{Node: "node-1", Incarnation: 7}
+	self := limit.Incarnation{Node: "node-1", Number: 7}
 	limits := func(string) (limit.Limit, bool) { return limit.Limit{Requests: 10, Runs: 2}, true }
 	owner := func(string) limit.NodeID { return self.Node }
 	keepers := func(string) []limit.NodeID { return []limit.NodeID{self.Node} }
--- a/coord/limit/keeper.go
+++ b/coord/limit/keeper.go
@@ -63,9 +63,9 @@
 	return slices.Contains(k.keepers(account), k.self)
 }
 
-// Forget removes the state of parts whose lease ended so long ago that a new
+// RemoveExpired removes the state of parts whose lease ended so long ago that a new
 // entry would behave the same. Call it every few seconds.
-func (k *Keeper) Forget(now time.Time) {
+func (k *Keeper) RemoveExpired(now time.Time) {
 	k.rates.removeExpired(now, k.settings.Burst)
 	k.runs.removeExpired(now, 0)
 }
@@ -82,7 +82,7 @@
 
 // keeperPart is a part that is or was leased to holder until the time in until.
 type keeperPart struct {
-	holder Process
+	holder Incarnation
 	seq    uint64
 	until  time.Time
 }
--- a/coord/limit/ledger.go
+++ b/coord/limit/ledger.go
@@ -92,7 +92,7 @@
 	charge := cost.minWith(l.maxCharge)
 	if l.limit.Runs > 0 && l.activeRuns >= l.usableSlots(now) {
 		l.refusedRuns++
-		return Decision{Reason: RunsReached, RetryAfter: l.retryAfter(now, Amount{})}
+		return Decision{Reason: RunLimitReached, RetryAfter: l.retryAfter(now, Amount{})}
 	}
 	l.refill(now)
 	if available := l.available(now); !available.covers(charge) {
--- a/coord/limit/lender.go
+++ b/coord/limit/lender.go
@@ -22,7 +22,7 @@
 // not call the lender.
 type LenderConfig struct {
 	Settings Settings
-	Self     Process
+	Self     Incarnation
 	// Limits returns an account's limit, and false for an unknown account.
 	Limits func(account string) (Limit, bool)
 	// Owner returns the node that this node currently considers the account's
@@ -43,8 +43,8 @@
 
 // Handle processes a borrower's request and returns the grant. Asks of repeated
 // or superseded requests and of unknown accounts get no loan.
-func (l *Lender) Handle(now time.Time, req Request) Grant {
-	grant := Grant{Seq: req.Seq}
+func (l *Lender) Handle(now time.Time, req LeaseRequest) LeaseGrant {
+	grant := LeaseGrant{Seq: req.Seq}
 	for i := range req.Asks {
 		ask := &req.Asks[i]
 		p := l.pool(now, ask.Account)
@@ -57,7 +57,7 @@
 		}
 		b.seq = req.Seq
 		b.lastRequestAt = now
-		grant.Shares = append(grant.Shares, l.allocate(now, p, b, ask))
+		grant.Loans = append(grant.Loans, l.allocate(now, p, b, ask))
 	}
 	return grant
 }
@@ -80,10 +80,10 @@
 }
 
 // allocate returns the loan granted for one ask and deducts it from the pool.
-func (l *Lender) allocate(now time.Time, p *pool, b *borrowerState, ask *Ask) Share {
+func (l *Lender) allocate(now time.Time, p *pool, b *borrowerState, ask *Ask) Loan {
 	p.refill(now)
 	p.level = p.level.sub(ask.Debt).add(ask.Refund).minWith(p.depth(now))
-	loan := Share{Account: ask.Account}
+	loan := Loan{Account: ask.Account}
 	loan.Amount, loan.Wait = p.lend(now, ask)
 	loan.Runs = p.lendRuns(now, b, ask.Runs)
 	if loan.Runs < ask.Runs {
--- a/coord/limit/message.go
+++ b/coord/limit/message.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Process identifies one start of a node's process. Incarnation is a random
+// Incarnation identifies one start of a node's process. Number is a random
 // number chosen at each start.
-type Process struct {
-	Node        NodeID `json:"n"`
-	Incarnation uint64 `json:"i"`
+type Incarnation struct {
+	Node   NodeID `json:"n"`
+	Number uint64 `json:"i"`
 }
 
 // Millis is a duration in milliseconds, as encoded in messages.
@@ -17,16 +17,16 @@
 // Duration returns m as a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Request is a borrower's request to borrow from the pools of accounts that the
+// LeaseRequest is a borrower's request to borrow from the pools of accounts that the
 // lender's node owns. It is sent once: a lender ignores duplicates, and the
 // borrower replaces a lost request by a new one with a higher Seq.
-type Request struct {
-	From Process `json:"f"`
-	Seq  uint64  `json:"s"`
-	Asks []Ask   `json:"a"`
+type LeaseRequest struct {
+	From Incarnation `json:"f"`
+	Seq  uint64      `json:"s"`
+	Asks []Ask       `json:"a"`
 }
 
-// Ask is the entry of a Request for one account.
+// Ask is the entry of a LeaseRequest for one account.
 type Ask struct {
 	Account string `json:"a"`
 	// Amount is the amount requested for one lease, in addition to what the
@@ -44,15 +44,15 @@
 	Runs int `json:"r,omitempty"`
 }
 
-// Grant is a lender's answer to a Request.
-type Grant struct {
-	Seq    uint64  `json:"s"`
-	Shares []Share `json:"l"`
+// LeaseGrant is a lender's answer to a LeaseRequest.
+type LeaseGrant struct {
+	Seq   uint64 `json:"s"`
+	Loans []Loan `json:"l"`
 }
 
-// Share is what the lender lends of one account. Amount may be used until one
+// Loan is what the lender lends of one account. Amount may be used until one
 // Settings.Lease after the borrower sent the request.
-type Share struct {
+type Loan struct {
 	Account string `json:"a"`
 	Amount  Amount `json:"m,omitzero"`
 	// Runs replaces the number of run slots lent before. They are valid until
@@ -66,8 +66,8 @@
 // PartRequest is a lender's request to a keeper to lease, renew or release the
 // keeper's parts of accounts.
 type PartRequest struct {
-	From Process `json:"f"`
-	Seq  uint64  `json:"s"`
+	From Incarnation `json:"f"`
+	Seq  uint64      `json:"s"`
 	// Acquire lists the accounts whose part of the rates is requested.
 	Acquire []string `json:"a,omitempty"`
 	// AcquireRuns lists the accounts whose part of the run slots is requested.
@@ -96,10 +96,10 @@
 	Idle Millis `json:"i,omitempty"`
 }
 
-// LeaseCall is a Request to send to the lender of node To.
+// LeaseCall is a LeaseRequest to send to the lender of node To.
 type LeaseCall struct {
 	To      NodeID
-	Request Request
+	Request LeaseRequest
 }
 
 // PartCall is a PartRequest to send to the keeper of node To.
--- a/coord/limit/pool.go
+++ b/coord/limit/pool.go
@@ -23,7 +23,7 @@
 	lastRequestAt time.Time
 	parts         lenderParts
 	runParts      lenderParts
-	borrowers     map[Process]*borrowerState
+	borrowers     map[Incarnation]*borrowerState
 }
 
 func newPool(now time.Time, s Settings) *pool {
@@ -33,7 +33,7 @@
 		firstRequestAt: now,
 		parts:          lenderParts{lease: s.Lease, partLease: s.PartLease(), drift: s.Drift, byKeeper: map[NodeID]*lenderPart{}},
 		runParts:       lenderParts{lease: s.RunLease, partLease: s.RunPartLease(), drift: s.Drift, byKeeper: map[NodeID]*lenderPart{}},
-		borrowers:      map[Process]*borrowerState{},
+		borrowers:      map[Incarnation]*borrowerState{},
 	}
 }
 
@@ -72,7 +72,7 @@
 }
 
 // borrower returns the state of a borrower, creating it if absent.
-func (p *pool) borrower(id Process) *borrowerState {
+func (p *pool) borrower(id Incarnation) *borrowerState {
 	b, ok := p.borrowers[id]
 	if !ok {
 		b = &borrowerState{}
--- a/coord/limit/settings.go
+++ b/coord/limit/settings.go
@@ -61,9 +61,9 @@
 // amount a does not cover it.
 func (a Amount) shortfallReason(b Amount) Reason {
 	if a.Requests < b.Requests {
-		return RequestsReached
+		return RequestLimitReached
 	}
-	return TokensReached
+	return TokenLimitReached
 }
 
 // secondsToAccrue returns the time in seconds in which a accrues at the given rate
--- a/coord/limit/simulation_test.go
+++ b/coord/limit/simulation_test.go
@@ -48,7 +48,7 @@
 
 type simNode struct {
 	index       int
-	self        Process
+	self        Incarnation
 	keeper      *Keeper
 	lender      *Lender
 	borrower    *Borrower
@@ -64,7 +64,7 @@
 
 type delivery struct {
 	at      time.Time
-	to      Process
+	to      Incarnation
 	deliver func()
 }
 
@@ -109,7 +109,7 @@
 		return nodeID(n.ownerIndex[account])
 	}
 	keepers := func(string) []NodeID { return s.keepers(n) }
-	n.self = Process{Node: nodeID(n.index), Incarnation: s.random.Uint64()}
+	n.self = Incarnation{Node: nodeID(n.index), Number: s.random.Uint64()}
 	n.keeper = NewKeeper(s.now, s.settings, n.self.Node, keepers)
 	if s.fault == faultNoStartupDelay {
 		n.keeper.rates.readyAt, n.keeper.runs.readyAt = s.now, s.now
@@ -255,7 +255,7 @@
 			s.send(to, n, grant, func() { receive(s.now, grant) })
 		})
 	}
-	n.keeper.Forget(s.now)
+	n.keeper.RemoveExpired(s.now)
 }
 
 // grantAll returns a grant of everything requested, without a request to a
--- a/coord/limit/traffic_test.go
+++ b/coord/limit/traffic_test.go
@@ -76,9 +76,9 @@
 	owner := func(account string) NodeID { return owners[account] }
 	keepers := func(account string) []NodeID { return keepersOf[account] }
 	self := func(string) NodeID { return "sample" }
-	process := Process{Node: "sample", Incarnation: math.MaxUint64 / 3}
-	s.borrower = NewBorrower(epoch, BorrowerConfig{Settings: settings, Self: process, Limits: lookup, Owner: owner})
-	s.lender = NewLender(LenderConfig{Settings: settings, Self: process, Limits: lookup, Owner: self, Keepers: keepers})
+	incarnation := Incarnation{Node: "sample", Number: math.MaxUint64 / 3}
+	s.borrower = NewBorrower(epoch, BorrowerConfig{Settings: settings, Self: incarnation, Limits: lookup, Owner: owner})
+	s.lender = NewLender(LenderConfig{Settings: settings, Self: incarnation, Limits: lookup, Owner: self, Keepers: keepers})
 	return s
 }
 
@@ -138,7 +138,7 @@
 		s.calls++
 		s.bytes += encodedSize(call.Request) + callEnvelope + encodedSize(grant) + answerEnvelope
 	}
-	others := Process{Node: "others"}
+	others := Incarnation{Node: "others"}
 	if now.Sub(epoch)%(10*tick) != 0 {
 		return
 	}
--- a/coord/retry/budget.go
+++ b/coord/retry/budget.go
@@ -9,8 +9,8 @@
 type BudgetConfig struct {
 	// Ratio is the number of retries that each successful first attempt adds.
 	Ratio float64
-	// Reserve is the capacity of the bucket in retries.
-	Reserve float64
+	// Capacity is the capacity of the bucket in retries.
+	Capacity float64
 	// AddedPerSecond is the number of retries added per second regardless of traffic, so that
 	// calls to a rarely used target can occasionally be retried.
 	AddedPerSecond float64
@@ -18,7 +18,7 @@
 
 // DefaultBudget limits the load amplification to less than 1.1 in the long run if AddedPerSecond
 // is small compared with the rate of calls.
-var DefaultBudget = BudgetConfig{Ratio: 0.1, Reserve: 10, AddedPerSecond: 0.1}
+var DefaultBudget = BudgetConfig{Ratio: 0.1, Capacity: 10, AddedPerSecond: 0.1}
 
 // Budget is a token bucket of retries that is filled by successful first attempts and with
 // time. It starts empty, so that a process that restarts while endpoints fail does not add a
@@ -40,7 +40,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Reserve)
+	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Capacity)
 }
 
 // Withdraw takes one retry. It returns false and takes nothing if less than one is available.
@@ -55,13 +55,13 @@
 	return true
 }
 
-// SetReserve changes the capacity of the bucket. Retries beyond a lower capacity are discarded;
+// SetCapacity changes the capacity of the bucket. Retries beyond a lower capacity are discarded;
 // a higher capacity adds none.
-func (b *Budget) SetReserve(reserve float64) {
+func (b *Budget) SetCapacity(capacity float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cfg.Reserve = reserve
-	b.tokens = min(b.tokens, reserve)
+	b.cfg.Capacity = capacity
+	b.tokens = min(b.tokens, capacity)
 }
 
 // refill adds the retries for the time since the last refill.
@@ -71,5 +71,5 @@
 		return
 	}
 	b.lastRefill = now
-	b.tokens = min(b.tokens+elapsed*b.cfg.AddedPerSecond, b.cfg.Reserve)
+	b.tokens = min(b.tokens+elapsed*b.cfg.AddedPerSecond, b.cfg.Capacity)
 }
--- a/coord/retry/doc.go
+++ b/coord/retry/doc.go
@@ -5,7 +5,7 @@
 // Guarantees:
 //
 //   - Load. In any period the retries charged to one Budget are at most Ratio times the first
-//     attempts that succeeded, plus Reserve, plus AddedPerSecond for each second. With Ratio 0.1
+//     attempts that succeeded, plus Capacity, plus AddedPerSecond for each second. With Ratio 0.1
 //     the load amplification (attempts per call) stays below 1.1 in the long run, whatever share
 //     of the endpoints fails, if AddedPerSecond is small compared with the rate of calls.
 //   - Chains. Only the hop nearest to the caller retries. It informs the hops downstream, which
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -17,7 +17,7 @@
 
 // fullBudget returns a budget with n retries available to which time adds none.
 func fullBudget(now time.Time, n float64) *Budget {
-	b := NewBudget(now, BudgetConfig{Ratio: n, Reserve: n})
+	b := NewBudget(now, BudgetConfig{Ratio: n, Capacity: n})
 	b.Deposit(now)
 	return b
 }
@@ -103,7 +103,7 @@
 }
 
 func TestBudgetBound(t *testing.T) {
-	b := NewBudget(epoch, BudgetConfig{Ratio: 0.1, Reserve: 5, AddedPerSecond: 0.5})
+	b := NewBudget(epoch, BudgetConfig{Ratio: 0.1, Capacity: 5, AddedPerSecond: 0.5})
 	must.False(t, b.Withdraw(epoch), must.Sprint("a new budget is empty"))
 	var granted int
 	for i := range 1000 {
--- a/coord/ticket/cluster_test.go
+++ b/coord/ticket/cluster_test.go
@@ -24,8 +24,8 @@
 
 func config(self ticket.Incarnation) ticket.Config {
 	return ticket.Config{
-		Self: self, Key: key, Window: 64, KeepAnswers: 16, KeepBytes: 1 << 20,
-		KeepFor: time.Minute, AdoptFor: time.Hour, RunOn: 10 * time.Second,
+		Self: self, Key: key, Window: 64, MaxAnswersPerAccount: 16, MaxAnswerBytes: 1 << 20,
+		AnswerTTL: time.Minute, AdoptedTTL: time.Hour, RunAfterDeadline: 10 * time.Second,
 	}
 }
 
@@ -93,7 +93,7 @@
 	if c.injectedFault == faultReuseIncarnation {
 		run = 1
 	}
-	self := ticket.Incarnation{Node: strconv.Itoa(i), Run: run}
+	self := ticket.Incarnation{Node: strconv.Itoa(i), Number: run}
 	exec, err := ticket.New(config(self))
 	c.check(err == nil, "new: %v", err)
 	c.mu.Lock()
@@ -126,7 +126,7 @@
 	defer c.mu.Unlock()
 	t := c.tickets[ticketIndex]
 	t.attempts++
-	return ticket.Call{Ticket: t.text, Account: "acme", First: t.attempts == 1}, !t.notRun
+	return ticket.Call{Ticket: t.text, Account: "acme", FirstAttempt: t.attempts == 1}, !t.notRun
 }
 
 func (c *cluster) redeem(i, ticketIndex int) {
@@ -143,7 +143,7 @@
 		r := ticket.Redeemer{Executor: p.exec, Lookup: lookup, Forwarder: faultyLink{c, pick, ticketIndex}}
 		answer, err := r.Redeem(ctx, call, c.run(p, pick, ticketIndex))
 		if !p.dead.Load() {
-			c.checkAnswer(t, ticketIndex, call.First, answer, err)
+			c.checkAnswer(t, ticketIndex, call.FirstAttempt, answer, err)
 		}
 	}()
 }
--- a/coord/ticket/config.go
+++ b/coord/ticket/config.go
@@ -9,7 +9,7 @@
 // MaxWindow is the maximum of Config.Window.
 const MaxWindow = 1 << 20
 
-// Config configures an Executor. Self, Key, Window and KeepAnswers are required;
+// Config configures an Executor. Self, Key, Window and MaxAnswersPerAccount are required;
 // the other fields may be zero.
 type Config struct {
 	Self Incarnation // of this process, from NewIncarnation
@@ -17,18 +17,18 @@
 	// Window is the number of newest serials per account whose outcome is
 	// stored, in two bits each. Older tickets have expired.
 	Window int
-	// KeepAnswers is the maximum number of answers cached for each account,
-	// KeepBytes the maximum size of all cached answers together, and KeepFor
+	// MaxAnswersPerAccount is the maximum number of answers cached for each account,
+	// MaxAnswerBytes the maximum size of all cached answers together, and AnswerTTL
 	// how long each answer is cached.
-	KeepAnswers int
-	KeepBytes   int
-	KeepFor     time.Duration
-	// AdoptFor is how long the tickets of a handed-over incarnation remain
+	MaxAnswersPerAccount int
+	MaxAnswerBytes       int
+	AnswerTTL            time.Duration
+	// AdoptedTTL is how long the tickets of a handed-over incarnation remain
 	// redeemable after its first handover.
-	AdoptFor time.Duration
-	// RunOn is how long a run may continue after the latest deadline of its
+	AdoptedTTL time.Duration
+	// RunAfterDeadline is how long a run may continue after the latest deadline of its
 	// callers, so that a retry can still get the answer.
-	RunOn time.Duration
+	RunAfterDeadline time.Duration
 }
 
 func (c Config) validate() error {
@@ -39,8 +39,8 @@
 		return fmt.Errorf("ticket: key is shorter than %d bytes", MinKeyBytes)
 	case c.Window < 1 || c.Window > MaxWindow:
 		return fmt.Errorf("ticket: window is not between 1 and %d", MaxWindow)
-	case c.KeepAnswers < 1 || c.KeepBytes < 0 || c.KeepFor < 0 || c.AdoptFor < 0 || c.RunOn < 0:
-		return errors.New("ticket: a cache limit or duration is negative, or KeepAnswers is zero")
+	case c.MaxAnswersPerAccount < 1 || c.MaxAnswerBytes < 0 || c.AnswerTTL < 0 || c.AdoptedTTL < 0 || c.RunAfterDeadline < 0:
+		return errors.New("ticket: a cache limit or duration is negative, or MaxAnswersPerAccount is zero")
 	}
 	return nil
 }
--- a/coord/ticket/error.go
+++ b/coord/ticket/error.go
@@ -54,7 +54,7 @@
 	ReasonRefused          Reason = "refused"           // the service executed nothing, the ticket is used up; not_run
 	ReasonUnreachable      Reason = "unreachable"       // the call reached no executor that serves the ticket; not_run
 	ReasonMoved            Reason = "moved"             // handed over to Error.Successor; not_run here
-	ReasonExpired          Reason = "expired"           // older than the window, or first handed over more than Config.AdoptFor ago; may_have_run
+	ReasonExpired          Reason = "expired"           // older than the window, or first handed over more than Config.AdoptedTTL ago; may_have_run
 	ReasonUnissued         Reason = "unissued"          // the executor has no record of issuing the serial; may_have_run
 	ReasonNotExecutor      Reason = "not_executor"      // this node does not serve the incarnation; may_have_run
 	ReasonExecutorGone     Reason = "executor_gone"     // the incarnation has ended; may_have_run
--- a/coord/ticket/executor.go
+++ b/coord/ticket/executor.go
@@ -23,7 +23,7 @@
 // The context has the values of the first caller's context, but not its
 // cancellation and deadline, because other callers may wait for the same run or
 // request its answer later. It is cancelled with the cause
-// context.DeadlineExceeded when Config.RunOn has passed since the latest
+// context.DeadlineExceeded when Config.RunAfterDeadline has passed since the latest
 // deadline of the callers, and never if one of them has no deadline.
 type RunFunc func(ctx context.Context) (Answer, error)
 
@@ -74,7 +74,7 @@
 		config:  config,
 		ledgers: map[Incarnation]*ledger{config.Self: {accounts: make(map[string]*accountState)}},
 		retired: make(map[Incarnation]bool),
-		answers: newAnswerCache(config.KeepAnswers, config.KeepBytes, config.KeepFor),
+		answers: newAnswerCache(config.MaxAnswersPerAccount, config.MaxAnswerBytes, config.AnswerTTL),
 	}, nil
 }
 
@@ -111,10 +111,10 @@
 		if err := checkFingerprint(x.fingerprint, fp); err != nil {
 			return nil, err
 		}
-		x.extendCancelTimer(ctx, e.config.RunOn)
+		x.extendCancelTimer(ctx, e.config.RunAfterDeadline)
 		return x, nil
 	}
-	if cached, ok := e.answers.get(answerKey{t.Executor, t.Account}, t.Serial); ok {
+	if cached, ok := e.answers.get(answerKey{t.Incarnation, t.Account}, t.Serial); ok {
 		return finishedExecution(cached.answer), checkFingerprint(cached.fingerprint, fp)
 	}
 	if !a.window.contains(t.Serial) {
@@ -137,8 +137,8 @@
 // the ledger has no tickets of the account.
 func (e *Executor) lookup(t Ticket) (*accountState, error) {
 	e.retireExpired()
-	l := e.ledgers[t.Executor]
-	if l == nil && e.retired[t.Executor] {
+	l := e.ledgers[t.Incarnation]
+	if l == nil && e.retired[t.Incarnation] {
 		return nil, attemptError(ReasonExpired, MayHaveRun, nil)
 	}
 	if l == nil {
@@ -154,7 +154,7 @@
 func (e *Executor) start(ctx context.Context, a *accountState, t Ticket, fp Fingerprint, run RunFunc) *execution {
 	detached, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	x := &execution{fingerprint: fp, done: make(chan struct{}), cancel: cancel}
-	x.startCancelTimer(ctx, e.config.RunOn)
+	x.startCancelTimer(ctx, e.config.RunAfterDeadline)
 	a.running[t.Serial] = x
 	a.window.record(t.Serial, outcomeStarted)
 	go e.execute(detached, a, t, x, run)
@@ -234,7 +234,7 @@
 		return nil, ticketError(ReasonAnswerGone, Ran, err)
 	}
 	cached := cachedAnswer{fingerprint: fp, answer: answer, storedAt: time.Now()}
-	e.answers.put(answerKey{t.Executor, t.Account}, t.Serial, cached)
+	e.answers.put(answerKey{t.Incarnation, t.Account}, t.Serial, cached)
 	return answer, nil
 }
 
--- a/coord/ticket/executor_test.go
+++ b/coord/ticket/executor_test.go
@@ -16,8 +16,8 @@
 )
 
 var (
-	self        = ticket.Incarnation{Node: "n1", Run: 11}
-	peer        = ticket.Incarnation{Node: "n2", Run: 22}
+	self        = ticket.Incarnation{Node: "n1", Number: 11}
+	peer        = ticket.Incarnation{Node: "n2", Number: 22}
 	fingerprint = ticket.FingerprintOf([]byte("submit batch 7"))
 )
 
@@ -162,7 +162,7 @@
 // and that a large account does not evict the answer of a small one.
 func TestAnswersAreBounded(t *testing.T) {
 	c := config(self)
-	c.KeepAnswers, c.KeepBytes = 4, 2000
+	c.MaxAnswersPerAccount, c.MaxAnswerBytes = 4, 2000
 	e, err := ticket.New(c)
 	must.NoError(t, err)
 	small := issue(t, e, 1)[0]
@@ -229,7 +229,7 @@
 		"paused, considered gone, then reachable":   {presence: ticket.Presence{Status: ticket.Gone}, reason: ticket.ReasonExecutorGone, after: ticket.Ran},
 		"no address known":                          {presence: ticket.Presence{Status: ticket.Unknown}, reason: ticket.ReasonUnreachable, state: ticket.NotRun, after: ticket.Ran},
 		"answered":                                  {state: ticket.Ran, wantExecutions: 1, after: ticket.Ran},
-		"executor restarted as another incarnation": {link: forwarder{remote: newExecutor(t, ticket.Incarnation{Node: "n1", Run: 12})}, reason: ticket.ReasonNotExecutor, after: ticket.Ran},
+		"executor restarted as another incarnation": {link: forwarder{remote: newExecutor(t, ticket.Incarnation{Node: "n1", Number: 12})}, reason: ticket.ReasonNotExecutor, after: ticket.Ran},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -251,13 +251,13 @@
 				Lookup:    func(ticket.Incarnation) ticket.Presence { return current },
 				Forwarder: &link,
 			}
-			call := ticket.Call{Ticket: batch[0], Account: "acme", Fingerprint: fingerprint, First: !tc.retry}
+			call := ticket.Call{Ticket: batch[0], Account: "acme", Fingerprint: fingerprint, FirstAttempt: !tc.retry}
 			_, err = entry.Redeem(t.Context(), call, s.submit)
 			test.Eq(t, tc.reason, ticket.ReasonOf(err))
 			test.Eq(t, tc.state, ticket.StateOf(err))
 			test.Eq(t, tc.wantExecutions, s.executions())
 
-			current, call.First = alive, false
+			current, call.FirstAttempt = alive, false
 			link = forwarder{remote: e, run: s.submit}
 			_, err = entry.Redeem(t.Context(), call, s.submit)
 			test.Eq(t, tc.after, ticket.StateOf(err))
--- a/coord/ticket/handover.go
+++ b/coord/ticket/handover.go
@@ -20,9 +20,9 @@
 // LedgerRecord holds the state of the tickets of one incarnation: the sender's
 // own, or one that was handed over to the sender earlier.
 type LedgerRecord struct {
-	Executor Incarnation    `json:"executor"`
-	Age      time.Duration  `json:"age_ns"` // time since its first handover
-	Windows  []WindowRecord `json:"windows"`
+	Incarnation Incarnation    `json:"executor"`
+	Age         time.Duration  `json:"age_ns"` // time since its first handover
+	Windows     []WindowRecord `json:"windows"`
 }
 
 // WindowRecord holds the state of one account's tickets: two bits for each of the
@@ -103,7 +103,7 @@
 	}
 	e.handover = &Handover{From: e.config.Self, To: to}
 	for incarnation, l := range e.ledgers {
-		record := LedgerRecord{Executor: incarnation, Age: l.age()}
+		record := LedgerRecord{Incarnation: incarnation, Age: l.age()}
 		for id, a := range l.accounts {
 			record.Windows = append(record.Windows, e.windowRecord(answerKey{incarnation, id}, a))
 		}
@@ -156,7 +156,7 @@
 		return ErrDraining
 	}
 	for _, record := range h.Ledgers {
-		if !e.everHadLedger(record.Executor) {
+		if !e.everHadLedger(record.Incarnation) {
 			e.adopt(record)
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 func (e *Executor) everHadAllLedgers(h *Handover) bool {
-	return !slices.ContainsFunc(h.Ledgers, func(record LedgerRecord) bool { return !e.everHadLedger(record.Executor) })
+	return !slices.ContainsFunc(h.Ledgers, func(record LedgerRecord) bool { return !e.everHadLedger(record.Incarnation) })
 }
 
 func (e *Executor) adopt(record LedgerRecord) {
@@ -183,12 +183,12 @@
 			started:  bitset.From(slices.Clone(windowRecord.Started)),
 			finished: bitset.From(slices.Clone(windowRecord.Finished)),
 		})
-		key := answerKey{record.Executor, windowRecord.Account}
+		key := answerKey{record.Incarnation, windowRecord.Account}
 		for _, answer := range windowRecord.Answers {
 			e.answers.put(key, answer.Serial, cachedAnswer{answer.Fingerprint, answer.Answer, time.Now().Add(-answer.Age)})
 		}
 	}
-	e.ledgers[record.Executor] = l
+	e.ledgers[record.Incarnation] = l
 }
 
 func (h *Handover) validate() error {
@@ -221,10 +221,10 @@
 }
 
 // retireExpired stops serving adopted incarnations whose first handover is longer
-// ago than Config.AdoptFor.
+// ago than Config.AdoptedTTL.
 func (e *Executor) retireExpired() {
 	for incarnation, l := range e.ledgers {
-		if l.age() > e.config.AdoptFor && incarnation != e.config.Self {
+		if l.age() > e.config.AdoptedTTL && incarnation != e.config.Self {
 			delete(e.ledgers, incarnation)
 			e.retired[incarnation] = true
 			e.answers.removeIncarnation(incarnation)
--- a/coord/ticket/handover_test.go
+++ b/coord/ticket/handover_test.go
@@ -53,7 +53,7 @@
 		test.Eq(t, ticket.Ran, state(unused))
 		must.NoError(t, next.Adopt(&received)) // a repeated handover has no effect
 		test.Eq(t, ticket.Ran, state(unused))
-		restarted := newExecutor(t, ticket.Incarnation{Node: "n2", Run: 23})
+		restarted := newExecutor(t, ticket.Incarnation{Node: "n2", Number: 23})
 		test.ErrorIs(t, restarted.Adopt(&received), ticket.ErrNotSuccessor)
 
 		time.Sleep(2 * time.Hour)
--- a/coord/ticket/issue.go
+++ b/coord/ticket/issue.go
@@ -33,7 +33,7 @@
 	}
 	batch := make([]string, n)
 	for i := range batch {
-		t := Ticket{Executor: e.config.Self, Serial: first + uint64(i), Account: accountID}
+		t := Ticket{Incarnation: e.config.Self, Serial: first + uint64(i), Account: accountID}
 		batch[i] = t.Encode(e.config.Key)
 	}
 	return batch, nil
--- a/coord/ticket/route.go
+++ b/coord/ticket/route.go
@@ -33,9 +33,9 @@
 	Account     string      `json:"account"` // authenticated by the receiving node
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Request     []byte      `json:"request"` // opaque to this package
-	// First is the caller's statement that it has not sent this ticket before.
+	// FirstAttempt is the caller's statement that it has not sent this ticket before.
 	// Only then can a node that does not reach the executor report not_run.
-	First bool `json:"first,omitempty"`
+	FirstAttempt bool `json:"first,omitempty"`
 }
 
 // ErrNotSent is wrapped by the error of a [Forwarder] that failed before sending
@@ -54,10 +54,10 @@
 type Decision uint8
 
 const (
-	Local       Decision = iota // redeem at this node's executor
-	Forward                     // forward to the returned address
-	GoneForever                 // the incarnation has ended; no node may run its calls
-	Unreachable                 // no address is known; nothing can be sent
+	Local        Decision = iota // redeem at this node's executor
+	Forward                      // forward to the returned address
+	ExecutorGone                 // the incarnation has ended; no node may run its calls
+	Unreachable                  // no address is known; nothing can be sent
 )
 
 // Route returns where to redeem the tickets of an incarnation, with an address
@@ -69,7 +69,7 @@
 	presence := lookup(incarnation)
 	switch {
 	case presence.Status == Gone:
-		return GoneForever, ""
+		return ExecutorGone, ""
 	case presence.Addr == "":
 		return Unreachable, ""
 	}
@@ -111,13 +111,13 @@
 		return nil, attemptError(ReasonOtherAccount, NotRun, nil)
 	}
 	answer, err := r.redeemFollowingMoves(ctx, t, call, run)
-	return answer, adjustForRetry(err, call.First)
+	return answer, adjustForRetry(err, call.FirstAttempt)
 }
 
 // redeemFollowingMoves redeems the ticket at its executor or, if that has handed
 // over its tickets, at the successors in turn.
 func (r *Redeemer) redeemFollowingMoves(ctx context.Context, t Ticket, call Call, run RunFunc) (Answer, error) {
-	at := t.Executor
+	at := t.Incarnation
 	for range maxExecutors {
 		answer, err := r.redeemAt(ctx, at, t, call, run)
 		e, ok := errors.AsType[*Error](err)
@@ -134,7 +134,7 @@
 	switch decision {
 	case Local:
 		return r.Executor.Do(ctx, t, call.Account, call.Fingerprint, run)
-	case GoneForever:
+	case ExecutorGone:
 		return nil, attemptError(ReasonExecutorGone, MayHaveRun, nil)
 	case Unreachable:
 		return nil, attemptError(ReasonUnreachable, NotRun, nil)
--- a/coord/ticket/ticket.go
+++ b/coord/ticket/ticket.go
@@ -31,8 +31,8 @@
 
 // Incarnation identifies one start of a node's process.
 type Incarnation struct {
-	Node string `json:"node"`
-	Run  uint64 `json:"run"` // random number chosen at each start
+	Node   string `json:"node"`
+	Number uint64 `json:"run"` // random number chosen at each start
 }
 
 // NewIncarnation returns a new incarnation of the node. Call it once in each
@@ -40,24 +40,24 @@
 func NewIncarnation(node string) Incarnation {
 	var random [8]byte
 	crand.Read(random[:]) // never fails
-	return Incarnation{Node: node, Run: binary.BigEndian.Uint64(random[:])}
+	return Incarnation{Node: node, Number: binary.BigEndian.Uint64(random[:])}
 }
 
 // Ticket authorises its executor to run one call at most once.
 type Ticket struct {
-	Executor Incarnation
-	Serial   uint64 // numbered separately for each account of the executor
-	Account  string
+	Incarnation Incarnation
+	Serial      uint64 // numbered separately for each account of the executor
+	Account     string
 }
 
 // Encode returns the ticket with its authentication code, as a string of URL-safe
 // characters.
 func (t Ticket) Encode(key Key) string {
-	b := make([]byte, 0, maxHeaderBytes+2+len(t.Executor.Node)+len(t.Account)+macBytes)
+	b := make([]byte, 0, maxHeaderBytes+2+len(t.Incarnation.Node)+len(t.Account)+macBytes)
 	b = append(b, version)
-	b = binary.BigEndian.AppendUint64(b, t.Executor.Run)
+	b = binary.BigEndian.AppendUint64(b, t.Incarnation.Number)
 	b = binary.AppendUvarint(b, t.Serial)
-	b = appendName(b, t.Executor.Node)
+	b = appendName(b, t.Incarnation.Node)
 	b = appendName(b, t.Account)
 	b = append(b, mac(key, b)...)
 	return encoding.EncodeToString(b)
@@ -93,7 +93,7 @@
 	if len(b) < 8 {
 		return t, false
 	}
-	t.Executor.Run = binary.BigEndian.Uint64(b)
+	t.Incarnation.Number = binary.BigEndian.Uint64(b)
 	serial, n := binary.Uvarint(b[8:])
 	if n <= 0 {
 		return t, false
@@ -107,7 +107,7 @@
 	if !ok || len(rest) != 0 {
 		return t, false
 	}
-	t.Executor.Node, t.Account = node, account
+	t.Incarnation.Node, t.Account = node, account
 	return t, true
 }
 
--- a/coord/ticket/ticket_test.go
+++ b/coord/ticket/ticket_test.go
@@ -21,10 +21,10 @@
 	batch, _ := executor.Issue("acme", 16)
 
 	call := ticket.Call{
-		Ticket:      batch[0],
-		Account:     "acme",
-		Fingerprint: ticket.FingerprintOf([]byte("POST"), []byte("/batches/7"), []byte("request body")),
-		First:       true,
+		Ticket:       batch[0],
+		Account:      "acme",
+		Fingerprint:  ticket.FingerprintOf([]byte("POST"), []byte("/batches/7"), []byte("request body")),
+		FirstAttempt: true,
 	}
 	node := ticket.Redeemer{
 		Executor: executor,
@@ -49,7 +49,7 @@
 }
 
 func TestParse(t *testing.T) {
-	want := ticket.Ticket{Executor: self, Serial: 300, Account: "acme"}
+	want := ticket.Ticket{Incarnation: self, Serial: 300, Account: "acme"}
 	text := want.Encode(key)
 	got, err := ticket.Parse(key, text)
 	must.NoError(t, err)
@@ -72,7 +72,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(ticket.Ticket{Executor: self, Serial: 1 << 40, Account: "acme"}.Encode(key))
+	f.Add(ticket.Ticket{Incarnation: self, Serial: 1 << 40, Account: "acme"}.Encode(key))
 	f.Add("")
 	f.Add("AQ")
 	f.Add(ticket.Ticket{}.Encode(key) + "\r")
@@ -100,7 +100,7 @@
 		if e.Adopt(&h) != nil {
 			return
 		}
-		tkt := ticket.Ticket{Executor: peer, Account: "acme"}
+		tkt := ticket.Ticket{Incarnation: peer, Account: "acme"}
 		for range 2 {
 			e.Do(t.Context(), tkt, "acme", fingerprint, func(context.Context) (ticket.Answer, error) { ran++; return nil, nil })
 		}
@@ -119,7 +119,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	text := ticket.Ticket{Executor: self, Serial: 1 << 20, Account: "acme"}.Encode(key)
+	text := ticket.Ticket{Incarnation: self, Serial: 1 << 20, Account: "acme"}.Encode(key)
 	b.ReportAllocs()
 	for b.Loop() {
 		ticket.Parse(key, text)
@@ -128,7 +128,7 @@
 
 func BenchmarkDo(b *testing.B) {
 	e, _ := ticket.New(config(self))
-	tkt := ticket.Ticket{Executor: self, Account: "acme"}
+	tkt := ticket.Ticket{Incarnation: self, Account: "acme"}
 	answer := make(ticket.Answer, 256)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -143,7 +143,7 @@
 func TestTicketMemory(t *testing.T) {
 	const accounts, window = 200, 1 << 11
 	c := config(self)
-	c.Window, c.KeepBytes = window, 0
+	c.Window, c.MaxAnswerBytes = window, 0
 	for _, used := range []int{1, window} {
 		e, err := ticket.New(c)
 		must.NoError(t, err)
@@ -153,7 +153,7 @@
 			account := fmt.Sprint(i)
 			_, err := e.Issue(account, used)
 			must.NoError(t, err)
-			last := ticket.Ticket{Executor: self, Serial: uint64(used) - 1, Account: account}
+			last := ticket.Ticket{Incarnation: self, Serial: uint64(used) - 1, Account: account}
 			_, err = e.Do(t.Context(), last, account, fingerprint, (&service{}).submit)
 			must.NoError(t, err)
 		}
--- a/internal/calls/caller_deadline_test.go
+++ b/internal/calls/caller_deadline_test.go
@@ -65,7 +65,7 @@
 	s.plain = newPlainClient(l, l, l)
 	s.plain.http.Transport = l
 	s.SetPrompts(l)
-	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: "n1", Run: 1}))
+	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: "n1", Number: 1}))
 	must.NoError(t, err)
 	return s
 }
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -47,16 +47,16 @@
 	s, err := New(sharedKey, nil, zerolog.Nop())
 	must.NoError(t, err)
 	announce := func(run uint64) {
-		from := ticket.Incarnation{Node: "n1", Run: run}
-		s.recordHandover(&handoverNotice{From: []ticket.Incarnation{from}, To: ticket.Incarnation{Node: "n2", Run: run}}, true)
+		from := ticket.Incarnation{Node: "n1", Number: run}
+		s.recordHandover(&handoverNotice{From: []ticket.Incarnation{from}, To: ticket.Incarnation{Node: "n2", Number: run}}, true)
 	}
 	for run := range uint64(maxHandovers + 1) {
 		announce(run)
 	}
 	must.Eq(t, []handoverNotice{{
-		From: []ticket.Incarnation{{Node: "n1", Run: maxHandovers}},
-		To:   ticket.Incarnation{Node: "n2", Run: maxHandovers},
-	}}, s.handoversOf(&ticket.Incarnation{Node: "n1", Run: maxHandovers}))
+		From: []ticket.Incarnation{{Node: "n1", Number: maxHandovers}},
+		To:   ticket.Incarnation{Node: "n2", Number: maxHandovers},
+	}}, s.handoversOf(&ticket.Incarnation{Node: "n1", Number: maxHandovers}))
 	must.Eq(t, maxHandovers, s.handovers.Len())
 }
 
--- a/internal/calls/handovers.go
+++ b/internal/calls/handovers.go
@@ -65,9 +65,9 @@
 	if err != nil {
 		return // the redeemer refuses the ticket
 	}
-	decision, _ := ticket.Route(s.executor, t.Executor, s.lookup)
-	if decision == ticket.GoneForever || decision == ticket.Unreachable {
-		s.queryPeers(ctx, &handoversRequest{Of: &t.Executor}, lookupQueryPeers)
+	decision, _ := ticket.Route(s.executor, t.Incarnation, s.lookup)
+	if decision == ticket.ExecutorGone || decision == ticket.Unreachable {
+		s.queryPeers(ctx, &handoversRequest{Of: &t.Incarnation}, lookupQueryPeers)
 	}
 }
 
--- a/internal/calls/redeem.go
+++ b/internal/calls/redeem.go
@@ -26,7 +26,7 @@
 func (s *Service) Redeem(ctx context.Context, account, text string, first bool, call *TicketedCall, fp ticket.Fingerprint) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.TimeLeft)
 	defer cancel()
-	c := ticket.Call{Ticket: text, Account: account, Fingerprint: fp, Request: encode(call), First: first}
+	c := ticket.Call{Ticket: text, Account: account, Fingerprint: fp, Request: encode(call), FirstAttempt: first}
 	s.queryHandover(ctx, text)
 	answer, err := s.redeemer.Redeem(ctx, c, s.runFunc(call))
 	if err != nil {
@@ -143,7 +143,7 @@
 	switch {
 	case !ok || m.Incarnation == 0:
 		return ticket.Presence{}
-	case m.Incarnation != in.Run:
+	case m.Incarnation != in.Number:
 		return ticket.Presence{Status: ticket.Gone}
 	case m.State == member.Dead:
 		return ticket.Presence{Addr: m.Addr} // it may be partitioned and still running
--- a/internal/calls/service.go
+++ b/internal/calls/service.go
@@ -113,7 +113,7 @@
 	}
 	s.plain = newPlainClient(directory, s.cluster, s.budget)
 	self := s.cluster.Self()
-	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: self.ID, Run: self.Incarnation}))
+	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: self.ID, Number: self.Incarnation}))
 	if err != nil {
 		return err
 	}
@@ -128,14 +128,14 @@
 // ticketConfig returns the configuration of the executor of this process's tickets.
 func (s *Service) ticketConfig(self ticket.Incarnation) ticket.Config {
 	return ticket.Config{
-		Self:        self,
-		Key:         s.key,
-		Window:      ticketWindow,
-		KeepAnswers: maxStoredAnswers,
-		KeepBytes:   maxStoredAnswerBytes,
-		KeepFor:     answerRetention,
-		AdoptFor:    adoptedRetention,
-		RunOn:       runExtension,
+		Self:                 self,
+		Key:                  s.key,
+		Window:               ticketWindow,
+		MaxAnswersPerAccount: maxStoredAnswers,
+		MaxAnswerBytes:       maxStoredAnswerBytes,
+		AnswerTTL:            answerRetention,
+		AdoptedTTL:           adoptedRetention,
+		RunAfterDeadline:     runExtension,
 	}
 }
 
@@ -164,7 +164,7 @@
 	if !ok {
 		return nil // no other node is left, so the tickets end with this one
 	}
-	h, err := s.executor.Drain(ctx, ticket.Incarnation{Node: to.ID, Run: to.Incarnation})
+	h, err := s.executor.Drain(ctx, ticket.Incarnation{Node: to.ID, Number: to.Incarnation})
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 func (s *Service) acceptsHandover(ctx context.Context, m member.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	self := ticket.Incarnation{Node: s.cluster.Self().ID, Run: s.cluster.Self().Incarnation}
+	self := ticket.Incarnation{Node: s.cluster.Self().ID, Number: s.cluster.Self().Incarnation}
 	resp, err := peers.Call[handoversRequest, handoversResponse](ctx, s.cluster.Pool, m.Addr, methodHandovers, &handoversRequest{Of: &self})
 	return err == nil && !resp.Leaving
 }
@@ -227,7 +227,7 @@
 func (s *Service) announce(ctx context.Context, h *ticket.Handover) {
 	req := &handoverNotice{To: h.To}
 	for _, l := range h.Ledgers {
-		req.From = append(req.From, l.Executor)
+		req.From = append(req.From, l.Incarnation)
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/internal/capacity/calls_test.go
+++ b/internal/capacity/calls_test.go
@@ -190,13 +190,13 @@
 	for _, n := range []int{1024, 16_384, 65_536} {
 		b.Run(fmt.Sprintf("tickets=%d", n), func(b *testing.B) {
 			measurePerOp(b, func() {
-				e, err := ticket.New(ticket.Config{Self: ticket.Incarnation{Node: "n", Run: 1}, Key: make(ticket.Key, 32), Window: 1 << 16, KeepAnswers: 1, KeepBytes: 1 << 10, KeepFor: time.Minute, AdoptFor: time.Hour})
+				e, err := ticket.New(ticket.Config{Self: ticket.Incarnation{Node: "n", Number: 1}, Key: make(ticket.Key, 32), Window: 1 << 16, MaxAnswersPerAccount: 1, MaxAnswerBytes: 1 << 10, AnswerTTL: time.Minute, AdoptedTTL: time.Hour})
 				must.NoError(b, err)
 				before := measure.MemoryInUse()
 				for i := range n {
 					_, err := e.Issue("a", 1)
 					must.NoError(b, err)
-					used := ticket.Ticket{Executor: ticket.Incarnation{Node: "n", Run: 1}, Serial: uint64(i), Account: "a"}
+					used := ticket.Ticket{Incarnation: ticket.Incarnation{Node: "n", Number: 1}, Serial: uint64(i), Account: "a"}
 					_, err = e.Do(b.Context(), used, "a", ticket.Fingerprint{}, answer)
 					must.NoError(b, err)
 				}
--- a/internal/config/replica_test.go
+++ b/internal/config/replica_test.go
@@ -82,7 +82,7 @@
 
 		// The response is lost after the change was appended; a retry gets the first
 		// outcome.
-		log.LoseAnswers(1)
+		log.LoseResponses(1)
 		first, refused := a.put("c5", 0, &pb.Model{Name: "m"})
 		must.Nil(t, refused)
 		again, refused := b.put("c5", 0, &pb.Model{Name: "m"})
--- a/internal/configsync/peers.go
+++ b/internal/configsync/peers.go
@@ -40,8 +40,8 @@
 	return *resp, nil
 }
 
-// Snapshot implements changelog.Peers.
-func (s *Sync) Snapshot(ctx context.Context, to string) ([]byte, error) {
+// Image implements changelog.Peers.
+func (s *Sync) Image(ctx context.Context, to string) ([]byte, error) {
 	resp, err := callPeer[empty, snapshotResponse](ctx, s, to, methodSnapshot, &empty{})
 	if err != nil {
 		return nil, err
--- a/internal/configsync/sync.go
+++ b/internal/configsync/sync.go
@@ -68,11 +68,11 @@
 	}
 	s.replica = config.NewReplica(s.changelogStore, s.configStore)
 	s.follower = changelog.NewFollower(s.changelogStore, s, changelog.Options{
-		Self:        self,
-		Checkpoint:  changelog.CheckpointPolicy{Changes: checkpointChanges, Interval: checkpointInterval},
-		MaxStale:    maxStale,
-		MaxIsolated: maxStale,
-		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Self:          self,
+		Checkpoint:    changelog.CheckpointPolicy{Changes: checkpointChanges, Interval: checkpointInterval},
+		MaxLogAge:     maxStale,
+		MaxContactAge: maxStale,
+		Rand:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	return s
 }
@@ -115,7 +115,7 @@
 // node is isolated.
 func (s *Sync) Status() changelog.FollowerStatus {
 	status := s.follower.Status()
-	status.Stale = status.Stale || s.isolated(status.Silence)
+	status.Stale = status.Stale || s.isolated(status.ContactAge)
 	return status
 }
 
@@ -135,8 +135,8 @@
 // for maxSilence, while the platform lists other nodes. The configuration may then have
 // changed without this node's knowledge. A single node only depends on the log, and
 // continues to serve during an outage of it.
-func (s *Sync) isolated(silence time.Duration) bool {
-	return silence > maxSilence && s.cluster.Listed().Len() > 1
+func (s *Sync) isolated(contactAge time.Duration) bool {
+	return contactAge > maxSilence && s.cluster.Listed().Len() > 1
 }
 
 // caughtUp reports whether the typed configuration, which requests are served with, has
--- a/internal/enginestate/estimate.go
+++ b/internal/enginestate/estimate.go
@@ -42,9 +42,9 @@
 	}
 	p := &pending{Request: r}
 	item := e.item(p)
-	item.Deadline = now.Add(-time.Nanosecond)
+	item.StartBy = now.Add(-time.Nanosecond)
 	_, err := e.queue.Push(e.nextStart(now), item)
-	var refused *fairqueue.RefusedError
+	var refused *fairqueue.RejectedError
 	if errors.As(err, &refused) {
 		return refused.Wait
 	}
--- a/internal/enginestate/queue.go
+++ b/internal/enginestate/queue.go
@@ -53,13 +53,13 @@
 	prefill := e.prefillTime(p.Model, p.compute())
 	item := fairqueue.Item[*pending]{Account: p.Account, Cost: (requestCost + prefill).Seconds(), Value: p}
 	if !p.Deadline.IsZero() {
-		item.Deadline = p.Deadline.Add(-prefill)
+		item.StartBy = p.Deadline.Add(-prefill)
 	}
 	return item
 }
 
 func toRefusedError(err error) error {
-	var refused *fairqueue.RefusedError
+	var refused *fairqueue.RejectedError
 	if !errors.As(err, &refused) {
 		return err
 	}
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -59,7 +59,7 @@
 	if reserve := b.reserveShare(); reserve != b.reserve {
 		b.reserve = reserve
 		for _, budget := range b.services {
-			budget.tokens.SetReserve(reserve)
+			budget.tokens.SetCapacity(reserve)
 		}
 	}
 	budget, known := b.services[service]
@@ -80,7 +80,7 @@
 }
 
 func (b *Budgets) newBudget() *Budget {
-	config := retry.BudgetConfig{Ratio: b.bounds.RetryRatio * budgetShare, Reserve: b.reserve}
+	config := retry.BudgetConfig{Ratio: b.bounds.RetryRatio * budgetShare, Capacity: b.reserve}
 	budget := &Budget{tokens: retry.NewBudget(b.Clock.Now(), config)}
 	if config.Ratio <= 0 {
 		return budget
--- a/internal/limits/exchange.go
+++ b/internal/limits/exchange.go
@@ -41,12 +41,12 @@
 	return peers.CallOrServe(ctx, s.cluster.Pool, m.ID, m.Addr, method, req, local)
 }
 
-func (s *Service) serveLease(_ context.Context, _ peers.Identity, req *limit.Request) (*limit.Grant, error) {
+func (s *Service) serveLease(_ context.Context, _ peers.Identity, req *limit.LeaseRequest) (*limit.LeaseGrant, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	grant := s.lender.Handle(time.Now(), *req)
-	for _, share := range grant.Shares {
-		if share.Wait > 0 {
+	for _, loan := range grant.Loans {
+		if loan.Wait > 0 {
 			s.requestRound() // parts are missing: request them from the keepers at once
 			break
 		}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	id := s.cluster.Self()
-	self := limit.Process{Node: limit.NodeID(id.ID), Incarnation: id.Incarnation}
+	self := limit.Incarnation{Node: limit.NodeID(id.ID), Number: id.Incarnation}
 	now := time.Now()
 	s.borrower = limit.NewBorrower(now, limit.BorrowerConfig{Settings: s.settings, Self: self, Limits: s.limitOf, Owner: s.owner})
 	s.lender = limit.NewLender(limit.LenderConfig{Settings: s.settings, Self: self, Limits: s.limitOf, Owner: s.owner, Keepers: s.keepers})
@@ -123,7 +123,7 @@
 func (s *Service) expireKeeper() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keeper.Forget(time.Now())
+	s.keeper.RemoveExpired(time.Now())
 }
 
 // sendPending sends the requests for shares and parts that are pending. It does not wait
@@ -173,9 +173,9 @@
 func limitError(d limit.Decision) error {
 	after := result.WithRetryAfter(d.RetryAfter)
 	switch d.Reason {
-	case limit.RunsReached:
+	case limit.RunLimitReached:
 		return result.New(result.ConcurrentRuns, after)
-	case limit.TokensReached:
+	case limit.TokenLimitReached:
 		return result.New(result.TokenRate, after)
 	case limit.UnknownAccount:
 		return result.New(result.UnknownKey)
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -284,7 +284,7 @@
 	if errors.As(err, &refused) {
 		return result.New(result.Shed, result.WithMessage("%s", refused.Reason), result.WithRetryAfter(refused.RetryAfter))
 	}
-	var queue *fairqueue.RefusedError
+	var queue *fairqueue.RejectedError
 	if errors.As(err, &queue) {
 		return result.New(result.Shed, result.WithMessage("%s", queue.Reason), result.WithRetryAfter(queue.RetryAfter))
 	}
--- a/internal/rollout/faults_test.go
+++ b/internal/rollout/faults_test.go
@@ -115,7 +115,7 @@
 		{name: "orders lost, fencing", setup: fencing, before: loseSome, duration: long, version: "v2"},
 		{name: "orders late", setup: nine, during: late, duration: long, version: "v2"},
 		{name: "orders late, fencing", setup: fencing, during: late, duration: long, version: "v2"},
-		{name: "appends lost", setup: nine, before: func(b *simulation) { b.log.LoseAnswers(20) }, duration: long, version: "v2"},
+		{name: "appends lost", setup: nine, before: func(b *simulation) { b.log.LoseResponses(20) }, duration: long, version: "v2"},
 		{name: "two holders", setup: nine, shared: true, duration: short, version: "v2"},
 		{name: "two holders, fencing", setup: fencing, shared: true, duration: short, version: "v2"},
 		{name: "two holders, two boards", setup: nine, shared: true, separateBoards: true, duration: short, version: "v2"},
@@ -264,7 +264,7 @@
 					case 1:
 						b.locked(func() { b.loseEvery = rng.IntN(4) })
 					case 2:
-						b.log.LoseAnswers(rng.IntN(4))
+						b.log.LoseResponses(rng.IntN(4))
 					case 3:
 						b.log.SetDown(rng.IntN(2) == 0)
 					case 4:
--- a/internal/rollout/worker.go
+++ b/internal/rollout/worker.go
@@ -64,7 +64,7 @@
 		return c.claimer.Acquire(ctx, endpointPrefix+name, endpointTTL)
 	}
 	w.slot.obtain = func(ctx context.Context) (*claim.Claim, error) {
-		return c.claimer.AcquireAny(ctx, slotResource, MaxLoads, slotTTL)
+		return c.claimer.AcquireSlot(ctx, slotResource, MaxLoads, slotTTL)
 	}
 	w.model.obtain = func(ctx context.Context) (*claim.Claim, error) {
 		return c.claimer.Acquire(ctx, modelPrefix+w.swapModel, modelTTL)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -58,7 +58,7 @@
 		return member.View{Members: []member.Member{{State: member.Alive}, {State: member.Alive}, {State: member.Dead}}}
 	})
 	m.WatchConfig(func() changelog.FollowerStatus {
-		return changelog.FollowerStatus{Ready: true, Applied: 21, NewestKnown: 22, LogAge: 23 * time.Second, Silence: 1500 * time.Millisecond}
+		return changelog.FollowerStatus{Ready: true, Applied: 21, NewestKnown: 22, LogAge: 23 * time.Second, ContactAge: 1500 * time.Millisecond}
 	})
 	m.WatchOwned(owned)
 	counts := &rollout.Counters{}
--- a/internal/telemetry/watch.go
+++ b/internal/telemetry/watch.go
@@ -44,7 +44,7 @@
 	m.set.NewGauge(nameConfigApplied, func() float64 { return float64(status().Applied) })
 	m.set.NewGauge(nameConfigKnown, func() float64 { return float64(status().NewestKnown) })
 	m.set.NewGauge(nameConfigLogAge, func() float64 { return status().LogAge.Seconds() })
-	m.set.NewGauge(nameConfigSilence, func() float64 { return status().Silence.Seconds() })
+	m.set.NewGauge(nameConfigSilence, func() float64 { return status().ContactAge.Seconds() })
 	m.set.NewGauge(nameConfigReady, func() float64 { return boolToFloat(status().Ready && !status().Stale) })
 }
 
