--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -23,8 +23,8 @@
 	MilliCores int
 	LinkBytes  int
 
-	// First reports whether this is the first start of the whole system.
-	First bool
+	// FirstStart reports whether this is the first start of the whole system.
+	FirstStart bool
 
 	StoreAddr string // address of the metadata store, IP:PORT
 	Bounds    Bounds
@@ -32,20 +32,20 @@
 
 // Bounds holds the limits set by the operators that the system must meet.
 type Bounds struct {
-	// ConfigApply is the maximum time from the acknowledgement of a configuration until
+	// ConfigApplyLimit is the maximum time from the acknowledgement of a configuration until
 	// all requests are handled according to it.
-	ConfigApply time.Duration
-	// Revoke is the maximum time from the acknowledgement of a key's revocation until no
+	ConfigApplyLimit time.Duration
+	// RevokeLimit is the maximum time from the acknowledgement of a key's revocation until no
 	// request authenticated with the key is running.
-	Revoke time.Duration
-	// AcceptStaleKeys exempts a node that can't reach the metadata store from Revoke: it
+	RevokeLimit time.Duration
+	// AcceptStaleKeys exempts a node that can't reach the metadata store from RevokeLimit: it
 	// accepts the keys it has cached until the store is reachable again.
 	AcceptStaleKeys bool
-	// Drain is the maximum time from the acknowledgement that an endpoint is being
+	// DrainLimit is the maximum time from the acknowledgement that an endpoint is being
 	// removed until no new request is sent to it.
-	Drain time.Duration
-	// Grace is the time between SIGTERM and SIGKILL.
-	Grace time.Duration
+	DrainLimit time.Duration
+	// StopGracePeriod is the time between SIGTERM and SIGKILL.
+	StopGracePeriod time.Duration
 	// StableWindow is the time after the end of a disruption during which violations of
 	// the bounds are attributed to the disruption.
 	StableWindow time.Duration
@@ -60,9 +60,9 @@
 	// VersionApplyLimit is the maximum time from the acknowledgement of new weights until
 	// no request starts on older weights.
 	VersionApplyLimit time.Duration
-	// Evacuate is the maximum time from the acknowledgement that a failure domain is to be
+	// EvacuateLimit is the maximum time from the acknowledgement that a failure domain is to be
 	// evacuated until no request is sent to its endpoints.
-	Evacuate time.Duration
+	EvacuateLimit time.Duration
 	// ColdOverage and ColdTolerance limit the requests that all nodes together send to a
 	// cold endpoint in a second, to ColdOverage times its capacity plus ColdTolerance.
 	ColdOverage, ColdTolerance float64
--- a/internal/capacity/calls_test.go
+++ b/internal/capacity/calls_test.go
@@ -40,8 +40,8 @@
 	return blocks
 }
 
-func estimateAnswer(name string) placement.Engine {
-	return placement.Engine{Endpoint: name, Status: placement.Known, Wait: 123456789, PrefillRate: 41234.5, StepTime: 12345678, CachedTokens: 20480,
+func estimateAnswer(name string) placement.EngineEstimate {
+	return placement.EngineEstimate{Endpoint: name, Status: placement.Known, Wait: 123456789, PrefillRate: 41234.5, StepTime: 12345678, CachedTokens: 20480,
 		Running: 24, Waiting: 3, ImportRate: 104857600, LastWait: 123456789, Layout: layoutName, BlockTokens: 2048, BlockBytes: 64 << 20}
 }
 
@@ -68,7 +68,7 @@
 		p := promptOf(chunks)
 		b.Run(fmt.Sprintf("estimate/chunks=%d", chunks), func(b *testing.B) {
 			benchCall(b, owner.MethodEstimate, &owner.EstimateRequest{Prompt: p, Engines: []string{name}},
-				&owner.EstimateResponse{PromptTokens: 60_000, Engines: []placement.Engine{estimateAnswer(name)}})
+				&owner.EstimateResponse{PromptTokens: 60_000, Engines: []placement.EngineEstimate{estimateAnswer(name)}})
 		})
 		b.Run(fmt.Sprintf("grant/chunks=%d", chunks), func(b *testing.B) {
 			benchCall(b, owner.MethodGrant, &owner.GrantRequest{Endpoint: name, Grant: grant, Weight: 1, Prompt: p, Tokens: 60_000,
--- a/internal/configsync/sync.go
+++ b/internal/configsync/sync.go
@@ -105,8 +105,8 @@
 	return s.replica.Run(ctx)
 }
 
-// Typed returns the typed configuration.
-func (s *Sync) Typed() *config.Store { return s.configStore }
+// ConfigStore returns the typed configuration.
+func (s *Sync) ConfigStore() *config.Store { return s.configStore }
 
 // View returns the newest typed configuration.
 func (s *Sync) View() *config.View { return s.configStore.View() }
--- a/internal/ctl/experiment.go
+++ b/internal/ctl/experiment.go
@@ -105,7 +105,7 @@
 	if err := os.MkdirAll(t.out, 0o755); err != nil {
 		return &usageError{err}
 	}
-	runs, err := t.file.Play(ctx, t.parallel, func(n, of int) {
+	runs, err := t.file.RunAll(ctx, t.parallel, func(n, of int) {
 		fmt.Fprintf(s.Err, "\r%s: %d of %d runs", t.file.Name, n, of)
 	})
 	fmt.Fprintln(s.Err)
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return store.Topic(platform.NodesTopic), nil
+	return store.Topic(platform.TopicNodes), nil
 }
 
 // holdStatus is the JSON form of a held request.
--- a/internal/ctl/quarantine_test.go
+++ b/internal/ctl/quarantine_test.go
@@ -32,7 +32,7 @@
 	served := httptest.NewServer(store.Handler())
 	defer served.Close()
 	addr := strings.TrimPrefix(served.URL, "http://")
-	put := func(key, value string) { store.Put(platform.NodesTopic, key, []byte(value)) }
+	put := func(key, value string) { store.Put(platform.TopicNodes, key, []byte(value)) }
 	now := time.Now()
 	put("n1", `{"addr":"10.0.0.1:1","domain":"north"}`)
 	put("quarantine/"+over, fmt.Sprintf(`{"until_ms":%d,"since_ms":%d,"node":"n2","endpoints":["a@1","b@1","c@1"]}`, now.Add(-time.Minute).UnixMilli(), now.Add(-time.Hour).UnixMilli()))
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -81,22 +81,24 @@
 // Handle registers the handler of a method. It must be called before Run.
 func (c *Conn) Handle(method string, h Handler) { c.handlers[method] = h }
 
-// Bound limits the responses to the given number of bytes per second, with bursts of up to
+// LimitResponses limits the responses to the given number of bytes per second, with bursts of up to
 // one second's worth and at least MaxBytes. The caller of a response beyond the limit receives
 // an error. It must be called before Run.
-func (c *Conn) Bound(bytes int) { c.limiter = rate.NewLimiter(rate.Limit(bytes), max(bytes, MaxBytes)) }
+func (c *Conn) LimitResponses(bytes int) {
+	c.limiter = rate.NewLimiter(rate.Limit(bytes), max(bytes, MaxBytes))
+}
 
-// Spare returns the maximum number of bytes for an optional part of a response. Half of the
-// burst that Bound allows is reserved for other responses.
-func (c *Conn) Spare() int {
+// AvailableResponseBytes returns the maximum number of bytes for an optional part of a response.
+// Half of the burst that LimitResponses allows is reserved for other responses.
+func (c *Conn) AvailableResponseBytes() int {
 	if c.limiter == nil {
 		return MaxBytes
 	}
 	return max(int(c.limiter.Tokens())-c.limiter.Burst()/2, 0)
 }
 
-// Sent returns the number of bytes sent so far, including IPv4 and UDP headers.
-func (c *Conn) Sent() int64 { return c.sent.Load() }
+// SentBytes returns the number of bytes sent so far, including IPv4 and UDP headers.
+func (c *Conn) SentBytes() int64 { return c.sent.Load() }
 
 // Close closes the port; Run then returns nil.
 func (c *Conn) Close() error { return c.udp.Close() }
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -129,25 +129,25 @@
 }
 
 // TestResponseRateLimit verifies that a caller receives an error when the rate limit of
-// responses is exceeded, and that Spare leaves half of the burst to other responses.
+// responses is exceeded, and that AvailableResponseBytes leaves half of the burst to other responses.
 func TestResponseRateLimit(t *testing.T) {
 	a, _ := open(t)
 	b, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
-	test.Eq(t, datagram.MaxBytes, b.Spare(), test.Sprint("no rate limit is set"))
-	b.Bound(1) // plus one message of maximum length
+	test.Eq(t, datagram.MaxBytes, b.AvailableResponseBytes(), test.Sprint("no rate limit is set"))
+	b.LimitResponses(1) // plus one message of maximum length
 	b.Handle("long", func(json.RawMessage) (any, error) {
 		return payload{strings.Repeat("x", datagram.MaxBytes*2/3)}, nil
 	})
 	go func() { _ = b.Run(t.Context()) }()
 	t.Cleanup(func() { b.Close() })
-	test.Eq(t, datagram.MaxBytes/2, b.Spare())
+	test.Eq(t, datagram.MaxBytes/2, b.AvailableResponseBytes())
 	addr := netip.MustParseAddrPort(b.Addr())
 	var got payload
 	must.NoError(t, a.Call(t.Context(), addr, "long", payload{}, &got))
-	test.Eq(t, 0, b.Spare())
-	sent := b.Sent()
+	test.Eq(t, 0, b.AvailableResponseBytes())
+	sent := b.SentBytes()
 	test.Greater(t, datagram.MaxBytes*2/3, sent)
 	test.ErrorContains(t, a.Call(t.Context(), addr, "long", payload{}, &got), "answers of this second are given")
-	test.Less(t, sent+500, b.Sent())
+	test.Less(t, sent+500, b.SentBytes())
 }
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -13,8 +13,8 @@
 	at    time.Time
 }
 
-// Note adds a value with a weight from 0 to 1, after decaying the average to now.
-func (a *Average) Note(value, weight float64, halfLife time.Duration, now time.Time) {
+// Add adds a value with a weight from 0 to 1, after decaying the average to now.
+func (a *Average) Add(value, weight float64, halfLife time.Duration, now time.Time) {
 	before := a.At(halfLife, now)
 	a.value = before + weight*(value-before)
 	a.at = now
@@ -32,8 +32,8 @@
 	at  time.Time
 }
 
-// Note adds an amount, after decaying earlier amounts to now.
-func (r *Rate) Note(amount float64, halfLife time.Duration, now time.Time) {
+// Add adds an amount, after decaying earlier amounts to now.
+func (r *Rate) Add(amount float64, halfLife time.Duration, now time.Time) {
 	r.sum = decayed(r.sum, r.at, halfLife, now) + amount
 	r.at = now
 }
--- a/internal/demo/calls_test.go
+++ b/internal/demo/calls_test.go
@@ -94,7 +94,7 @@
 func TestCallWithLostAnswerIsNotRepeated(t *testing.T) {
 	f := start(t, Options{Nodes: 2, Engines: []engine.Config{{TimeScale: 0}}})
 	clerk := Accounts[1]
-	f.Service.Faults.Set(service.Faults{LoseAnswers: true})
+	f.Service.Faults.Set(service.Faults{LoseResponses: true})
 	_, text := sendCall(t, f.Nodes[0], clerk, http.MethodPost, charge, `{}`)
 	must.Eq(t, result.ServiceCallFailed, decodeError(t, text).Number)
 	must.Eq(t, result.MayHaveRun, decodeError(t, text).RunState)
--- a/internal/endpoint/engine/engine.go
+++ b/internal/endpoint/engine/engine.go
@@ -188,7 +188,7 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return result.Wrap(err, result.EndpointUnreachable)
 	}
-	return result.Wrap(err, result.EndpointBrokeOff)
+	return result.Wrap(err, result.EndpointFailed)
 }
 
 // RefusedError is an error response of the engine.
@@ -221,5 +221,5 @@
 	if refused.Reason.NotRun {
 		state = result.NotRun
 	}
-	return result.Wrap(refused, result.EndpointRefused, result.WithRunState(state))
+	return result.Wrap(refused, result.EndpointRejected, result.WithRunState(state))
 }
--- a/internal/endpoint/engine/stream.go
+++ b/internal/endpoint/engine/stream.go
@@ -51,7 +51,7 @@
 	if errors.Is(err, bufio.ErrTooLong) {
 		return result.Wrap(err, result.AnswerMalformed)
 	}
-	return result.Wrap(err, result.EndpointBrokeOff)
+	return result.Wrap(err, result.EndpointFailed)
 }
 
 // Close ends the stream. The engine keeps the run, so that it can be resumed.
--- a/internal/entry/fail_test.go
+++ b/internal/entry/fail_test.go
@@ -28,13 +28,13 @@
 			must.NoError(t, sink.Started(runs.Start{Run: "run"}))
 			must.NoError(t, sink.Tokens("run", 1, "hold"))
 		}
-		(&Server{}).onError(sink.fail(result.New(result.EndpointBrokeOff), info.id), c)
-		must.Eq(t, result.EndpointBrokeOff, info.outcome.Code)
+		(&Server{}).onError(sink.fail(result.New(result.EndpointFailed), info.id), c)
+		must.Eq(t, result.EndpointFailed, info.outcome.Code)
 		body := rec.Body.String()
 		must.StrNotContains(t, body, "[DONE]")
 		must.Eq(t, 1, strings.Count(body, `"error"`))
 		if !started {
-			must.Eq(t, result.New(result.EndpointBrokeOff).Status(), rec.Code)
+			must.Eq(t, result.New(result.EndpointFailed).Status(), rec.Code)
 			continue
 		}
 		must.Eq(t, http.StatusOK, rec.Code)
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -151,19 +151,19 @@
 	s.setText("")
 	s.choice.FinishReason = &sum.Finish
 	if err := s.write(); err != nil {
-		return result.Wrap(err, result.CallerGone)
+		return result.Wrap(err, result.CallerDisconnected)
 	}
 	if withUsage {
 		s.chunk.Choices = []chunkChoice{}
 		u := usageOf(sum)
 		s.chunk.Usage = &u
 		if err := s.write(); err != nil {
-			return result.Wrap(err, result.CallerGone)
+			return result.Wrap(err, result.CallerDisconnected)
 		}
 	}
 	_, err := s.c.Response().Write([]byte("data: [DONE]\n\n"))
 	if err != nil {
-		return result.Wrap(err, result.CallerGone)
+		return result.Wrap(err, result.CallerDisconnected)
 	}
 	s.c.Response().Flush()
 	return nil
--- a/internal/experiment/check.go
+++ b/internal/experiment/check.go
@@ -19,7 +19,7 @@
 type checks struct{ problems settings.Problems }
 
 func (c *checks) add(path, format string, args ...any) {
-	c.problems = append(c.problems, settings.Problem{Code: result.ExperimentClash, Path: path, Message: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, settings.Problem{Code: result.ExperimentConflict, Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
 // unique adds a problem for each name that occurs before in names. path is a format for its index.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -52,10 +52,10 @@
 	Refusals []int `json:"refusals_by_second"`
 }
 
-// Play runs each policy with each seed, at most parallel at a time, and returns the results in the
+// RunAll runs each policy with each seed, at most parallel at a time, and returns the results in the
 // order of the file. done, if not nil, is called after each run with the number of completed runs
 // and the total, never concurrently.
-func (f *File) Play(ctx context.Context, parallel int, done func(n, of int)) ([]Run, error) {
+func (f *File) RunAll(ctx context.Context, parallel int, done func(n, of int)) ([]Run, error) {
 	runs := make([]Run, len(f.Policies)*len(f.Seeds))
 	var mu sync.Mutex
 	finished := 0
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -33,7 +33,7 @@
 		must.NoError(t, err)
 		must.Eq(t, f.Name+".json", filepath.Base(path))
 		f.Seeds, f.Length = f.Seeds[:2], settings.Duration(2*time.Second)
-		runs, err := f.Play(t.Context(), 2, nil)
+		runs, err := f.RunAll(t.Context(), 2, nil)
 		must.NoError(t, err)
 		must.SliceLen(t, 2*len(f.Policies), runs)
 		for i, run := range runs {
@@ -74,7 +74,7 @@
 	var texts [2]bytes.Buffer
 	for i, parallel := range []int{1, 4} {
 		completed := 0
-		runs, err := f.Play(t.Context(), parallel, func(n, of int) {
+		runs, err := f.RunAll(t.Context(), parallel, func(n, of int) {
 			completed++
 			must.Eq(t, completed, n)
 			must.Eq(t, 6, of)
@@ -92,7 +92,7 @@
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = f.Play(ctx, 1, nil)
+	_, err = f.RunAll(ctx, 1, nil)
 	must.ErrorIs(t, err, context.Canceled)
 }
 
@@ -101,7 +101,7 @@
 func TestPlot(t *testing.T) {
 	f, err := Parse([]byte(fullExperiment))
 	must.NoError(t, err)
-	runs, err := f.Play(t.Context(), 1, nil)
+	runs, err := f.RunAll(t.Context(), 1, nil)
 	must.NoError(t, err)
 	for i := range runs[:2] {
 		runs[i].Classes[0].FirstEventMs = nil
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -100,5 +100,5 @@
 
 // recordOutcome adds an outcome to the failure rate: 1 for a failure, 0 for a success.
 func (h *Health) recordOutcome(now time.Time, outcome float64) {
-	h.rate.Note(outcome, failureDecay, failureHalfLife, now)
+	h.rate.Add(outcome, failureDecay, failureHalfLife, now)
 }
--- a/internal/fleetmodel/world.go
+++ b/internal/fleetmodel/world.go
@@ -114,7 +114,7 @@
 
 func (w *World) newPlacer(f *fleet.Fleet) *placer.Placer {
 	return &placer.Placer{
-		Domain: domain, Fleet: f, Versions: versions{}, Kept: w.index, Peers: peerload.NewTable(), RequestReport: func() {},
+		Domain: domain, Fleet: f, Versions: versions{}, KVIndex: w.index, PeerLoads: peerload.NewTable(), RequestReport: func() {},
 		CommonDelay: &kvindex.Lateness{}, FullMesh: func() bool { return true }, MayReference: func(string, int64) bool { return true },
 		Closed:            func() []weights.Closed { return nil },
 		VersionApplyLimit: func() time.Duration { return time.Minute },
--- a/internal/forward/answer_once_test.go
+++ b/internal/forward/answer_once_test.go
@@ -35,7 +35,7 @@
 		{name: "cut, then an error", path: resumePath, first: cut, second: failing, status: http.StatusOK, body: events(1, 2)},
 		{name: "cut, then a client error", path: resumePath, first: cut, second: modelserver.Faults{Status: http.StatusBadRequest}, status: http.StatusOK, body: events(1, 2)},
 		{name: "cut, then an answer other than a stream", path: resumePath, first: cut, second: modelserver.Faults{Status: http.StatusCreated}, status: http.StatusOK, body: events(1, 2)},
-		{name: "cut, then refused", path: resumePath, first: cut, second: modelserver.Faults{Shed: true}, status: http.StatusOK, body: events(1, 2)},
+		{name: "cut, then refused", path: resumePath, first: cut, second: modelserver.Faults{RejectRequests: true}, status: http.StatusOK, body: events(1, 2)},
 		{name: "cut within the first event, then an error", path: resumePath, first: modelserver.Faults{CutAfter: -1}, second: failing, status: http.StatusInternalServerError, body: failure, complete: true},
 		{name: "error, then a stream", path: resumePath, first: failing, status: http.StatusOK, body: events(1, streamSize), complete: true},
 		{name: "error twice", path: resumePath, first: failing, second: failing, status: http.StatusInternalServerError, body: failure, complete: true},
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -164,7 +164,7 @@
 func (x *exchange) refusalOrFailure(ctx context.Context, runs int, notRunErr *result.Error) *result.Error {
 	switch {
 	case x.callerGone, x.r.Context().Err() != nil:
-		return result.New(result.CallerGone)
+		return result.New(result.CallerDisconnected)
 	case runs == 0 && x.expired(ctx):
 		return result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryAfterOtherNode))
 	case runs == 0:
@@ -172,7 +172,7 @@
 	case x.expired(ctx):
 		return result.New(result.DeadlinePassed)
 	}
-	return result.New(result.EndpointBrokeOff, result.WithRunState(result.MayHaveRun))
+	return result.New(result.EndpointFailed, result.WithRunState(result.MayHaveRun))
 }
 
 // attempt sends the request once and returns the verdict. Afterwards x.cause is the reason this
--- a/internal/forward/ended_test.go
+++ b/internal/forward/ended_test.go
@@ -23,7 +23,7 @@
 // liveEndpoint starts an endpoint that identifies itself by the given id, and returns its address.
 func liveEndpoint(t *testing.T, id string) string {
 	t.Helper()
-	backend := httptest.NewServer(modelserver.New(modelserver.Config{ID: id, Service: "servers", Pieces: streamSize}).Handler())
+	backend := httptest.NewServer(modelserver.New(modelserver.Config{ID: id, Service: "servers", StreamEvents: streamSize}).Handler())
 	t.Cleanup(backend.Close)
 	return strings.TrimPrefix(backend.URL, "http://")
 }
--- a/internal/forward/endpoint_signals_test.go
+++ b/internal/forward/endpoint_signals_test.go
@@ -26,18 +26,18 @@
 	test.False(t, limitAfter(modelserver.Faults{}))
 	test.True(t, limitAfter(modelserver.Faults{Limit: "2.5"}))
 	test.True(t, limitAfter(modelserver.Faults{Status: http.StatusInternalServerError}))
-	test.True(t, limitAfter(modelserver.Faults{Shed: true}))
-	test.True(t, limitAfter(modelserver.Faults{Unproven: true}))
+	test.True(t, limitAfter(modelserver.Faults{RejectRequests: true}))
+	test.True(t, limitAfter(modelserver.Faults{UnconfirmedError: true}))
 	test.True(t, limitAfter(modelserver.Faults{Limit: "many"}))
 	test.False(t, limitAfter(modelserver.Faults{}))
-	test.True(t, limitAfter(modelserver.Faults{Shed: true, Limit: "1"}), test.Sprint("limit stated in a refusal"))
+	test.True(t, limitAfter(modelserver.Faults{RejectRequests: true, Limit: "1"}), test.Sprint("limit stated in a refusal"))
 }
 
 // TestSignalsOfOtherEndpointIgnored checks that a refusal by another endpoint at the same address
 // does not change the signals recorded for the expected one.
 func TestSignalsOfOtherEndpointIgnored(t *testing.T) {
 	w := newTestHandler(t, "", "")
-	w.servers[0].SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
+	w.servers[0].SetFaults(modelserver.Faults{Draining: "1", Limit: "1"})
 	m := w.placer.members[0]
 	w.placer.members = w.placer.members[:1]
 	w.do(t, http.MethodGet, recordPath, "", func(r *http.Request) { r.Header.Set("X-Attempt-Id", "r2") })
@@ -45,7 +45,7 @@
 	test.True(t, draining)
 
 	server := modelserver.New(modelserver.Config{ID: "another", Service: "servers"})
-	server.SetFaults(modelserver.Faults{Leaving: "1", Limit: "1"})
+	server.SetFaults(modelserver.Faults{Draining: "1", Limit: "1"})
 	backend := httptest.NewServer(server.Handler())
 	defer backend.Close()
 	misdirected := &testHandler{}
@@ -64,12 +64,12 @@
 	w := newTestHandler(t, "")
 	signals := w.placer.members[0].Signals
 	for _, after := range []string{"soon", "-3", "NaN", ""} {
-		w.servers[0].SetFaults(modelserver.Faults{Shed: true, Rest: after})
+		w.servers[0].SetFaults(modelserver.Faults{RejectRequests: true, RetryAfter: after})
 		w.do(t, http.MethodGet, recordPath, "", nil)
 		_, backsOff := signals.Backoff(time.Now())
 		test.False(t, backsOff, test.Sprint(after))
 	}
-	w.servers[0].SetFaults(modelserver.Faults{Shed: true, Rest: "1e300"})
+	w.servers[0].SetFaults(modelserver.Faults{RejectRequests: true, RetryAfter: "1e300"})
 	w.do(t, http.MethodGet, recordPath, "", nil)
 	_, backsOff := signals.Backoff(time.Now().Add(9 * time.Minute))
 	test.True(t, backsOff)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -112,10 +112,10 @@
 		status int
 		second int // runs at the second server
 	}{
-		{name: "upload refused as not run", path: uploadPath, faults: modelserver.Faults{Shed: true}, status: http.StatusOK, second: 1},
-		{name: "upload whose answer is lost", path: uploadPath, faults: modelserver.Faults{LoseAnswer: true}, status: http.StatusBadGateway},
-		{name: "upload answered 503 without proof", path: uploadPath, faults: modelserver.Faults{Unproven: true}, status: http.StatusBadGateway},
-		{name: "lookup whose answer is lost", path: recordPath, faults: modelserver.Faults{LoseAnswer: true}, status: http.StatusOK, second: 1},
+		{name: "upload refused as not run", path: uploadPath, faults: modelserver.Faults{RejectRequests: true}, status: http.StatusOK, second: 1},
+		{name: "upload whose answer is lost", path: uploadPath, faults: modelserver.Faults{LoseResponse: true}, status: http.StatusBadGateway},
+		{name: "upload answered 503 without proof", path: uploadPath, faults: modelserver.Faults{UnconfirmedError: true}, status: http.StatusBadGateway},
+		{name: "lookup whose answer is lost", path: recordPath, faults: modelserver.Faults{LoseResponse: true}, status: http.StatusOK, second: 1},
 		{name: "lookup answered by an error", path: recordPath, faults: modelserver.Faults{Status: http.StatusInternalServerError}, status: http.StatusOK, second: 1},
 		{name: "upload answered by an error", path: uploadPath, faults: modelserver.Faults{Status: http.StatusInternalServerError}, status: http.StatusInternalServerError},
 	}
@@ -134,7 +134,7 @@
 func TestAllRefuse(t *testing.T) {
 	w := newTestHandler(t, "", "")
 	for _, s := range w.servers {
-		s.SetFaults(modelserver.Faults{Shed: true})
+		s.SetFaults(modelserver.Faults{RejectRequests: true})
 	}
 	got := w.do(t, http.MethodGet, uploadPath, "", nil)
 	test.Eq(t, http.StatusServiceUnavailable, got.status)
@@ -142,7 +142,7 @@
 }
 
 func TestForeignAnswers(t *testing.T) {
-	for _, faults := range []modelserver.Faults{{Foreign: true}, {Extra: true}} {
+	for _, faults := range []modelserver.Faults{{ResponseOfOtherBefore: true}, {ResponseOfOtherAfter: true}} {
 		w := newTestHandler(t, "")
 		w.servers[0].SetFaults(faults)
 		for i := range 3 {
@@ -193,7 +193,7 @@
 		close(left)
 	}()
 	w.doUntil(t, left, streamPath)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].Left() == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].AbandonedRequests() == 1 }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 }
 
 // TestUnbegunAttemptWithdrawn checks that a request is withdrawn from an endpoint that has not
@@ -220,7 +220,7 @@
 			test.Eq(t, tc.status, got.status)
 			test.NoError(t, got.err)
 			test.Len(t, tc.second, w.servers[1].Runs())
-			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].Left() == 1 || !tc.faults.Hang }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
+			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.servers[0].AbandonedRequests() == 1 || !tc.faults.Hang }), wait.Timeout(longTimeout), wait.Gap(time.Millisecond)))
 		})
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -112,7 +112,7 @@
 		return result.New(result.HeaderTooLarge)
 	}
 	// A stale configuration may lack routes and keys that a newer one has.
-	stale := x.configAge > bounds.ConfigApply
+	stale := x.configAge > bounds.ConfigApplyLimit
 	x.route = x.config.Match(x.r.Host, rawPath(x.r))
 	if x.route == nil {
 		return staleErrorOr(stale, result.UnknownPath)
@@ -141,7 +141,7 @@
 // also holds during an outage of the store, a node whose configuration has not been confirmed
 // recently accepts no key; otherwise it accepts the keys that it knows.
 func (x *exchange) authenticate(stale bool, bounds *bootstrap.Bounds) *result.Error {
-	if !bounds.AcceptStaleKeys && x.configAge > bounds.Revoke-revocationMargin {
+	if !bounds.AcceptStaleKeys && x.configAge > bounds.RevokeLimit-revocationMargin {
 		return result.New(result.NodeStale, result.WithRetryAfter(retryAfterOtherNode))
 	}
 	if x.attrs.Key == "" {
@@ -225,7 +225,7 @@
 	x.Recorder.Forwarded(&x.outcome)
 	switch {
 	case err == nil:
-	case x.written, err.Code == result.CallerGone:
+	case x.written, err.Code == result.CallerDisconnected:
 		// Aborting the connection is the only way to show that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	default:
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -106,7 +106,7 @@
 	w := &testHandler{}
 	var addrs []string
 	for i, model := range models {
-		server := modelserver.New(modelserver.Config{ID: serverID(i), Service: "servers", Model: model, Pieces: streamSize})
+		server := modelserver.New(modelserver.Config{ID: serverID(i), Service: "servers", Model: model, StreamEvents: streamSize})
 		backend := httptest.NewServer(server.Handler())
 		t.Cleanup(backend.Close)
 		w.servers = append(w.servers, server)
@@ -130,7 +130,7 @@
 	members := f.Members("servers")
 	slices.SortFunc(members, func(a, b *fleet.Member) int { return strings.Compare(a.ID, b.ID) })
 	w.placer = &orderedPlacer{members: members}
-	w.bounds = bootstrap.Bounds{Revoke: 5 * time.Second, ConfigApply: 2 * time.Second, RetryRatio: 10, RetrySlack: 1000}
+	w.bounds = bootstrap.Bounds{RevokeLimit: 5 * time.Second, ConfigApplyLimit: 2 * time.Second, RetryRatio: 10, RetrySlack: 1000}
 	w.handler = &forward.Handler{
 		Dialect: platform.Dialect{}, ConfigSource: w.state, Placer: w.placer, Budgets: forward.NewBudgets(w.bounds, func() int { return 1 }), AgeEstimator: &forward.AgeEstimator{},
 		Quarantine: quarantine.NewTable(time.Now), Fleet: f,
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -26,8 +26,8 @@
 	for i := range servers {
 		backend := httptest.NewUnstartedServer(nil)
 		end := func() { _ = backend.Config.Close() }
-		server := modelserver.New(modelserver.Config{ID: serverID(i), Service: "servers", Model: "reader", Pieces: streamSize, End: end})
-		server.SetFaults(modelserver.Faults{EndOn: exitPath})
+		server := modelserver.New(modelserver.Config{ID: serverID(i), Service: "servers", Model: "reader", StreamEvents: streamSize, Crash: end})
+		server.SetFaults(modelserver.Faults{CrashOnSuffix: exitPath})
 		backend.Config.Handler = server.Handler()
 		backend.Start()
 		t.Cleanup(backend.Close)
--- a/internal/framecheck/framecheck.go
+++ b/internal/framecheck/framecheck.go
@@ -120,7 +120,7 @@
 		return result.New(result.AnswerMalformed, result.WithField("error"))
 	}
 	if f.Error.NotRun {
-		return result.New(result.EndpointRefused, result.WithRunState(result.NotRun))
+		return result.New(result.EndpointRejected, result.WithRunState(result.NotRun))
 	}
-	return result.New(result.EndpointBrokeOff, result.WithMessage("the engine failed the run: %s", f.Error.Code))
+	return result.New(result.EndpointFailed, result.WithMessage("the engine failed the run: %s", f.Error.Code))
 }
--- a/internal/gateway/cachestart.go
+++ b/internal/gateway/cachestart.go
@@ -46,10 +46,10 @@
 	case !roster.Loaded():
 		return age < firstListTimeout // the system may be a large one
 	case intervals.FullMesh(roster.Nodes()):
-		return c.node.boot.Load().First && age < firstListTimeout
+		return c.node.boot.Load().FirstStart && age < firstListTimeout
 	case roster.readerCandidate():
 		return false
-	case c.node.boot.Load().First:
+	case c.node.boot.Load().FirstStart:
 		return age < firstReportTimeout
 	}
 	return age < reportTimeout
--- a/internal/gateway/cachestart_test.go
+++ b/internal/gateway/cachestart_test.go
@@ -16,7 +16,7 @@
 func startedTracker(t *testing.T, name string, nodes int, first bool) *cacheTracker {
 	t.Helper()
 	v := newView(name)
-	v.node.boot.Store(&bootstrap.Node{Name: name, First: first})
+	v.node.boot.Store(&bootstrap.Node{Name: name, FirstStart: first})
 	v.node.log = zerolog.Nop()
 	var names []string
 	for i := range nodes {
--- a/internal/gateway/cachetracker_test.go
+++ b/internal/gateway/cachetracker_test.go
@@ -247,7 +247,7 @@
 
 func testBoot(t *testing.T) *bootstrap.Node {
 	t.Helper()
-	return &bootstrap.Node{Name: "n", Bounds: bootstrap.Bounds{Revoke: 5 * time.Second}}
+	return &bootstrap.Node{Name: "n", Bounds: bootstrap.Bounds{RevokeLimit: 5 * time.Second}}
 }
 
 // TestStandbysFreeFirst checks that in a large system only the standbys free parts at first, and
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -35,11 +35,11 @@
 	var source *relay.Topic
 	f.config, source = follower("config", platform.TopicOperator, &relay.Copy{Sink: n.state, Clock: n.clock})
 	f.config.Wait, f.config.Pause = zeroIfRelayed(source.Relayed, n.configWait), intervalIfRelayed(source.Relayed, relayPollInterval, nil)
-	f.endpoints, source = follower("registry", platform.TopicEndpoints, &relay.Copy{Sink: n.registry, Clock: n.clock, Same: platform.SameEndpoint, Brief: platform.BriefEndpoint})
+	f.endpoints, source = follower("registry", platform.TopicEndpoints, &relay.Copy{Sink: n.registry, Clock: n.clock, Same: platform.SameEndpoint, Brief: platform.ShortenInvalidEndpoint})
 	// Each heartbeat is a record, so a read that waits for a change would end many times per
 	// second.
 	f.endpoints.Pause = intervalIfRelayed(source.Relayed, relayPollInterval, n.registryInterval)
-	f.nodes, source = follower("nodes", platform.NodesTopic, &relay.Copy{Sink: n.roster, Clock: n.clock})
+	f.nodes, source = follower("nodes", platform.TopicNodes, &relay.Copy{Sink: n.roster, Clock: n.clock})
 	source.MaxAge = maxNodesAge
 	f.nodes.Wait, f.nodes.Pause = zeroIfRelayed(source.Relayed, n.nodesWait), intervalIfRelayed(source.Relayed, nodesRelayPollInterval, n.rosterInterval)
 	return f
@@ -97,7 +97,7 @@
 
 // configWait returns how long a read of the configuration waits for a change.
 func (n *Node) configWait() time.Duration {
-	return intervals.ConfigWait(n.storeReaderCount(), n.bounds().Revoke)
+	return intervals.ConfigWait(n.storeReaderCount(), n.bounds().RevokeLimit)
 }
 
 // nodesWait returns how long a read of the list of nodes waits for a change.
@@ -111,9 +111,9 @@
 // registryInterval returns the time between two reads of the registry.
 func (n *Node) registryInterval() time.Duration {
 	if _, isReader := n.roster.readers(); isReader {
-		return intervals.ReaderInterval(n.bounds().Drain)
+		return intervals.ReaderInterval(n.bounds().DrainLimit)
 	}
-	return intervals.RegistryInterval(n.nodes(), n.bounds().Drain)
+	return intervals.RegistryInterval(n.nodes(), n.bounds().DrainLimit)
 }
 
 // rosterInterval returns the time between two reads of the list of nodes.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,7 +87,7 @@
 func NewWithClock(host *clock.Clock, boot *bootstrap.Node, load func() (*bootstrap.Node, error), log zerolog.Logger) (*Node, error) {
 	limitMemory(boot.MemoryBytes)
 	n := &Node{
-		kernel: kernel.New(boot.Bounds.Grace - stopMargin),
+		kernel: kernel.New(boot.Bounds.StopGracePeriod - stopMargin),
 		fleet:  fleet.New(log),
 		log:    log,
 
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	n.conn.Bound(intervals.AnswerRate(boot.LinkBytes))
+	n.conn.LimitResponses(intervals.AnswerRate(boot.LinkBytes))
 	n.cachePeers = &kvindex.Peers{Index: n.cacheTracker.index, Conn: n.conn, Readers: n.readers}
 	n.cachePeers.Serve()
 	n.peers = peerload.New(peerload.Config{
@@ -143,11 +143,11 @@
 		Log:        n.log,
 	})
 	own := nodeEntry{Addr: n.conn.Addr(), Domain: boot.Domain, MilliCores: boot.MilliCores}
-	n.roster = newRoster(boot.Name, own, store.Topic(platform.NodesTopic), n.peers.SetPeers, n.peerAlive, n.log)
+	n.roster = newRoster(boot.Name, own, store.Topic(platform.TopicNodes), n.peers.SetPeers, n.peerAlive, n.log)
 	n.roster.clock = n.clock
 	n.roster.rejected = n.state.rejected
 	n.quarantine = quarantine.New(quarantine.Config{
-		Node: boot.Name, Conn: n.conn, Peers: n.roster.Peers, Topic: store.Topic(platform.NodesTopic), Now: n.clock.Now, Log: n.log,
+		Node: boot.Name, Conn: n.conn, Peers: n.roster.Peers, Topic: store.Topic(platform.TopicNodes), Now: n.clock.Now, Log: n.log,
 	})
 	n.roster.applyHoldRecord, n.roster.changed = n.quarantine.Apply, n.quarantine.PeersChanged
 	n.roster.lease.grace = removalGrace(boot.Bounds.RetryWindow)
@@ -156,7 +156,7 @@
 		Fleet:   n.fleet,
 		Wanted:  n.state,
 		Engines: engines,
-		Claims:  store.Log(platform.ClaimsTopic),
+		Claims:  store.Log(platform.TopicClaims),
 		Peers:   n,
 		Lease:   boot.Bounds.Lease + leaseMargin,
 		Changed: n.state.changed,
@@ -238,9 +238,9 @@
 		Domain:            n.boot.Load().Domain,
 		Fleet:             n.fleet,
 		Versions:          n.state,
-		Kept:              n.cacheTracker.index,
+		KVIndex:           n.cacheTracker.index,
 		MayReference:      n.cacheTracker.mayReference,
-		Peers:             n.peers.Table,
+		PeerLoads:         n.peers.Table,
 		RequestReport:     n.peers.RequestReport,
 		CommonDelay:       &kvindex.Lateness{},
 		FullMesh:          n.peers.FullMesh,
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -18,7 +18,7 @@
 	boot := &bootstrap.Node{
 		Name: "n", Domain: "north", IP: "127.0.0.1", CallersAddr: "127.0.0.1:0", ReadyAddr: "127.0.0.1:0",
 		MemoryBytes: 256 << 20, StoreAddr: "127.0.0.1:9",
-		Bounds: bootstrap.Bounds{Revoke: 5 * time.Second, Drain: 2 * time.Second, Grace: 8 * time.Second},
+		Bounds: bootstrap.Bounds{RevokeLimit: 5 * time.Second, DrainLimit: 2 * time.Second, StopGracePeriod: 8 * time.Second},
 	}
 	n, err := New(boot, func() (*bootstrap.Node, error) { return boot, nil }, zerolog.Nop())
 	must.NoError(t, err)
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -33,7 +33,7 @@
 // current while the store is unavailable: any of them would have reported a newer configuration.
 func (n *Node) configCurrent(age time.Duration) bool {
 	bounds := n.bounds()
-	limit := max(time.Duration(readyShare*float64(bounds.Revoke)), 2*n.configWait()+relayPollInterval+readyMargin)
+	limit := max(time.Duration(readyShare*float64(bounds.RevokeLimit)), 2*n.configWait()+relayPollInterval+readyMargin)
 	return age < limit || bounds.AcceptStaleKeys && n.peers.Table.ReceivedFromAny(n.clock.Now(), peerTimeout)
 }
 
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -36,7 +36,7 @@
 // time at which this node could have read the removal, and not after the stable window that follows
 // the outage. The node may notice the return of the registry one failed read late.
 func expiryHold(b bootstrap.Bounds) time.Duration {
-	return min(reregistrationTime, b.Drain-expiryHoldMargin, b.StableWindow-maxStoreRetry-expiryHoldMargin)
+	return min(reregistrationTime, b.DrainLimit-expiryHoldMargin, b.StableWindow-maxStoreRetry-expiryHoldMargin)
 }
 
 // registry transfers the endpoints' entries to the fleet.
--- a/internal/gateway/registry_late_test.go
+++ b/internal/gateway/registry_late_test.go
@@ -35,10 +35,10 @@
 // bound.
 func TestLateReadIsNotAnOutage(t *testing.T) {
 	for _, bounds := range []bootstrap.Bounds{
-		{Drain: 2 * time.Second, StableWindow: 3 * time.Second},
-		{Drain: 3 * time.Second, StableWindow: 4 * time.Second},
+		{DrainLimit: 2 * time.Second, StableWindow: 3 * time.Second},
+		{DrainLimit: 3 * time.Second, StableWindow: 4 * time.Second},
 	} {
-		t.Run(bounds.Drain.String(), func(t *testing.T) {
+		t.Run(bounds.DrainLimit.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRegistryFixture()
 				r.bounds = func() bootstrap.Bounds { return bounds }
@@ -52,7 +52,7 @@
 				wg.Go(func() { _ = f.Run(ctx) })
 				time.Sleep(time.Millisecond)
 				test.Eq(t, "e1 e2 ", r.ids("engines"))
-				time.Sleep(bounds.Drain)
+				time.Sleep(bounds.DrainLimit)
 				test.Eq(t, "e2 ", r.ids("engines"))
 				cancel()
 				wg.Wait()
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -23,7 +23,7 @@
 }
 
 func registryBounds() bootstrap.Bounds {
-	return bootstrap.Bounds{Drain: 2 * time.Second, StableWindow: 3 * time.Second}
+	return bootstrap.Bounds{DrainLimit: 2 * time.Second, StableWindow: 3 * time.Second}
 }
 
 func newRegistryFixture() *registryFixture {
@@ -161,7 +161,7 @@
 		time.Sleep(1700 * time.Millisecond)
 		r.put("e2", "")
 		test.Eq(t, "e1 e2 ", r.ids("engines"), test.Sprint("both entries may return"))
-		time.Sleep(time.Until(returned.Add(registryBounds().Drain)))
+		time.Sleep(time.Until(returned.Add(registryBounds().DrainLimit)))
 		test.Eq(t, "", r.ids("engines"))
 	})
 }
@@ -174,7 +174,7 @@
 		{time.Second, 3 * time.Second, 900 * time.Millisecond},
 		{3 * time.Second, 3 * time.Second, 1900 * time.Millisecond},
 	} {
-		test.Eq(t, tc.want, expiryHold(bootstrap.Bounds{Drain: tc.drain, StableWindow: tc.stable}))
+		test.Eq(t, tc.want, expiryHold(bootstrap.Bounds{DrainLimit: tc.drain, StableWindow: tc.stable}))
 	}
 }
 
--- a/internal/gateway/registry_timer_test.go
+++ b/internal/gateway/registry_timer_test.go
@@ -34,7 +34,7 @@
 			{Key: "e1", Value: []byte(entryOf("engines", "ready", models))},
 			{Key: "e2"},
 		}})
-		time.Sleep(time.Until(returned.Add(registryBounds().Drain)))
+		time.Sleep(time.Until(returned.Add(registryBounds().DrainLimit)))
 		test.Eq(t, "e1 ", r.ids("engines"))
 	})
 }
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -33,7 +33,7 @@
 	engines.Update(&fleet.Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:1", Weights: []fleet.Weights{{Model: model, Version: 1}}}, time.Now())
 	index := kvindex.NewIndex(nil, nil, zerolog.Nop())
 	s.placer = &placer.Placer{
-		Fleet: engines, Versions: s.state, Kept: index, Peers: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{},
+		Fleet: engines, Versions: s.state, KVIndex: index, PeerLoads: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{},
 		ReplacedGrace: s.state.startupGrace,
 		MayReference:  func(string, int64) bool { return false }, FullMesh: func() bool { return true }, Closed: func() []weights.Closed { return nil },
 		VersionApplyLimit: func() time.Duration { return bounds.VersionApplyLimit }, Services: &placer.Services{}, Nodes: func() int { return 1 },
--- a/internal/gatewaydemo/gateway_test.go
+++ b/internal/gatewaydemo/gateway_test.go
@@ -34,7 +34,7 @@
 
 func startSite(t *testing.T, nodes int) (*site.Site, []*gatewaydemo.Member) {
 	t.Helper()
-	s, err := site.Start(site.Config{Beat: 50 * time.Millisecond, Gap: time.Millisecond})
+	s, err := site.Start(site.Config{HeartbeatInterval: 50 * time.Millisecond, EventInterval: time.Millisecond})
 	must.NoError(t, err)
 	t.Cleanup(s.Close)
 	s.Configure(1, key)
@@ -139,8 +139,8 @@
 	status, _ := sendRequest(t, members[0], site.PathUpload, key, "r2", "")
 	test.Eq(t, http.StatusServiceUnavailable, status)
 	test.Len(t, runs, s.Plain.Runs())
-	s.Store.Forget("keyed.op")
-	s.Store.Forget("keyed.servers")
+	s.Store.Compact("keyed.op")
+	s.Store.Compact("keyed.servers")
 	s.Store.SetFaults(metastore.Faults{})
 	waitUntil(t, "the node serves again", func() bool {
 		status, _ := sendRequest(t, members[0], site.PathUpload, key, "r3", "")
@@ -169,7 +169,7 @@
 	s, members := startSite(t, 2)
 	status, _ := sendRequest(t, members[0], site.PathQuery, key, "r1", "5e551")
 	test.Eq(t, http.StatusOK, status)
-	s.NameVersion(2)
+	s.SetTargetVersion(2)
 	waitUntil(t, "all servers have the version", func() bool {
 		for _, m := range s.Models {
 			if m.Version() != 2 {
@@ -187,7 +187,7 @@
 	s, members := startSite(t, 1)
 	const sessions = 500
 	for i := range sessions {
-		s.Keep.Keep("1/reader/", fmt.Sprint("5e55", i), 2000)
+		s.KVStore.StorePart("1/reader/", fmt.Sprint("5e55", i), 2000)
 	}
 	attempt := 0
 	waitUntil(t, "parts are fetched from the store", func() bool {
--- a/internal/gatewaydemo/gatewaydemo.go
+++ b/internal/gatewaydemo/gatewaydemo.go
@@ -87,7 +87,7 @@
 // Run starts a site and nodes, sends requests and prints the status, time to first event and size of each
 // response. If serve is true it then runs until ctx is done.
 func Run(ctx context.Context, out io.Writer, log zerolog.Logger, serve bool) error {
-	s, err := site.Start(site.Config{Beat: beat, Gap: gap})
+	s, err := site.Start(site.Config{HeartbeatInterval: beat, EventInterval: gap})
 	if err != nil {
 		return err
 	}
--- a/internal/gatewaydemo/invalid_entries_test.go
+++ b/internal/gatewaydemo/invalid_entries_test.go
@@ -40,12 +40,12 @@
 		}
 	}
 	for i := range 10 {
-		s.Foreign.Write(i % 2) // the third model server stays, and the plain one
+		s.OtherWriter.Write(i % 2) // the third model server stays, and the plain one
 		serve(members[i%2])
 	}
-	s.Foreign.Write(1)
+	s.OtherWriter.Write(1)
 	moving = true
-	s.NameVersion(2)
+	s.SetTargetVersion(2)
 	waitUntil(t, "all servers have the version", func() bool {
 		serve(members[id%2])
 		for _, m := range s.Models {
@@ -56,12 +56,12 @@
 		return true
 	})
 	moving = false
-	s.Foreign.Write(0)
+	s.OtherWriter.Write(0)
 	late, err := gatewaydemo.StartNode(s, "late", zerolog.Nop())
 	must.NoError(t, err)
 	defer func() { test.NoError(t, late.Stop()) }()
 	s.Configure(2, key) // overwrites the corrupted records
 	must.NoError(t, late.WaitReady(t.Context()))
 	serve(late)
-	test.Eq(t, 0, s.Foreign.Calls())
+	test.Eq(t, 0, s.OtherWriter.Calls())
 }
--- a/internal/gatewaydemo/leaving_test.go
+++ b/internal/gatewaydemo/leaving_test.go
@@ -29,7 +29,7 @@
 	const prompts, promptsAway = 30, 16 // few, since keys are refused some seconds after the store becomes unavailable
 	s, members := startSite(t, 2)
 	leaving := s.Models[0]
-	leaving.SetFaults(modelserver.Faults{Leaving: "1"})
+	leaving.SetFaults(modelserver.Faults{Draining: "1"})
 	for i, m := range members {
 		before := len(leaving.Runs())
 		sendNewSessions(t, s, m, fmt.Sprint("n", i), prompts)
@@ -37,7 +37,7 @@
 	}
 	s.Store.SetFaults(metastore.Faults{Down: true})
 	leaving = s.Models[1]
-	leaving.SetFaults(modelserver.Faults{Leaving: "1"})
+	leaving.SetFaults(modelserver.Faults{Draining: "1"})
 	for i, m := range members {
 		before := len(leaving.Runs())
 		sendNewSessions(t, s, m, fmt.Sprint("away-n", i), promptsAway)
--- a/internal/gatewaydemo/paused_test.go
+++ b/internal/gatewaydemo/paused_test.go
@@ -48,7 +48,7 @@
 	s, members := startSite(t, 2)
 	resting := s.Models[:2]
 	for _, m := range resting {
-		m.SetFaults(modelserver.Faults{Shed: true, Rest: fmt.Sprint(pauseRequested.Seconds())})
+		m.SetFaults(modelserver.Faults{RejectRequests: true, RetryAfter: fmt.Sprint(pauseRequested.Seconds())})
 	}
 	end := time.Now().Add(2 * pauseRequested)
 	var wg sync.WaitGroup
--- a/internal/gatewaydemo/quarantine_test.go
+++ b/internal/gatewaydemo/quarantine_test.go
@@ -39,7 +39,7 @@
 		return !slices.ContainsFunc(members, func(m *gatewaydemo.Member) bool { return m.Nodes() != len(members) })
 	})
 	for _, m := range s.Models {
-		m.SetFaults(modelserver.Faults{EndOn: crashPath})
+		m.SetFaults(modelserver.Faults{CrashOnSuffix: crashPath})
 	}
 	count := 0
 	sendCrashing := func(m *gatewaydemo.Member) (status int) {
@@ -54,7 +54,7 @@
 		return !slices.ContainsFunc(members, func(m *gatewaydemo.Member) bool { return len(m.Holds()) == 0 })
 	})
 	for i := range s.Models {
-		must.False(t, s.Up(i))
+		must.False(t, s.IsRunning(i))
 		must.NoError(t, s.Restart(i, false))
 	}
 	for i, m := range members {
--- a/internal/gatewaydemo/restart_test.go
+++ b/internal/gatewaydemo/restart_test.go
@@ -17,8 +17,8 @@
 
 // runsSinceStart returns the prompts that a server ran since its last start.
 func runsSinceStart(m *modelserver.Server) []modelserver.Run {
-	born := m.Born()
-	return slices.DeleteFunc(m.Runs(), func(r modelserver.Run) bool { return r.Born != born })
+	startedMs := m.StartedMs()
+	return slices.DeleteFunc(m.Runs(), func(r modelserver.Run) bool { return r.StartedMs != startedMs })
 }
 
 // askUntil sends prompts until a condition holds.
@@ -59,11 +59,11 @@
 			s, members := startSite(t, 1)
 			restarted := s.Models[1]
 			askUntil(t, s, members[0], "all serve", func() bool { return len(runsSinceStart(restarted)) > 0 })
-			s.NameVersion(2)
+			s.SetTargetVersion(2)
 			askUntil(t, s, members[0], "all have version 2", func() bool { return slices.Equal(versionsOf(s), []int64{2, 2, 2}) })
 			must.NoError(t, s.Restart(1, moves))
 			askUntil(t, s, members[0], "the restarted server serves", func() bool { return len(runsSinceStart(restarted)) > 0 })
-			s.NameVersion(3)
+			s.SetTargetVersion(3)
 			askUntil(t, s, members[0], "all have version 3", func() bool { return slices.Equal(versionsOf(s), []int64{3, 3, 3}) })
 			checkVersions(t, s)
 		})
@@ -78,10 +78,10 @@
 	s, members := startSite(t, 2)
 	server := s.Models[1]
 	server.SetFaults(modelserver.Faults{HoldOrders: true})
-	s.NameVersion(2)
+	s.SetTargetVersion(2)
 	askUntil(t, s, members[0], "an order is in progress", func() bool { return server.HeldOrders() > 0 })
 	server.SetFaults(modelserver.Faults{})
-	s.NameVersion(3)
+	s.SetTargetVersion(3)
 	newest := func() bool { return slices.Equal(versionsOf(s), []int64{3, 3, 3}) }
 	askUntil(t, s, members[0], "all have version 3", newest)
 	must.NoError(t, s.Restart(1, false))
--- a/internal/kvindex/lateness.go
+++ b/internal/kvindex/lateness.go
@@ -27,7 +27,7 @@
 func (l *Lateness) Observe(ms float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ms.Note(max(ms, 0), latenessWeight, latenessHalfLife, now)
+	l.ms.Add(max(ms, 0), latenessWeight, latenessHalfLife, now)
 }
 
 // MS returns the average lateness in ms.
--- a/internal/kvindex/peers.go
+++ b/internal/kvindex/peers.go
@@ -84,7 +84,7 @@
 		if err := json.Unmarshal(params, &positions); err != nil {
 			return nil, eris.Wrap(err, "decode request for relayed events")
 		}
-		return p.Index.relayEvents(positions, p.Conn.Spare()), nil
+		return p.Index.relayEvents(positions, p.Conn.AvailableResponseBytes()), nil
 	})
 }
 
--- a/internal/kvindex/peers_test.go
+++ b/internal/kvindex/peers_test.go
@@ -156,7 +156,7 @@
 	const events = 950
 	conn, err := datagram.Listen("127.0.0.1:0", zerolog.Nop())
 	must.NoError(t, err)
-	conn.Bound(1) // plus one message of maximum size
+	conn.LimitResponses(1) // plus one message of maximum size
 	reader := &Peers{Index: NewIndex(&countingSource{}, nil, zerolog.Nop()), Conn: conn}
 	reader.Index.view.Store(&view{stores: []*Holder{newStore()}})
 	reader.Serve()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	placer, err := router.New(time.Duration(s.Requests.EstimateTimeout), p.metrics.Ungoverned, p.log)
+	placer, err := router.New(time.Duration(s.Requests.EstimateTimeout), p.metrics.CountRunWithoutGrant, p.log)
 	if err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	owners := owner.New(p.engines, p.salter, time.Duration(s.KeptContext.ExportAfter), p.metrics.Exported, p.log)
+	owners := owner.New(p.engines, p.salter, time.Duration(s.KeptContext.ExportAfter), p.metrics.AddExportedBytes, p.log)
 	p.metrics.WatchConfig(config.Status)
 	p.metrics.WatchRollout(rollouts.Counters, rollouts.Appends)
 	p.metrics.WatchOwned(func() []*pb.EndpointStatus {
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -45,10 +45,10 @@
 }
 
 var (
-	_ kernel.Service    = (*operators)(nil)
-	_ kernel.Runner     = (*operators)(nil)
-	_ operator.Nodes    = (*operators)(nil)
-	_ operator.Reporter = (*operators)(nil)
+	_ kernel.Service          = (*operators)(nil)
+	_ kernel.Runner           = (*operators)(nil)
+	_ operator.Nodes          = (*operators)(nil)
+	_ operator.StatusReporter = (*operators)(nil)
 )
 
 func newOperators(s *settings.Settings, config *tls.Config, log zerolog.Logger) (*operators, error) {
@@ -91,7 +91,7 @@
 	}
 	o.server = operator.New(operator.Options{
 		CredentialHash: o.hash,
-		Configuration:  o.config.Typed(),
+		Configuration:  o.config.ConfigStore(),
 		Proposer:       o.config,
 		Nodes:          o,
 		Reporter:       o,
@@ -139,7 +139,7 @@
 	}
 }
 
-// Status implements operator.Reporter.
+// Status implements operator.StatusReporter.
 func (o *operators) Status(ctx context.Context) (*pb.StatusResponse, error) {
 	members := o.cluster.Members().Members
 	nodes := make([]*pb.NodeStatus, len(members))
@@ -175,7 +175,7 @@
 	return out
 }
 
-// Explain implements operator.Reporter.
+// Explain implements operator.StatusReporter.
 func (o *operators) Explain(_ context.Context, requestID string) (*pb.ExplainRequestResponse, error) {
 	choice, ok := o.router.Explain(requestID)
 	if !ok {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -68,8 +68,8 @@
 	Applied(ctx context.Context) ([]NodeApplied, error)
 }
 
-// Reporter provides the state of the system and of recent requests.
-type Reporter interface {
+// StatusReporter provides the state of the system and of recent requests.
+type StatusReporter interface {
 	// Status returns this node's view of the nodes and endpoints.
 	Status(ctx context.Context) (*pb.StatusResponse, error)
 	// Explain returns why an endpoint was selected for a recent request. It fails
@@ -84,6 +84,6 @@
 	Configuration  Configuration
 	Proposer       config.Proposer
 	Nodes          Nodes
-	Reporter       Reporter
+	Reporter       StatusReporter
 	Log            zerolog.Logger
 }
--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -74,13 +74,13 @@
 
 // estimate returns the engine's load and cached tokens for a prompt of about the
 // given number of tokens.
-func (e *engine) estimate(now time.Time, p *Prompt, tokens int) placement.Engine {
+func (e *engine) estimate(now time.Time, p *Prompt, tokens int) placement.EngineEstimate {
 	cached := e.index.Lookup(p.Chain, tokens)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastUsed = now
 	est := e.state.Estimate(now, e.request(now, "", p, tokens, cached.Tokens))
-	out := placement.Engine{
+	out := placement.EngineEstimate{
 		Endpoint:     e.name,
 		Status:       placement.Known,
 		Wait:         est.Wait,
@@ -96,7 +96,7 @@
 		out.PrefillRate = 0
 	}
 	if !est.InRotation || !e.serves(p) {
-		out.Status = placement.Paused
+		out.Status = placement.NotInRotation
 	}
 	if e.reported != nil {
 		out.Layout = e.reported.KVLayout
--- a/internal/owner/grants.go
+++ b/internal/owner/grants.go
@@ -177,7 +177,7 @@
 		e.decide(r.Run, result.New(result.DeadlineUnmeetable))
 	}
 	for _, r := range changes.Displaced {
-		e.decide(r.Run, result.New(result.EndpointRefused, result.WithRunState(result.NotRun)))
+		e.decide(r.Run, result.New(result.EndpointRejected, result.WithRunState(result.NotRun)))
 	}
 	for _, run := range changes.Recompute {
 		if w := e.pending[run]; w != nil {
--- a/internal/owner/messages.go
+++ b/internal/owner/messages.go
@@ -53,9 +53,9 @@
 // EstimateResponse holds estimates for the requested endpoints. Endpoints without an
 // estimate are omitted.
 type EstimateResponse struct {
-	PromptTokens int                `json:"pt"` // estimated from the account's earlier prompts
-	Engines      []placement.Engine `json:"e,omitempty"`
-	Stores       []placement.Store  `json:"st,omitempty"`
+	PromptTokens int                        `json:"pt"` // estimated from the account's earlier prompts
+	Engines      []placement.EngineEstimate `json:"e,omitempty"`
+	Stores       []placement.StoreEstimate  `json:"st,omitempty"`
 }
 
 // GrantRequest requests permission to start a run on an engine.
--- a/internal/owner/store.go
+++ b/internal/owner/store.go
@@ -82,10 +82,10 @@
 
 // estimate returns the part of a prompt that the store host holds in one KV layout,
 // and the expected speed of an import.
-func (s *storeHost) estimate(now time.Time, p *Prompt, layout string) placement.Store {
+func (s *storeHost) estimate(now time.Time, p *Prompt, layout string) placement.StoreEstimate {
 	s.markUsed(now)
 	stored := s.host.Lookup(p.Chain, layout, 0)
-	return placement.Store{
+	return placement.StoreEstimate{
 		Store:      s.name,
 		Status:     placement.Known,
 		HeldTokens: stored.Tokens,
--- a/internal/owner/stores.go
+++ b/internal/owner/stores.go
@@ -109,8 +109,8 @@
 }
 
 // estimateStores returns estimates for the requested store hosts, one per layout.
-func (s *Service) estimateStores(now time.Time, req *EstimateRequest) []placement.Store {
-	var out []placement.Store
+func (s *Service) estimateStores(now time.Time, req *EstimateRequest) []placement.StoreEstimate {
+	var out []placement.StoreEstimate
 	for _, name := range req.Stores {
 		host, err := s.store(name)
 		if err != nil {
--- a/internal/owner/weights.go
+++ b/internal/owner/weights.go
@@ -108,7 +108,7 @@
 // errNotLoaded returns the error for a run whose weights the engine has not loaded.
 // Another engine may have them.
 func errNotLoaded() error {
-	return result.New(result.EndpointRefused, result.WithRunState(result.NotRun))
+	return result.New(result.EndpointRejected, result.WithRunState(result.NotRun))
 }
 
 // serves reports whether the engine serves runs with the prompt's weights. It returns
--- a/internal/owner/weights_test.go
+++ b/internal/owner/weights_test.go
@@ -46,15 +46,15 @@
 		return w, err
 	}
 	_, err := enqueue("g1", "v2")
-	must.True(t, result.Is(err, result.EndpointRefused))
+	must.True(t, result.Is(err, result.EndpointRejected))
 	queued, err := enqueue("g2", "v1")
 	must.NoError(t, err)
 	e.withhold(now, "m")
 	<-queued.done
-	must.True(t, result.Is(queued.err, result.EndpointRefused))
+	must.True(t, result.Is(queued.err, result.EndpointRejected))
 	must.Eq(t, result.NotRun, result.From(queued.err).RunState)
 	_, err = enqueue("g3", "v1")
-	must.True(t, result.Is(err, result.EndpointRefused))
+	must.True(t, result.Is(err, result.EndpointRejected))
 	e.withhold(now, "")
 	w, err := enqueue("g4", "v1")
 	must.NoError(t, err)
--- a/internal/peerload/send_rate_test.go
+++ b/internal/peerload/send_rate_test.go
@@ -49,7 +49,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), lasts)
 		defer cancel()
 		_ = e.Run(ctx)
-		bytes = e.config.Conn.(*datagram.Conn).Sent()
+		bytes = e.config.Conn.(*datagram.Conn).SentBytes()
 	})
 	return int(bytes / int64(lasts/time.Second))
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,7 +15,7 @@
 	for _, size := range []int{9, 100, 1000, 12_000} {
 		b.Run(fmt.Sprintf("endpoints=%d", size), func(b *testing.B) {
 			req, estimates, stores := benchInput(candidates)
-			nodes, known := make([]rendezvous.Node, size), make(map[string]Engine, size)
+			nodes, known := make([]rendezvous.Node, size), make(map[string]EngineEstimate, size)
 			for i := range nodes {
 				nodes[i] = rendezvous.Node{ID: "engine-" + strconv.Itoa(i), Weight: 1}
 				known[nodes[i].ID] = estimates[i%candidates]
@@ -26,7 +26,7 @@
 				keys[i] = "prefix-" + strconv.Itoa(i)
 				table.Top(keys[i])
 			}
-			rng, engines := newRand(), make([]Engine, 0, candidates)
+			rng, engines := newRand(), make([]EngineEstimate, 0, candidates)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				engines = engines[:0]
--- a/internal/placement/byload.go
+++ b/internal/placement/byload.go
@@ -4,12 +4,12 @@
 // candidates chosen at random it selects the one with the lower expected wait and prefill time. It
 // is used for prompts shorter than one block, and for requests whose estimates all timed out. It
 // returns ErrNoEndpoint if every candidate is out of rotation.
-func PlaceByLoad(req Request, engines []Engine, rng Rand) (Choice, error) {
+func PlaceByLoad(req Request, engines []EngineEstimate, rng Rand) (Choice, error) {
 	candidates := Filter(engines, make([]Candidate, 0, len(engines)))
 	return placeFiltered(req, engines, candidates, rng)
 }
 
-func placeFiltered(req Request, engines []Engine, candidates []Candidate, rng Rand) (Choice, error) {
+func placeFiltered(req Request, engines []EngineEstimate, candidates []Candidate, rng Rand) (Choice, error) {
 	for i := range candidates {
 		loadScore(req, &engines[i], &candidates[i])
 	}
@@ -31,7 +31,7 @@
 // loadScore computes the cost of c from the last known load. For an engine of unknown speed only
 // the wait and one decode step count, so that a new engine gets work from which its speed is
 // learned.
-func loadScore(req Request, e *Engine, c *Candidate) {
+func loadScore(req Request, e *EngineEstimate, c *Candidate) {
 	if c.Verdict == OutOfRotation {
 		return
 	}
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -55,13 +55,13 @@
 
 // Filter returns one candidate for each engine, in the same order, with a verdict for those that
 // can't be scored. It reuses the memory of dst.
-func Filter(engines []Engine, dst []Candidate) []Candidate {
+func Filter(engines []EngineEstimate, dst []Candidate) []Candidate {
 	dst = dst[:0]
 	for i := range engines {
 		e := &engines[i]
 		c := Candidate{Endpoint: e.Endpoint}
 		switch {
-		case e.Status == Paused:
+		case e.Status == NotInRotation:
 			c.Verdict = OutOfRotation
 		case e.Status == Late || e.PrefillRate <= 0:
 			c.Verdict = EstimateLate
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -13,7 +13,7 @@
 // Place filters, scores and selects among the engines by their estimates. Without any estimate in
 // time it falls back to PlaceByLoad. It returns ErrNoEndpoint if every candidate is out of
 // rotation.
-func Place(req Request, engines []Engine, stores []Store, rng Rand) (Choice, error) {
+func Place(req Request, engines []EngineEstimate, stores []StoreEstimate, rng Rand) (Choice, error) {
 	candidates := Filter(engines, make([]Candidate, 0, len(engines)))
 	Score(req, engines, stores, candidates)
 	i := Pick(candidates, rng)
@@ -79,7 +79,7 @@
 	return sample.cheaper(candidates, rng)
 }
 
-func choiceOf(engines []Engine, candidates []Candidate, i int) Choice {
+func choiceOf(engines []EngineEstimate, candidates []Candidate, i int) Choice {
 	c := &candidates[i]
 	return Choice{
 		Endpoint:   c.Endpoint,
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -36,14 +36,14 @@
 
 // States of an estimate.
 const (
-	Known  Status = iota // received in time
-	Late                 // not received in time, or the owner has too little data
-	Paused               // out of rotation: leaving, failing, or model not loaded
+	Known         Status = iota // received in time
+	Late                        // not received in time, or the owner has too little data
+	NotInRotation               // out of rotation: leaving, failing, or model not loaded
 )
 
-// Engine is an owner's estimate for one endpoint and one request. LastWait comes from earlier
+// EngineEstimate is an owner's estimate for one endpoint and one request. LastWait comes from earlier
 // replies and is set even if Status is Late.
-type Engine struct {
+type EngineEstimate struct {
 	Endpoint      string
 	Owner         string // node that owns the endpoint
 	FailureDomain string
@@ -64,8 +64,8 @@
 	LastWait time.Duration // wait by the load figures of earlier replies
 }
 
-// Store is a store owner's estimate for one request.
-type Store struct {
+// StoreEstimate is a store owner's estimate for one request.
+type StoreEstimate struct {
 	Store         string
 	FailureDomain string
 	Status        Status
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -6,7 +6,7 @@
 
 // Score sets the cost of each candidate that is still Considered, for the cheapest import, and
 // marks those that miss the deadline.
-func Score(req Request, engines []Engine, stores []Store, candidates []Candidate) {
+func Score(req Request, engines []EngineEstimate, stores []StoreEstimate, candidates []Candidate) {
 	for i := range candidates {
 		c := &candidates[i]
 		if c.Verdict != Considered {
@@ -19,7 +19,7 @@
 	}
 }
 
-func scoreCandidate(req Request, e *Engine, stores []Store, c *Candidate) {
+func scoreCandidate(req Request, e *EngineEstimate, stores []StoreEstimate, c *Candidate) {
 	c.Cached = min(e.CachedTokens, req.PromptTokens)
 	evaluate(req, e, Import{}, c)
 	for i := range stores {
@@ -30,7 +30,7 @@
 // tryImport changes c to an import from s if that is cheaper. The cost is piecewise linear in the
 // import length. Besides no import, only the maximum length and the lengths around the point where
 // the import begins to take longer than the engine's queue need to be evaluated.
-func tryImport(req Request, e *Engine, s *Store, c *Candidate) {
+func tryImport(req Request, e *EngineEstimate, s *StoreEstimate, c *Candidate) {
 	usable := s.Status == Known && s.Layout == e.Layout && s.Rate > 0 && e.ImportRate > 0 && e.BlockTokens > 0
 	if !usable {
 		return
@@ -53,7 +53,7 @@
 
 // applyIfCheaper changes c to an import of the given number of blocks from s if that costs less and
 // does not endanger the deadline.
-func applyIfCheaper(req Request, e *Engine, s *Store, perBlock float64, blocks int, c *Candidate) {
+func applyIfCheaper(req Request, e *EngineEstimate, s *StoreEstimate, perBlock float64, blocks int, c *Candidate) {
 	imp := Import{
 		Store:     s.Store,
 		FromToken: c.Cached,
@@ -74,7 +74,7 @@
 const maxImportShare = 0.5
 
 // endangersDeadline reports whether the import of c could make the request miss its deadline.
-func endangersDeadline(req Request, e *Engine, c Candidate) bool {
+func endangersDeadline(req Request, e *EngineEstimate, c Candidate) bool {
 	if req.TimeLeft <= 0 {
 		return false
 	}
@@ -88,7 +88,7 @@
 const maxImportTimeout = time.Hour
 
 // importTimeout returns the duration at which the import of c costs as much as no import.
-func importTimeout(req Request, e *Engine, c Candidate) time.Duration {
+func importTimeout(req Request, e *EngineEstimate, c Candidate) time.Duration {
 	none := c
 	evaluate(req, e, Import{}, &none)
 	weight := req.Weights.FirstTokenSeconds
@@ -104,7 +104,7 @@
 
 // evaluate sets the estimates of c for one import. The import runs while the request is queued at
 // the engine; the prefill starts when both have ended.
-func evaluate(req Request, e *Engine, imp Import, c *Candidate) {
+func evaluate(req Request, e *EngineEstimate, imp Import, c *Candidate) {
 	c.Import = imp
 	c.Recompute = max(0, req.PromptTokens-c.Cached-imp.Tokens)
 	c.Wait = max(e.Wait, imp.Transfer)
@@ -115,7 +115,7 @@
 // crowdingCost returns the delay that the prefill causes to other requests at the engine, in the
 // objective's units. It assumes that as many requests arrive during the prefill as are queued now.
 // As queues grow, it moves prompts to the engines that have them cached.
-func crowdingCost(w Objective, e *Engine, c *Candidate) float64 {
+func crowdingCost(w Objective, e *EngineEstimate, c *Candidate) float64 {
 	if w == (Objective{}) {
 		w.FirstTokenSeconds = 1
 	}
--- a/internal/placement/unknownspeed.go
+++ b/internal/placement/unknownspeed.go
@@ -13,7 +13,7 @@
 // FillUnknownRates sets the PrefillRate of engines without a learned one (0) to more than the best
 // learned among the candidates. A lower rate would keep requests from a new engine, so that its
 // speed would never be learned; one prompt is enough to learn it.
-func FillUnknownRates(engines []Engine) {
+func FillUnknownRates(engines []EngineEstimate) {
 	best := 0.0
 	for i := range engines {
 		best = max(best, engines[i].PrefillRate)
--- a/internal/placer/balance.go
+++ b/internal/placer/balance.go
@@ -80,7 +80,7 @@
 // remoteCandidates returns a few engines of another failure domain, or none if the prompt should
 // stay in this one. Domains without load reports are left out, as their engines would appear idle.
 func (s *selection) remoteCandidates(candidates []*fleet.Member) []*fleet.Member {
-	reported := s.Peers.Domains(s.now)
+	reported := s.PeerLoads.Domains(s.now)
 	if len(reported) == 0 {
 		return nil
 	}
--- a/internal/placer/balance_test.go
+++ b/internal/placer/balance_test.go
@@ -25,7 +25,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	fx.Random = random.Float64
 	for _, domain := range []string{"south", "west"} {
-		must.NoError(t, fx.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
+		must.NoError(t, fx.PeerLoads.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: domain, Incarnation: 1, Seq: 1}, time.Now()))
 	}
 	number := 0
 	for domain, running := range map[string]int{"north": north, "south": south, "west": west} {
@@ -91,13 +91,13 @@
 // reports, because its collectors failed or are unreachable: its engines only appear idle.
 func TestUnreportedDomainsGetNoPrompts(t *testing.T) {
 	fx := newDomains(t, 12, 6, 0)
-	fx.Peers = peerload.NewTable()
+	fx.PeerLoads = peerload.NewTable()
 	for range 100 {
 		p, ok := fx.Place(query())
 		test.True(t, ok)
 		test.Eq(t, "north", p.Member.Endpoint().Domain)
 	}
-	must.NoError(t, fx.Peers.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
+	must.NoError(t, fx.PeerLoads.RecordDomainLoad(&peerload.DomainLoad{Node: "n", Domain: "south", Incarnation: 1, Seq: 1}, time.Now()))
 	south := 0
 	for range 100 {
 		p, ok := fx.Place(query())
--- a/internal/placer/evacuated_test.go
+++ b/internal/placer/evacuated_test.go
@@ -28,7 +28,7 @@
 	for i, m := range fx.members {
 		e := *m.Endpoint()
 		e.Domain = domains[i]
-		fx.Kept.Engines()[m.ID].Domain = domains[i]
+		fx.KVIndex.Engines()[m.ID].Domain = domains[i]
 		f.Update(&e, time.Now())
 	}
 	fx.Fleet = f
--- a/internal/placer/fixture_test.go
+++ b/internal/placer/fixture_test.go
@@ -102,7 +102,7 @@
 // the weights is 1.
 func newPlacer(f *fleet.Fleet, index *kvindex.Index) *placer.Placer {
 	return &placer.Placer{
-		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, Kept: index, Peers: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{}, FullMesh: func() bool { return true },
+		Domain: "north", Fleet: f, Versions: &versions{wanted: 1}, KVIndex: index, PeerLoads: peerload.NewTable(), RequestReport: func() {}, CommonDelay: &kvindex.Lateness{}, FullMesh: func() bool { return true },
 		MayReference:      func(string, int64) bool { return true },
 		Closed:            func() []weights.Closed { return nil },
 		VersionApplyLimit: func() time.Duration { return limit },
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -35,18 +35,18 @@
 	Domain   string // failure domain of this node
 	Fleet    *fleet.Fleet
 	Versions Versions
-	Kept     *kvindex.Index
+	KVIndex  *kvindex.Index
 	// MayReference reports whether requests may reference parts of a version of a model at stores.
 	// Stores free these some time after the version was replaced.
 	MayReference func(model string, version int64) bool
-	// Peers holds the load reports of the other nodes.
-	Peers *peerload.Table
+	// PeerLoads holds the load reports of the other nodes.
+	PeerLoads *peerload.Table
 	// RequestReport requests an early load report to the other nodes after a placement.
 	RequestReport func()
 	// CommonDelay is the average delay of first events that don't depend on a store.
 	CommonDelay *kvindex.Lateness
 	// FullMesh reports whether all nodes exchange load reports directly, as they do in a small
-	// system. In a large system, Peers covers only the nodes of this failure domain.
+	// system. In a large system, PeerLoads covers only the nodes of this failure domain.
 	FullMesh func() bool
 	// Closed returns the engines that this node has ordered to load weights.
 	Closed func() []weights.Closed
@@ -71,7 +71,7 @@
 	Services *Services
 	// Nodes returns the number of nodes that place requests.
 	Nodes func() int
-	// ReportLag returns the number of other nodes whose load reports are summed in Peers, and the
+	// ReportLag returns the number of other nodes whose load reports are summed in PeerLoads, and the
 	// age of these reports. Nil means that the reports are always current.
 	ReportLag func() (nodes int, lag time.Duration)
 	// Now is the clock. Random returns a random number in [0, 1).
@@ -159,7 +159,7 @@
 // failures and for another failure domain.
 func (p *Placer) placePlain(q *forward.Query, candidates []*fleet.Member, gate *gate) (forward.Placement, bool) {
 	now := p.Now()
-	peerLoads := p.Peers.Loads(now)
+	peerLoads := p.PeerLoads.Loads(now)
 	best := gate.takeCheapest(score(candidates, func(m *fleet.Member) float64 {
 		peerLoad := peerLoads.At(m.ID, m.StartedMs)
 		cost := float64(m.Load.Running()+peerLoad.Running) + failurePenalty*failureRate(m, peerLoad, now) + tieJitter*p.Random()
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -93,12 +93,12 @@
 	full.Tokens = 1_000_000_000
 	roomy := kvindex.NewHolder(small, small, "north")
 	roomy.Tokens = 20_000
-	fx.Kept.Replace(nil, []*kvindex.Holder{full, roomy})
+	fx.KVIndex.Replace(nil, []*kvindex.Holder{full, roomy})
 	p, ok := fx.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{large, large, ""}, p.Attempt.Targets)
 	p.RecordFailure()
-	fx.Kept.Apply(full, &kvindex.Events{Epoch: 1, Next: 2, Changes: []kvindex.Change{{Number: 1, Part: kvindex.Part{Salt: "s", ID: "x"}, Tokens: full.Tokens}}, ClockMS: 1})
+	fx.KVIndex.Apply(full, &kvindex.Events{Epoch: 1, Next: 2, Changes: []kvindex.Change{{Number: 1, Part: kvindex.Part{Salt: "s", ID: "x"}, Tokens: full.Tokens}}, ClockMS: 1})
 	p, ok = fx.Place(query())
 	must.True(t, ok)
 	test.Eq(t, []string{small, small, ""}, p.Attempt.Targets)
@@ -122,7 +122,7 @@
 func TestFetchesSmallPartsBeforeLargeOnes(t *testing.T) {
 	fx := newFixture(t, fakeEvents{store: shared(1, "")}, 1)
 	for range 20 {
-		fx.Kept.Stores()[0].Late.Observe(300, time.Now())
+		fx.KVIndex.Stores()[0].Late.Observe(300, time.Now())
 	}
 	p, ok := fx.Place(query())
 	must.True(t, ok)
@@ -252,7 +252,7 @@
 func TestLargeSystem(t *testing.T) {
 	fx := newFixture(t, fakeEvents{store: shared(1, "")}, 1, 1, 1)
 	fx.FullMesh = func() bool { return false }
-	fx.Kept.Follow(t.Context(), nil, fx.Kept.Stores()) // the index receives no events of engines
+	fx.KVIndex.Follow(t.Context(), nil, fx.KVIndex.Stores()) // the index receives no events of engines
 	for i := range 12 {
 		domain := []string{"north", "south"}[i%2]
 		fx.Fleet.Update(&fleet.Endpoint{ID: fmt.Sprint("f", i), Service: "s", Addr: addr(10 + i), Domain: domain, Slots: 12, Weights: []fleet.Weights{{Model: model, Version: 1}}}, time.Now())
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -133,7 +133,7 @@
 // the parts again.
 func (p *Placer) cancelSaves(q *forward.Query, a *forward.Attempt) {
 	for i, addr := range a.Targets {
-		for _, store := range p.Kept.Stores() {
+		for _, store := range p.KVIndex.Stores() {
 			if store.Addr == addr {
 				store.CancelSave(kvindex.Part{Salt: a.Salt, ID: q.Attributes.Parts[i].ID})
 			}
@@ -151,7 +151,7 @@
 		return ""
 	}
 	now := p.Now()
-	stores := p.Kept.Stores()
+	stores := p.KVIndex.Stores()
 	if slices.ContainsFunc(stores, func(s *kvindex.Holder) bool { return s.Has(key) > 0 }) {
 		return ""
 	}
--- a/internal/placer/rollout.go
+++ b/internal/placer/rollout.go
@@ -54,7 +54,7 @@
 		placeLimit:    ReplacedLimit(p.VersionApplyLimit()),
 		beginLimit:    p.VersionApplyLimit(),
 		replacedGrace: p.ReplacedGrace,
-		closed:        p.Peers.Closed(p.Now()),
+		closed:        p.PeerLoads.Closed(p.Now()),
 		short:         q.Attributes.OutputTokens <= shortAnswer,
 		now:           p.Now(),
 	}
--- a/internal/placer/selection.go
+++ b/internal/placer/selection.go
@@ -46,10 +46,10 @@
 	priority := *priorityOf(q)
 	service.demand.RecordSize(priority, averageHeldTokens(q))
 	s := &selection{
-		Placer: p, q: q, now: now, rollout: r, peerLoads: p.Peers.Loads(now), peerDelays: p.Peers.Late(now), home: p.home(q),
+		Placer: p, q: q, now: now, rollout: r, peerLoads: p.PeerLoads.Loads(now), peerDelays: p.PeerLoads.Late(now), home: p.home(q),
 		located: make(map[int64]*located), plans: make(map[*fleet.Member]*plan),
 		service: service, estimates: service.model.Estimates(),
-		fetchUntil: p.Kept.ClockMS() + FetchLimit.Milliseconds(),
+		fetchUntil: p.KVIndex.ClockMS() + FetchLimit.Milliseconds(),
 	}
 	s.holdsMany = service.demand.HoldsMany(q.Service.Engine.KVTokens)
 	s.reserve = s.tuning().reserve(service.demand.Reserve(priority, q.IsRetry(), q.Service.Engine.KVTokens), q.Service.Engine.KVTokens)
@@ -96,7 +96,7 @@
 		return l
 	}
 	l := &located{version: version, salt: saltOf(s.q, version), current: version >= s.rollout.wanted}
-	mayReference := s.Kept.ClockMS() > 0 && s.MayReference(s.q.Attributes.Model, version)
+	mayReference := s.KVIndex.ClockMS() > 0 && s.MayReference(s.q.Attributes.Model, version)
 	for _, part := range s.q.Attributes.Parts {
 		p := s.locatePart(part, l.salt, mayReference)
 		if version == 0 {
@@ -111,7 +111,7 @@
 func (s *selection) locatePart(part forward.Part, salt string, mayReference bool) locatedPart {
 	key := kvindex.Part{Salt: salt, ID: part.ID}
 	result := locatedPart{Part: part}
-	for id, h := range s.Kept.Engines() {
+	for id, h := range s.KVIndex.Engines() {
 		// KV cache is not fetched from engines of evacuated failure domains. It is fetched from
 		// stores there, as stores are not endpoints.
 		if h.Has(key) >= part.Tokens && !s.evacuated(h.Domain) {
@@ -125,7 +125,7 @@
 	if !mayReference {
 		return result
 	}
-	for _, h := range s.Kept.Stores() {
+	for _, h := range s.KVIndex.Stores() {
 		if h.ConfirmedRecently(s.now) && h.Has(key) >= part.Tokens {
 			result.stores = append(result.stores, h)
 			result.holders = append(result.holders, h)
@@ -251,7 +251,7 @@
 // the part, 1 ms later than without a source.
 func (s *selection) addHomeSource(m *fleet.Member, p *plan, i int, part *locatedPart) {
 	shared := i < len(s.q.Attributes.Parts)-1
-	if !shared || part.Tokens < minSaveTokens || s.home == nil || s.home == m || s.Kept.Engine(m.ID) != nil || p.version == 0 {
+	if !shared || part.Tokens < minSaveTokens || s.home == nil || s.home == m || s.KVIndex.Engine(m.ID) != nil || p.version == 0 {
 		return
 	}
 	if s.home.VersionOf(s.q.Attributes.Model) == p.version && s.home.Health.Usable(s.now) {
--- a/internal/placer/stores_test.go
+++ b/internal/placer/stores_test.go
@@ -29,7 +29,7 @@
 	p := place()
 	test.Nil(t, p.Attempt.Sources)
 	test.Eq(t, 11500, p.PrefillTokens)
-	keep := fx.Kept.Stores()[0]
+	keep := fx.KVIndex.Stores()[0]
 	for range 8 {
 		keep.Late.Observe(0, time.Now())
 	}
@@ -41,7 +41,7 @@
 func TestAvoidsStoreReportedLateByPeers(t *testing.T) {
 	fx := newFixture(t, fakeEvents{store: shared(1, "")}, 1)
 	for i := range 3 {
-		fx.Peers.Record(peerload.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Seq: 1, Late: []peerload.Late{{Addr: store, MS: 900}}}, time.Now())
+		fx.PeerLoads.Record(peerload.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Seq: 1, Late: []peerload.Late{{Addr: store, MS: 900}}}, time.Now())
 	}
 	p, ok := fx.Place(query())
 	must.True(t, ok)
@@ -58,7 +58,7 @@
 		must.True(t, ok)
 		p.RecordFirstEvent(800 * time.Millisecond)
 	}
-	test.Less(t, 250, fx.Kept.Stores()[0].Late.MS(time.Now()), test.Sprint("700 of the 800 ms are common to all first events"))
+	test.Less(t, 250, fx.KVIndex.Stores()[0].Late.MS(time.Now()), test.Sprint("700 of the 800 ms are common to all first events"))
 }
 
 // TestFetchEndsInTimeForTheObjective checks that fetches of parts that can be read quickly time out
@@ -84,11 +84,11 @@
 			q := query()
 			q.Attributes.Parts = []forward.Part{{ID: "common", Tokens: 100}, {ID: "session", Tokens: tc.session}, {ID: "own", Tokens: 100}}
 			q.Route.Objective, q.Age = tc.objective, tc.age
-			before := fx.Kept.ClockMS()
+			before := fx.KVIndex.ClockMS()
 			p, ok := fx.Place(q)
 			must.True(t, ok)
 			must.GreaterEq(t, clockMS, before)
-			test.Between(t, before+tc.min, p.Attempt.FetchUntil, fx.Kept.ClockMS()+tc.max)
+			test.Between(t, before+tc.min, p.Attempt.FetchUntil, fx.KVIndex.ClockMS()+tc.max)
 		})
 	}
 }
@@ -106,7 +106,7 @@
 	first.Tokens = 1_000_000_000
 	second := kvindex.NewHolder(small, small, "north")
 	second.Tokens = 20_000
-	fx.Kept.Replace(nil, []*kvindex.Holder{first, second})
+	fx.KVIndex.Replace(nil, []*kvindex.Holder{first, second})
 	for i, want := range [][]string{{large, large, ""}, nil, {small, small, ""}, nil, {large, large, ""}} {
 		p, ok := fx.Place(query())
 		must.True(t, ok)
--- a/internal/placer/unreported.go
+++ b/internal/placer/unreported.go
@@ -24,7 +24,7 @@
 func (p *placedRate) add(tokens int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokens.Note(float64(tokens), placedHalfLife, now)
+	p.tokens.Add(float64(tokens), placedHalfLife, now)
 }
 
 // perSecond returns how many tokens per second the prompts placed by this node add for engines to
--- a/internal/policybench/imports.go
+++ b/internal/policybench/imports.go
@@ -8,7 +8,7 @@
 )
 
 // fullImport returns the import of the longest prefix that a store holds beyond the engine's memory.
-func fullImport(c placement.Choice, held []placement.Store) placement.Import {
+func fullImport(c placement.Choice, held []placement.StoreEstimate) placement.Import {
 	imp := placement.Import{FromToken: c.Cached}
 	for _, st := range held {
 		if extra := st.HeldTokens - c.Cached; st.Status == placement.Known && extra > imp.Tokens {
--- a/internal/policybench/overlap.go
+++ b/internal/policybench/overlap.go
@@ -11,7 +11,7 @@
 
 // splitImport returns the number of leading blocks of the choice's import that should be computed while
 // the other blocks are imported.
-func (s *system) splitImport(c placement.Choice, e placement.Engine, held []placement.Store) int {
+func (s *system) splitImport(c placement.Choice, e placement.EngineEstimate, held []placement.StoreEstimate) int {
 	n := c.Import.Tokens / blockTokens
 	if n == 0 {
 		return 0
--- a/internal/policybench/owner.go
+++ b/internal/policybench/owner.go
@@ -90,8 +90,8 @@
 
 // estimate returns the owner's estimate for a job, or the last one with a late status if the owner is
 // paused.
-func (o *owner) estimate(j *job) placement.Engine {
-	e := placement.Engine{
+func (o *owner) estimate(j *job) placement.EngineEstimate {
+	e := placement.EngineEstimate{
 		Endpoint: o.name, ImportRate: o.s.profile.LinkBytes, Layout: layout,
 		BlockTokens: blockTokens, BlockBytes: blockBytes,
 	}
@@ -100,7 +100,7 @@
 	} else {
 		e.CachedTokens = o.refreshEstimate(j)
 		if !o.last.InRotation {
-			e.Status = placement.Paused
+			e.Status = placement.NotInRotation
 		}
 	}
 	e.Wait, e.LastWait = o.last.Wait, o.last.Wait
--- a/internal/policybench/store.go
+++ b/internal/policybench/store.go
@@ -56,15 +56,15 @@
 	})
 }
 
-func (st *store) estimate(t *turn) placement.Store {
+func (st *store) estimate(t *turn) placement.StoreEstimate {
 	if st.dead {
-		return placement.Store{Store: st.name, Status: placement.Paused}
+		return placement.StoreEstimate{Store: st.name, Status: placement.NotInRotation}
 	}
 	n := st.heldPrefix(t.promptBlocks())
 	if n > 0 {
 		st.used[t.conv] = st.s.at
 	}
-	return placement.Store{
+	return placement.StoreEstimate{
 		Store: st.name, HeldTokens: n * blockTokens, Layout: layout,
 		Rate:       st.budget.BytesPerSecond(st.s.now(), link.Import),
 		QueueDelay: st.budget.QueueDelay(st.s.now(), link.Import),
--- a/internal/policybench/system.go
+++ b/internal/policybench/system.go
@@ -159,12 +159,12 @@
 		Weights:      s.profile.Objective,
 	}
 	owners := s.ownersFor(j.turn)
-	engines := make([]placement.Engine, len(owners))
+	engines := make([]placement.EngineEstimate, len(owners))
 	for i, o := range owners {
 		engines[i] = o.estimate(j)
 	}
 	placement.FillUnknownRates(engines)
-	var held []placement.Store
+	var held []placement.StoreEstimate
 	if s.policy.export != nil {
 		for _, st := range s.stores {
 			held = append(held, st.estimate(j.turn))
--- a/internal/result/code.go
+++ b/internal/result/code.go
@@ -55,15 +55,15 @@
 	NodeStale          Code = 3007
 	UnknownService     Code = 3008
 	ExecutorGone       Code = 3009
-	CallerGone         Code = 3010
+	CallerDisconnected Code = 3010
 	Quarantined        Code = 3011
 )
 
 // Failures of endpoints and of their answers.
 const (
 	EndpointUnreachable Code = 4001
-	EndpointBrokeOff    Code = 4002
-	EndpointRefused     Code = 4003
+	EndpointFailed      Code = 4002
+	EndpointRejected    Code = 4003
 	AnswerOfOtherRun    Code = 4004
 	VersionMismatch     Code = 4005
 	AnswerTruncated     Code = 4006
@@ -94,8 +94,8 @@
 	SettingConflict Code = 6004
 	SettingMissing  Code = 6005
 	SettingInvalid  Code = 6006
-	// ExperimentClash is used for experiment files.
-	ExperimentClash Code = 6007
+	// ExperimentConflict is used for experiment files.
+	ExperimentConflict Code = 6007
 )
 
 // Exchanges between nodes.
--- a/internal/result/error.go
+++ b/internal/result/error.go
@@ -68,7 +68,7 @@
 }
 
 // From returns the Error in an error chain. An error without a code becomes
-// DeadlinePassed or CallerGone if it is the error of an ended context, else Internal.
+// DeadlinePassed or CallerDisconnected if it is the error of an ended context, else Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -78,7 +78,7 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		return Wrap(err, DeadlinePassed)
 	case errors.Is(err, context.Canceled):
-		return Wrap(err, CallerGone)
+		return Wrap(err, CallerDisconnected)
 	}
 	return Wrap(err, Internal)
 }
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -56,7 +56,7 @@
 	}{
 		{fmt.Errorf("outer: %w", own), own, ExecutorGone},
 		{fmt.Errorf("outer: %w", context.DeadlineExceeded), context.DeadlineExceeded, DeadlinePassed},
-		{context.Canceled, context.Canceled, CallerGone},
+		{context.Canceled, context.Canceled, CallerDisconnected},
 		{other, other, Internal},
 	} {
 		must.Eq(t, tc.code, From(tc.err).Code)
--- a/internal/router/cachedengines_test.go
+++ b/internal/router/cachedengines_test.go
@@ -18,7 +18,7 @@
 // for 10 s.
 func TestLayoutOutlivesCachedEstimate(t *testing.T) {
 	r := &Router{estimates: map[estimateKey]cachedEstimate{
-		{"e", "m", "v"}: {at: time.Now().Add(-time.Hour), engine: placement.Engine{Layout: "l", LastWait: time.Minute, Status: placement.Paused}},
+		{"e", "m", "v"}: {at: time.Now().Add(-time.Hour), engine: placement.EngineEstimate{Layout: "l", LastWait: time.Minute, Status: placement.NotInRotation}},
 	}}
 	engines := r.cachedEngines(&runs.Request{Model: "m", Version: "v"}, []*pb.Endpoint{{Name: "e"}})
 	must.Len(t, 1, engines)
--- a/internal/router/estimate.go
+++ b/internal/router/estimate.go
@@ -17,7 +17,7 @@
 // collectedEstimates holds the prompt length and the stores' estimates, as received in time.
 type collectedEstimates struct {
 	promptTokens int
-	stores       []placement.Store
+	stores       []placement.StoreEstimate
 }
 
 // ownerBatch is the estimate request to one node.
@@ -34,7 +34,7 @@
 
 // estimate requests estimates from the owners of all candidates concurrently and merges them into
 // engines. It returns when all have responded, or at the timeout.
-func (r *Router) estimate(ctx context.Context, req *runs.Request, engines []placement.Engine, stores []string) collectedEstimates {
+func (r *Router) estimate(ctx context.Context, req *runs.Request, engines []placement.EngineEstimate, stores []string) collectedEstimates {
 	ctx, cancel := context.WithTimeout(ctx, r.estimateTimeout)
 	defer cancel()
 	batches := r.batches(promptOf(req), engines, stores)
@@ -65,7 +65,7 @@
 }
 
 // batches groups the endpoints by owner.
-func (r *Router) batches(p owner.Prompt, engines []placement.Engine, stores []string) []*ownerBatch {
+func (r *Router) batches(p owner.Prompt, engines []placement.EngineEstimate, stores []string) []*ownerBatch {
 	var list []*ownerBatch
 	byNode := make(map[string]*ownerBatch)
 	batchFor := func(endpoint string) *ownerBatch {
@@ -92,7 +92,7 @@
 }
 
 // layoutsOf returns the known KV layouts of the engines.
-func layoutsOf(engines []placement.Engine) []string {
+func layoutsOf(engines []placement.EngineEstimate) []string {
 	var out []string
 	for _, e := range engines {
 		if e.Layout != "" && !slices.Contains(out, e.Layout) {
@@ -116,7 +116,7 @@
 }
 
 // merge adds the estimates of a reply to engines and out.
-func (r *Router) merge(rep reply, engines []placement.Engine, out *collectedEstimates) {
+func (r *Router) merge(rep reply, engines []placement.EngineEstimate, out *collectedEstimates) {
 	if rep.resp == nil {
 		return
 	}
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -217,9 +217,9 @@
 	}
 	e := result.From(observed.Err)
 	switch e.Code {
-	case result.CallerGone, result.DeadlinePassed:
+	case result.CallerDisconnected, result.DeadlinePassed:
 		return enginestate.Abandoned
-	case result.EndpointRefused:
+	case result.EndpointRejected:
 		if e.RunState == result.NotRun {
 			return enginestate.Refused
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -81,7 +81,7 @@
 // cachedEstimate is an owner's last estimate of an engine.
 type cachedEstimate struct {
 	at     time.Time
-	engine placement.Engine
+	engine placement.EngineEstimate
 }
 
 var (
@@ -180,7 +180,7 @@
 // err.
 func isRetryableElsewhere(err error) bool {
 	switch result.From(err).Code {
-	case result.Shed, result.EndpointRefused, result.NoEndpoint, result.DeadlineUnmeetable:
+	case result.Shed, result.EndpointRejected, result.NoEndpoint, result.DeadlineUnmeetable:
 		return true
 	}
 	return false
@@ -218,13 +218,13 @@
 }
 
 // cachedEngines returns an engine for each endpoint, with the usable values of its cached estimate.
-func (r *Router) cachedEngines(req *runs.Request, endpoints []*pb.Endpoint) []placement.Engine {
+func (r *Router) cachedEngines(req *runs.Request, endpoints []*pb.Endpoint) []placement.EngineEstimate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	engines := make([]placement.Engine, len(endpoints))
+	engines := make([]placement.EngineEstimate, len(endpoints))
 	for i, e := range endpoints {
-		engines[i] = placement.Engine{Endpoint: e.GetName(), FailureDomain: e.GetFailureDomain(), Status: placement.Late}
+		engines[i] = placement.EngineEstimate{Endpoint: e.GetName(), FailureDomain: e.GetFailureDomain(), Status: placement.Late}
 		cached, ok := r.estimates[estimateKey{e.GetName(), req.Model, req.Version}]
 		if !ok {
 			continue
@@ -237,14 +237,14 @@
 		}
 		engines[i].LastWait = cached.engine.LastWait
 		engines[i].PrefillRate = cached.engine.PrefillRate
-		if cached.engine.Status == placement.Paused {
-			engines[i].Status = placement.Paused
+		if cached.engine.Status == placement.NotInRotation {
+			engines[i].Status = placement.NotInRotation
 		}
 	}
 	return engines
 }
 
-func (r *Router) cacheEstimates(p *owner.Prompt, engines []placement.Engine) {
+func (r *Router) cacheEstimates(p *owner.Prompt, engines []placement.EngineEstimate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
--- a/internal/runs/broken_streams_test.go
+++ b/internal/runs/broken_streams_test.go
@@ -129,7 +129,7 @@
 }
 
 func drawStreamFault(t *rapid.T) streamFault {
-	refusals := []error{nil, nil, nil, result.New(result.EndpointRefused), result.New(result.EndpointBrokeOff), result.New(result.EndpointUnreachable)}
+	refusals := []error{nil, nil, nil, result.New(result.EndpointRejected), result.New(result.EndpointFailed), result.New(result.EndpointUnreachable)}
 	return streamFault{
 		refused:  rapid.SampledFrom(refusals).Draw(t, "refused"),
 		complete: rapid.IntRange(0, 9).Draw(t, "whole") == 0,
--- a/internal/runs/dispatcher.go
+++ b/internal/runs/dispatcher.go
@@ -113,7 +113,7 @@
 // isEndpointFault reports whether a failure may not occur on another endpoint.
 func isEndpointFault(code result.Code) bool {
 	switch code {
-	case result.EndpointUnreachable, result.EndpointBrokeOff, result.EndpointRefused,
+	case result.EndpointUnreachable, result.EndpointFailed, result.EndpointRejected,
 		result.AnswerOfOtherRun, result.VersionMismatch, result.AnswerTruncated, result.AnswerMalformed:
 		return true
 	}
@@ -130,7 +130,7 @@
 	if p.mayHaveRun && e.RunState == result.NotRun {
 		return result.Wrap(e, e.Code, result.WithRunState(result.MayHaveRun), result.WithField(e.Field), result.WithRetryAfter(e.RetryAfter))
 	}
-	if !p.mayHaveRun && (e.Code == result.DeadlinePassed || e.Code == result.CallerGone) {
+	if !p.mayHaveRun && (e.Code == result.DeadlinePassed || e.Code == result.CallerDisconnected) {
 		return result.Wrap(e, e.Code, result.WithRunState(result.NotRun))
 	}
 	return e
--- a/internal/runs/dispatcher_test.go
+++ b/internal/runs/dispatcher_test.go
@@ -64,8 +64,8 @@
 // TestNotRunOnlyIfNoAttemptBegan checks that an error states not_run only if no attempt can have
 // begun.
 func TestNotRunOnlyIfNoAttemptBegan(t *testing.T) {
-	brokeOff := attemptScript{start: result.New(result.EndpointBrokeOff)}
-	refused := attemptScript{start: result.New(result.EndpointRefused)}
+	brokeOff := attemptScript{start: result.New(result.EndpointFailed)}
+	refused := attemptScript{start: result.New(result.EndpointRejected)}
 	noEndpoint := attemptScript{place: result.New(result.NoEndpoint)}
 	cases := map[string]struct {
 		attempts []attemptScript
--- a/internal/runs/stream.go
+++ b/internal/runs/stream.go
@@ -142,7 +142,7 @@
 	if err == nil {
 		return nil
 	}
-	return result.Wrap(&sinkError{cause: err}, result.CallerGone)
+	return result.Wrap(&sinkError{cause: err}, result.CallerDisconnected)
 }
 
 // mayResume reports whether the engine may still hold a run whose stream broke off.
@@ -151,7 +151,7 @@
 		return false
 	}
 	code := result.From(err).Code
-	return code == result.EndpointBrokeOff || code == result.AnswerTruncated || code == result.AnswerMalformed
+	return code == result.EndpointFailed || code == result.AnswerTruncated || code == result.AnswerMalformed
 }
 
 // cancelInBackground cancels a run that will not be read further. It does not cancel a run whose
--- a/internal/runs/version.go
+++ b/internal/runs/version.go
@@ -52,7 +52,7 @@
 // reports whether it did. This uses no retry budget, since the request has not run.
 func (d *Dispatcher) switchVersion(ctx context.Context, p *progress, err error) bool {
 	e := result.From(err)
-	notAccepted := e.Code == result.NoEndpoint || e.Code == result.EndpointRefused
+	notAccepted := e.Code == result.NoEndpoint || e.Code == result.EndpointRejected
 	if !notAccepted || e.RunState != result.NotRun || p.mayHaveRun || ctx.Err() != nil {
 		return false
 	}
--- a/internal/runs/watchdog.go
+++ b/internal/runs/watchdog.go
@@ -52,7 +52,7 @@
 	case ctx.Err() != nil && w.ctx.Err() != nil && !w.stalled.Load():
 		return contextError(ctx, err)
 	case w.stalled.Load():
-		return result.Wrap(err, result.EndpointBrokeOff, result.WithMessage("nothing came from the engine for too long"))
+		return result.Wrap(err, result.EndpointFailed, result.WithMessage("nothing came from the engine for too long"))
 	}
 	return err
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -68,11 +68,11 @@
 	m.accounts.series(r.Account, r.Class, traffic, time.Now()).observe(&r)
 }
 
-// Exported adds bytes of context that were exported from an engine to a store host.
-func (m *Metrics) Exported(bytes int64) { m.exported.AddInt64(bytes) }
+// AddExportedBytes adds bytes of context that were exported from an engine to a store host.
+func (m *Metrics) AddExportedBytes(bytes int64) { m.exported.AddInt64(bytes) }
 
-// Ungoverned counts a run that was started without a grant of the endpoint's owner.
-func (m *Metrics) Ungoverned() { m.ungoverned.Inc() }
+// CountRunWithoutGrant counts a run that was started without a grant of the endpoint's owner.
+func (m *Metrics) CountRunWithoutGrant() { m.ungoverned.Inc() }
 
 // ServeHTTP serves the metrics of the node and of its process.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -75,8 +75,8 @@
 	m.Request(entry.RequestMetrics{Account: "mill", Code: result.RequestRate})
 	m.Request(entry.RequestMetrics{Code: result.MissingKey})
 	m.Request(entry.RequestMetrics{Code: 1999})
-	m.Exported(512)
-	m.Ungoverned()
+	m.AddExportedBytes(512)
+	m.CountRunWithoutGrant()
 	_ = scrape(m)
 	owned = []*pb.EndpointStatus{b, {Name: "c"}} // a lost, c gained
 	lines := scrape(m)
--- a/scenarios/gateway/gateway_test.go
+++ b/scenarios/gateway/gateway_test.go
@@ -74,7 +74,7 @@
 		Dir:                 ".",
 		RequireExplicitExec: true,
 		Setup: func(env *testscript.Env) error {
-			s, err := site.Start(site.Config{Beat: heartbeatInterval, Gap: eventInterval})
+			s, err := site.Start(site.Config{HeartbeatInterval: heartbeatInterval, EventInterval: eventInterval})
 			if err != nil {
 				return err
 			}
@@ -184,10 +184,10 @@
 	case "down":
 		w.site.Store.SetFaults(metastore.Faults{Down: true})
 	case "lossy":
-		w.site.Store.SetFaults(metastore.Faults{LoseAnswers: true})
+		w.site.Store.SetFaults(metastore.Faults{LoseResponses: true})
 	case "forgets":
-		w.site.Store.Forget("keyed.op")
-		w.site.Store.Forget("keyed.servers")
+		w.site.Store.Compact("keyed.op")
+		w.site.Store.Compact("keyed.servers")
 	default:
 		return fmt.Errorf("unknown state %q", words[0])
 	}
@@ -197,7 +197,7 @@
 // server NUMBER sound|shed|cut|lose|drain sets the faults of a model server, or of the plain server
 // if NUMBER is "plain".
 func (w *world) server(words []string) error {
-	faults := map[string]modelserver.Faults{"sound": {}, "shed": {Shed: true}, "cut": {CutAfter: 3}, "lose": {LoseAnswer: true}}
+	faults := map[string]modelserver.Faults{"sound": {}, "shed": {RejectRequests: true}, "cut": {CutAfter: 3}, "lose": {LoseResponse: true}}
 	f, known := faults[words[1]]
 	if words[0] == "plain" {
 		w.site.Plain.SetFaults(f)
@@ -224,7 +224,7 @@
 		return err
 	}
 	if words[0] == "name" {
-		w.site.NameVersion(version)
+		w.site.SetTargetVersion(version)
 		return nil
 	}
 	return w.poll(func() bool {
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -45,7 +45,7 @@
 	}
 	for _, tc := range tests {
 		var direct string
-		s, err := site.Start(site.Config{Beat: time.Second, Proxy: func(addr string) (string, error) {
+		s, err := site.Start(site.Config{HeartbeatInterval: time.Second, Proxy: func(addr string) (string, error) {
 			direct = addr // the last address is that of the plain server
 			return addr, nil
 		}})
@@ -75,7 +75,7 @@
 // order of the proxies.
 func newIdleWorld(t *testing.T) (w *world, addrs []string) {
 	t.Helper()
-	s, err := site.Start(site.Config{Beat: time.Second, Proxy: func(addr string) (string, error) {
+	s, err := site.Start(site.Config{HeartbeatInterval: time.Second, Proxy: func(addr string) (string, error) {
 		addrs = append(addrs, addr)
 		return addr, nil
 	}})
--- a/soak/client_test.go
+++ b/soak/client_test.go
@@ -211,7 +211,7 @@
 			return
 		}
 	}
-	if complete && (len(events) != site.Pieces || rest != "") {
+	if complete && (len(events) != site.StreamEvents || rest != "") {
 		c.observed.fail("%s %s: complete stream has %d events and trailing bytes %q", id, path, len(events), rest)
 	}
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -111,14 +111,14 @@
 
 func (w *world) faultStore(target int, lasts time.Duration) {
 	defer w.storeDisturbances.open()()
-	list := []metastore.Faults{{Down: true}, {LoseAnswers: true}, {Delay: storeDelay}}
+	list := []metastore.Faults{{Down: true}, {LoseResponses: true}, {Delay: storeDelay}}
 	w.site.Store.SetFaults(list[target%len(list)])
 	w.pause(lasts)
 	w.site.Store.SetFaults(metastore.Faults{})
 }
 
 func (w *world) compactStore(target int, _ time.Duration) {
-	w.site.Store.Forget([]string{operator, registry}[target%2])
+	w.site.Store.Compact([]string{operator, registry}[target%2])
 }
 
 // serverFault is a fault of a server. The faults of a server are combined.
@@ -127,16 +127,16 @@
 }
 
 var serverFaultKinds = []func(f *modelserver.Faults, target int){
-	func(f *modelserver.Faults, _ int) { f.Shed = true },
-	func(f *modelserver.Faults, _ int) { f.LoseAnswer = true },
+	func(f *modelserver.Faults, _ int) { f.RejectRequests = true },
+	func(f *modelserver.Faults, _ int) { f.LoseResponse = true },
 	func(f *modelserver.Faults, target int) { f.CutAfter = 1 + target%6 },
-	func(f *modelserver.Faults, _ int) { f.Unproven = true },
+	func(f *modelserver.Faults, _ int) { f.UnconfirmedError = true },
 	func(f *modelserver.Faults, _ int) { f.Status = 500 },
 	func(f *modelserver.Faults, _ int) { f.Unframed = true },
 	func(f *modelserver.Faults, target int) { f.Unframed, f.CutAfter = true, 1+target%6 },
 	func(f *modelserver.Faults, _ int) { f.Hang = true },
 	func(f *modelserver.Faults, _ int) { f.CutAfter = -1 },
-	func(f *modelserver.Faults, _ int) { f.Shed, f.Rest = true, retryAfterSeconds },
+	func(f *modelserver.Faults, _ int) { f.RejectRequests, f.RetryAfter = true, retryAfterSeconds },
 }
 
 // injectServerFault injects a fault into a server for a time.
@@ -155,7 +155,7 @@
 
 // applyFaults sets the combination of a server's current faults. w.mu is held.
 func (w *world) applyFaults(s *modelserver.Server) {
-	joined := modelserver.Faults{EndOn: crashPath}
+	joined := modelserver.Faults{CrashOnSuffix: crashPath}
 	for _, f := range w.faults[s] {
 		f.apply(&joined)
 	}
@@ -221,15 +221,15 @@
 		return
 	}
 	defer w.evacuating.Unlock()
-	w.site.Evacuate(site.ZoneAside, true)
+	w.site.Evacuate(site.SecondZone, true)
 	end := w.evacuated.open()
 	w.pause(evacuateBound + lasts)
 	end()
-	w.site.Evacuate(site.ZoneAside, false)
+	w.site.Evacuate(site.SecondZone, false)
 	if target%2 == 0 {
-		w.site.Evacuate(site.ZoneAside, true)
+		w.site.Evacuate(site.SecondZone, true)
 		w.pause(lasts)
-		w.site.Evacuate(site.ZoneAside, false)
+		w.site.Evacuate(site.SecondZone, false)
 	}
 }
 
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -67,7 +67,7 @@
 
 // reopen listens again after refuse. The port may be in use by another socket meanwhile.
 func (p *proxy) reopen() error {
-	l, err := site.ListenAgain(p.listenAddr)
+	l, err := site.ListenRetry(p.listenAddr)
 	if err != nil {
 		return err
 	}
--- a/soak/signalchecks_test.go
+++ b/soak/signalchecks_test.go
@@ -40,10 +40,10 @@
 		prepare  func(w *world)
 		want     bool
 	}{
-		{"leaving", modelserver.Faults{Leaving: "1"}, 2, long, nil, true},
-		{"draining, signal just received", modelserver.Faults{Leaving: "1"}, 2, time.Second, nil, false},
-		{"draining, signal not received", modelserver.Faults{Leaving: "1"}, 1, long, nil, false},
-		{"draining, node has faults", modelserver.Faults{Leaving: "1"}, 2, long, func(w *world) { w.nodes[0].disturbances.open()() }, false},
+		{"leaving", modelserver.Faults{Draining: "1"}, 2, long, nil, true},
+		{"draining, signal just received", modelserver.Faults{Draining: "1"}, 2, time.Second, nil, false},
+		{"draining, signal not received", modelserver.Faults{Draining: "1"}, 1, long, nil, false},
+		{"draining, node has faults", modelserver.Faults{Draining: "1"}, 2, long, func(w *world) { w.nodes[0].disturbances.open()() }, false},
 		{"limited", limited, limitBound + 2, long, func(w *world) { limitedFor(w, long) }, true},
 		{"limited, at most the allowed number", limited, limitBound, long, func(w *world) { limitedFor(w, long) }, false},
 		{"limited, limit just set", limited, limitBound + 2, long, func(w *world) { limitedFor(w, time.Second) }, false},
@@ -69,7 +69,7 @@
 	for _, requests := range []int{maxDuringRetryAfter, maxDuringRetryAfter + 1} {
 		w, addrs := newIdleWorld(t)
 		s, link := w.site.Models[0], &proxy{}
-		s.SetFaults(modelserver.Faults{Shed: true, Rest: retryAfterSeconds})
+		s.SetFaults(modelserver.Faults{RejectRequests: true, RetryAfter: retryAfterSeconds})
 		runAtAs(t, addrs[modelProxy], "asked")
 		time.Sleep(retryAfterDelay + retryAfterDelay/5) // the guarantee applies after this delay
 		for i := range requests {
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -48,7 +48,7 @@
 func (w *world) sendInvalidSignals(target int, lasts time.Duration) {
 	bad := func(i int) string { return invalidSignals[(target+i)%len(invalidSignals)] }
 	w.injectServersFault(w.servers(), lasts, func(f *modelserver.Faults) {
-		f.Limit, f.Leaving, f.Shed, f.Rest = bad(0), bad(1), target%2 == 0, bad(2)
+		f.Limit, f.Draining, f.RejectRequests, f.RetryAfter = bad(0), bad(1), target%2 == 0, bad(2)
 	})
 }
 
@@ -60,7 +60,7 @@
 	}
 	defer w.removing.Unlock()
 	i := target % len(w.site.Models)
-	w.injectServersFault(w.site.Models[i:i+1], 2*drainBound+lasts, func(f *modelserver.Faults) { f.Leaving = "1" })
+	w.injectServersFault(w.site.Models[i:i+1], 2*drainBound+lasts, func(f *modelserver.Faults) { f.Draining = "1" })
 	test.NoError(w.t, w.site.Restart(i, false))
 }
 
@@ -91,7 +91,7 @@
 // response of the same incarnation of the server, no later than latest, and had no faults since.
 func (w *world) signalReceived(list []arrival, a *arrival, latest time.Time, matches func(*modelserver.Arrival) bool) bool {
 	return slices.ContainsFunc(list, func(b arrival) bool {
-		return b.Request != a.Request && b.node == a.node && b.Born == a.Born && !b.respondedAt.IsZero() && !b.respondedAt.After(latest) &&
+		return b.Request != a.Request && b.node == a.node && b.StartedMs == a.StartedMs && !b.respondedAt.IsZero() && !b.respondedAt.After(latest) &&
 			matches(&b.Arrival) && w.nodes[a.node].disturbances.noneWithin(b.respondedAt, a.At)
 	})
 }
@@ -124,7 +124,7 @@
 // that it is draining.
 func (w *world) reachedDraining(s *modelserver.Server) []string {
 	all := w.arrivals(s)
-	leaving := func(a *modelserver.Arrival) bool { return a.Leaving == "1" }
+	leaving := func(a *modelserver.Arrival) bool { return a.Draining == "1" }
 	var broken []string
 	for _, a := range all {
 		sent := w.observed.sent[a.Request].at
@@ -142,8 +142,8 @@
 	var broken []string
 	for i := range all {
 		asked := &all[i]
-		seconds, err := strconv.ParseFloat(asked.Rest, 64)
-		if err != nil || asked.Rest != retryAfterSeconds || !link.disturbances.noneWithin(asked.At.Add(-retryAfterDelay), asked.At.Add(retryAfterDelay)) {
+		seconds, err := strconv.ParseFloat(asked.RetryAfter, 64)
+		if err != nil || asked.RetryAfter != retryAfterSeconds || !link.disturbances.noneWithin(asked.At.Add(-retryAfterDelay), asked.At.Add(retryAfterDelay)) {
 			continue
 		}
 		end := asked.At.Add(time.Duration(seconds * float64(time.Second)))
@@ -152,7 +152,7 @@
 		}
 		count := 0
 		for _, a := range all[i:] {
-			if a.node == asked.node && a.Born == asked.Born && a.At.Sub(asked.At) > retryAfterDelay && a.At.Before(end) {
+			if a.node == asked.node && a.StartedMs == asked.StartedMs && a.At.Sub(asked.At) > retryAfterDelay && a.At.Before(end) {
 				count++
 			}
 		}
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -71,14 +71,14 @@
 	var err error
 	w.log, err = os.Create(filepath.Join(t.TempDir(), "nodes.log"))
 	must.NoError(t, err)
-	w.site, err = site.Start(site.Config{Beat: heartbeatInterval, Gap: eventInterval, IP: ownIP(), Proxy: func(addr string) (string, error) {
+	w.site, err = site.Start(site.Config{HeartbeatInterval: heartbeatInterval, EventInterval: eventInterval, IP: ownIP(), Proxy: func(addr string) (string, error) {
 		p, err := newProxy(addr)
 		if err != nil {
 			return "", err
 		}
 		w.proxies = append(w.proxies, p)
 		return p.addr(), nil
-	}, Ended: w.onServerCrash})
+	}, OnCrash: w.onServerCrash})
 	must.NoError(t, err)
 	for _, s := range w.site.Models {
 		w.applyFaults(s)
@@ -126,7 +126,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
-	w.site.NameVersion(w.version)
+	w.site.SetTargetVersion(w.version)
 	w.versions = append(w.versions, targetVersion{w.version, time.Now()})
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -134,7 +134,7 @@
 	mux.HandleFunc("POST "+enginewire.PathOrders, e.serveOrder)
 	mux.HandleFunc("POST "+enginewire.PathExport, e.serveTransfer(e.exportBlock))
 	mux.HandleFunc("POST "+enginewire.PathImport, e.serveTransfer(e.importBlock))
-	return e.Faults.Gate(mux, fault.Once("restart", e.Restart))
+	return e.Faults.Gate(mux, fault.ActionOf("restart", e.Restart))
 }
 
 // notRun returns an error for a request that did not run.
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -118,8 +118,8 @@
 	Do   func(query url.Values) error
 }
 
-// Once returns an Action for a function that can't fail.
-func Once(name string, do func()) Action {
+// ActionOf returns an Action for a function that can't fail.
+func ActionOf(name string, do func()) Action {
 	return Action{name, func(url.Values) error { do(); return nil }}
 }
 
--- a/standin/fault/fault_test.go
+++ b/standin/fault/fault_test.go
@@ -33,7 +33,7 @@
 func TestSwitch_OverHTTP(t *testing.T) {
 	var s Switch[faults]
 	done := 0
-	h := s.Gate(ok, Once("kick", func() { done++ }))
+	h := s.Gate(ok, ActionOf("kick", func() { done++ }))
 	changed := s.Changed()
 	status, answer := call(h, http.MethodPost, Path, `{"loud":true}`)
 	must.Eq(t, 200, status)
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -28,9 +28,9 @@
 // Faults are the faults that tests can inject.
 type Faults struct {
 	Down bool // calls are rejected with status 503
-	// LoseAnswers closes the connection of each append after it was executed, without a
+	// LoseResponses closes the connection of each append after it was executed, without a
 	// response.
-	LoseAnswers bool
+	LoseResponses bool
 	// Delay is the delay before each call.
 	Delay time.Duration
 }
@@ -89,18 +89,18 @@
 	s.append(name, record)
 }
 
-// PutUnreadable makes the listing of newest records return text, which may be invalid base64, as
+// PutInvalidValue makes the listing of newest records return text, which may be invalid base64, as
 // the value of a key. A truncated record is appended to the log.
-func (s *Store) PutUnreadable(name, key, text string) {
+func (s *Store) PutInvalidValue(name, key, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	offset := s.append(name, append([]byte{byte(len(key) + 1)}, key...))
 	s.topic(name).newest[key] = newest{value: text, offset: offset}
 }
 
-// Forget deletes the records of a topic from the log. The newest record of each key stays in the
+// Compact deletes the records of a topic from the log. The newest record of each key stays in the
 // listing.
-func (s *Store) Forget(name string) {
+func (s *Store) Compact(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
@@ -192,7 +192,7 @@
 		body = body[lengthBytes+n:]
 	}
 	end := t.first + int64(len(t.records))
-	lose := s.faults.LoseAnswers
+	lose := s.faults.LoseResponses
 	s.mu.Unlock()
 	if lose {
 		panic(http.ErrAbortHandler)
--- a/standin/metastore/metastore_test.go
+++ b/standin/metastore/metastore_test.go
@@ -18,7 +18,7 @@
 	for _, raw := range []string{"", "\x05a", "\xff", "\x01a"} {
 		s.PutRecord("keyed.t", []byte(raw))
 	}
-	s.PutUnreadable("keyed.t", "k", "?")
+	s.PutInvalidValue("keyed.t", "k", "?")
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	for path, want := range map[string]string{
--- a/standin/modelserver/answer.go
+++ b/standin/modelserver/answer.go
@@ -30,9 +30,9 @@
 		return
 	}
 	s.recordArrival(id, faults)
-	if faults.Shed {
-		if faults.Rest != "" {
-			w.Header().Set("Retry-After", faults.Rest)
+	if faults.RejectRequests {
+		if faults.RetryAfter != "" {
+			w.Header().Set("Retry-After", faults.RetryAfter)
 		}
 		w.Header().Set("X-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -44,7 +44,7 @@
 // signals returns the headers in which the server reports its state in each response.
 func (f *Faults) signals() map[string]string {
 	headers := make(map[string]string)
-	for name, value := range map[string]string{"Server-Limit": f.Limit, "Server-Leaving": f.Leaving} {
+	for name, value := range map[string]string{"Server-Limit": f.Limit, "Server-Leaving": f.Draining} {
 		if value != "" {
 			headers[name] = value
 		}
@@ -65,9 +65,9 @@
 func (s *Server) recordArrival(id string, faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := Arrival{Request: id, At: time.Now(), Born: s.startedMs, Refused: faults.Shed, Limit: faults.Limit, Leaving: faults.Leaving}
-	if faults.Shed {
-		a.Rest = faults.Rest
+	a := Arrival{Request: id, At: time.Now(), StartedMs: s.startedMs, Refused: faults.RejectRequests, Limit: faults.Limit, Draining: faults.Draining}
+	if faults.RejectRequests {
+		a.RetryAfter = faults.RetryAfter
 	}
 	s.arrivals = append(s.arrivals, a)
 }
@@ -79,7 +79,7 @@
 		return // the client disconnected
 	}
 	s.mu.Lock()
-	s.runs = append(s.runs, Run{Request: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Header: r.Header.Clone(), At: time.Now(), Version: version, Born: s.startedMs})
+	s.runs = append(s.runs, Run{Request: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Header: r.Header.Clone(), At: time.Now(), Version: version, StartedMs: s.startedMs})
 	for entry := range strings.SplitSeq(r.Header.Get("X-Prefix-Hash"), ",") {
 		part, size, _ := strings.Cut(entry, ":")
 		if tokens, err := strconv.Atoi(size); err == nil {
@@ -89,17 +89,17 @@
 	s.mu.Unlock()
 	w.Header().Set("X-Server-Seal", "seal-"+s.cfg.ID)
 	switch {
-	case faults.EndOn != "" && strings.HasSuffix(r.URL.Path, faults.EndOn):
-		s.cfg.End()
+	case faults.CrashOnSuffix != "" && strings.HasSuffix(r.URL.Path, faults.CrashOnSuffix):
+		s.cfg.Crash()
 		panic(http.ErrAbortHandler)
 	case faults.Hang:
 		<-r.Context().Done()
 		s.recordAbandoned()
-	case faults.LoseAnswer:
+	case faults.LoseResponse:
 		panic(http.ErrAbortHandler)
-	case faults.Unproven:
+	case faults.UnconfirmedError:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case faults.Foreign || faults.Extra:
+	case faults.ResponseOfOtherBefore || faults.ResponseOfOtherAfter:
 		s.writeTwoResponses(w, id, faults)
 	case s.cfg.Model != "" && faults.Unframed:
 		s.streamUnframed(w, r, id, faults)
@@ -116,14 +116,14 @@
 // one announces that the connection is closed: a request sent while the connection closes without
 // notice could be neither answered nor retried.
 func (s *Server) writeTwoResponses(w http.ResponseWriter, id string, faults Faults) {
-	own := s.rawResponse(id, fmt.Sprintf("%s answers %s", s.cfg.ID, id), faults.Foreign, faults)
-	other := s.rawResponse("another", "an answer to another request", faults.Extra, faults)
+	own := s.rawResponse(id, fmt.Sprintf("%s answers %s", s.cfg.ID, id), faults.ResponseOfOtherBefore, faults)
+	other := s.rawResponse("another", "an answer to another request", faults.ResponseOfOtherAfter, faults)
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(err) // the servers of this package support Hijack
 	}
 	defer conn.Close()
-	if faults.Foreign {
+	if faults.ResponseOfOtherBefore {
 		own = other + own
 	} else {
 		own += other
@@ -156,7 +156,7 @@
 	var answer strings.Builder
 	fmt.Fprintf(&answer, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal-%s\r\n%sContent-Type: text/event-stream\r\n\r\n", id, s.cfg.ID, faults.signalLines())
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // absent means 0
-	for i := last + 1; i <= s.cfg.Pieces; i++ {
+	for i := last + 1; i <= s.cfg.StreamEvents; i++ {
 		if faults.CutAfter != 0 && i > faults.CutAfter {
 			fmt.Fprintf(&answer, truncatedEventFormat, i)
 			break
@@ -172,7 +172,7 @@
 	w.WriteHeader(http.StatusOK)
 	control := http.NewResponseController(w)
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // absent means 0
-	for i := last + 1; i <= s.cfg.Pieces; i++ {
+	for i := last + 1; i <= s.cfg.StreamEvents; i++ {
 		if faults.CutAfter != 0 && i > faults.CutAfter {
 			fmt.Fprintf(w, truncatedEventFormat, i)
 			_ = control.Flush()
@@ -187,7 +187,7 @@
 		case <-r.Context().Done():
 			s.recordAbandoned()
 			return
-		case <-time.After(s.cfg.Gap):
+		case <-time.After(s.cfg.EventInterval):
 		}
 	}
 }
--- a/standin/modelserver/modelserver.go
+++ b/standin/modelserver/modelserver.go
@@ -15,21 +15,21 @@
 
 // Faults are the faults that tests can inject.
 type Faults struct {
-	Shed bool // requests are rejected as not run
-	// Rest is the Retry-After header of requests rejected by Shed; empty for none.
-	Rest       string
-	LoseAnswer bool // requests run, and their connection is closed without a response
+	RejectRequests bool // requests are rejected as not run
+	// RetryAfter is the Retry-After header of requests rejected by RejectRequests; empty for none.
+	RetryAfter   string
+	LoseResponse bool // requests run, and their connection is closed without a response
 	// CutAfter closes the connection of a stream after this many events, within the next event;
 	// -1 closes it within the first.
 	CutAfter int
-	// Foreign sends a response to another request before that to the request itself.
-	Foreign bool
-	// Extra sends a response to another request after that to the request itself.
-	Extra bool
-	// Unproven sends status 503 without the header that states that the request did not run.
-	Unproven bool
-	Status   int  // of responses; 0 means 200
-	Hang     bool // requests run and get no response
+	// ResponseOfOtherBefore sends a response to another request before that to the request itself.
+	ResponseOfOtherBefore bool
+	// ResponseOfOtherAfter sends a response to another request after that to the request itself.
+	ResponseOfOtherAfter bool
+	// UnconfirmedError sends status 503 without the header that states that the request did not run.
+	UnconfirmedError bool
+	Status           int  // of responses; 0 means 200
+	Hang             bool // requests run and get no response
 	// Unframed sends streams without a length, which end when the connection is closed.
 	Unframed bool
 	// LateOrders executes orders after this delay, and sends no response; 0 disables it.
@@ -39,46 +39,46 @@
 	// Limit is the Server-Limit header, the rate in requests per second that the server reports
 	// as its limit for all nodes together; empty for none.
 	Limit string
-	// Leaving is the Server-Leaving header, which is 1 if the server is draining; empty for none.
-	Leaving string
-	// EndOn is a path suffix. A request whose path has it crashes the server that runs it; empty
+	// Draining is the Server-Leaving header, which is 1 if the server is draining; empty for none.
+	Draining string
+	// CrashOnSuffix is a path suffix. A request whose path has it crashes the server that runs it; empty
 	// disables this.
-	EndOn string
+	CrashOnSuffix string
 }
 
 // Config configures a server.
 type Config struct {
-	ID      string
-	Service string
-	Zone    string
-	Model   string        // empty for a plain server
-	Pieces  int           // number of events of a stream
-	Gap     time.Duration // between events
-	// End crashes the server: it stops its listener and closes its connections.
-	End func()
+	ID            string
+	Service       string
+	Zone          string
+	Model         string        // empty for a plain server
+	StreamEvents  int           // number of events of a stream
+	EventInterval time.Duration // between events
+	// Crash crashes the server: it stops its listener and closes its connections.
+	Crash func()
 }
 
 // Run is one request that the server ran.
 type Run struct {
-	Request string // request id
-	Method  string
-	Target  string
-	Body    string
-	Header  http.Header
-	At      time.Time // start of the run
-	Version int64     // of the weights at the start
-	Born    int64     // start time of the server, Unix milliseconds
+	Request   string // request id
+	Method    string
+	Target    string
+	Body      string
+	Header    http.Header
+	At        time.Time // start of the run
+	Version   int64     // of the weights at the start
+	StartedMs int64     // start time of the server, Unix milliseconds
 }
 
 // Arrival is a request that reached the server and was addressed to it, whether it ran or was
 // rejected, with the state that the server reported in the response.
 type Arrival struct {
-	Request string // request id
-	At      time.Time
-	Born    int64 // start time of the server, Unix milliseconds
-	Refused bool
-	// Limit, Leaving and Rest have the same meaning as in Faults.
-	Limit, Leaving, Rest string
+	Request   string // request id
+	At        time.Time
+	StartedMs int64 // start time of the server, Unix milliseconds
+	Refused   bool
+	// Limit, Draining and RetryAfter have the same meaning as in Faults.
+	Limit, Draining, RetryAfter string
 }
 
 // ColdStart is the time for which a server is cold after a restart.
@@ -146,8 +146,8 @@
 	return append([]Arrival(nil), s.arrivals...)
 }
 
-// Left returns the number of requests whose client disconnected before the end.
-func (s *Server) Left() int {
+// AbandonedRequests returns the number of requests whose client disconnected before the end.
+func (s *Server) AbandonedRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.abandoned
@@ -162,7 +162,7 @@
 
 // Entry returns the server's registry entry for an address and state.
 func (s *Server) Entry(addr, state string) []byte {
-	entry := map[string]any{"service": s.cfg.Service, "address": addr, "zone": s.cfg.Zone, "version": "v1", "slots": 8, "state": state, "cold-left-ms": s.coldLeft().Milliseconds(), "seq": 1, "born": s.Born()}
+	entry := map[string]any{"service": s.cfg.Service, "address": addr, "zone": s.cfg.Zone, "version": "v1", "slots": 8, "state": state, "cold-left-ms": s.coldLeft().Milliseconds(), "seq": 1, "born": s.StartedMs()}
 	if s.cfg.Model != "" {
 		entry["models"] = s.models()
 	}
@@ -183,8 +183,8 @@
 	return max(ColdStart-time.Since(time.UnixMilli(s.startedMs)), 0)
 }
 
-// Born returns the start time of the server in Unix milliseconds.
-func (s *Server) Born() int64 {
+// StartedMs returns the start time of the server in Unix milliseconds.
+func (s *Server) StartedMs() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startedMs
@@ -240,15 +240,15 @@
 	}
 }
 
-// Keep adds a part to the server's cache.
-func (s *Server) Keep(salt, id string, tokens int) {
+// StorePart adds a part to the server's cache.
+func (s *Server) StorePart(salt, id string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setPart([2]string{salt, id}, tokens)
 }
 
-// Kept returns the number of cached parts.
-func (s *Server) Kept() int {
+// CachedParts returns the number of cached parts.
+func (s *Server) CachedParts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.parts)
--- a/standin/modelserver/restart_test.go
+++ b/standin/modelserver/restart_test.go
@@ -27,11 +27,11 @@
 	s := New(Config{ID: "model-1", Model: "reader"})
 	startedMs := s.startedMs
 	test.True(t, send(s, firstOrder))
-	s.Keep("salt", "part", 100)
+	s.StorePart("salt", "part", 100)
 	s.Restart()
 	test.Greater(t, startedMs, s.startedMs)
 	test.Eq(t, 2, s.Version()) // the weights survive a restart
-	test.Eq(t, 0, s.Kept())
+	test.Eq(t, 0, s.CachedParts())
 	test.True(t, send(s, secondOrder)) // accepted: the restart reset the fencing token and the order count
 	test.Eq(t, 3, s.Version())
 }
--- a/standin/modelserver/signals_test.go
+++ b/standin/modelserver/signals_test.go
@@ -12,9 +12,9 @@
 // TestSignalsAreInAllAnswers checks that every kind of response, including raw ones, contains the
 // state headers: nodes take a response without Server-Limit as the end of the limit.
 func TestSignalsAreInAllAnswers(t *testing.T) {
-	for name, f := range map[string]Faults{"whole": {}, "unframed": {Unframed: true}, "foreign": {Foreign: true}, "extra": {Extra: true}, "error": {Status: http.StatusInternalServerError}, "refusal": {Shed: true}} {
-		s := New(Config{ID: "s", Model: "m", Pieces: 1})
-		f.Limit, f.Leaving = "2.5", "1"
+	for name, f := range map[string]Faults{"whole": {}, "unframed": {Unframed: true}, "foreign": {ResponseOfOtherBefore: true}, "extra": {ResponseOfOtherAfter: true}, "error": {Status: http.StatusInternalServerError}, "refusal": {RejectRequests: true}} {
+		s := New(Config{ID: "s", Model: "m", StreamEvents: 1})
+		f.Limit, f.Draining = "2.5", "1"
 		s.SetFaults(f)
 		served := httptest.NewServer(s.Handler())
 		resp, err := http.Get(served.URL + "/x")
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -36,8 +36,8 @@
 // Faults are the faults that can be injected.
 type Faults struct {
 	fault.Process
-	// LoseAnswers drops the connection of each call after its execution.
-	LoseAnswers bool `json:"lose_answers"`
+	// LoseResponses drops the connection of each call after its execution.
+	LoseResponses bool `json:"lose_answers"`
 	// FailBefore rejects calls with status 503 without executing them.
 	FailBefore bool `json:"fail_before"`
 }
@@ -128,7 +128,7 @@
 	if !fault.Sleep(s.closed, s.cfg.ExecuteTime) || !s.Faults.Wait(r.Context().Done()) {
 		fault.Drop()
 	}
-	if s.Faults.Get().LoseAnswers {
+	if s.Faults.Get().LoseResponses {
 		fault.Drop()
 	}
 	fault.WriteJSON(w, http.StatusOK, answer)
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -42,7 +42,7 @@
 		{Faults{}, "x", 200, 2},
 		{Faults{}, "y", 200, 1},
 		{Faults{FailBefore: true}, "x", 503, 2},
-		{Faults{LoseAnswers: true}, "x", 0, 3},
+		{Faults{LoseResponses: true}, "x", 0, 3},
 		{Faults{Process: fault.Process{Dead: true}}, "x", 0, 3},
 	}
 	for _, c := range cases {
--- a/standin/site/operator.go
+++ b/standin/site/operator.go
@@ -9,14 +9,14 @@
 // coldPerSecond is the number of requests per second that a cold model server can handle.
 const coldPerSecond = 18
 
-// ZoneAside is the failure domain of the last model server. All other servers and the nodes are in
+// SecondZone is the failure domain of the last model server. All other servers and the nodes are in
 // another one.
-const ZoneAside = "east"
+const SecondZone = "east"
 
 // zoneOf returns the failure domain of the i-th model server.
 func zoneOf(i int) string {
 	if i == modelServers-1 {
-		return ZoneAside
+		return SecondZone
 	}
 	return "north"
 }
@@ -66,8 +66,8 @@
 	s.Store.Put("keyed.op", key, nil)
 }
 
-// NameVersion writes the target version of the model's weights.
-func (s *Site) NameVersion(version int64) {
+// SetTargetVersion writes the target version of the model's weights.
+func (s *Site) SetTargetVersion(version int64) {
 	s.put("keyed.op", "version/"+Model, map[string]any{"model": Model, "version": version})
 }
 
--- a/standin/site/foreign.go
+++ b/standin/site/otherwriter.go
@@ -7,17 +7,17 @@
 	"sync/atomic"
 )
 
-// Foreign is another process that writes to the site's metadata store. None of its entries
+// OtherWriter is another process that writes to the site's metadata store. None of its entries
 // describes a usable server. They contain its own address, at which it counts the calls that
 // nodes make nevertheless.
-type Foreign struct {
+type OtherWriter struct {
 	site  *Site
 	addr  string
 	calls atomic.Int64
 }
 
-func newForeign(s *Site) (*Foreign, error) {
-	f := &Foreign{site: s}
+func newOtherWriter(s *Site) (*OtherWriter, error) {
+	f := &OtherWriter{site: s}
 	at, err := s.serveNewPort(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		f.calls.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
@@ -27,17 +27,17 @@
 }
 
 // Calls returns the number of calls to the writer's address.
-func (f *Foreign) Calls() int64 { return f.calls.Load() }
+func (f *OtherWriter) Calls() int64 { return f.calls.Load() }
 
 // entry returns a valid engine entry of a service, with the writer's address.
-func (f *Foreign) entry(service string) string {
+func (f *OtherWriter) entry(service string) string {
 	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":"north","version":"v1","slots":64,"state":"ready",`+
 		`"cold-left-ms":0,"stage":"read_write","models":[{"name":%q,"version":1,"adapters":[]}],"seq":1}`, service, f.addr, Model)
 }
 
 // Entries returns unusable entries: for services that are not configured, with missing fields or
 // fields of the wrong type, and bytes that can't be decoded.
-func (f *Foreign) Entries() []string {
+func (f *OtherWriter) Entries() []string {
 	engine := f.entry("models")
 	list := []string{
 		f.entry("strangers"), f.entry("Models"), f.entry("keep"), "{}", "null", "[]", "7", `"x"`, "{", "\xff\xfe\x00", engine + "x",
@@ -60,7 +60,7 @@
 
 // Write writes all entries under separate keys and under the keys of the given model servers, and
 // appends invalid records to the topics of the operator and the servers.
-func (f *Foreign) Write(overwritten ...int) {
+func (f *OtherWriter) Write(overwritten ...int) {
 	store := f.site.Store
 	for i, entry := range f.Entries() {
 		store.Put("keyed.servers", fmt.Sprint("foreign-", i), []byte(entry))
@@ -72,7 +72,7 @@
 		for _, raw := range []string{"", "\xff", "\x09model-1", "\x02\xc3(v"} {
 			store.PutRecord(topic, []byte(raw))
 		}
-		store.PutUnreadable(topic, "foreign-unreadable", "no base64!")
+		store.PutInvalidValue(topic, "foreign-unreadable", "no base64!")
 	}
 	for _, value := range []string{"{", "null", "{}", `{"version":"9"}`, `{"version":-9}`, `{"version":9.5}`, "\xff"} {
 		store.Put("keyed.op", "config", []byte(value))
--- a/standin/site/restart.go
+++ b/standin/site/restart.go
@@ -23,8 +23,8 @@
 	s.at.close()
 }
 
-// Up reports whether the i-th model server is running.
-func (s *Site) Up(i int) bool {
+// IsRunning reports whether the i-th model server is running.
+func (s *Site) IsRunning(i int) bool {
 	s.servers[i].mu.Lock()
 	defer s.servers[i].mu.Unlock()
 	return s.servers[i].state == stateReady
@@ -53,7 +53,7 @@
 	if moves {
 		return s.listen(h)
 	}
-	l, err := ListenAgain(previous.own)
+	l, err := ListenRetry(previous.own)
 	if err != nil {
 		return listener{}, err
 	}
@@ -62,9 +62,9 @@
 	return at, nil
 }
 
-// ListenAgain listens at an address that was in use before. It retries for up to portTimeout while
+// ListenRetry listens at an address that was in use before. It retries for up to portTimeout while
 // the address is in use by another socket.
-func ListenAgain(addr string) (net.Listener, error) {
+func ListenRetry(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	for limit := time.Now().Add(portTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(limit); {
 		time.Sleep(portRetryInterval)
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -28,8 +28,8 @@
 	Model   = "reader"
 	Account = "yard"
 
-	// Pieces is the number of events of a complete stream.
-	Pieces = 8
+	// StreamEvents is the number of events of a complete stream.
+	StreamEvents = 8
 
 	modelServers      = 3
 	readHeaderTimeout = 5 * time.Second
@@ -42,27 +42,27 @@
 
 // Config configures a site.
 type Config struct {
-	Beat time.Duration // interval of the servers' registry entries
-	Gap  time.Duration // interval of the events of a stream
+	HeartbeatInterval time.Duration // interval of the servers' registry entries
+	EventInterval     time.Duration // interval of the events of a stream
 	// IP is the address at which all stand-ins and nodes listen; empty means 127.0.0.1. Sites on the
 	// same host that use different addresses don't reuse each other's ports.
 	IP string
 	// Proxy returns the address that is published in place of a stand-in's own address. If it is
 	// nil, the own addresses are published.
 	Proxy func(addr string) (string, error)
-	// Ended, if not nil, is called when the i-th model server crashes, before its connections are
+	// OnCrash, if not nil, is called when the i-th model server crashes, before its connections are
 	// closed.
-	Ended func(i int)
+	OnCrash func(i int)
 }
 
 // Site is a running deployment.
 type Site struct {
-	Store  *metastore.Store
-	Models []*modelserver.Server
-	Plain  *modelserver.Server
-	Keep   *modelserver.Server // the store of KV cache
-	// Foreign writes invalid records to the metadata store at the request of tests.
-	Foreign *Foreign
+	Store   *metastore.Store
+	Models  []*modelserver.Server
+	Plain   *modelserver.Server
+	KVStore *modelserver.Server // the store of KV cache
+	// OtherWriter writes invalid records to the metadata store at the request of tests.
+	OtherWriter *OtherWriter
 
 	ip                     string
 	storeAddr, kvStoreAddr string
@@ -95,22 +95,22 @@
 // written with Configure.
 func Start(c Config) (*Site, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Site{ip: cmp.Or(c.IP, "127.0.0.1"), Store: metastore.New(), ctx: ctx, stop: cancel, proxy: c.Proxy, onCrash: c.Ended}
+	s := &Site{ip: cmp.Or(c.IP, "127.0.0.1"), Store: metastore.New(), ctx: ctx, stop: cancel, proxy: c.Proxy, onCrash: c.OnCrash}
 	store, err := s.listen(s.Store.Handler())
 	if err != nil {
 		return nil, err
 	}
-	if s.Foreign, err = newForeign(s); err != nil {
+	if s.OtherWriter, err = newOtherWriter(s); err != nil {
 		return nil, err
 	}
-	s.Keep = modelserver.New(modelserver.Config{ID: "keep"})
-	keep, err := s.listen(s.Keep.Handler())
+	s.KVStore = modelserver.New(modelserver.Config{ID: "keep"})
+	keep, err := s.listen(s.KVStore.Handler())
 	if err != nil {
 		return nil, err
 	}
 	s.storeAddr, s.kvStoreAddr = store.addr, keep.addr
 	for i := range modelServers {
-		cfg := modelserver.Config{ID: fmt.Sprint("model-", i+1), Service: "models", Zone: zoneOf(i), Model: Model, Pieces: Pieces, Gap: c.Gap}
+		cfg := modelserver.Config{ID: fmt.Sprint("model-", i+1), Service: "models", Zone: zoneOf(i), Model: Model, StreamEvents: StreamEvents, EventInterval: c.EventInterval}
 		added, err := s.add(cfg)
 		if err != nil {
 			return nil, err
@@ -121,14 +121,14 @@
 		return nil, err
 	}
 	s.register()
-	s.wg.Go(func() { s.heartbeat(ctx, c.Beat) })
+	s.wg.Go(func() { s.heartbeat(ctx, c.HeartbeatInterval) })
 	return s, nil
 }
 
 func (s *Site) add(cfg modelserver.Config) (*modelserver.Server, error) {
 	added := &server{id: cfg.ID, state: stateReady}
 	i := len(s.servers)
-	cfg.End = func() {
+	cfg.Crash = func() {
 		if s.onCrash != nil {
 			s.onCrash(i)
 		}
--- a/standin/site/site_test.go
+++ b/standin/site/site_test.go
@@ -14,7 +14,7 @@
 // TestStartRegisters checks that all servers are in the registry when Start returns. Otherwise a
 // node that reads the registry between the first entries serves some routes and rejects others.
 func TestStartRegisters(t *testing.T) {
-	s, err := Start(Config{Beat: time.Hour, Gap: time.Millisecond})
+	s, err := Start(Config{HeartbeatInterval: time.Hour, EventInterval: time.Millisecond})
 	must.NoError(t, err)
 	defer s.Close()
 	answer := httptest.NewRecorder()
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -66,9 +66,9 @@
 	mux.HandleFunc("DELETE "+storewire.PathManifests+"/{key}", s.deleteManifest)
 	mux.HandleFunc("GET "+storewire.PathUsage, s.usage)
 	return s.Faults.Gate(mux,
-		fault.Once("snapshot", s.Snapshot),
+		fault.ActionOf("snapshot", s.Snapshot),
 		fault.Action{Name: "rollback", Do: func(url.Values) error { return s.Rollback() }},
-		fault.Once("lose", s.Lose),
+		fault.ActionOf("lose", s.Lose),
 		fault.Action{Name: "corrupt", Do: func(q url.Values) error { return s.Corrupt(q.Get("name")) }},
 	)
 }
