--- a/internal/calls/caller_deadline_test.go
+++ b/internal/calls/caller_deadline_test.go
@@ -65,7 +65,7 @@
 	s.plain = newPlainClient(fake, fake, fake)
 	s.plain.http.Transport = fake
 	s.SetPrompts(fake)
-	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: "n1", Run: 1}))
+	s.executor, err = ticket.New(s.ticketConfig(ticket.Incarnation{Node: "n1", Number: 1}))
 	must.NoError(t, err)
 	return s
 }
--- a/internal/capacity/calls_test.go
+++ b/internal/capacity/calls_test.go
@@ -40,8 +40,8 @@
 	return blocks
 }
 
-func estimateAnswer(name string) placement.Engine {
-	return placement.Engine{Endpoint: name, Status: placement.Known, Wait: 123456789, PrefillRate: 41234.5, StepTime: 12345678, CachedTokens: 20480,
+func estimateAnswer(name string) placement.EngineEstimate {
+	return placement.EngineEstimate{Endpoint: name, Status: placement.Known, Wait: 123456789, PrefillRate: 41234.5, StepTime: 12345678, CachedTokens: 20480,
 		Running: 24, Waiting: 3, ImportRate: 104857600, LastWait: 123456789, Layout: layoutName, BlockTokens: 2048, BlockBytes: 64 << 20}
 }
 
@@ -68,7 +68,7 @@
 		p := promptOf(chunks)
 		b.Run(fmt.Sprintf("estimate/chunks=%d", chunks), func(b *testing.B) {
 			benchCall(b, owner.MethodEstimate, &owner.EstimateRequest{Prompt: p, Engines: []string{name}},
-				&owner.EstimateResponse{PromptTokens: 60_000, Engines: []placement.Engine{estimateAnswer(name)}})
+				&owner.EstimateResponse{PromptTokens: 60_000, Engines: []placement.EngineEstimate{estimateAnswer(name)}})
 		})
 		b.Run(fmt.Sprintf("grant/chunks=%d", chunks), func(b *testing.B) {
 			benchCall(b, owner.MethodGrant, &owner.GrantRequest{Endpoint: name, Grant: grant, Weight: 1, Prompt: p, Tokens: 60_000,
@@ -190,13 +190,13 @@
 	for _, n := range []int{1024, 16_384, 65_536} {
 		b.Run(fmt.Sprintf("tickets=%d", n), func(b *testing.B) {
 			measurePerOp(b, func() {
-				e, err := ticket.New(ticket.Config{Self: ticket.Incarnation{Node: "n", Run: 1}, Key: make(ticket.Key, 32), Window: 1 << 16, KeepAnswers: 1, KeepBytes: 1 << 10, KeepFor: time.Minute, AdoptFor: time.Hour})
+				e, err := ticket.New(ticket.Config{Self: ticket.Incarnation{Node: "n", Number: 1}, Key: make(ticket.Key, 32), Window: 1 << 16, MaxAnswersPerAccount: 1, MaxAnswerBytes: 1 << 10, AnswerTTL: time.Minute, AdoptedTTL: time.Hour})
 				must.NoError(b, err)
 				before := measure.MemoryInUse()
 				for i := range n {
 					_, err := e.Issue("a", 1)
 					must.NoError(b, err)
-					used := ticket.Ticket{Executor: ticket.Incarnation{Node: "n", Run: 1}, Serial: uint64(i), Account: "a"}
+					used := ticket.Ticket{Incarnation: ticket.Incarnation{Node: "n", Number: 1}, Serial: uint64(i), Account: "a"}
 					_, err = e.Do(b.Context(), used, "a", ticket.Fingerprint{}, answer)
 					must.NoError(b, err)
 				}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -167,7 +167,7 @@
 func (x *exchange) finalError(ctx context.Context, mayHaveRunCount int, notRunErr *result.Error) *result.Error {
 	switch {
 	case x.callerWriteFailed, x.r.Context().Err() != nil:
-		return result.New(result.CallerGone)
+		return result.New(result.CallerDisconnected)
 	case mayHaveRunCount == 0 && x.expired(ctx):
 		return result.New(result.DeadlineUnmeetable, result.WithRetryAfter(retryAfterOtherNode))
 	case mayHaveRunCount == 0:
@@ -175,7 +175,7 @@
 	case x.expired(ctx):
 		return result.New(result.DeadlinePassed)
 	}
-	return result.New(result.EndpointBrokeOff, result.WithRunState(result.MayHaveRun))
+	return result.New(result.EndpointFailed, result.WithRunState(result.MayHaveRun))
 }
 
 // attempt sends the request once and returns the verdict. Afterwards x.cause is the reason
--- a/internal/gatewaydemo/gatewaydemo.go
+++ b/internal/gatewaydemo/gatewaydemo.go
@@ -88,7 +88,7 @@
 // Run starts a site and nodes, sends requests and prints the status, time to the response headers and
 // size of each response. If serve is true it then runs until ctx is done.
 func Run(ctx context.Context, out io.Writer, log zerolog.Logger, serve bool) error {
-	s, err := site.Start(site.Config{Beat: heartbeatInterval, Gap: eventInterval})
+	s, err := site.Start(site.Config{HeartbeatInterval: heartbeatInterval, EventInterval: eventInterval})
 	if err != nil {
 		return err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	requestRouter, err := router.New(time.Duration(s.Requests.EstimateTimeout), d.metrics.Ungoverned, d.log)
+	requestRouter, err := router.New(time.Duration(s.Requests.EstimateTimeout), d.metrics.CountRunWithoutGrant, d.log)
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	owners := owner.New(d.engines, d.salter, time.Duration(s.KeptContext.ExportAfter), d.metrics.Exported, d.log)
+	owners := owner.New(d.engines, d.salter, time.Duration(s.KeptContext.ExportAfter), d.metrics.AddExportedBytes, d.log)
 	d.metrics.WatchConfig(config.Status)
 	d.metrics.WatchRollout(rollouts.Counters, rollouts.Appends)
 	d.metrics.WatchOwned(func() []*pb.EndpointStatus {
--- a/internal/owner/grants.go
+++ b/internal/owner/grants.go
@@ -179,7 +179,7 @@
 		e.finishRequest(r.Run, result.New(result.DeadlineUnmeetable))
 	}
 	for _, r := range changes.Displaced {
-		e.finishRequest(r.Run, result.New(result.EndpointRefused, result.WithRunState(result.NotRun)))
+		e.finishRequest(r.Run, result.New(result.EndpointRejected, result.WithRunState(result.NotRun)))
 	}
 	for _, run := range changes.Recompute {
 		if p := e.pending[run]; p != nil {
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -285,7 +285,7 @@
 	if errors.As(err, &refused) {
 		return result.New(result.Shed, result.WithMessage("%s", refused.Reason), result.WithRetryAfter(refused.RetryAfter))
 	}
-	var queue *fairqueue.RefusedError
+	var queue *fairqueue.RejectedError
 	if errors.As(err, &queue) {
 		return result.New(result.Shed, result.WithMessage("%s", queue.Reason), result.WithRetryAfter(queue.RetryAfter))
 	}
--- a/internal/owner/weights.go
+++ b/internal/owner/weights.go
@@ -108,7 +108,7 @@
 // errNotLoaded returns the error for a run whose weights the engine has not loaded or
 // whose model's grants are suspended. Another engine may serve the run.
 func errNotLoaded() error {
-	return result.New(result.EndpointRefused, result.WithRunState(result.NotRun))
+	return result.New(result.EndpointRejected, result.WithRunState(result.NotRun))
 }
 
 // canServe reports whether the engine has loaded the prompt's weights and grants for
