--- a/internal/capacity/slopes_request.go
+++ b/internal/capacity/slopes_request.go
@@ -85,7 +85,7 @@
 		Points: []Point{{32_000, 5.375}, {120_000, 9.256}, {240_000, 12.848}}},
 	{ID: TicketCPU, Title: "tickets of one account: issue and run, without the call", Unit: "µs", Per: "tickets", Command: "go test ./internal/capacity -run xxx -benchtime 3x -bench Tickets", Load: "28",
 		Points: []Point{{1024, 17_653}, {16_384, 197_071}, {65_536, 801_000}}},
-	{ID: ClaimAppends, Title: "claim: appends to the log without faults", Unit: "appends", Per: "claims", Command: "cd coord && go test -v -run Appends ./claim"},
+	{ID: ClaimAppends, Title: "claim: appends to the log without faults", Unit: "appends", Per: "claims", Command: "cd coord && go test -v -run ClaimLifecycle ./claim"},
 }
 
 const storesCommand = "go test ./internal/owner -run xxx -benchtime 300ms -bench StoresFor"
--- a/internal/capacity/slopes_standing.go
+++ b/internal/capacity/slopes_standing.go
@@ -41,7 +41,7 @@
 	memberCommand  = "cd coord && CHERRYWARD_MEMBER_FULL=1 go test -timeout 1200s -run Measure -v ./member"
 	coreCommand    = "cd coord && go test -run xxx -bench Core -benchtime 100ms ./member"
 	spreadCommand  = "cd coord && go test ./changelog -run TestSpread -spread=5m -v"
-	controlCommand = "cd coord && go test -run TestControlBytes -v ./limit"
+	controlCommand = "cd coord && go test -run TestMessageBytes -v ./limit"
 	idleCommand    = "go test ./internal/capacity/measure -run TestIdle -measure -v"
 	ownedCommand   = "go test ./internal/capacity/measure -run TestOwned -measure -v"
 	ownersCommand  = "go test ./internal/cluster -run xxx -benchtime 300ms -bench Owners"
