--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -41,8 +41,8 @@
 // Directory provides the latest configuration.
 type Directory interface {
 	View() *config.View
-	// Typed returns the store that provides the views.
-	Typed() *config.Store
+	// ConfigStore returns the store that provides the views.
+	ConfigStore() *config.Store
 }
 
 // Service is the owner service.
