--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -42,7 +42,7 @@
 type Directory interface {
 	View() *config.View
 	// Typed returns the store that the views come from.
-	Typed() *config.Store
+	ConfigStore() *config.Store
 }
 
 // Service is the owner service.
--- a/internal/owner/stores_test.go
+++ b/internal/owner/stores_test.go
@@ -31,7 +31,7 @@
 
 type directory struct{ *config.Store }
 
-func (d directory) Typed() *config.Store { return d.Store }
+func (d directory) ConfigStore() *config.Store { return d.Store }
 
 var chain = kvcache.Identity{Account: "a", Model: "m"}.TextChain(string(make([]byte, 1<<16)))
 
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -56,7 +56,7 @@
 // trackChanges applies configuration changes until ctx is done or changes are
 // missing.
 func (s *Service) trackChanges(ctx context.Context, after int64, tracked map[string]struct{}) {
-	for e, err := range s.directory.Typed().Watch(ctx, after) {
+	for e, err := range s.directory.ConfigStore().Watch(ctx, after) {
 		if err != nil {
 			return
 		}
