--- a/scenarios/gateway/gateway_test.go
+++ b/scenarios/gateway/gateway_test.go
@@ -146,7 +146,14 @@
 	if err := os.WriteFile(file, []byte(w.site.BootFile(name)), 0o600); err != nil {
 		return err
 	}
-	program := processtest.Program(len(words) > 1 && words[1] == "other")
+	build := "own"
+	if len(words) > 1 {
+		build = words[1]
+	}
+	program, err := processtest.Program(build)
+	if err != nil {
+		return err
+	}
 	p := &process{cmd: exec.Command(program, "run", "--boot", file), ended: make(chan struct{})}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := p.cmd.StdoutPipe()
--- a/scenarios/node_test.go
+++ b/scenarios/node_test.go
@@ -78,8 +78,10 @@
 	id := a.word(0)
 	n := &nodeProcess{id: id, domain: a.text("domain", "north"), ended: make(chan struct{}), listening: make(chan struct{})}
 	ready := a.flag("ready", true)
-	program := processtest.Program(a.text("build", "own") == "other")
-	var err error
+	program, err := processtest.Program(a.text("build", "own"))
+	if err != nil {
+		return err
+	}
 	if a.flag("relay", false) {
 		if n.relay, err = newRelay(); err != nil {
 			return err
--- a/scenarios/processtest/stop.go
+++ b/scenarios/processtest/stop.go
@@ -4,6 +4,7 @@
 import (
 	"cmp"
 	"errors"
+	"fmt"
 	"os"
 
 	"golang.org/x/sys/unix"
@@ -12,14 +13,17 @@
 // BuildVariable is the environment variable that holds the path of another build's executable.
 const BuildVariable = "CHERRYWARD_OTHER_BUILD"
 
-// Program returns the executable of a node: that of the other build if other is true and
-// BuildVariable is set, and "cherryward", the build under test, otherwise.
-func Program(other bool) string {
+// Program returns the program of a build: "own" is the build under test, "other" the one that
+// BuildVariable names, or the build under test if BuildVariable is not set.
+func Program(build string) (string, error) {
 	const own = "cherryward"
-	if !other {
-		return own
+	switch build {
+	case "own":
+		return own, nil
+	case "other":
+		return cmp.Or(os.Getenv(BuildVariable), own), nil
 	}
-	return cmp.Or(os.Getenv(BuildVariable), own)
+	return "", fmt.Errorf("unknown build %q: want own or other", build)
 }
 
 // AwaitStop waits until all threads of a child process are stopped. After SIGSTOP was sent, threads
